--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -1,4 +1,4 @@
-//! Which workers may run the steps of queues whose policy only the advice service knows.
+//! Advice on which workers may run the steps of queues whose policy only the advice service knows.
 
 use crate::{
     cell::Cell,
@@ -12,33 +12,34 @@
     collections::{BTreeMap, BTreeSet},
 };
 
-/// Workers that one question names: the service takes longer for each, and this many is what a job's
-/// objective allows for.
+/// Maximum number of workers in one request: the service takes longer for each, and a job's
+/// objective leaves time for this many.
 const ASKED: usize = 30;
 
-/// Questions of one pool that wait for their answers at the same time; the service turns entries away
-/// that let 32 wait.
+/// Maximum number of concurrent requests of one pool; the service rejects entries that have 32 of
+/// them waiting.
 const OPEN: usize = 6;
 
-/// Part of a ticket's time that is left for the start to reach its worker, in milliseconds.
+/// Part of a ticket's validity that is left for the start to reach its worker.
 const SLACK: Millis = 300;
 
-/// Pause after a question without an answer, in milliseconds.
+/// Pause after a request without an answer.
 const PAUSE: Millis = 200;
 
 /// What is known of the workers for one step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Policy {
-    /// Workers that may not run it, which doesn't change while they live.
+    /// Workers that may not run it; this doesn't change during their incarnation.
     bad: BTreeSet<Name>,
-    /// Tickets that are still valid, with the time up to which they are used.
+    /// Valid tickets by worker, with the time until which they are used.
     tickets: BTreeMap<Name, (Name, Millis)>,
     asking: bool,
     ask_from: Millis,
 }
 
 impl Policy {
-    /// Takes in that a worker has begun its next life, in which no ticket of the one before is valid.
+    /// Records that a worker has begun its next incarnation, in which tickets of the previous one
+    /// aren't valid.
     pub(crate) fn begin_life(&mut self, worker: &Name) {
         self.tickets.remove(worker);
     }
@@ -50,7 +51,7 @@
     }
 }
 
-/// Drops what is too old, or of steps and workers that are over.
+/// Drops expired tickets and entries of steps and workers that no longer exist.
 pub(crate) fn expire(cell: &mut Cell, now: Millis) {
     let Cell {
         policies,
@@ -71,7 +72,7 @@
     job.is_some_and(|job| cell.advised.contains(&job.accepted.queue))
 }
 
-/// Whether the queue's policy allows a worker to run a task, as far as is known now.
+/// Whether the queue's policy is known to allow a worker to run a task.
 pub(crate) fn allows(cell: &Cell, task: &TaskId, worker: &Name) -> bool {
     !needs_ticket(cell, task) || ticket(cell, task, worker).is_some()
 }
@@ -83,8 +84,9 @@
     Some(Name::clone(ticket))
 }
 
-/// Questions for steps that still wait: about workers with room that weren't asked about, or that may
-/// run the step and whose ticket has become too old. The roomiest come first.
+/// Requests for steps that still wait: for workers with free capacity that weren't asked about, or
+/// that may run the step and whose ticket has expired. Workers with the most free capacity come
+/// first.
 pub(crate) fn questions(cell: &mut Cell, waiting: &[Waiting], now: Millis) -> Vec<Question> {
     let open = cell
         .policies
@@ -137,7 +139,7 @@
     ids.map(|(_room, id)| Name::clone(id)).collect()
 }
 
-/// Takes in an answer to a question that was sent at `sent_at`; `None` where there was none.
+/// Applies the answer to a request that was sent at `sent_at`; `None` if there was none.
 pub(crate) fn answered(
     cell: &mut Cell,
     question: &Question,
@@ -167,7 +169,7 @@
     }
 }
 
-/// A worker has refused a ticket: it isn't used again.
+/// Drops a ticket that its worker has refused.
 pub(crate) fn refused(cell: &mut Cell, task: &TaskId, worker: &Name) {
     if let Some(policy) = cell.policies.get_mut(&task.step_id()) {
         policy.tickets.remove(worker);
--- a/crates/cell/src/arrivals.rs
+++ b/crates/cell/src/arrivals.rs
@@ -1,44 +1,48 @@
-//! How much work comes in, and how much will in a moment.
+//! Rate of incoming work, and a short-term forecast of it.
 //!
-//! Work that waits shows a rise of the demand only after the rise, by the time that it has waited. What has
-//! been accepted shows it at once: jobs a second times the work of a job is the number of cores that they
-//! will occupy, whether or not there are so many. Demand that rises goes on to rise for a while, and an
-//! instance that is asked for now works a lead time later, so the rise is taken to go on for that long.
+//! The backlog shows a rise of the demand only after jobs have waited. The arrival rate shows it at
+//! once: jobs per second times the work per job is the number of cores that they will occupy,
+//! whether or not so many exist. Demand that rises goes on rising for a while, and an instance that
+//! is requested now becomes available a lead time later, so the rise is extrapolated over that
+//! time.
 
 use crate::limits::Millis;
 use primroseroute_domain::work::{Demand, Job, Step};
 use std::collections::VecDeque;
 
-/// Span over which the newest rate is taken. Ten jobs or so come in within it where a queue is busy;
-/// shorter, and the rate of a few jobs is chance; longer, and a rise is seen that much later.
+/// Window of the current rate. About ten jobs arrive within it where a queue is busy; with a
+/// shorter one the rate is dominated by chance, and with a longer one a rise is seen that much
+/// later.
 const NEAR_MS: Millis = 600;
 
-/// Span before that, with which the newest rate is compared.
+/// Window before that, with which the current rate is compared.
 const BEFORE_MS: Millis = 1_200;
 
-/// Time from a rise until an instance that comes for it works: publishing, the order, the move, the
-/// registration and the first look.
+/// Time from a rise until an instance that is requested for it is available: publishing, the order,
+/// the move, the registration and the first status poll.
 const LEAD_MS: Millis = 2_000;
 
-/// Number of jobs whose work tells the rate well. A queue in which so many come in within half of the near span shows its rise as
-/// it is, and nothing has to be guessed of how it goes on.
+/// Number of jobs from which the rate is reliable. A queue in which so many arrive within half of
+/// the near window shows its rise directly, without extrapolation.
 const ENOUGH: u64 = 50;
 
-/// Times the near rate that the newest jobs' has to be, in percent, to be taken for a rise and not for chance.
+/// Rate of the newest jobs, in percent of the near rate, from which it counts as a rise and not as
+/// noise.
 const CLEAR_PERCENT: u64 = 125;
 
-/// Most that a rise is taken to multiply the newest rate by: few jobs after none look like a steep rise.
+/// Maximum factor by which a rise multiplies the current rate: a few jobs after none look like a
+/// steep rise.
 const MOST_RISE: u64 = 3;
 
-/// Least time between two sums that are remembered.
+/// Minimum time between two recorded sums.
 const SAMPLE_MS: Millis = 20;
 
-/// Work of some jobs.
+/// Total work of a number of jobs.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sum {
     jobs: u64,
     all: Demand,
-    /// The most that one of them has, in each respect.
+    /// Maximum over the jobs, for each resource.
     largest: Demand,
 }
 
@@ -52,20 +56,21 @@
     }
 }
 
-/// Work that was accepted lately.
+/// Recently accepted work.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Arrivals {
     /// Accepted since the last round.
     fresh: Sum,
-    /// Sums of work by the time of the round that took them in.
+    /// Sums of work by the time of the round that recorded them.
     recent: VecDeque<(Millis, Sum)>,
-    /// Whether a round has been held: what was there before that has not just come in.
+    /// Whether there was a round: jobs known before the first one have not just arrived.
     begun: bool,
-    /// Whether anything that ends by itself was ever taken in.
+    /// Whether any work that ends by itself was ever recorded.
     any: bool,
 }
 
-/// What a job occupies, times the milliseconds that it takes; nothing for what lasts or is scheduled.
+/// A job's demand times its estimated duration in milliseconds; zero for long-running and scheduled
+/// jobs.
 fn work(job: &Job) -> Demand {
     if job.schedule.is_some() || job.lasting() {
         return Demand::default();
@@ -86,7 +91,7 @@
 }
 
 impl Arrivals {
-    /// Takes in a job that was accepted.
+    /// Records an accepted job.
     pub(crate) fn accept(&mut self, job: &Job) {
         let work = work(job);
         self.any |= work != Demand::default();
@@ -99,17 +104,17 @@
         }
     }
 
-    /// Takes in a job that a predecessor has worked on.
+    /// Records a job that a previous owner has worked on.
     pub(crate) fn found(&mut self, job: &Job) {
         self.any |= work(job) != Demand::default();
     }
 
-    /// Whether any work was ever taken in, a predecessor's included.
+    /// Whether any work was ever recorded, including that of a previous owner.
     pub(crate) fn any(&self) -> bool {
         self.any
     }
 
-    /// Takes in that a round is held at `now`.
+    /// Records a round at `now`.
     pub(crate) fn round(&mut self, now: Millis) {
         self.begun = true;
         let fresh = std::mem::take(&mut self.fresh);
@@ -123,8 +128,8 @@
         }
     }
 
-    /// What would be occupied by the work that came in between two ages, if it went on to come in so: all of
-    /// it, and without its largest job.
+    /// Demand that the work of a range of ages would cause if it kept arriving at that rate: in
+    /// total, and without its largest job.
     fn rate(&self, now: Millis, from: Millis, until: Millis) -> (Demand, Demand) {
         let within = self.recent.iter().filter(|(at, _sum)| {
             let age = now.saturating_sub(*at);
@@ -139,7 +144,8 @@
         )
     }
 
-    /// What would be occupied by the work of the newest jobs, if it went on to come in so; `None` where too few have come.
+    /// Demand that the newest jobs would cause if they kept arriving at that rate; `None` if too
+    /// few have arrived.
     fn newest(&self, now: Millis) -> Option<Demand> {
         let mut sum = Sum::default();
         for (at, earlier) in self.recent.iter().rev() {
@@ -147,7 +153,7 @@
             if span > NEAR_MS / 2 {
                 return None;
             }
-            // What a round has taken in came after the round before it.
+            // Work that a round has recorded arrived after the previous round.
             if sum.jobs >= ENOUGH && span > 0 {
                 return Some(per_millisecond(sum.all, span));
             }
@@ -156,10 +162,10 @@
         None
     }
 
-    /// What will be occupied a lead time from now, if the demand goes on as it has begun.
+    /// Expected demand a lead time from now, if the trend continues.
     ///
-    /// A rise needs more than one job, however large it is. To leave the largest out of the rate as well would keep
-    /// a queue of few large jobs from its instances for a second.
+    /// A rise needs more than one job, however large it is. Leaving the largest job out of the rate
+    /// as well would withhold instances from a queue of few large jobs for a second.
     pub(crate) fn expected(&self, now: Millis) -> Demand {
         let (near, several) = self.rate(now, 0, NEAR_MS);
         if let Some(newest) = self.newest(now) {
@@ -183,9 +189,10 @@
     }
 }
 
-/// The rate a lead time after now, where it was `before` and is `near`, or `several` without its largest job.
+/// The rate a lead time from now, given the rates `before` and `near`, and `several`, which is
+/// `near` without its largest job.
 fn ahead(near: u64, several: u64, before: u64) -> u64 {
-    // The rates stand for the middles of their spans.
+    // Each rate stands for the middle of its window.
     const APART: Millis = Millis::midpoint(NEAR_MS, BEFORE_MS);
     const AHEAD: Millis = LEAD_MS + NEAR_MS / 2;
     let rise = several.saturating_sub(before) * AHEAD / APART;
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -1,4 +1,4 @@
-//! The cell's state, and what it is told.
+//! State of the cell and its inputs.
 
 use crate::{
     advice::{self, Policy},
@@ -15,57 +15,57 @@
 use primroseroute_platform::worker::{Ended, Look, Refusal};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A pool's jobs and workers, as their owner knows them.
+/// A pool's jobs and workers, as known to their owner.
 #[derive(Clone, Debug)]
 pub struct Cell {
     pub(crate) limits: Limits,
     /// When this owner took over.
     pub(crate) taken_at: Millis,
-    /// Up to when all cancels that were stored are taken in; `None` before the first.
+    /// All jobs and cancels that were stored by this time are known; `None` before the first read.
     pub(crate) heard_at: Option<Millis>,
     pub(crate) workers: BTreeMap<Name, Worker>,
-    /// Jobs that aren't finished.
+    /// Unfinished jobs.
     pub(crate) jobs: BTreeMap<JobId, Job>,
-    /// Finished jobs whose rows are kept, with the time of day of their end.
+    /// Finished jobs whose rows are still stored, with the wall-clock time of their end.
     pub(crate) finished: BTreeMap<JobId, u64>,
-    /// Jobs whose rows were deleted lately, with the time of day of that.
+    /// Jobs whose rows were deleted recently, with the wall-clock time of the deletion.
     pub(crate) forgotten: BTreeMap<JobId, u64>,
-    /// Jobs whose progress isn't committed.
+    /// Jobs with uncommitted progress.
     pub(crate) dirty: BTreeSet<JobId>,
-    /// Since when a lasting task has found no room.
+    /// Since when a long-running task has found no free capacity.
     pub(crate) waiting: BTreeMap<TaskId, Millis>,
-    /// Tasks under which workers have crashed, with how many.
+    /// Tasks that were running when workers crashed, with the number of crashes attributed to each.
     pub(crate) crashed: BTreeMap<TaskId, usize>,
-    /// Workers that are reserved for trials of such tasks.
+    /// Workers that are reserved for isolated runs of such tasks.
     pub(crate) reserved: BTreeSet<Name>,
-    /// Number of workers that tasks of a spread step need beside those that are there.
+    /// Number of additional workers that waiting tasks of a spread step need.
     pub(crate) crowded: u64,
-    /// Workers that are to be looked at at once, since trials wait for it.
+    /// Workers to poll at once because isolated runs wait for their status.
     pub(crate) asked: Vec<Name>,
-    /// Runs that were lost with the lives of workers since the last round.
+    /// Runs lost with their workers since the last round.
     pub(crate) losses: Vec<Loss>,
-    /// Tasks that were given up since then.
+    /// Tasks abandoned since the last round.
     pub(crate) culprits: Vec<Culprit>,
-    /// Tasks that were acquitted since then.
+    /// Tasks whose crash records were cleared since the last round.
     pub(crate) acquitted: Vec<TaskId>,
-    /// Counts of queued jobs as of the last round.
+    /// Number of queued jobs by queue, as of the last round.
     pub(crate) counts: BTreeMap<Name, u64>,
-    /// How many workers it could use lately.
+    /// Recent estimates of the number of workers that the pool can use.
     pub(crate) needs: Needs,
-    /// How much work comes in.
+    /// Rate of incoming work.
     pub(crate) arrivals: Arrivals,
     /// Queues whose starts need a ticket.
     pub(crate) advised: BTreeSet<Name>,
-    /// What is known of the workers for their steps.
+    /// What the advice service has said about workers, by step.
     pub(crate) policies: BTreeMap<StepId, Policy>,
-    /// Whether runs of ended jobs may wait for stops that weren't looked for yet.
+    /// Whether there may be runs of ended jobs whose stops haven't been collected yet.
     pub(crate) stops_due: bool,
-    /// When they were last looked for.
+    /// When stops were last collected.
     pub(crate) stops_sought_at: Millis,
 }
 
 impl Cell {
-    /// A cell that was taken over at `now` and knows nothing yet.
+    /// A cell that was taken over at `now` and has no information yet.
     pub fn new(limits: Limits, now: Millis) -> Self {
         Self {
             limits,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Takes in an accepted job; one that is known already changes nothing.
+    /// Adds an accepted job; does nothing if the job is known already.
     pub fn accept(&mut self, id: JobId, accepted: Accepted) {
         let over = self.finished.contains_key(&id) || self.forgotten.contains_key(&id);
         if !over && !self.jobs.contains_key(&id) {
@@ -103,14 +103,15 @@
         }
     }
 
-    /// Takes in what a predecessor has committed of a job.
+    /// Adds a job with the progress that a previous owner has committed.
     ///
-    /// Its placed runs may be under way or not: the predecessor may have stopped between the commit
-    /// and the call, so only looks tell. A worker that has answered a look of this owner has seen its token, and refuses
-    /// whatever a predecessor sent: a run that the look doesn't show never begins. Where a worker can't be looked at, no start
-    /// of a predecessor takes effect later than the start window after the takeover, since its deadline was fixed by a
-    /// commit before that. Waiting for that window everywhere kept tasks from starting for as long as owners followed each other
-    /// in less time.
+    /// Its placed runs may or may not be under way: the previous owner may have stopped between the
+    /// commit and the call, so only worker statuses tell. A worker that has answered a status poll
+    /// of this owner has seen its token and refuses whatever a previous owner sent: a run that its
+    /// status doesn't list never begins. On a worker that can't be polled, no start of a previous
+    /// owner takes effect later than the start window after the takeover, since its deadline was
+    /// fixed by a commit before that. Waiting for that window on all workers kept tasks from
+    /// starting for as long as owners followed each other in less time.
     pub fn restore(&mut self, id: JobId, accepted: Accepted, progress: Progress) {
         self.arrivals.found(&accepted.job);
         if let Some(ended) = progress.ended_ms {
@@ -142,7 +143,7 @@
                         known: Known::Unsure,
                         sure_after: self.taken_at,
                         stop: if leaves { Stop::Wanted } else { Stop::No },
-                        // The predecessor may have sent it.
+                        // The previous owner may have sent it.
                         stop_left_at: leaves.then_some(self.taken_at),
                         origin: Origin::Found,
                         life: task.life,
@@ -157,14 +158,14 @@
         self.jobs.insert(id, job);
     }
 
-    /// Takes in that the rows of a finished job are deleted.
+    /// Records that the rows of a finished job are deleted.
     pub fn forgotten(&mut self, id: JobId, wall_ms: u64) {
         self.finished.remove(&id);
         self.forgotten.insert(id, wall_ms);
     }
 
-    /// Takes in a cancel that is committed; how many runs are to stop, or none where the job has ended or isn't
-    /// known.
+    /// Applies a committed cancel. Returns the number of runs to stop, or `None` if the job has
+    /// ended or isn't known.
     pub fn cancel(&mut self, id: &JobId, wall_ms: u64) -> Option<usize> {
         let job = self.jobs.get(id)?;
         if job.progress.state.is_final() {
@@ -189,7 +190,7 @@
         self.workers.values().map(of).sum()
     }
 
-    /// Ends a job: what runs of it is to be stopped, and its final state to be committed.
+    /// Ends a job: its runs are to be stopped, and its final state is to be committed.
     pub(crate) fn finish(&mut self, id: &JobId, state: State, wall_ms: u64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -202,7 +203,7 @@
         job.progress.steps.clear();
         self.dirty.insert(id.clone());
         self.crashed.retain(|task, _crashes| task.job != *id);
-        // Of a job whose tasks were started once each and are done, nothing runs and nothing waits.
+        // A job whose tasks were started once each and are done has no runs and no waiting tasks.
         let runs_on = job.may_run_on || state != State::Completed;
         if runs_on {
             self.waiting.retain(|task, _since| task.job != *id);
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Asks for all runs of a job to be stopped.
+    /// Requests a stop of all runs of a job.
     fn stop_all(&mut self, id: &JobId) {
         self.stops_due = true;
         for worker in self.workers.values_mut() {
@@ -222,7 +223,7 @@
         }
     }
 
-    /// The ends of a look that weren't taken in before.
+    /// The ended runs of a worker status that weren't recorded before.
     pub fn news<'a>(&self, worker: &Name, look: &'a Look) -> impl Iterator<Item = &'a Ended> {
         let worker = self.workers.get(worker);
         let of_this_life = worker.filter(|worker| worker.born == look.born);
@@ -230,12 +231,12 @@
         look.ended.iter().filter(move |ended| ended.number > seen)
     }
 
-    /// Takes in a look that was asked for at `sent_at` and came at `now`.
+    /// Applies a worker status that was requested at `sent_at` and received at `now`.
     pub fn look(&mut self, worker: &Name, look: &Look, sent_at: Millis, now: Millis, wall_ms: u64) {
         crate::look::take(self, worker, look, sent_at, now, wall_ms);
     }
 
-    /// Takes in what came of a start.
+    /// Applies the outcome of a start.
     pub fn answered(
         &mut self,
         worker: &Name,
@@ -256,7 +257,8 @@
         }
         match outcome {
             Outcome::Started => {
-                // The deadline was on the clock of the life that was known; where the next one has taken the start, it is later.
+                // The deadline was on the clock of the incarnation that was known; if the next one
+                // has accepted the start, the lease expires later.
                 let lapses_at = now + limits.stretched(limits.lease);
                 found.lapses_at = found.lapses_at.max(lapses_at);
                 if !matches!(entry.known, Known::Runs(_)) {
@@ -269,7 +271,7 @@
             Outcome::Unknown => {
                 if entry.known == Known::Sent {
                     entry.known = Known::Unsure;
-                    // A stop settles it: the worker refuses the run from then on. Waiting for the
+                    // A stop resolves it: the worker refuses the run from then on. Waiting for the
                     // start's deadline instead would delay the task by seconds.
                     if entry.stop == Stop::No {
                         entry.stop = Stop::Wanted;
@@ -291,7 +293,7 @@
             }
             Outcome::Withdrawn => self.withdraw(worker, task, run),
             Outcome::Unsent => {
-                // The worker can't be reached: it gets nothing new before a look has shown it.
+                // The worker can't be reached: it gets no new runs until a status poll succeeds.
                 found.looked_at = None;
                 found.runs.remove(task);
                 self.back_to_waiting(worker, task, run, None);
@@ -299,13 +301,13 @@
         }
     }
 
-    /// Takes in for which queues starts need a ticket.
+    /// Sets the queues whose starts need a ticket.
     pub fn advised(&mut self, queues: BTreeSet<Name>) {
         self.advised = queues;
     }
 
-    /// Takes in an answer to a question that was sent at `sent_at`: tickets by worker, and how long
-    /// they are valid; `None` where there was no answer.
+    /// Applies the answer to an advice request that was sent at `sent_at`: tickets by worker and
+    /// how long they are valid; `None` if there was no answer.
     pub fn advice(
         &mut self,
         question: &Question,
@@ -316,8 +318,9 @@
         advice::answered(self, question, answer, sent_at, now);
     }
 
-    /// Takes in that a worker has taken the stop of a run; whether a look that is sent later will tell what came of
-    /// the run, and no end of it need come.
+    /// Records that a worker has accepted the stop of a run. Returns whether only a later status
+    /// poll will tell what became of the run, because it may never have started and so may have no
+    /// end to report.
     pub fn stopped(&mut self, worker: &Name, task: &TaskId, run: u32, now: Millis) -> bool {
         let worker = self.workers.get_mut(worker);
         let entry = worker.and_then(|worker| worker.runs.get_mut(task));
@@ -328,7 +331,8 @@
         entry.known == Known::Unsure
     }
 
-    /// A run is over without having done its work: its task waits again, if it was the newest run.
+    /// A run is over without having completed its task: the task waits again, if this was its
+    /// newest run.
     pub(crate) fn back_to_waiting(
         &mut self,
         worker: &Name,
@@ -356,12 +360,12 @@
         self.dirty.insert(id.job.clone());
     }
 
-    /// For each queue, its jobs of which no task has started, as of the last round.
+    /// Number of jobs by queue of which no task has started, as of the last round.
     pub fn queued(&self) -> &BTreeMap<Name, u64> {
         &self.counts
     }
 
-    /// Counts what [`Self::queued`] gives out.
+    /// Computes the counts that [`Self::queued`] returns.
     pub(crate) fn count_queued(&self) -> BTreeMap<Name, u64> {
         let mut counts = BTreeMap::new();
         for job in self.jobs.values() {
@@ -372,17 +376,17 @@
         counts
     }
 
-    /// What waits, runs and may come next: rows to commit, and orders to send after that.
+    /// Runs one round of decisions: rows to commit, and orders to send after that.
     pub fn tick(&mut self, now: Millis, wall_ms: u64) -> Tick {
         crate::tick::run(self, now, wall_ms)
     }
 
-    /// Stops of runs whose jobs have ended, that are due.
+    /// Stops that are due for runs of ended jobs.
     pub fn urgent(&mut self, now: Millis) -> Vec<Order> {
         crate::tick::urgent(self, now)
     }
 
-    /// Takes in that `tick` is committed, by a transaction that was sent at `sent_at`.
+    /// Records that `tick` is committed, by a transaction that was sent at `sent_at`.
     pub fn committed(&mut self, tick: &Tick, sent_at: Millis) {
         let sure_after = sent_at + self.limits.stretched(self.limits.start_window);
         for order in &tick.orders {
@@ -405,7 +409,7 @@
         }
     }
 
-    /// The step of a task, if its job goes on.
+    /// The step of a task, if its job is unfinished.
     pub(crate) fn step(&self, task: &TaskId) -> Option<&Step> {
         self.jobs.get(&task.job)?.step(task.step)
     }
--- a/crates/cell/src/crash.rs
+++ b/crates/cell/src/crash.rs
@@ -1,18 +1,23 @@
-//! Tasks that crash the workers that start them.
+//! Detection of tasks that crash the workers they run on.
 //!
-//! Nothing tells what has crashed a worker: its life is over, and all that ran there is lost with it. A crash is held against the
-//! runs that were new then. Most of them are innocent, so a task with several crashes is a *suspect*: it is started on a worker
-//! on which nothing else is new, and a crash during this *trial* is held against it alone. While there are suspects, the tasks
-//! with a single crash are tried in small groups, apart from those without: otherwise the second crash of each culprit would be held
-//! against all that is new on a full worker. A run that goes on for a while after its start has shown that its worker survives it,
-//! and so has one of a predecessor that is seen to go on: its task is acquitted. Otherwise a successor, which can't tell how long
-//! ago a run began, would take it for the suspect of a trial.
+//! Nothing tells which task has crashed a worker: its incarnation is over, and all its runs are
+//! lost. A crash is attributed to the runs that were new at the time. Most of them didn't cause it,
+//! so a task with several crashes becomes a *suspect*: it is started on a worker without other new
+//! runs, and a crash during this *isolated run* is attributed to it alone. While there are
+//! suspects, tasks with a single crash are run in small isolated groups, apart from those without:
+//! otherwise the second crash of each crashing task would be attributed to all new runs on a full
+//! worker. A run that goes on for a while after its start has shown that its worker survives it,
+//! and so has a run of a previous owner that is seen to go on: the crash record of its task is
+//! cleared. Otherwise a new owner, which can't tell how long ago a run began, would take it for the
+//! isolated run of a suspect.
 //!
-//! A task that is given up fails its job. One of a lasting step is only started no more, since the others of its step serve on.
+//! An abandoned task fails its job. A task of a long-running step is only not started again, since
+//! the other tasks of its step go on serving.
 //!
-//! The crashes of a task are in its row, by the numbers of its runs, so they outlast their owner. Those of a gang count for the
-//! gang as a whole. A worker that was only cut off hasn't crashed: its runs go back to waiting when its lease has lapsed, and
-//! they are blamed only if its life turns out to be over.
+//! The crashes of a task are stored in its row, by run number, so they survive a change of owner.
+//! Crashes of gang members count for the gang as a whole. A worker that was only partitioned from
+//! its owner hasn't crashed: its runs go back to waiting when its lease has expired, and the loss
+//! is attributed to them only if its incarnation turns out to be over.
 
 use crate::{
     cell::Cell,
@@ -23,32 +28,34 @@
 };
 use primroseroute_domain::work::{Name, State, TaskId};
 
-/// Crashes after which a task is a suspect.
+/// Number of crashes from which a task is a suspect.
 const SUSPECT: usize = 2;
 
-/// Crashes after which a task is given up: those from the third one on came during trials.
+/// Number of crashes from which a task is abandoned: those from the third one on came from isolated
+/// runs.
 const PROVEN: usize = 4;
 
-/// Most tasks with a single crash that share a trial: a crash makes suspects of them all, and each of these is tried alone.
+/// Maximum number of tasks with a single crash that run isolated together: a crash makes all of
+/// them suspects, each of which is then run alone.
 const SHARED: usize = 4;
 
-/// A task that is given up since it crashes its workers.
+/// A task that is abandoned because it crashes its workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Culprit {
     /// The task.
     pub task: TaskId,
-    /// Number of its crashes.
+    /// Number of crashes attributed to it.
     pub crashes: usize,
 }
 
 /// The runs of a worker that may have crashed it.
 pub(crate) fn new_runs(worker: &Worker, settle: u64) -> Vec<(TaskId, u32)> {
-    // One that is doubtful was blamed when the worker's life ended.
+    // A run whose start may still arrive late was counted when the worker's incarnation ended.
     worker.runs_where(|_task, run| run.doubtful_until.is_none() && worker.is_new(run, settle))
 }
 
-/// Takes in that runs of a worker are lost without an end: their tasks wait again, and a crash is held against those of the runs
-/// that were `new`.
+/// Records that runs of a worker are lost without an end: their tasks wait again, and a crash is
+/// attributed to those of the runs that were `new`.
 pub(crate) fn lose(
     cell: &mut Cell,
     id: &Name,
@@ -75,14 +82,15 @@
     });
 }
 
-/// Holds a worker's crash against the tasks of `runs`, which were new there; which of them are blamed.
+/// Attributes a worker's crash to the tasks of `runs`, which were new there. Returns the tasks that
+/// it was attributed to.
 fn record(cell: &mut Cell, runs: &[(TaskId, u32)], wall_ms: u64) -> Vec<TaskId> {
     let suspects = runs.iter().filter(|(task, _run)| is_suspect(cell, task));
     let suspects: Vec<(TaskId, u32)> = suspects.cloned().collect();
     let held = match suspects.len() {
         0 => runs,
         1 => &suspects,
-        // No trial: their owner has found them, and can't tell which of them is new.
+        // Not an isolated run: this owner discovered the runs and can't tell which of them are new.
         _ => &[],
     };
     let mut blamed = Vec::new();
@@ -112,7 +120,7 @@
     blamed
 }
 
-/// Acquits the tasks whose runs on a worker have shown that it survives them.
+/// Clears the crash records of tasks whose runs have shown that the worker survives them.
 pub(crate) fn acquit(cell: &mut Cell, id: &Name) {
     if cell.crashed.is_empty() {
         return;
@@ -120,7 +128,8 @@
     let Some(worker) = cell.workers.get(id) else {
         return;
     };
-    // A start without an answer may never have reached the worker, however long that lives on.
+    // A start without an answer may never have reached the worker, however long the worker stays
+    // up.
     let settled = worker.runs_where(|task, run| {
         has_crashed(cell, task)
             && matches!(run.known, Known::Runs(_))
@@ -139,10 +148,11 @@
     }
 }
 
-/// Workers that are to be looked at at once: those that trials wait for, and those of which a look may acquit a task.
+/// Workers to poll at once: those that isolated runs wait for, and those whose status may clear the
+/// crash record of a task.
 ///
-/// The looks that go on anyway wait up to a second for an end. An owner that dies meanwhile leaves its successor a run of a suspect
-/// that has been at work for long, and nothing that says so.
+/// The regular polls wait up to a second for a run to end. If the owner dies meanwhile, its
+/// successor finds a run of a suspect that has been under way for long, with no evidence of that.
 pub(crate) fn glances(cell: &mut Cell, now: Millis) -> Vec<Name> {
     let mut glances = std::mem::take(&mut cell.asked);
     if cell.crashed.is_empty() {
@@ -164,31 +174,31 @@
     glances
 }
 
-/// Whether workers have crashed under a task.
+/// Whether crashes are attributed to a task.
 pub(crate) fn has_crashed(cell: &Cell, task: &TaskId) -> bool {
     cell.crashed.contains_key(task)
 }
 
-/// Whether a task is to be tried apart from others.
+/// Whether a task is to be run alone on a worker.
 ///
-/// A gang isn't: its members start together, on as many workers as they need.
+/// The members of a gang aren't: they start together, on as many workers as they need.
 pub(crate) fn is_suspect(cell: &Cell, task: &TaskId) -> bool {
     let crashes = cell.crashed.get(task);
     crashes.is_some_and(|crashes| *crashes >= SUSPECT) && !is_gang(cell, task)
 }
 
-/// Whether some task is a suspect that isn't given up yet.
+/// Whether there is a suspect that isn't abandoned yet.
 pub(crate) fn has_suspects(cell: &Cell) -> bool {
     let mut crashed = cell.crashed.iter();
     crashed.any(|(task, crashes)| (SUSPECT..PROVEN).contains(crashes) && !is_gang(cell, task))
 }
 
-/// Whether a task has crashes and can be tried apart from others.
+/// Whether a task has crashes and can be run isolated.
 pub(crate) fn can_be_tried(cell: &Cell, task: &TaskId) -> bool {
     has_crashed(cell, task) && !is_gang(cell, task)
 }
 
-/// Number of workers on which all tasks that wait for a trial could be tried at once.
+/// Number of workers on which all tasks that wait for an isolated run could run at once.
 pub(crate) fn trials(cell: &Cell) -> u64 {
     if !has_suspects(cell) {
         return 0;
@@ -205,23 +215,23 @@
     (alone.len() + shared.len().div_ceil(SHARED)) as u64
 }
 
-/// Most tasks like this one that share a trial.
+/// Maximum number of tasks like this one that run isolated together.
 pub(crate) fn most_tried_together(cell: &Cell, task: &TaskId) -> usize {
     if is_suspect(cell, task) { 1 } else { SHARED }
 }
 
-/// Whether a trial goes on on a worker: nothing else may start there.
+/// Whether an isolated run is under way on a worker: nothing else may start there.
 pub(crate) fn has_trial(cell: &Cell, worker: &Worker) -> bool {
     let mut runs = worker.runs.values();
     runs.any(|run| run.origin == Origin::Tried && worker.is_new(run, cell.limits.settle))
 }
 
-/// Whether a task has crashed so many workers that it is started no more.
+/// Whether a task has crashed so many workers that it is not started again.
 pub(crate) fn is_given_up(task: &Task) -> bool {
     task.crashed.len() >= PROVEN
 }
 
-/// Number of crashes of a task, or of its gang.
+/// Number of crashes attributed to a task, or to its gang.
 fn crashes(cell: &Cell, id: &TaskId) -> usize {
     let Some(job) = cell.jobs.get(&id.job) else {
         return 0;
--- a/crates/cell/src/drain.rs
+++ b/crates/cell/src/drain.rs
@@ -1,4 +1,5 @@
-//! Lasting tasks leave workers that are emptied, or that leave by themselves.
+//! Migration of long-running tasks off workers that are being evacuated or that drain by
+//! themselves.
 
 use crate::{
     cell::Cell,
@@ -8,11 +9,11 @@
 };
 use primroseroute_domain::work::{Name, TaskId};
 
-/// Progress in percent at which a lasting task is at work.
+/// Progress in percent at which a long-running task is ready.
 const AT_WORK: u32 = 100;
 
 pub(crate) fn run(cell: &mut Cell, now: Millis) {
-    // What is stopped now couldn't start elsewhere.
+    // Tasks stopped now couldn't start elsewhere.
     if !cell.may_start(now) {
         return;
     }
@@ -35,15 +36,16 @@
     movable.map(|(task, _run)| task.clone()).collect()
 }
 
-/// What a leaving worker runs ends with it, so its lasting tasks go at once.
+/// A draining worker ends its runs when it shuts down, so its long-running tasks are stopped at
+/// once.
 fn leave(cell: &mut Cell, id: &Name) {
     for task in lasting_runs(cell, id) {
         want_stop(cell, id, &task);
     }
 }
 
-/// Planned work takes a lasting task away only while its step can miss it, counting all others that
-/// are away for whatever cause, and only where another worker has room for it.
+/// Planned work stops a long-running task only if its step tolerates one more unavailable task,
+/// whatever the cause of the others, and only if another worker has free capacity for it.
 fn empty(cell: &mut Cell, id: &Name, now: Millis) {
     for task in lasting_runs(cell, id) {
         if can_miss(cell, &task, now) && crate::place::has_room(cell, &task, now) {
@@ -52,7 +54,7 @@
     }
 }
 
-/// Whether a lasting task may be taken away by planned work.
+/// Whether planned work may make a long-running task unavailable.
 pub(crate) fn can_miss(cell: &Cell, task: &TaskId, now: Millis) -> bool {
     let Some(step) = cell.step(task) else {
         return false;
@@ -61,18 +63,19 @@
     may_miss == 0 || away(cell, task, now) < may_miss
 }
 
-/// Whether a stop of `task` that may have left before may be sent once more.
+/// Whether a stop of `task` that may have been sent before may be sent again.
 ///
-/// It may have had no effect, and what else is away now wasn't when it was decided: an order to a worker behind a cut arrives
-/// when the cut has healed, and a successor finds in the row what its predecessor has decided seconds ago. Without this look, a
-/// task at work was ended by the repeat while a crash had taken another of its step. What is no task of a lasting step at
-/// work, or leaves with its worker, isn't held.
+/// The first one may have had no effect, and tasks that are unavailable now were available when it
+/// was decided: an order to a worker behind a network partition arrives when the partition has
+/// healed, and a new owner reads from the row what the previous one decided seconds ago. Without
+/// this check, a repeated stop ended a ready task while a crash had taken another one of its step.
+/// The check doesn't hold back stops of other tasks, or on a draining worker.
 pub(crate) fn may_repeat(cell: &Cell, worker: &Name, task: &TaskId, now: Millis) -> bool {
     let leaving = cell.workers.get(worker).is_some_and(Worker::is_leaving);
     leaving || !leaves(cell, worker, task) || can_miss(cell, task, now)
 }
 
-/// Whether the newest run of a task is on a worker, and is to stop there while its job goes on.
+/// Whether the newest run of a task is on a worker and is to stop there while its job goes on.
 pub(crate) fn leaves(cell: &Cell, worker: &Name, task: &TaskId) -> bool {
     let newest = cell.jobs.get(&task.job).and_then(|job| job.task(task));
     let on = cell.workers.get(worker).and_then(|on| on.runs.get(task));
@@ -89,7 +92,7 @@
     }
 }
 
-/// How many other tasks of the step of `task` aren't surely at work.
+/// Number of other tasks in the step of `task` that aren't certainly ready.
 pub(crate) fn away(cell: &Cell, task: &TaskId, now: Millis) -> usize {
     let Some(job) = cell.jobs.get(&task.job) else {
         return 0;
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -1,4 +1,4 @@
-//! One job in memory.
+//! In-memory state of one job.
 
 use crate::row::{Accepted, Phase, Progress, Steps, Task};
 use primroseroute_domain::work::{Name, State, Step, TaskId};
@@ -7,23 +7,23 @@
 /// Whether a task of a job has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Begun {
-    /// None is known to have.
+    /// None is known to have started.
     No,
-    /// A predecessor has placed one, and no look has told of it yet.
+    /// A previous owner has placed one, which no worker status has confirmed yet.
     Presumed,
-    /// One has.
+    /// One has started.
     Yes,
 }
 
-/// A job that isn't finished.
+/// An unfinished job.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub accepted: Accepted,
     pub progress: Progress,
-    /// Whether runs of it may be under way beside or after those that have done its work: where a task was started again, runs
-    /// that were given up, and where a step is a gang, its other members.
+    /// Whether there may be runs beside or after those that completed its tasks: runs that were
+    /// given up, if a task was started again, and the other members of a gang.
     pub may_run_on: bool,
-    /// Its state is that of its row, which says that it runs as soon as a task is placed.
+    /// The job's state is that of its row, which says that it runs as soon as a task is placed.
     pub begun: Begun,
 }
 
@@ -42,14 +42,14 @@
         }
     }
 
-    /// A job of which a predecessor has committed `progress`.
+    /// A job with the `progress` that a previous owner has committed.
     pub(crate) fn restored(accepted: Accepted, progress: Progress) -> Self {
         let tasks = || progress.steps.values().flatten().flatten();
         let has_run = |task: &Task| {
             let told = !task.failed.is_empty() || !task.crashed.is_empty();
             told || task.checkpoint.is_some() || task.phase == Phase::Done
         };
-        // An occurrence whose tasks are all done has no row any more.
+        // Occurrences whose tasks are all done have been removed from the row.
         let is_over = progress.steps.len() < progress.next as usize;
         let begun = if is_over || tasks().any(has_run) {
             Begun::Yes
@@ -82,7 +82,7 @@
             .get_mut(usize::from(id.index))
     }
 
-    /// Number of runs of a gang that are among those that `of` gives of any member.
+    /// Number of distinct run numbers that `of` selects from the members of a gang.
     pub(crate) fn gang_runs(&self, id: &TaskId, of: impl Fn(&Task) -> &BTreeSet<u32>) -> usize {
         let steps = self.progress.steps.get(&id.occurrence);
         let members = steps.and_then(|steps| steps.get(usize::from(id.step)));
@@ -90,11 +90,13 @@
         runs.collect::<BTreeSet<_>>().len()
     }
 
-    /// Records that a run on `worker` is to stop while the job goes on; whether that is news.
+    /// Records that a run on `worker` is to stop while the job goes on. Returns whether this
+    /// changed anything.
     ///
-    /// It is committed before the stop is sent. A worker shows a run until it has ended, so a successor that
-    /// found it at work would count its task as at work, and end others of the step beside it: more would be
-    /// away than the step can miss. By the row the successor counts it as away, and repeats the stop.
+    /// This is committed before the stop is sent. A worker lists a run until it has ended, so a new
+    /// owner that found it ready would count its task as available and stop others of the step too:
+    /// more would be unavailable than the step tolerates. From the row the new owner knows that the
+    /// task is unavailable, and repeats the stop.
     pub(crate) fn leaves(&mut self, id: &TaskId, worker: &Name, run: u32) -> bool {
         let Some(task) = self.task_mut(id) else {
             return false;
@@ -107,7 +109,8 @@
         true
     }
 
-    /// Records that a run that was to stop goes on, since its stop was never sent; whether that is news.
+    /// Records that a run that was to stop goes on, since its stop was never sent. Returns whether
+    /// this changed anything.
     pub(crate) fn stays(&mut self, id: &TaskId) -> bool {
         let Some(task) = self.task_mut(id) else {
             return false;
@@ -119,7 +122,7 @@
         true
     }
 
-    /// Begins the occurrences that are due; whether there were any.
+    /// Begins the occurrences that are due. Returns whether there were any.
     pub(crate) fn begin(&mut self, wall_ms: u64) -> bool {
         let before = self.progress.next;
         while self.progress.next < self.accepted.job.occurrences() {
@@ -141,7 +144,7 @@
             .collect()
     }
 
-    /// Drops occurrences whose tasks are all done; whether nothing of the job is left.
+    /// Drops occurrences whose tasks are all done. Returns whether nothing of the job is left.
     pub(crate) fn settle(&mut self) -> bool {
         let open = |steps: &Steps| steps.iter().flatten().any(|task| task.phase != Phase::Done);
         self.progress.steps.retain(|_number, steps| open(steps));
@@ -149,7 +152,7 @@
         begun && self.progress.steps.is_empty()
     }
 
-    /// Numbers of the steps of `occurrence` whose turn has come.
+    /// Numbers of the steps of `occurrence` whose dependencies are done.
     pub(crate) fn ready(&self, occurrence: u32) -> Vec<u16> {
         let Some(steps) = self.progress.steps.get(&occurrence) else {
             return Vec::new();
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -1,37 +1,43 @@
-//! Decisions on the jobs of one pool: what starts where, and what becomes of it.
+//! Scheduling decisions for one pool: which task runs on which worker, and what follows from the
+//! results.
 //!
-//! A *cell* is a pool's workers with the jobs that were accepted for it. One entry at a time owns a
-//! cell; [`Cell`] is what that entry knows and decides. It has no clock, does no I/O and draws no
-//! random numbers: it takes in rows, looks at workers and ends of calls, and gives out a [`Tick`]
-//! of rows to commit and orders to send once they are committed. A successor builds it again from
-//! the rows alone.
+//! A *cell* is a pool's workers together with the jobs that were accepted for it. One entry at a
+//! time owns a cell; [`Cell`] is the state and the decision logic of that entry. It has no clock,
+//! does no I/O and draws no random numbers: its inputs are rows, worker statuses and results of
+//! calls, and its output is a [`Tick`] with rows to commit and orders to send once they are
+//! committed. A new owner rebuilds it from the rows alone.
 //!
 //! # Never two runs of one task
 //!
-//! * A start is committed (task, run, worker) before it is sent, so a successor knows all that may
-//!   run. It is sent with a deadline on the worker's clock that is fixed at the commit, so that an
-//!   owner that was suspended over a takeover sends nothing that a worker still takes.
-//! * A start without an answer counts as running until a look that was sent after its deadline
-//!   doesn't show it.
-//! * What runs on a silent worker counts as running until the worker's lease has surely lapsed.
-//! * An end is acknowledged to its worker only after it is committed, and only to the life of the worker that has listed it.
+//! * A start (task, run, worker) is committed before it is sent, so a new owner knows all runs that
+//!   may exist. It is sent with a deadline on the worker's clock that is fixed at the commit, so an
+//!   owner that was suspended during a takeover sends nothing that a worker still accepts.
+//! * A start without an answer counts as running until a status poll that was sent after its
+//!   deadline doesn't list it.
+//! * The runs of an unresponsive worker count as running until the worker's lease has certainly
+//!   expired.
+//! * The end of a run is acknowledged to its worker only after it is committed, and only to the
+//!   incarnation of the worker that listed it.
 //!
-//! # No order outlives what it rests on
+//! # Orders are checked against the newest state
 //!
-//! * A start takes effect within a bound of the moment up to which its owner has heard of all cancels, and of its commit.
-//! * What a round has decided is looked at once more when its commit is through, and a stop of a task at work whenever it is sent
-//!   again: what has ended, been cancelled or gone away meanwhile counts.
+//! * A start takes effect only within a fixed window, measured both from the time up to which its
+//!   owner knows all cancels and from its commit.
+//! * Orders that a round has decided are checked again when their commit is through, and the stop
+//!   of a ready long-running task is checked each time it is sent again: ends, cancels and lost
+//!   workers of the meantime count.
 //!
 //! # No task takes the pool down
 //!
-//! * A task that crashes its workers is given up after a few of them, and what ran beside it isn't.
+//! * A task that crashes its workers is abandoned after a few crashes; tasks that ran beside it are
+//!   not.
 //!
 //! # Modules
 //!
-//! * [`row`]: what lies in the store, where, and how it is read.
-//! * [`Cell`] and its parts: jobs, workers, looks, placement, moves of lasting tasks, and which workers the
-//!   advice service allows.
-//! * [`Need`]: how many workers the pool can use.
+//! * [`row`]: the rows in the store, their locations and formats.
+//! * [`Cell`] and its parts: jobs, workers, worker statuses, placement, migration of long-running
+//!   tasks, and which workers the advice service allows.
+//! * [`Need`]: how many workers the pool should have.
 
 mod advice;
 mod arrivals;
--- a/crates/cell/src/life.rs
+++ b/crates/cell/src/life.rs
@@ -1,8 +1,9 @@
-//! Lives of workers that keep their ids.
+//! Incarnations of workers that keep their ids.
 //!
-//! A worker may start again under the id that it had. It then runs nothing, its ends are numbered anew, and it has seen no
-//! fencing token and taken no stop. Calls name its id only, so what was meant for one life may reach the next. A look tells
-//! by its time of birth which life has answered.
+//! A worker may restart under the same id. The new incarnation runs nothing, numbers its ended runs
+//! anew, and has seen no fencing token and accepted no stop. Calls carry the worker's id only, so a
+//! call that was meant for one incarnation may reach the next. A status tells by its start time
+//! which incarnation has answered.
 
 use crate::{
     cell::Cell,
@@ -16,7 +17,8 @@
 use primroseroute_platform::worker::Look;
 use std::collections::BTreeSet;
 
-/// Takes in which life of a worker has answered a look; whether the look tells of the life that is known now.
+/// Determines which incarnation of a worker has answered a status poll. Returns whether it is the
+/// one that is now known.
 pub(crate) fn recognise(
     cell: &mut Cell,
     id: &Name,
@@ -43,12 +45,15 @@
     true
 }
 
-/// Takes in the first look at a worker: what a predecessor has placed in an earlier life of it is lost.
+/// Applies the first status of a worker: runs that a previous owner placed in an earlier
+/// incarnation of it are lost.
 ///
-/// The row of a task with crashes says in which life it was placed: where it is this one, its start has never reached the worker, and
-/// crashed nothing. That mark comes round after some time, and a life that began after the takeover has nothing of a predecessor's. The
-/// other rows don't say it. What was accepted before this life began, and isn't there, was placed in an earlier one, but for a start that its
-/// predecessor didn't come to send.
+/// The row of a task with crashes stores a tag of the incarnation that it was placed in: if that is
+/// the current one, its start never reached the worker and crashed nothing. Tags repeat after some
+/// time, and an incarnation that began after the takeover has no runs of a previous owner. Other
+/// rows have no tag. A run whose job was accepted before this incarnation began, and which the
+/// status doesn't list, was placed in an earlier one, unless the previous owner never came to send
+/// its start.
 fn lose_found(cell: &mut Cell, id: &Name, look: &Look, now: Millis, wall_ms: u64) {
     let (jobs, Some(worker)) = (&cell.jobs, cell.workers.get(id)) else {
         return;
@@ -71,7 +76,7 @@
     }
 }
 
-/// Begins the next life of a worker: what ran in the one before is lost.
+/// Begins the next incarnation of a worker: the runs of the previous one are lost.
 fn begin(cell: &mut Cell, id: &Name, look: &Look, sent_at: Millis, now: Millis, wall_ms: u64) {
     let limits = cell.limits;
     let Some(worker) = cell.workers.get_mut(id) else {
@@ -96,12 +101,13 @@
         answered && !of_this_life.contains(&(task, run.run))
     });
     for run in worker.runs.values_mut() {
-        // No stop of the life before counts.
+        // Stops that the previous incarnation accepted don't count.
         run.stopped_at = None;
         run.doubtful_until = None;
         if run.known == Known::Unsure {
             run.stop = Stop::Wanted;
-            // Calls from now on carry a token that keeps starts to the life before out.
+            // Calls from now on carry a token that makes the worker refuse starts meant for the
+            // previous incarnation.
             run.sure_after = now + 1;
         }
     }
@@ -113,7 +119,7 @@
     worker.named_at = None;
     worker.failures.clear();
     worker.shunned_until = 0;
-    // A renewal that was meant for the life before may have reached this one.
+    // A renewal that was meant for the previous incarnation may have reached this one.
     worker.lapses_at = worker.lapses_at.max(now + limits.stretched(limits.lease));
     cell.stops_due = true;
     new.retain(|(task, run)| !of_this_life.contains(&(task, *run)));
@@ -123,7 +129,7 @@
     crash::lose(cell, id, cause, lost, &new, wall_ms);
 }
 
-/// The runs that a look tells of.
+/// The runs that a status lists.
 fn shown(look: &Look) -> BTreeSet<(&TaskId, u32)> {
     let running = look
         .running
--- a/crates/cell/src/limits.rs
+++ b/crates/cell/src/limits.rs
@@ -1,9 +1,9 @@
 //! Times and counts that decisions depend on.
 
-/// An instant of the owner's steady clock, or a span of it, in milliseconds.
+/// An instant of the owner's monotonic clock, or a duration on it, in milliseconds.
 pub type Millis = u64;
 
-/// Most that a worker's clock may be slow, in percent.
+/// Maximum rate error of a slow worker clock, in percent.
 const CLOCK_ERROR_PERCENT: Millis = 2;
 
 /// Times and counts that decisions depend on.
@@ -11,47 +11,53 @@
 pub struct Limits {
     /// Longest lease that a worker grants.
     pub lease: Millis,
-    /// Time on the worker's clock, from the sending of its commit, in which a start must arrive. It
-    /// covers a commit at a store that answers sixty times slower than usual; a successor waits for
-    /// that long for a start of its predecessor on a worker that doesn't answer.
+    /// Time on the worker's clock, from the sending of its commit, within which a start must
+    /// arrive. It covers a commit at a store that answers sixty times slower than usual; a new
+    /// owner waits for that long for starts of the previous one on a worker that doesn't answer.
     pub start_window: Millis,
-    /// Least time that a start needs from its decision to its worker: a commit and a call, thirty times slower than usual.
+    /// Minimum time that a start needs from its decision to its worker: a commit and a call, thirty
+    /// times slower than usual.
     pub start_time: Millis,
-    /// Time on the worker's clock, from the moment up to which the owner has heard of all cancels, in which a start must
-    /// arrive. Work of a cancelled job may begin for 3 s after the acknowledgement; on a worker's clock that is as slow as it
-    /// may be, this is over 0.14 s earlier.
+    /// Time on the worker's clock, from the time up to which the owner knows all cancels, within
+    /// which a start must arrive. Work of a cancelled job may begin for 3 s after the
+    /// acknowledgement; on a worker's clock that is as slow as it may be, this is over 0.14 s
+    /// earlier.
     pub cancel_window: Millis,
-    /// Slack on every wait for something that surely is over, for timers that fire early.
+    /// Margin on each wait for something that must certainly be over, for timers that fire early.
     pub margin: Millis,
-    /// Longest time from the sending of a look to its answer: it waits a second for an end, and has half of one for its way.
+    /// Longest time from the sending of a status poll to its answer: it waits a second for a run to
+    /// end, and has half a second for the round trip.
     pub look: Millis,
-    /// A worker without a look for this long gets nothing new: two looks that went unanswered.
+    /// A worker without a status for this long gets no new runs: two polls went unanswered.
     pub fresh: Millis,
-    /// A worker without a look for this long is asked for at the platform: one look and a half.
+    /// A worker without a status for this long is looked up at the platform: one and a half polls.
     pub silent: Millis,
-    /// Time for which a run has to be shown after its start until it can't have crashed its worker by that.
+    /// Time for which a run has to be listed after its start until it counts as not having crashed
+    /// its worker.
     pub settle: Millis,
-    /// How long after the lapse of a worker's lease the platform is asked whether it has crashed.
+    /// How long after the expiry of a worker's lease the platform is asked whether the worker has
+    /// crashed.
     pub doubt: Millis,
-    /// Pause before a stop without effect is sent again.
+    /// Interval at which a stop without effect is sent again.
     pub resend: Millis,
-    /// Time after which an order that got no answer is carried out no more: it may be, seconds after newer ones.
+    /// Time after which an order without an answer is no longer carried out; before that it may be,
+    /// seconds after newer ones.
     pub late_order: Millis,
-    /// Failures in a row, of different jobs, after which a worker gets nothing new for a while.
+    /// Consecutive failures, of different jobs, after which a worker gets no new runs for a while.
     /// One job that always fails doesn't reach it.
     pub failures: u32,
-    /// How long that while is; then it gets a task again, and one more failure renews it.
+    /// Length of that time; after it the worker gets a task again, and one more failure renews it.
     pub quarantine: Millis,
-    /// How long a worker that refused an order as overloaded gets nothing new.
+    /// How long a worker that refused an order as overloaded gets no new runs.
     pub pause: Millis,
-    /// How long a lasting task waits for room before shorter ones are stopped for it.
+    /// How long a long-running task waits for free capacity before batch tasks are stopped for it.
     pub patience: Millis,
-    /// How long finished jobs' rows stay.
+    /// How long the rows of finished jobs are kept.
     pub keep: Millis,
 }
 
 impl Limits {
-    /// Limits for workers that grant leases of at most `lease`, where finished jobs stay readable for
+    /// Limits for workers that grant leases of at most `lease`, if finished jobs stay readable for
     /// `keep`.
     pub fn new(lease: Millis, keep: Millis) -> Self {
         Self {
--- a/crates/cell/src/look.rs
+++ b/crates/cell/src/look.rs
@@ -1,4 +1,4 @@
-//! What a look at a worker tells: runs that go on, ends, and starts that came to nothing.
+//! Processing of worker statuses: active runs, ended runs, and starts that never took effect.
 
 use crate::{
     cell::Cell,
@@ -13,7 +13,7 @@
 use primroseroute_platform::worker::{Ended, Look, Running};
 use std::collections::BTreeMap;
 
-/// Most ends that one look lists: with so many, others may be missing from it.
+/// Maximum number of ended runs that one status lists: a full list may be incomplete.
 const FULL: usize = 500;
 
 pub(crate) fn take(
@@ -50,12 +50,14 @@
     crash::acquit(cell, id);
 }
 
-/// Up to when what a look shows surely was so.
+/// The time up to which a status certainly held.
 ///
-/// A look is answered within its own wait. One that is taken in later was answered long before: its owner's process stood still, or
-/// got no processor time. Taken for new, it showed tasks at work that had ended seconds ago, and others of their step were ended
-/// beside them, more than it may miss. That the worker answers at all is as good as new: a busy owner that took its workers for
-/// silent by this would place nothing on them.
+/// A status poll is answered within its own timeout. One that is processed later was answered long
+/// before: its owner's process was suspended or got no processor time. When such a status was
+/// treated as current, it showed tasks as ready that had ended seconds ago, and other tasks of
+/// their step were stopped too, more than may be unavailable. For the question whether the worker
+/// responds at all, a late status counts as current: otherwise a busy owner would take its workers
+/// for unresponsive and place nothing on them.
 fn shown_at(limits: Limits, sent_at: Millis, now: Millis) -> Millis {
     if now <= sent_at + limits.look {
         now
@@ -64,7 +66,7 @@
     }
 }
 
-/// Takes in an end that wasn't seen before.
+/// Applies the end of a run that wasn't recorded before.
 fn end(cell: &mut Cell, id: &Name, ended: &Ended, now: Millis, wall_ms: u64) {
     let limits = cell.limits;
     let Some(worker) = cell.workers.get_mut(id) else {
@@ -108,7 +110,7 @@
     }
     let mut failed = false;
     if ended.how == End::Failed && !step.lasting {
-        // By its number, so that an end that a successor sees again isn't counted twice.
+        // Recorded by run number, so that an end that a new owner sees again isn't counted twice.
         task.failed.insert(ended.run);
         failed = if step.gang {
             job.gang_runs(&ended.task, |task| &task.failed) >= max_attempts
@@ -123,7 +125,7 @@
     }
 }
 
-/// A task has done its work, be it in its newest run or in one that was given up.
+/// A task is completed, by its newest run or by one that was given up.
 fn done(cell: &mut Cell, ended: &Ended, gang: bool, wall_ms: u64) {
     let Some(job) = cell.jobs.get_mut(&ended.task.job) else {
         return;
@@ -165,7 +167,7 @@
     }
 }
 
-/// Runs that the look doesn't list: over, if it would have to list them.
+/// Handles runs that the status doesn't list: they are over, if it would have to list them.
 fn missing(cell: &mut Cell, id: &Name, listed: &BTreeMap<&TaskId, &Running>, sent_at: Millis) {
     let Some(worker) = cell.workers.get_mut(id) else {
         return;
@@ -176,8 +178,8 @@
         let ended = match run.known {
             Known::Sent => false,
             Known::Runs(at) => at < sent_at,
-            // No start that hasn't taken effect by then ever does: the worker refuses it as late, or
-            // as older than a run that was stopped there.
+            // A start that hasn't taken effect by then never does: the worker refuses it as late,
+            // or as older than a run that was stopped there.
             Known::Unsure => {
                 let stopped = run.stopped_at.is_some_and(|at| at < sent_at);
                 stopped || sent_at >= run.sure_after
@@ -194,7 +196,7 @@
     }
 }
 
-/// A run that the look lists.
+/// Handles a run that the status lists.
 fn shown(cell: &mut Cell, id: &Name, running: &Running, now: Millis) {
     let found = cell.workers.get(id);
     if found.is_some_and(|worker| !worker.runs.contains_key(&running.task)) {
@@ -224,7 +226,8 @@
     }
 }
 
-/// Takes in a run that nothing committed asks for: it was given up, or its job ended.
+/// Adds a listed run for which there is no committed placement: it was given up, or its job has
+/// ended.
 fn find(cell: &mut Cell, id: &Name, running: &Running, now: Millis) {
     let step = cell.step(&running.task);
     let reserved = step.map(Step::reserved);
@@ -235,7 +238,8 @@
     let Some(worker) = cell.workers.get_mut(id) else {
         return;
     };
-    // What a run of an ended job occupies isn't known any more: nothing fits beside it until it is stopped.
+    // The reservation of a run of an ended job isn't known any more, so it counts as the whole
+    // worker until it is stopped.
     let reserved = reserved.or_else(|| worker.info.as_ref().map(|info| info.capacity));
     let run = Run {
         known: Known::Runs(now),
--- a/crates/cell/src/need.rs
+++ b/crates/cell/src/need.rs
@@ -1,7 +1,9 @@
-//! How many workers a pool can use: what runs, and what waits, in units of its own workers.
+//! Estimate of how many workers a pool can use, from its running and waiting tasks and the capacity
+//! of its workers.
 //!
-//! Owners publish this figure. From it and from the list of instances each works out which instances
-//! change pools, so it errs upwards: it follows a rise at once and a fall only after a while.
+//! Owners publish this estimate. From it and from the list of instances each of them derives which
+//! instances change pools, so it errs upwards: it follows a rise at once and a fall only after a
+//! while.
 
 use crate::{
     cell::Cell,
@@ -14,56 +16,57 @@
 use primroseroute_domain::work::{Demand, Step};
 use std::collections::VecDeque;
 
-/// Time in milliseconds in which waiting work should be under way. Short tasks that wait share
-/// workers within it; one that takes longer than this needs all that it occupies. An instance takes
-/// about as long to change pools, so less would ask for instances that come too late.
+/// Time in which waiting work should be started. Short batch tasks that wait share workers within
+/// it; a task that takes longer needs all of its demand. An instance takes about as long to change
+/// pools, so a lower value would ask for instances that come too late.
 const HORIZON_MS: u64 = 1_000;
 
-/// Room that is asked for beyond what is used, in percent: jobs come in irregularly, and short ones
+/// Capacity asked for relative to what is used, in percent: jobs arrive irregularly, and short ones
 /// are late before another instance can come.
 const HEADROOM_PERCENT: u64 = 125;
 
-/// Least number of workers: a pool without any would let its next job wait for the seconds of a move.
+/// Minimum number of workers: without any, the next job would wait for the seconds that a move
+/// takes.
 const LEAST: u64 = 1;
 
-/// How long a pool keeps the workers that it has needed before they are switched off. An instance that is switched off and on again
-/// costs two moves and takes nothing for their time; kept idle for much longer than those take, it costs more than
-/// they do.
+/// How long a pool keeps the workers that it has needed before they are switched off. Switching an
+/// instance off and on again costs two moves, during which it runs nothing; keeping it idle for
+/// much longer than those take costs more than they do.
 const KEEP_MS: Millis = 2_000;
 
-/// How long a pool keeps the workers that it was given while no work comes in: there may never be any.
+/// How long a pool keeps its initial workers while no work has arrived: none may ever arrive.
 const UNTRIED_MS: Millis = 60_000;
 
-/// Least time between two figures that are remembered.
+/// Minimum time between two recorded estimates.
 const SAMPLE_MS: Millis = 100;
 
-/// What a pool needs, and why.
+/// How many workers a pool can use, and the figures behind it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Need {
-    /// Number of workers that the pool can use, now or when an instance that is asked for now works.
+    /// Number of workers that the pool can use, now or when an instance that is requested now
+    /// becomes available.
     pub workers: u64,
-    /// Number of workers that it has use for at this moment, work that is late already left out; at least
-    /// one.
+    /// Number of workers that it can use now, without overdue work; at least one.
     pub now: u64,
-    /// Number of workers that it will have use for when an instance that is asked for now works, without
-    /// headroom; at least `now`.
+    /// Number of workers that it will be able to use when an instance that is requested now becomes
+    /// available, without headroom; at least `now`.
     pub soon: u64,
-    /// Number of workers beyond `now` that it has use for, for work that is late already and for trials.
+    /// Number of workers beyond `now` that it can use for overdue work and for isolated runs.
     pub late: u64,
-    /// Number below which none is switched off.
+    /// No workers are switched off below this number.
     pub kept: u64,
-    /// What runs.
+    /// Demand of running tasks.
     pub runs: Demand,
-    /// What waits, as far as it should be under way soon.
+    /// Demand of waiting tasks, as far as they should be started soon.
     pub waits: Demand,
-    /// What the work that comes in will occupy when an instance that is asked for now works.
+    /// Expected demand of incoming work when an instance that is requested now becomes available.
     pub expected: Demand,
-    /// Workers that are counted as the pool's and take nothing.
+    /// Workers that belong to the pool but accept no new runs.
     pub unfit: u64,
 }
 
 impl Need {
-    /// What of it others are told.
+    /// The part that is published to other entries.
     pub fn wanted(&self) -> Wanted {
         Wanted {
             workers: self.workers,
@@ -74,16 +77,16 @@
     }
 }
 
-/// The figures of the last while.
+/// Recent estimates.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Needs {
     recent: VecDeque<(Millis, u64)>,
-    /// Capacity of one worker, as last known.
+    /// Last known mean capacity of one worker.
     worker: Demand,
 }
 
 impl Needs {
-    /// Takes in the figure of this moment, and drops what is too old.
+    /// Records the current estimate and drops expired ones.
     fn record(&mut self, now: Millis, need: u64) {
         while self
             .recent
@@ -98,7 +101,7 @@
         }
     }
 
-    /// The highest figure that is remembered.
+    /// The highest recorded estimate.
     fn highest(&self) -> u64 {
         self.recent
             .iter()
@@ -108,7 +111,7 @@
     }
 }
 
-/// What runs or waits, by whether it can still be in time.
+/// Demand of tasks, split by whether they can still meet their objective.
 #[derive(Clone, Copy, Debug, Default)]
 struct Load {
     in_time: Demand,
@@ -138,7 +141,7 @@
     }
 }
 
-/// Number of workers that the pool can use, and why.
+/// Computes the number of workers that the pool can use.
 pub(crate) fn need(cell: &mut Cell, waiting: &[Waiting], now: Millis, wall_ms: u64) -> Need {
     if let Some(capacity) = mean_capacity(cell) {
         cell.needs.worker = capacity;
@@ -179,8 +182,9 @@
 
 /// Number of workers below which none is switched off.
 ///
-/// Before any work has come in, what the pool was given is all that is known of its need: switched off while a site starts, its
-/// instances were missing when its first turn began.
+/// Before any work has arrived, the initial number of workers is all that is known of the pool's
+/// demand: when they were switched off while a site started, instances were missing when the first
+/// burst of jobs came.
 fn kept(cell: &Cell, now: Millis) -> u64 {
     if cell.arrivals.any() || now >= cell.taken_at + UNTRIED_MS {
         return cell.needs.highest();
@@ -203,8 +207,8 @@
     })
 }
 
-/// What a task uses: a filler's processor share isn't reserved, but nothing is left for it where all
-/// workers are full.
+/// Demand of the tasks of a step. The processor share of a filler isn't reserved, but where all
+/// workers are full nothing is left for it.
 fn used_by(step: &Step, count: u64) -> Demand {
     Demand {
         cpu: step.demand.cpu * count,
@@ -213,7 +217,7 @@
     }
 }
 
-/// What runs. Runs that are to stop are left out: their tasks wait, or are over.
+/// Demand of running tasks. Runs that are to stop are left out: their tasks wait, or are over.
 fn used(cell: &Cell, wall_ms: u64) -> Load {
     let mut load = Load::default();
     let runs = cell.workers.values().flat_map(|worker| &worker.runs);
@@ -227,7 +231,7 @@
     load
 }
 
-/// What lasting tasks occupy.
+/// Demand of long-running tasks.
 fn lasting(cell: &Cell) -> Demand {
     let runs = cell
         .workers
@@ -237,7 +241,7 @@
     lasting.fold(Demand::default(), |sum, run| sum.plus(run.reserved))
 }
 
-/// What waits and can still be worth something.
+/// Demand of waiting tasks whose jobs are not long overdue.
 fn waits(cell: &Cell, waiting: &[Waiting]) -> Load {
     let mut load = Load::default();
     for (step, count, late) in place::still_waiting(cell, waiting) {
@@ -246,7 +250,7 @@
     load
 }
 
-/// What waiting tasks of a step occupy where they are to be under way soon.
+/// Demand of waiting tasks of a step if they are to be started soon.
 fn soon(step: &Step, count: u64) -> Demand {
     let all = used_by(step, count);
     if step.lasting || step.estimate_ms >= HORIZON_MS {
@@ -260,14 +264,14 @@
     }
 }
 
-/// Workers that hold `demand`.
+/// Number of workers with a total capacity of `demand`.
 fn workers_for(demand: Demand, worker: Demand) -> u64 {
     let of = |demand: u64, has: u64| demand.div_ceil(has.max(1));
     let known = worker != Demand::default();
     if !known {
         return u64::from(demand != Demand::default());
     }
-    // An accelerator that no worker has can't be had by more workers like them.
+    // More workers of the same kind don't provide an accelerator that none of them has.
     let accelerators = if worker.accelerators == 0 {
         0
     } else {
@@ -278,7 +282,7 @@
         .max(accelerators)
 }
 
-/// Workers that the widest step needs whose tasks must be spread.
+/// Number of workers that the widest step with spread tasks needs.
 fn spread(cell: &Cell) -> u64 {
     let jobs = cell
         .jobs
@@ -291,7 +295,8 @@
     widths.max().unwrap_or(0)
 }
 
-/// Workers that the pool needs where tasks of a spread step wait and none of the open workers can take them, whatever room they have.
+/// Number of workers that the pool needs if tasks of a spread step wait and no open worker can take
+/// them, whatever its free capacity.
 fn crowded(cell: &Cell, now: Millis) -> u64 {
     if cell.crowded == 0 {
         return 0;
@@ -301,9 +306,10 @@
     open.count() as u64 + cell.crowded
 }
 
-/// A worker that is counted as the pool's and takes nothing: it has gone silent, is shunned, or is
-/// emptied for its maintenance, when its lasting tasks need room elsewhere. One that was never looked at
-/// has just come, and one that is emptied for a move is on its way out.
+/// Whether a worker belongs to the pool but accepts no new runs: it has become unresponsive, is
+/// cordoned, or is being evacuated for maintenance, in which case its long-running tasks need
+/// capacity elsewhere. A worker that was never polled has just registered, and one that is
+/// evacuated for a move is about to leave the pool.
 fn is_unfit(cell: &Cell, worker: &Worker, now: Millis) -> bool {
     if !worker.registered || worker.is_gone() {
         return false;
--- a/crates/cell/src/order.rs
+++ b/crates/cell/src/order.rs
@@ -1,4 +1,4 @@
-//! What a cell wants done, and what came of it.
+//! Outputs of a cell and the results of its orders.
 
 use crate::{crash::Culprit, need::Need};
 use bytes::Bytes;
@@ -32,7 +32,7 @@
         /// The run.
         run: u32,
     },
-    /// Let a run work at a share of its speed.
+    /// Run at a share of full speed.
     Pace {
         /// The worker's id.
         worker: Name,
@@ -40,12 +40,12 @@
         task: TaskId,
         /// The run.
         run: u32,
-        /// The share.
+        /// The share in percent.
         percent: u32,
     },
 }
 
-/// A question to the advice service.
+/// A request to the advice service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Question {
     /// The step.
@@ -54,25 +54,26 @@
     pub workers: Vec<Name>,
 }
 
-/// What came of a start.
+/// Outcome of a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It runs, or has run.
+    /// The run is active, or has been.
     Started,
-    /// It doesn't run and never will.
+    /// The run isn't active and never will be.
     Refused(Refusal),
-    /// It was never sent: its worker can't be reached.
+    /// Never sent: the worker can't be reached.
     Unsent,
-    /// It was never sent: its job has ended meanwhile, or its time was over.
+    /// Never sent: the job has ended meanwhile, or the start window has passed.
     Withdrawn,
-    /// It may run, or may later.
+    /// The run may be active, or may become so later.
     Unknown,
 }
 
-/// Up to where the ends of a worker are taken in.
+/// Position up to which the ended runs of a worker are recorded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TakenIn {
-    /// When the life that has listed them began, by the worker's clock: in another one the numbers mean other ends.
+    /// The incarnation that listed them, by its start time on the worker's clock: another one
+    /// numbers its ended runs anew.
     pub born: u64,
     /// The highest number.
     pub number: u64,
@@ -81,28 +82,29 @@
 /// Why runs were lost without an end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// Their worker's life is over after it said that it leaves.
+    /// Their worker terminated after announcing it.
     Planned,
-    /// Their worker's life is over for no known reason.
+    /// Their worker terminated for no known reason.
     Crash,
-    /// The lease of a silent worker has lapsed; it may only have been cut off.
+    /// The lease of an unresponsive worker has expired; it may only have been partitioned.
     Lapse,
 }
 
-/// Runs that were lost without an end; none where they lapsed before, and it shows only now that their worker has crashed.
+/// Runs that were lost without an end; none if they were lost before, by an expired lease, and it
+/// is known only now that their worker has crashed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Loss {
     /// Their worker.
     pub worker: Name,
     /// Why.
     pub cause: Cause,
-    /// Their tasks and numbers.
+    /// Their tasks and run numbers.
     pub runs: Vec<(TaskId, u32)>,
-    /// The tasks that may be what has crashed it.
+    /// The tasks that the crash is attributed to.
     pub blamed: Vec<TaskId>,
 }
 
-/// What a cell wants committed, and done after that.
+/// Result of a round: what to commit, and what to do after that.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tick {
     /// Progress rows to write.
@@ -111,23 +113,23 @@
     pub ended: Vec<(JobId, State)>,
     /// Jobs whose progress rows are no longer needed.
     pub forget: Vec<JobId>,
-    /// Stops of runs whose jobs have ended. They need no commit: a job that has ended never goes on,
-    /// so a commit that waits for a slow store must not hold them up.
+    /// Stops of runs whose jobs have ended. They need no commit: a job that has ended never goes
+    /// on, so a commit that waits for a slow store must not delay them.
     pub urgent: Vec<Order>,
     /// Orders that may be sent only once the rows are committed.
     pub orders: Vec<Order>,
-    /// Workers to be looked at at once, besides the looks that wait for an end.
+    /// Workers to poll at once, in addition to the regular polls that wait for a run to end.
     pub glances: Vec<Name>,
     /// Runs that were lost since the last round.
     pub losses: Vec<Loss>,
-    /// Tasks that are given up since they crash their workers.
+    /// Tasks that are abandoned because they crash their workers.
     pub culprits: Vec<Culprit>,
-    /// Tasks that are held for innocent of the crashes of their workers.
+    /// Tasks whose crash records were cleared because their workers survived them.
     pub acquitted: Vec<TaskId>,
-    /// Questions to the advice service; they need no commit.
+    /// Requests to the advice service; they need no commit.
     pub questions: Vec<Question>,
-    /// For each worker, up to where its ends are in the rows.
+    /// For each worker, the position up to which its ended runs are in the rows.
     pub seen: Vec<(Name, TakenIn)>,
-    /// What the pool needs.
+    /// How many workers the pool can use.
     pub need: Need,
 }
--- a/crates/cell/src/pace.rs
+++ b/crates/cell/src/pace.rs
@@ -1,28 +1,28 @@
-//! Fillers are slowed before they push the response time of the tasks they run beside too high.
+//! Throttling of fillers before they raise the response time of the tasks beside them too far.
 
 use crate::{cell::Cell, order::Order, worker::Known};
 use primroseroute_domain::work::{Name, TaskId};
 
-/// Share of its target, in percent, that a serving task's tail may reach before fillers are slowed.
-/// Figures are rough and come once a second; the rest is room for what happens in between.
+/// Share of its target, in percent, that the tail latency of a serving task may reach before
+/// fillers are slowed. Measurements are rough and arrive once a second; the rest is a margin for
+/// changes in between.
 const HIGH: u64 = 75;
 
-/// Share below which fillers are given more.
+/// Share in percent below which fillers are sped up.
 const LOW: u64 = 50;
 
-/// Factor by which fillers are slowed.
+/// Divisor by which fillers are slowed.
 const SLOWER: u32 = 3;
 
-/// Percent by which fillers are sped up.
+/// Percentage points by which fillers are sped up.
 const FASTER: u32 = 20;
 
-/// Full speed.
 const FULL: u32 = 100;
 
-/// Below this a filler is stopped altogether.
+/// Speed in percent below which a filler is paused.
 const LEAST: u32 = 10;
 
-/// Orders for the runs of one worker, after a look at it.
+/// Orders for the runs of one worker, after a status of it.
 pub(crate) fn run(cell: &mut Cell, id: &Name) -> Vec<Order> {
     let Some(worker) = cell.workers.get(id) else {
         return Vec::new();
@@ -69,7 +69,8 @@
     orders
 }
 
-/// The next pace of a filler, where the worst tail beside it is at `share` percent of its target.
+/// The next speed of a filler, if the highest tail latency beside it is at `share` percent of its
+/// target.
 fn next(pace: u32, share: u64) -> u32 {
     if share >= HIGH {
         let slower = pace / SLOWER;
--- a/crates/cell/src/place/mod.rs
+++ b/crates/cell/src/place/mod.rs
@@ -1,4 +1,4 @@
-//! Which waiting task starts next, and where.
+//! Placement: which waiting task starts next, and on which worker.
 
 mod room;
 mod rooms;
@@ -23,7 +23,7 @@
 use trial::Trials;
 use turn::{Class, task_id, waiting_tasks};
 
-/// Places what fits of `waiting`, in its order; gives out the starts.
+/// Places as many of the `waiting` steps as fit, in their order. Returns the starts.
 pub(crate) fn run(cell: &mut Cell, waiting: &[Waiting], now: Millis) -> Vec<Order> {
     cell.crowded = 0;
     if !cell.may_start(now) {
@@ -56,12 +56,14 @@
     orders
 }
 
-/// Most new runs on one worker whose tasks have lost workers by crashes. Those that were lost together would meet again
-/// otherwise, and the one that crashes its worker would take all others with it a second time.
+/// Maximum number of new runs on one worker whose tasks have crashes. Tasks that were lost together
+/// would otherwise meet again, and the one that crashes its worker would take all others with it a
+/// second time.
 const RETURNED: usize = 4;
 
-/// Demands for which no worker had room in this round. Room only shrinks during a round, so what asks
-/// for as much or more needn't be tried: under overload that is nearly all that waits.
+/// Demands for which no worker had free capacity in this round. Free capacity only shrinks during a
+/// round, so equal or larger demands needn't be tried: under overload that is nearly all that
+/// waits.
 #[derive(Default)]
 struct Full(Vec<Demand>);
 
@@ -72,8 +74,8 @@
         step.is_some_and(|step| self.0.iter().any(|least| least.fits(step.reserved())))
     }
 
-    /// Takes in that a task of the step found no room. A step with wishes of its own may have failed
-    /// for those, which says nothing of others.
+    /// Records that a task of the step couldn't be placed. A step with constraints of its own may
+    /// have failed because of those, which says nothing of others.
     fn record(&mut self, cell: &Cell, waiting: &Waiting) {
         let job = cell.jobs.get(&waiting.job);
         let Some(step) = job.and_then(|job| job.step(waiting.step)) else {
@@ -81,8 +83,8 @@
         };
         let advised = job.is_some_and(|job| cell.advised.contains(&job.accepted.queue));
         let plain = step.label.is_none() && step.most_per_worker == 0 && !step.gang && !advised;
-        // A worker that still stops an earlier run of the same task is no place for that task alone, and one with many returned
-        // runs none for those that were lost by a crash.
+        // A worker that is still stopping an earlier run of a task is excluded for that task only,
+        // and a worker with many new runs of tasks with crashes is excluded only for such tasks.
         let hindered = job.is_some_and(|job| {
             let mut tasks = waiting_tasks(job, waiting.occurrence, waiting.step);
             tasks.any(|index| {
@@ -96,7 +98,7 @@
     }
 }
 
-/// Places the waiting tasks of a step; whether all found room.
+/// Places the waiting tasks of a step. Returns whether all could be placed.
 fn place_step(
     cell: &mut Cell,
     waiting: &Waiting,
@@ -136,7 +138,7 @@
     all_placed
 }
 
-/// Places all members of a gang under one number of a run, or none.
+/// Places all members of a gang with the same run number, or none.
 fn place_gang(
     cell: &mut Cell,
     waiting: &Waiting,
@@ -149,7 +151,7 @@
         return true;
     };
     if indexes.len() < usize::from(step.count) {
-        // Members of the last run may still be there: they end as broken or alone first.
+        // Members of the last run may still exist: they first end as broken or alone.
         return true;
     }
     let members = indexes.iter().map(|&index| task_id(waiting, index));
@@ -170,7 +172,7 @@
     true
 }
 
-/// Takes room for all members of a gang, or for none.
+/// Reserves capacity for all members of a gang, or for none.
 fn choose_gang(
     cell: &Cell,
     members: &[TaskId],
@@ -198,8 +200,8 @@
     workers.any(|worker| worker.runs.contains_key(task))
 }
 
-/// The place of the best worker with room for a task. `extra` counts tasks of the step that are about to be
-/// placed on a worker.
+/// The candidate on which a task is best placed. `extra` counts tasks of the step that are about to
+/// be placed on a candidate.
 fn choose(
     cell: &Cell,
     task: &TaskId,
@@ -220,7 +222,7 @@
     let has_failed = |place: usize| worker(place).failures.contains(&task.job);
     let is_plain = !step.lasting && !step.same_rack && step.rack.is_none();
     if is_plain {
-        // The tightest room without a failure of the job is the best one.
+        // Best fit: the least free capacity, on a worker without a failure of the job if possible.
         let mut failed = None;
         let sound = fitting.find(|&place| {
             let has_failed = has_failed(place);
@@ -244,17 +246,19 @@
             .is_some_and(|rack| !worker.has_label(rack));
         let apart = !siblings.is_empty() && !siblings.contains(&labels(worker));
         let strained = step.lasting && is_strained(cell, worker);
-        // Lasting tasks are gathered: a worker without any can go where it is needed, or be switched off.
+        // Long-running tasks are packed together: a worker without any can move to another pool or
+        // be switched off.
         let alone = step.lasting && lasting_on(worker) == 0;
         let free = rooms.free(place).cpu;
         (far, apart, has_failed(place), strained, alone, free)
     })
 }
 
-/// Share of its target, in percent, at which the tail of a lasting task shows that its worker is to get no other one.
+/// Share of its target, in percent, from which the tail latency of a long-running task keeps
+/// further ones off its worker.
 const STRAINED: u64 = 60;
 
-/// Whether a lasting task on a worker comes near the response time that it must stay under.
+/// Whether a long-running task on a worker comes near its response time target.
 fn is_strained(cell: &Cell, worker: &Worker) -> bool {
     worker.runs.iter().any(|(task, run)| {
         let target = cell.step(task).map_or(0, |step| step.target_ms);
@@ -262,7 +266,7 @@
     })
 }
 
-/// Whether a worker may run a task at all, room and its queue's policy aside.
+/// Whether a worker may run a task, regardless of free capacity and of its queue's policy.
 pub(crate) fn allows_apart_from_policy(
     worker: &Worker,
     task: &TaskId,
@@ -277,7 +281,8 @@
         let beside = worker.runs.keys().filter(|other| is_sibling(other, task));
         beside.count() + usize::from(extra) < usize::from(step.most_per_worker)
     };
-    // A run of the same task that is still being stopped there would be taken for the new one.
+    // An earlier run of the same task that is still being stopped there would be taken for the new
+    // one.
     labelled && apart && !worker.runs.contains_key(task)
 }
 
@@ -293,7 +298,7 @@
     worker.info.as_ref().map(|info| &info.labels)
 }
 
-/// Labels of the workers that have siblings of `task`.
+/// Labels of the workers that run siblings of `task`.
 fn sibling_labels<'a>(cell: &'a Cell, task: &TaskId) -> Vec<Option<&'a BTreeSet<Name>>> {
     let with = cell
         .workers
@@ -302,7 +307,7 @@
     with.map(labels).collect()
 }
 
-/// Whether some open worker has room for a lasting task that is to be moved.
+/// Whether an open worker has free capacity for a long-running task that is to be moved.
 pub(crate) fn has_room(cell: &Cell, task: &TaskId, now: Millis) -> bool {
     let Some(step) = cell.step(task) else {
         return false;
@@ -311,7 +316,7 @@
     choose(cell, task, step, &rooms, &BTreeMap::new()).is_some()
 }
 
-/// Records the start of a run; the order goes out once it is committed.
+/// Records the start of a run; the order is sent once it is committed.
 fn start(
     cell: &mut Cell,
     worker: &Name,
--- a/crates/cell/src/place/room.rs
+++ b/crates/cell/src/place/room.rs
@@ -1,4 +1,4 @@
-//! Room for lasting tasks that fit nowhere.
+//! Preemption for long-running tasks that can't be placed.
 
 use super::{
     allows_apart_from_policy,
@@ -13,11 +13,12 @@
 };
 use primroseroute_domain::work::{Name, Step};
 
-/// A lasting task fits nowhere: keeps the emptiest worker that may run it free of shorter tasks,
-/// and after a while stops those that are in its way.
+/// Reserves a worker for a long-running task that can't be placed: the one with the most free
+/// capacity that may run it gets no new batch tasks, and after a while those that are in the way
+/// are stopped.
 ///
-/// Where every worker has as many tasks of a step that is spread as it may, or is full of lasting tasks, only another worker helps:
-/// the need has to count it.
+/// If every worker has the maximum number of tasks of a spread step, or is full of long-running
+/// tasks, only another worker helps: the estimate of needed workers has to count it.
 pub(super) fn make_room(cell: &mut Cell, waiting: &Waiting, rooms: &mut Rooms, now: Millis) {
     let Some(job) = cell.jobs.get(&waiting.job) else {
         return;
@@ -59,14 +60,14 @@
     }
 }
 
-/// Whether a worker has room for a task of `step` once its shorter tasks are gone.
+/// Whether a worker has capacity for a task of `step` once its batch tasks are gone.
 pub(super) fn could_hold(worker: &Worker, step: &Step) -> bool {
     let short = worker.runs.values().filter(|run| !run.lasting);
     let freed = short.fold(worker.room(), |room, run| room.plus(run.reserved));
     step.reserved().fits(freed)
 }
 
-/// Stops shorter tasks, those that have done least first, until a task of `step` has room.
+/// Stops batch tasks, those with the least progress first, until a task of `step` fits.
 fn preempt(cell: &mut Cell, id: &Name, step: &Step) {
     let Some(worker) = cell.workers.get_mut(id) else {
         return;
--- a/crates/cell/src/place/rooms.rs
+++ b/crates/cell/src/place/rooms.rs
@@ -1,21 +1,22 @@
-//! What is free on the workers that take something new.
+//! Free capacity of the workers that accept new runs.
 
 use crate::{cell::Cell, crash, limits::Millis, worker::Worker};
 use primroseroute_domain::work::{Demand, Name, TaskId};
 use std::collections::BTreeSet;
 
-/// A worker that takes something new.
+/// A worker that accepts new runs.
 #[derive(Debug)]
 struct Open {
     id: Name,
     free: Demand,
-    /// Whether its room is kept, for a lasting task that fits nowhere yet or for a trial.
+    /// Whether it is reserved, for a long-running task that can't be placed yet or for an isolated
+    /// run.
     kept: bool,
-    /// Number of its new runs whose tasks have lost workers by crashes.
+    /// Number of its new runs whose tasks have crashes.
     returned: usize,
 }
 
-/// Number of new runs on a worker whose tasks have lost workers by crashes.
+/// Number of new runs on a worker whose tasks have crashes.
 fn returned(cell: &Cell, worker: &Worker) -> usize {
     if cell.crashed.is_empty() {
         return 0;
@@ -27,17 +28,17 @@
     returned.count()
 }
 
-/// The workers that take something new, by what is free of their processors.
+/// The workers that accept new runs, indexed by free processor share.
 ///
-/// A busy pool starts hundreds of tasks a round on hundreds of workers: what fits is looked for from the tightest room on, and
-/// not among all workers for each task.
+/// A busy pool starts hundreds of tasks per round on hundreds of workers: the search starts at the
+/// least free capacity that fits, instead of scanning all workers for each task.
 #[derive(Debug)]
 pub(super) struct Rooms {
     /// In the order of their ids.
     open: Vec<Open>,
-    /// Free processor share, and place in `open`.
+    /// Free processor share, and index in `open`.
     by_cpu: BTreeSet<(u64, usize)>,
-    /// Number of workers that take nothing while a trial goes on there.
+    /// Number of workers that accept nothing while an isolated run is under way there.
     on_trial: usize,
     /// Whether some task is a suspect.
     has_suspects: bool,
@@ -68,24 +69,25 @@
         }
     }
 
-    /// Whether no processor share is free anywhere.
+    /// Whether no worker has any free processor share.
     pub(super) fn is_full(&self) -> bool {
         self.by_cpu.last().is_none_or(|(cpu, _place)| *cpu == 0)
     }
 
-    /// Places of the workers with room for `demand`, the tightest first, and among equals in the order of their ids.
+    /// Indexes of the workers with free capacity for `demand`, least free processor share first,
+    /// then in the order of their ids.
     pub(super) fn fitting(&self, demand: Demand) -> impl Iterator<Item = usize> {
         let wide = self.by_cpu.range((demand.cpu, 0)..);
         let places = wide.map(|(_cpu, place)| *place);
         places.filter(move |place| demand.fits(self.open[*place].free))
     }
 
-    /// All places.
+    /// All indexes.
     pub(super) fn places(&self) -> impl Iterator<Item = usize> {
         0..self.open.len()
     }
 
-    /// Places of all workers that aren't kept.
+    /// Indexes of all workers that aren't reserved.
     pub(super) fn unkept(&self) -> impl Iterator<Item = usize> {
         let numbered = self.open.iter().enumerate();
         let unkept = numbered.filter(|(_place, open)| !open.kept);
@@ -104,31 +106,32 @@
         self.open[place].kept
     }
 
-    /// Keeps the room of a worker for a lasting task.
+    /// Reserves a worker.
     pub(super) fn keep(&mut self, place: usize) {
         self.open[place].kept = true;
     }
 
-    /// Number of new runs in a place whose tasks have lost workers by crashes.
+    /// Number of new runs on a worker whose tasks have crashes.
     pub(super) fn returned(&self, place: usize) -> usize {
         self.open[place].returned
     }
 
-    /// Counts one more of them.
+    /// Counts one more such run.
     pub(super) fn add_returned(&mut self, place: usize) {
         self.open[place].returned += 1;
     }
 
-    /// Number of workers that take nothing while a trial goes on there.
+    /// Number of workers that accept nothing while an isolated run is under way there.
     pub(super) fn on_trial(&self) -> usize {
         self.on_trial
     }
 
-    /// Whether a task is to be started apart from others.
+    /// Whether a task is to be run isolated.
     ///
-    /// Where some task is a suspect, a task with a single crash is kept from those without: a second crash would hold them all for
-    /// possible causes, and take down a worker that is full of them. Without suspects a crash most likely had another cause, and
-    /// what it has interrupted goes on at once.
+    /// While some task is a suspect, a task with a single crash is kept apart from those without: a
+    /// second crash would be attributed to all of them, and would take down a worker that is full
+    /// of them. Without suspects a crash most likely had another cause, and the tasks it
+    /// interrupted start again at once.
     pub(super) fn needs_trial(&self, cell: &Cell, task: &TaskId) -> bool {
         crash::is_suspect(cell, task) || (self.has_suspects && crash::can_be_tried(cell, task))
     }
--- a/crates/cell/src/place/trial.rs
+++ b/crates/cell/src/place/trial.rs
@@ -1,8 +1,9 @@
-//! Trials of tasks that may crash their workers.
+//! Isolated runs of tasks that may crash their workers.
 //!
-//! A worker is *reserved* for trials before one can begin: short tasks start there all the time, and what is new beside a suspect
-//! could be what crashes the worker. Reserved workers get no other short tasks; a trial begins once all runs there have shown
-//! that their worker survives them. A suspect is tried alone. Tasks with a single crash share a trial, a few at a time.
+//! A worker is *reserved* for isolated runs before one can begin: batch tasks start there all the
+//! time, and a new run beside a suspect could be what crashes the worker. Reserved workers get no
+//! other batch tasks; an isolated run begins once all runs there have shown that their worker
+//! survives them. A suspect runs alone. Tasks with a single crash run in small groups.
 
 use super::{
     allows_apart_from_policy,
@@ -15,37 +16,38 @@
 use primroseroute_domain::work::{Name, Step, TaskId};
 use std::collections::BTreeMap;
 
-/// Part of the workers that trials may keep from other tasks: one in this many. More are where none of them may run a task, and
-/// where nothing else waits for them.
+/// Isolated runs may reserve one in this many workers. They may reserve more if none of these may
+/// run a task, or if no other task waits for them.
 const PART: usize = 4;
 
-/// Age up to which a look shows that a worker answers.
+/// Age up to which a status shows that a worker responds.
 const RECENT: Millis = 200;
 
-/// How long an answer counts that a trial has asked for: a round may have to wait for the store.
+/// Age up to which a status that was requested for an isolated run is used: a round may have to
+/// wait for the store.
 const ASKED: Millis = 1_000;
 
-/// A worker that is kept for a trial.
+/// A worker that is reserved for an isolated run.
 #[derive(Debug)]
 struct Claim {
-    /// Number of tasks that are tried there, or wait for it.
+    /// Number of tasks that run isolated there, or wait for it.
     tasks: usize,
-    /// Most of them.
+    /// Maximum number of them.
     most: usize,
-    /// Whether the trial has begun in this round.
+    /// Whether the isolated run has begun in this round.
     begun: bool,
 }
 
-/// The trials of one round.
+/// The isolated runs of one round.
 #[derive(Debug)]
 pub(super) struct Trials {
-    /// Tasks that wait for a trial and have no claim, the most urgent first.
+    /// Tasks that wait for an isolated run and have no worker reserved, the most urgent first.
     due: Vec<TaskId>,
     claims: BTreeMap<usize, Claim>,
 }
 
 impl Trials {
-    /// Trials of the `waiting` tasks that need one.
+    /// The `waiting` tasks that need an isolated run.
     pub(super) fn of(cell: &Cell, rooms: &Rooms, waiting: &[Waiting]) -> Self {
         Self {
             due: due(cell, rooms, waiting),
@@ -53,7 +55,8 @@
         }
     }
 
-    /// Starts tasks, and reserves workers for those that have to wait. Comes before other short tasks.
+    /// Starts tasks, and reserves workers for those that have to wait. Runs before other batch
+    /// tasks are placed.
     pub(super) fn run(&mut self, cell: &mut Cell, rooms: &mut Rooms, now: Millis) -> Vec<Order> {
         let mut orders = Vec::new();
         for task in std::mem::take(&mut self.due) {
@@ -73,7 +76,8 @@
         orders
     }
 
-    /// Starts more tasks on workers that other short tasks have left without new runs.
+    /// Starts more tasks on workers that still have no new runs after other batch tasks were
+    /// placed.
     pub(super) fn run_idle(
         &mut self,
         cell: &mut Cell,
@@ -93,7 +97,7 @@
         orders
     }
 
-    /// Starts a task in a place that is ready for it, or lets it wait there.
+    /// Starts a task on a worker that is ready for it, or lets it wait there.
     fn begin(
         &mut self,
         cell: &mut Cell,
@@ -122,7 +126,7 @@
         order
     }
 
-    /// A claimed place that a task can share.
+    /// A reserved worker that a task can share.
     fn join(&self, cell: &Cell, rooms: &Rooms, task: &TaskId, step: &Step) -> Option<usize> {
         let most = crash::most_tried_together(cell, task);
         let mut shared = self
@@ -140,7 +144,7 @@
         found.map(|(&place, _claim)| place)
     }
 
-    /// The place in which a task is to be tried, or has to wait for its trial.
+    /// The worker on which a task is to run isolated, or has to wait for that.
     fn claim(&self, cell: &Cell, rooms: &Rooms, task: &TaskId, step: &Step) -> Option<usize> {
         let able = rooms.places().filter(|&place| {
             could_hold(&cell.workers[rooms.id(place)], step)
@@ -164,7 +168,7 @@
         others.into_iter().max_by_key(|&place| {
             let mut runs = cell.workers[rooms.id(place)].runs.values();
             let is_ready = is_ready(cell, rooms, place, step);
-            // A crash costs least where nothing lasts and little runs.
+            // A crash does least damage on a worker without long-running tasks and with few runs.
             (
                 !runs.any(|run| run.lasting),
                 is_ready,
@@ -174,7 +178,7 @@
     }
 }
 
-/// A place that nothing is kept for, and where a trial can begin at once.
+/// An unreserved worker on which an isolated run can begin at once.
 fn idle(cell: &Cell, rooms: &Rooms, task: &TaskId, step: &Step) -> Option<usize> {
     let mut idle = rooms.unkept().filter(|&place| {
         is_ready(cell, rooms, place, step) && may_run(cell, rooms, place, task, step)
@@ -182,7 +186,7 @@
     idle.next()
 }
 
-/// Tasks that need a trial and wait, and whose turn has come.
+/// Waiting tasks that need an isolated run and whose dependencies are done.
 fn due(cell: &Cell, rooms: &Rooms, waiting: &[Waiting]) -> Vec<TaskId> {
     if cell.crashed.is_empty() {
         return Vec::new();
@@ -198,16 +202,17 @@
         .collect()
 }
 
-/// Whether a worker may run a task, room aside.
+/// Whether a worker may run a task, regardless of free capacity.
 fn may_run(cell: &Cell, rooms: &Rooms, place: usize, task: &TaskId, step: &Step) -> bool {
     let id = rooms.id(place);
     allows_apart_from_policy(&cell.workers[id], task, step, 0) && advice::allows(cell, task, id)
 }
 
-/// Whether a worker has answered just now; one that hasn't is asked.
+/// Whether a worker has answered a moment ago; one that hasn't is polled.
 ///
-/// A worker that has died by itself looks as it did in its last look, up to a second ago. A trial that begins on it would be held
-/// against a task whose start never reached anybody.
+/// A worker that has died for another reason still looks as in its last status, which may be a
+/// second old. The loss of an isolated run that begins on it would be attributed to a task whose
+/// start never arrived.
 fn answers(cell: &mut Cell, id: &Name, now: Millis) -> bool {
     let Some(worker) = cell.workers.get_mut(id) else {
         return false;
@@ -225,7 +230,7 @@
     false
 }
 
-/// Whether a task can be started in a place now, and be tried apart from others.
+/// Whether a task can be started on a worker now and run isolated there.
 fn is_ready(cell: &Cell, rooms: &Rooms, place: usize, step: &Step) -> bool {
     let worker = &cell.workers[rooms.id(place)];
     let mut runs = worker.runs.values();
--- a/crates/cell/src/place/turn.rs
+++ b/crates/cell/src/place/turn.rs
@@ -1,16 +1,17 @@
-//! In which order waiting steps get their turn.
+//! Order in which waiting steps are placed.
 //!
-//! Lasting tasks come first, since their users wait all the time that they are away. Then jobs that
-//! can still meet their objective, those with the least work left first; then late ones, and last those
-//! that are past three times their objective, which earn nothing more and only have to finish some day.
+//! Long-running tasks come first, since their users are affected all the time that they are
+//! unavailable. Then come jobs that can still meet their objective, those with the least remaining
+//! work first; then late ones, and last those that are past three times their objective, which earn
+//! nothing more and only have to finish eventually.
 
 use crate::{cell::Cell, crash, job::Job, row::Phase};
 use primroseroute_domain::work::{JobId, Step, TaskId};
 
-/// Times its objective after which a job earns nothing more.
+/// Multiple of its objective after which a job earns nothing more.
 const HOPELESS: u64 = 3;
 
-/// How urgent a step is; smaller comes first.
+/// Urgency class of a step; smaller comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Class {
     Lasting,
@@ -23,8 +24,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Waiting {
     pub(super) class: Class,
-    /// What is left of the job's work in core-milliseconds: short jobs earn most for the time that
-    /// they occupy, and a job that has begun comes before one like it that hasn't.
+    /// Remaining work of the job in core-milliseconds: short jobs earn most for the time that they
+    /// occupy, and a job that has begun comes before an equal one that hasn't.
     work: u64,
     pub(super) job: JobId,
     pub(super) occurrence: u32,
@@ -32,7 +33,7 @@
 }
 
 impl Waiting {
-    /// The step's first task, which stands for them all.
+    /// The step's first task, which represents all of them.
     pub(crate) fn first_task(&self) -> TaskId {
         task_id(self, 0)
     }
@@ -47,7 +48,7 @@
     }
 }
 
-/// Steps with waiting tasks whose turn has come, the most urgent first.
+/// Steps with waiting tasks whose dependencies are done, the most urgent first.
 pub(crate) fn sorted(cell: &Cell, wall_ms: u64) -> Vec<Waiting> {
     let mut all = Vec::new();
     for (id, job) in &cell.jobs {
@@ -66,8 +67,8 @@
     all
 }
 
-/// What still waits of `waiting`: each step with the number of its tasks, and whether it is late already;
-/// without those of jobs that earn nothing any more.
+/// The steps of `waiting` that still wait, each with the number of its tasks and whether it is
+/// late; without those of jobs that earn nothing any more.
 pub(crate) fn still_waiting<'a>(
     cell: &'a Cell,
     waiting: &'a [Waiting],
@@ -82,8 +83,8 @@
     })
 }
 
-/// Whether a job is past its objective. What runs of it counts as late only then: how much of the estimate
-/// is left of a run isn't known well enough to tell sooner.
+/// Whether a job is past its objective. Running tasks count as late only from then on: how much of
+/// the estimate is left of a run isn't known well enough to tell sooner.
 pub(crate) fn is_past(job: &Job, occurrence: u32, wall_ms: u64) -> bool {
     let lasting = job.accepted.job.lasting();
     !lasting && age(job, occurrence, wall_ms) > signed(job.accepted.objective_ms)
@@ -98,7 +99,7 @@
         .map(|(index, _task)| index)
 }
 
-/// Time since an occurrence was due; negative where a clock was ahead.
+/// Time since an occurrence was due; negative if a clock was ahead.
 fn age(job: &Job, occurrence: u32, wall_ms: u64) -> i64 {
     let accepted = &job.accepted;
     let due = accepted
@@ -138,7 +139,7 @@
     i64::try_from(value).unwrap_or(i64::MAX)
 }
 
-/// Estimated core-milliseconds of the tasks that aren't done.
+/// Estimated core-milliseconds of the unfinished tasks.
 fn work_left(job: &Job, occurrence: u32) -> u64 {
     let Some(progress) = job.progress.steps.get(&occurrence) else {
         return 0;
--- a/crates/cell/src/roster.rs
+++ b/crates/cell/src/roster.rs
@@ -1,4 +1,4 @@
-//! What the cell is told of its workers' lives and use, and what it tells of them.
+//! Inputs about registration, termination and evacuation of workers, and queries about workers.
 
 use crate::{
     cell::Cell,
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Cell {
-    /// Takes in a worker's registration.
+    /// Records a worker's registration.
     pub fn register(&mut self, info: site::Worker) {
         let id = Name::clone(&info.id);
         let worker = self.worker(&id);
@@ -20,19 +20,21 @@
         worker.registered = true;
     }
 
-    /// Takes in that a worker isn't registered any more. What runs there runs on until its lease
-    /// lapses or its end is seen: it may only have lost its way to the store.
+    /// Records that a worker isn't registered any more. Its runs go on until its lease expires or
+    /// their ends are seen: it may only have lost its connection to the store.
     pub fn unregister(&mut self, worker: &Name) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.registered = false;
         }
     }
 
-    /// Takes in that a life of a worker is over: nothing runs on it any more, but what has got no answer may reach its next
-    /// life. Whether that is news.
+    /// Records that an incarnation of a worker has terminated: nothing runs on it any more, but
+    /// calls that got no answer may reach its next incarnation. Returns whether this wasn't known
+    /// before.
     ///
-    /// Whoever tells may have asked long ago, and mean the life before: `born` is what was known of the worker then, and
-    /// `asked_at` is when it was asked. A start that was answered later may be of the next life.
+    /// The information may be old and refer to the previous incarnation: `born` is the incarnation
+    /// that was known when the platform was asked, and `asked_at` is the time of that. A start that
+    /// was answered later may belong to the next incarnation.
     pub fn gone(&mut self, worker: &Name, born: u64, asked_at: Millis) -> bool {
         let Some(known) = self.workers.get_mut(worker) else {
             return false;
@@ -44,7 +46,8 @@
         self.over(worker, Gone::ItsLife)
     }
 
-    /// Takes in that another worker answers in the place of one, which never comes back. Whether that is news.
+    /// Records that another worker has taken the place of this one, which never comes back. Returns
+    /// whether this wasn't known before.
     pub fn replaced(&mut self, worker: &Name) -> bool {
         self.over(worker, Gone::ForGood)
     }
@@ -58,17 +61,18 @@
         is_news
     }
 
-    /// Takes in that a renewal is sent: the worker's lease may hold until `lapses_at`.
+    /// Records that a renewal is sent: the worker's lease may be valid until `lapses_at`.
     pub fn renewing(&mut self, worker: &Name, lapses_at: Millis) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.lapses_at = worker.lapses_at.max(lapses_at);
         }
     }
 
-    /// Asks for a worker to be emptied for planned work, or no more.
+    /// Requests that a worker is evacuated for planned work, or withdraws that request.
     ///
-    /// One that isn't known yet is remembered: the platform may list it before its registration comes. Otherwise it would
-    /// get tasks then, while the order to its instance is on its way.
+    /// This is also recorded for a worker that isn't known yet: the platform may list it before its
+    /// registration arrives. Otherwise it would get tasks then, while the order to its instance is
+    /// on its way.
     pub fn empty(&mut self, worker: &Name, wanted: Option<Purpose>) {
         if wanted.is_some() {
             self.worker(worker).emptying = wanted;
@@ -77,14 +81,14 @@
         }
     }
 
-    /// A worker, which may not have been known before.
+    /// A worker, which is added if it isn't known.
     pub(crate) fn worker(&mut self, id: &Name) -> &mut Worker {
         let lapses_at = self.taken_at + self.limits.stretched(self.limits.lease);
         let worker = self.workers.entry(Name::clone(id));
         worker.or_insert_with(|| Worker::new(lapses_at))
     }
 
-    /// Asks for everything but lasting tasks on a worker to be stopped.
+    /// Requests a stop of all batch tasks on a worker.
     pub fn clear(&mut self, worker: &Name) {
         let Some(worker) = self.workers.get_mut(worker) else {
             return;
@@ -96,7 +100,7 @@
         }
     }
 
-    /// The workers that are known, those among them that are known by what may run on them only.
+    /// All known workers, including those that are known only because runs of them may exist.
     pub fn workers(&self) -> impl Iterator<Item = &Name> + Clone {
         self.workers.keys()
     }
@@ -108,20 +112,21 @@
             .map_or(0, |worker| worker.runs.len())
     }
 
-    /// Whether nothing can run on a worker, and it gets nothing new because it is to be emptied.
+    /// Whether nothing can run on a worker, and it gets no new runs because it is being evacuated.
     pub fn is_emptied(&self, worker: &Name) -> bool {
         let found = self.workers.get(worker);
         found.is_some_and(|worker| worker.emptying.is_some() && worker.runs.is_empty())
     }
 
-    /// Workers that have shown nothing for a while, and on which something may run, or has lapsed lately.
+    /// Workers without a status for a while that may have runs, or whose lease has expired
+    /// recently.
     pub fn silent(&self, now: Millis) -> BTreeSet<Name> {
         let silent = self.workers.iter();
         let silent = silent.filter(|(_id, worker)| self.is_silent(worker, now));
         silent.map(|(id, _worker)| Name::clone(id)).collect()
     }
 
-    /// Those of the silent workers that new runs may have crashed.
+    /// The unresponsive workers that new runs may have crashed.
     pub fn suspected(&self, now: Millis) -> BTreeSet<Name> {
         let settle = self.limits.settle;
         let suspected = self.workers.iter().filter(|(_id, worker)| {
@@ -131,11 +136,12 @@
         suspected.map(|(id, _worker)| Name::clone(id)).collect()
     }
 
-    /// Takes in that the platform was asked at `asked_at` and still named a silent worker; whether it shows that the worker has
-    /// outlived runs that were new.
+    /// Records that the platform, asked at `asked_at`, still listed an unresponsive worker. Returns
+    /// whether this shows that the worker has survived runs that were new.
     ///
-    /// A worker that has crashed is named no more for a while, and then perhaps again, in its next life. So only names without a
-    /// gap between them, from the last look on, tell of one life.
+    /// A worker that has crashed disappears from the list for a while, and may then be listed again
+    /// with its next incarnation. So only an uninterrupted series of listings, from the last status
+    /// on, refers to one incarnation.
     pub fn named(&mut self, id: &Name, born: u64, asked_at: Millis) -> bool {
         let settle = self.limits.settle;
         let Some(worker) = self.workers.get_mut(id) else {
@@ -149,7 +155,7 @@
         let new = crash::new_runs(worker, settle).len();
         worker.named_at = worker.named_at.max(Some(asked_at));
         let outlived = crash::new_runs(worker, settle).len() < new;
-        // Its lease had lapsed by then, and nothing ran any more.
+        // Its lease had expired by then, and nothing ran any more.
         let alive_at = worker.alive_at();
         let lapsed = worker.lapsed.take_if(|lapsed| alive_at >= Some(lapsed.at));
         if outlived {
@@ -164,8 +170,9 @@
         matters && !worker.is_gone() && now >= heard + self.limits.silent
     }
 
-    /// Of the workers whose ends are asked for at the platform, the silent ones and those that are emptied: when the life began
-    /// that looks have shown last, by the worker's own clock; 0 before the first look.
+    /// The workers whose termination is looked up at the platform, which are the unresponsive ones
+    /// and those being evacuated: their last known incarnation, by its start time on the worker's
+    /// clock; 0 before the first status.
     pub fn lives(&self, now: Millis) -> BTreeMap<Name, u64> {
         let lives = self.workers.iter();
         let lives =
@@ -175,7 +182,7 @@
             .collect()
     }
 
-    /// Number of lasting tasks that may run on a worker.
+    /// Number of long-running tasks that may run on a worker.
     pub fn lasting_on(&self, worker: &Name) -> usize {
         let found = self.workers.get(worker);
         found.map_or(0, |worker| {
@@ -183,7 +190,8 @@
         })
     }
 
-    /// Where to reach the workers whose lives aren't over, and those whose next lives may get starts of the last one.
+    /// Addresses of the workers that haven't terminated, and of those whose next incarnation may
+    /// get starts meant for the last one.
     pub fn targets(&self) -> Vec<Target> {
         let targets = self.workers.values().filter_map(|worker| {
             let answers = match worker.gone {
--- a/crates/cell/src/row/mod.rs
+++ b/crates/cell/src/row/mod.rs
@@ -1,23 +1,23 @@
-//! What lies in the store for jobs: places and values of rows.
+//! Rows that jobs have in the store: their locations and values.
 //!
 //! | table | partition | key | value | written by |
 //! |---|---|---|---|---|
-//! | `ids` | hash of the id | id | [`Claim`] | the gateway that accepts, once |
+//! | `ids` | hash of the id | id | [`Claim`] | the gateway that accepts the job, once |
 //! | `jobs-N` | hash of the id | id | [`Accepted`] | the same transaction |
-//! | `jobs-N` | hash of the id | id `.cancel` | empty | the gateway that takes the cancel |
+//! | `jobs-N` | hash of the id | id `.cancel` | empty | the gateway that accepts the cancel |
 //! | `work` | pool | id | [`Progress`] | the pool's owner |
 //! | `work` | pool | `.batch` | [`Batch`] | the pool's owner, with each commit |
-//! | `control` | pool | `owner` | [`Owner`] | whoever takes the pool over, or gives it up |
+//! | `control` | pool | `owner` | [`Owner`] | the entry that takes over or releases the pool |
 //! | `control` | pool | `wanted` | [`Wanted`] | the pool's owner, with a commit |
-//! | `control` | pool | `orders` | [`Orders`] | the pool's owner, as it asks for orders to its instances |
-//! | `control` | pool | `answer` and a group | [`Answer`] | the holder of the group, before and after it orders |
-//! | `control` | group | `owner` | [`Owner`] | whoever takes the group of instances, or gives it up |
+//! | `control` | pool | `orders` | [`Orders`] | the pool's owner, to request orders to its instances |
+//! | `control` | pool | `answer` and a group | [`Answer`] | the holder of the group, before and after it gives the orders |
+//! | `control` | group | `owner` | [`Owner`] | the entry that takes over or releases the group of instances |
 //! | `control` | `.members-` and a hash of the entry | entry | [`Member`] | the entry, as its heartbeat |
 //! | `waves` | `waves` | number | [`Wave`] | owners of pools with instances of the wave |
 //!
-//! `N` is a hash of the pool, so that an owner's feed shows few jobs of other pools. Ids lie apart
-//! from pools: a queue may be sent to another pool between two attempts of one submission, and both
-//! must meet the same row.
+//! `N` is a hash of the pool, so that an owner's feed shows few jobs of other pools. Ids are
+//! partitioned independently of pools: a queue may be reassigned to another pool between two
+//! attempts of one submission, and both must meet the same row.
 
 mod orders;
 
@@ -29,16 +29,16 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Partitions of `ids` and `jobs-N`. A partition takes transactions one after another and turns
-/// them away once a second of them waits: with 40 submissions a second and a store that takes 50 times
-/// as long as usual (0.4 s each), 48 partitions have a third of a second waiting; 16 had a whole one,
-/// and 4 had four. More of them cost a new owner more reads.
+/// Partitions of `ids` and `jobs-N`. A partition processes transactions one after another and
+/// rejects them once a second of them waits: with 40 submissions a second and a store that takes 50
+/// times as long as usual (0.4 s each), 48 partitions have a third of a second waiting; 16 had a
+/// whole one, and 4 had four. More partitions cost a new owner more reads.
 pub const ID_PARTS: u64 = 48;
 
-/// Tables over which pools' jobs are spread; the store allows 100 tables.
+/// Number of tables that the jobs of pools are distributed over; the store allows 100 tables.
 const JOB_TABLES: u64 = 32;
 
-/// End of the key of a cancel.
+/// Suffix of the key of a cancel.
 const CANCEL: &str = ".cancel";
 
 /// Key of the row that every commit of an owner writes.
@@ -47,11 +47,11 @@
 /// Table of owners and heartbeats: one feed shows both.
 pub const CONTROL: &str = "control";
 
-/// Start of the names of the partitions of heartbeats; no pool's name begins with a dot.
+/// Prefix of the partitions of heartbeats; no pool's name begins with a dot.
 const MEMBERS: &str = ".members-";
 
-/// Partitions of heartbeats. All of a few entries' heartbeats in one partition were turned away by a
-/// store that took 40 times as long as usual; in 8 partitions each waits for itself alone.
+/// Partitions of heartbeats. With the heartbeats of a few entries in one partition, a store that
+/// took 40 times as long as usual rejected them; with 8 partitions they don't wait for each other.
 const MEMBER_PARTS: u64 = 8;
 
 /// Key of a pool's owner.
@@ -66,7 +66,7 @@
 /// Table and partition of waves.
 pub const WAVES: &str = "waves";
 
-/// FNV-1a: equal in every process and version, unlike the standard library's hashers.
+/// FNV-1a: stable across processes and versions, unlike the standard library's hashers.
 pub fn hash(text: &str) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
@@ -90,54 +90,54 @@
     format!("jobs-{}", hash(pool) % JOB_TABLES)
 }
 
-/// Where an id is claimed.
+/// Location of the claim of an id.
 pub fn claim(id: &JobId) -> Place {
     Place::new("ids", &id_part(id), id.as_str())
 }
 
-/// Where an accepted job lies.
+/// Location of an accepted job.
 pub fn accepted(pool: &str, id: &JobId) -> Place {
     Place::new(&jobs_table(pool), &id_part(id), id.as_str())
 }
 
-/// Where the cancel of a job lies.
+/// Location of the cancel of a job.
 pub fn cancel(pool: &str, id: &JobId) -> Place {
     let key = format!("{id}{CANCEL}");
     Place::new(&jobs_table(pool), &id_part(id), &key)
 }
 
-/// Where a job's progress lies.
+/// Location of a job's progress.
 pub fn progress(pool: &str, id: &JobId) -> Place {
     Place::new(WORK, pool, id.as_str())
 }
 
-/// Where the row of a pool's commits lies.
+/// Location of the commit record of a pool.
 pub fn batch(pool: &str) -> Place {
     Place::new(WORK, pool, BATCH)
 }
 
-/// Where a pool's owner lies.
+/// Location of a pool's owner.
 pub fn owner(pool: &str) -> Place {
     Place::new(CONTROL, pool, OWNER)
 }
 
-/// Where the number of workers that a pool can use lies.
+/// Location of the number of workers that a pool can use.
 pub fn wanted(pool: &str) -> Place {
     Place::new(CONTROL, pool, WANTED)
 }
 
-/// Where an entry's heartbeat lies.
+/// Location of an entry's heartbeat.
 pub fn member(entry: &str) -> Place {
     let part = hash(entry) % MEMBER_PARTS;
     Place::new(CONTROL, &format!("{MEMBERS}{part}"), entry)
 }
 
-/// Where a wave's progress lies.
+/// Location of a wave's progress.
 pub fn wave(number: u64) -> Place {
     Place::new(WAVES, WAVES, &number.to_string())
 }
 
-/// What a place in `control` stands for.
+/// Kind of a row in `control`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlKey {
     /// The owner of this pool, or the holder of this group.
@@ -146,9 +146,9 @@
     Member(Name),
     /// The number of workers that this pool can use.
     Wanted(Name),
-    /// The orders that the owner of this pool asks for.
+    /// The orders that the owner of this pool requests.
     Orders(Name),
-    /// What the holder of a group answers the owner of a pool.
+    /// The answer of a group's holder to the owner of a pool.
     Answer {
         /// The pool.
         pool: Name,
@@ -158,7 +158,7 @@
 }
 
 impl ControlKey {
-    /// Reads a place; `None` for one that this system didn't write.
+    /// Parses a location; `None` if this system didn't write it.
     pub fn of(place: &Place) -> Option<Self> {
         if place.part.starts_with(MEMBERS) {
             Some(Self::Member(Name::clone(&place.key)))
@@ -178,7 +178,7 @@
     }
 }
 
-/// Partitions of `control` that a whole read covers.
+/// Partitions of `control` that a full read covers.
 pub fn control_parts<'a>(pools: impl Iterator<Item = &'a Name>) -> Vec<Name> {
     let mut parts: Vec<Name> = pools.map(Name::clone).collect();
     parts.extend(groups());
@@ -186,7 +186,7 @@
     parts
 }
 
-/// What a key of `jobs-N` stands for.
+/// Kind of a row in `jobs-N`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobKey {
     /// An accepted job.
@@ -196,7 +196,7 @@
 }
 
 impl JobKey {
-    /// Reads a key; `None` for one that this system didn't write.
+    /// Parses a key; `None` if this system didn't write it.
     pub fn parse(key: &str) -> Option<Self> {
         match key.strip_suffix(CANCEL) {
             Some(id) => JobId::parse(id).map(Self::Cancel),
@@ -205,7 +205,7 @@
     }
 }
 
-/// Who has claimed an id.
+/// The claim of an id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claim {
@@ -215,76 +215,79 @@
     pub queue: Name,
 }
 
-/// A job as it was accepted, with what its queue promised then.
+/// A job as it was accepted, with the terms of its queue at that time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Accepted {
     /// Its queue.
     pub queue: Name,
-    /// The pool that runs it, whatever its queue is changed to later.
+    /// The pool that runs it, whatever its queue is reassigned to later.
     pub pool: Name,
     /// The job.
     pub job: Job,
-    /// Time of day of the acceptance in milliseconds since 1970; orders work, proves nothing.
+    /// Wall-clock time of the acceptance in milliseconds since 1970; used for ordering only.
     pub at_ms: u64,
-    /// 0 comes first.
+    /// Lower values come first.
     pub priority: u32,
     /// Failed runs after which a task has failed.
     pub max_attempts: u32,
-    /// Time from its acceptance in which it should be done, in milliseconds.
+    /// Time from its acceptance within which it should be done, in milliseconds.
     pub objective_ms: u64,
 }
 
-/// What has become of one task.
+/// Progress of one task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Packed", into = "Packed")]
 pub struct Task {
     /// Whether it waits, is placed, or is done.
     pub phase: Phase,
-    /// Its highest run; 0 where it was never started.
+    /// Its highest run number; 0 if it was never started.
     pub run: u32,
-    /// The runs that ended as failed.
+    /// Runs that ended as failed.
     pub failed: BTreeSet<u32>,
-    /// Where the next run resumes from.
+    /// Checkpoint from which the next run resumes.
     pub checkpoint: Option<Name>,
-    /// The runs that may have crashed their workers, since one has gone on for a while.
+    /// Runs that may have crashed their workers, since a run last went on for a while.
     pub crashed: BTreeSet<u32>,
-    /// Of a task with such runs: the life of the worker that it was placed on.
+    /// For a task with such runs: the incarnation of the worker that it was placed on.
     pub life: Option<Life>,
 }
 
-/// What tells a worker's life from most others of it: one digit, so that the largest job still fits into a row.
+/// Distinguishes a worker's incarnation from most others of it: a single digit, so that the largest
+/// job still fits into a row.
 ///
-/// Lives that begin less than [`Self::DIGITS`] spans apart differ for sure, and a worker that crashes again and again lives for less.
+/// Incarnations that begin less than [`Self::DIGITS`] spans apart always have different values, and
+/// the incarnations of a worker that crashes repeatedly are shorter than that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Life(u8);
 
 impl Life {
-    /// Shortest time in milliseconds between the births of two lives: a worker takes longer than that to come back.
+    /// Minimum time in milliseconds between the starts of two incarnations: a worker takes longer
+    /// than that to come back.
     pub(crate) const SPAN: u64 = 2_000;
 
     /// Number of values.
     const DIGITS: u64 = 10;
 
-    /// Of a life that began at `born` by the worker's clock.
+    /// The tag of an incarnation that began at `born` by the worker's clock.
     pub fn of(born: u64) -> Self {
         Self(u8::try_from(born / Self::SPAN % Self::DIGITS).unwrap_or(0))
     }
 }
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// No run of it is under way.
+    /// It has no run under way.
     #[default]
     Waiting,
     /// Its highest run may be under way on this worker.
     Placed(Name),
     /// The same, and it is to stop there while its job goes on.
     Leaving(Name),
-    /// It has done its work.
+    /// It is completed.
     Done,
 }
 
@@ -298,7 +301,7 @@
     }
 }
 
-/// A task as it is stored: a list takes half of the bytes of an object.
+/// The stored form of a task: a list takes half of the bytes of an object.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Packed(
@@ -339,34 +342,34 @@
 /// The tasks of one occurrence, step by step.
 pub type Steps = Vec<Vec<Task>>;
 
-/// What has become of a job.
+/// Progress of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Progress {
-    /// What is shown.
+    /// The visible state.
     pub state: State,
     /// Occurrences that have begun and aren't done; empty once the state is final.
     pub steps: BTreeMap<u32, Steps>,
     /// Number of the next occurrence.
     pub next: u32,
-    /// Time of day of its end, in milliseconds since 1970.
+    /// Wall-clock time of its end, in milliseconds since 1970.
     pub ended_ms: Option<u64>,
 }
 
-/// What each commit of an owner writes besides progress.
+/// Record that each commit of an owner writes in addition to progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Batch {
-    /// The owner that wrote it, by its fencing token, and the commit's number with that owner: a
-    /// commit whose answer was lost is found by them.
+    /// Fencing token of the owner that wrote it. Together with the commit's number it identifies a
+    /// commit whose answer was lost.
     pub owner: u64,
-    /// The commit's number.
+    /// The commit's number with that owner.
     pub number: u64,
-    /// For each queue, its jobs of which no task has started.
+    /// For each queue, the number of jobs of which no task has started.
     pub queued: BTreeMap<Name, u64>,
 }
 
-/// Who owns a pool.
+/// The owner of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Owner {
@@ -374,31 +377,33 @@
     pub entry: Name,
     /// Its incarnation.
     pub incarnation: u64,
-    /// Number of the attempt within the incarnation, which tells a lost answer's commit apart.
+    /// Number of the attempt within the incarnation, which identifies a commit whose answer was
+    /// lost.
     pub attempt: u64,
-    /// Whether it has given the pool up.
+    /// Whether it has released the pool.
     pub released: bool,
-    /// The last other entry that had it before; none where nobody had but this entry. Orders to the instances of a group rest for a while after another entry's.
+    /// The last other entry that owned it before; none if there was none but this entry. After
+    /// another entry's ownership, orders to the instances of a group pause for a while.
     #[serde(default)]
     pub after: Option<Name>,
-    /// Of a group: the instances that others may not order yet, with the milliseconds that are left from the
-    /// writing of this row on; none where it isn't known, and all of them rest.
+    /// For a group: the instances that others may not order yet, with the milliseconds left from
+    /// the time this row was written; `None` if it isn't known, and all of them pause.
     #[serde(default)]
     pub resting: Option<BTreeMap<Name, u64>>,
 }
 
-/// How many workers a pool can use.
+/// The number of workers that a pool can use, as published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Wanted {
-    /// What it uses, expects and wants to spare.
+    /// What it uses and expects to use, with headroom.
     pub workers: u64,
-    /// What it has use for at this moment, work that is late already left out.
+    /// What it can use now, without overdue work.
     pub now: u64,
-    /// What it will have use for when an instance that is asked for now works, by what comes in; at least
-    /// `now`.
+    /// What it will be able to use when an instance that is requested now becomes available, from
+    /// the rate of incoming work; at least `now`.
     pub soon: u64,
-    /// What it has use for beyond `now` for work that is late already.
+    /// What it can use beyond `now` for overdue work.
     pub late: u64,
 }
 
@@ -408,26 +413,26 @@
 pub struct Member {
     /// Number that is new for each start of the process.
     pub incarnation: u64,
-    /// Rises with each heartbeat.
+    /// Incremented with each heartbeat.
     pub beat: u64,
     /// Whether it is about to stop, and takes over nothing.
     pub leaving: bool,
-    /// Its processor's share of a core, in thousandths.
+    /// Its processor share in thousandths of a core.
     #[serde(default = "usual_strength")]
     pub strength: u32,
 }
 
-/// Strength of an entry that doesn't say: all such entries count alike.
+/// Strength of an entry that doesn't state it: all such entries count alike.
 fn usual_strength() -> u32 {
     250
 }
 
-/// How far a wave is.
+/// Progress of a wave.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Wave {
     /// Instances that may be in maintenance, each with the worker that it had before.
     pub active: BTreeMap<Name, Option<Name>>,
-    /// Instances that have had theirs.
+    /// Instances whose maintenance is done.
     pub done: BTreeSet<Name>,
 }
--- a/crates/cell/src/row/orders.rs
+++ b/crates/cell/src/row/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to instances: what the owners of pools ask for, and what the holders of groups answer.
+//! Orders to instances: the requests of pool owners, and the answers of group holders.
 
 use super::{CONTROL, hash};
 use primroseroute_domain::work::Name;
@@ -6,31 +6,32 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Key of the orders that a pool's owner asks for.
+/// Key of the orders that a pool's owner requests.
 pub(super) const ORDERS: &str = "orders";
 
-/// Start of the keys of answers to them; the name of the group follows.
+/// Prefix of the keys of answers to them; the name of the group follows.
 pub(super) const ANSWER: &str = "answer";
 
-/// Start of the names of groups of instances; no pool's name begins with a dot.
+/// Prefix of the names of groups of instances; no pool's name begins with a dot.
 const GROUP: &str = ".group-";
 
-/// Groups of instances. An order costs its group's holder a few calls and no processor time to speak of,
-/// so the number bounds only what stands still while a holder is replaced: a quarter of the fleet. Each
-/// group that a batch of orders touches costs three calls to the store.
+/// Number of groups of instances. An order costs its group's holder a few calls and hardly any
+/// processor time, so the number only bounds which part of the fleet gets no orders while a holder
+/// is replaced: a quarter. Each group that a batch of orders touches costs three calls to the
+/// store.
 const GROUPS: u64 = 4;
 
-/// Where the orders that a pool's owner asks for lie.
+/// Location of the orders that a pool's owner requests.
 pub fn orders(pool: &str) -> Place {
     Place::new(CONTROL, pool, ORDERS)
 }
 
-/// Where the holder of a group answers the owner of a pool.
+/// Location of the answer of a group's holder to the owner of a pool.
 pub fn answer(pool: &str, group: &str) -> Place {
     Place::new(CONTROL, pool, &format!("{ANSWER}{group}"))
 }
 
-/// The group of an instance: the same whatever pool it serves.
+/// The group of an instance, independent of the pool it serves.
 pub fn group(instance: &str) -> Name {
     format!("{GROUP}{}", hash(instance) % GROUPS).into()
 }
@@ -45,39 +46,39 @@
     name.starts_with(GROUP)
 }
 
-/// Orders to instances that a pool's owner asks the holders of their groups for. They stand until the
-/// owner writes the row anew, and not longer than its ownership.
+/// Orders to instances that a pool's owner requests from the holders of their groups. They are
+/// valid until the owner rewrites the row, and no longer than its ownership.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Orders {
-    /// Version of the row of the owner that asks.
+    /// Version of the owner row of the requesting entry.
     pub owner: u64,
     /// The orders by instance.
     pub orders: BTreeMap<Name, Order>,
 }
 
-/// What the holder of a group has made of a pool's orders. The version of the first such row for a
-/// request is the fencing token of the orders that it gives.
+/// The answer of a group's holder to a pool's orders. The version of the first such row for a
+/// request is the fencing token of the orders that the holder gives.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Answer {
-    /// Version of the row of the orders that were asked for.
+    /// Version of the row with the requested orders.
     pub asked: u64,
-    /// What came of each; empty while they are being given.
+    /// Result of each order; empty while they are being given.
     pub results: BTreeMap<Name, Given>,
 }
 
-/// What came of an order to an instance.
+/// Result of an order to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Given {
-    /// It was taken, or had been carried out before.
+    /// Accepted, or carried out before.
     Taken,
     /// The instance isn't up, or is leaving.
     Busy,
-    /// It was refused for good.
+    /// Permanently refused.
     Refused,
-    /// There was no answer that says so: it may have been carried out.
+    /// No conclusive answer: it may have been carried out.
     Unknown,
 }
 
@@ -87,6 +88,6 @@
 pub enum Order {
     /// Move to this pool.
     Move(Name),
-    /// Be maintained for the wave with this number.
+    /// Undergo maintenance for the wave with this number.
     Maintain(u64),
 }
--- a/crates/cell/src/tick.rs
+++ b/crates/cell/src/tick.rs
@@ -15,17 +15,19 @@
 use primroseroute_domain::work::{JobId, Name, State, TaskId};
 use std::collections::BTreeMap;
 
-/// Times the promised time that finished jobs' rows stay, in percent: clocks of entries differ.
+/// How long the rows of finished jobs are kept, in percent of the promised time: clocks of entries
+/// differ.
 const KEEP_PERCENT: u64 = 125;
 
-/// Milliseconds after which rows whose deletion didn't succeed are deleted again.
+/// Time after which the deletion of rows is tried again.
 const FORGET_AGAIN: u64 = 5_000;
 
-/// Milliseconds for which a job whose rows are deleted is remembered. A read of the whole that had begun before may still show
-/// its acceptance, and it would run again; such a read takes seconds where one entry's link is thin.
+/// How long a job whose rows are deleted is remembered. A full read that had begun before may still
+/// return its acceptance, and the job would run again; such a read takes seconds over one entry's
+/// slow link.
 const REMEMBER: u64 = 60_000;
 
-/// Most finished jobs whose rows are given up in one round, so that it stays short.
+/// Maximum number of finished jobs whose rows are deleted in one round, which keeps rounds short.
 const FORGET: usize = 10;
 
 pub(crate) fn run(cell: &mut Cell, now: Millis, wall_ms: u64) -> Tick {
@@ -60,11 +62,12 @@
     }
 }
 
-/// Frees what ran on workers whose life is over, or whose lease has surely lapsed.
+/// Removes the runs of workers that have terminated or whose lease has certainly expired.
 ///
-/// A silent worker may run on behind a cut. Its runs end when its lease does, on its own clock; only
-/// then may their tasks start elsewhere. A start that got no answer may be carried out seconds later: where the worker's life is
-/// over and it may come back under its id, its task waits until the next life has been told to refuse it.
+/// An unresponsive worker may go on behind a network partition. Its runs end when its lease expires
+/// on its own clock; only then may their tasks start elsewhere. A start without an answer may be
+/// carried out seconds later: if the worker has terminated and may come back under its id, the task
+/// waits until the next incarnation has been told to refuse the start.
 fn expire(cell: &mut Cell, now: Millis, wall_ms: u64) {
     let limits = cell.limits;
     let over = |worker: &Worker| {
@@ -110,7 +113,8 @@
     });
 }
 
-/// Takes the runs of a worker that are lost, and leaves those whose starts may still reach its next life.
+/// Removes the lost runs of a worker, except those whose starts may still reach its next
+/// incarnation.
 fn take_lost(worker: &mut Worker, now: Millis, limits: &Limits) -> BTreeMap<TaskId, Run> {
     let runs = std::mem::take(&mut worker.runs);
     if worker.gone != Gone::ItsLife {
@@ -141,7 +145,8 @@
 fn begin(cell: &mut Cell, wall_ms: u64) {
     for (id, job) in &mut cell.jobs {
         let scheduled = job.accepted.job.schedule.is_some();
-        // The first occurrence of a job without a schedule needs no row: its first start writes it.
+        // The first occurrence of a job without a schedule needs no row of its own: its first start
+        // writes it.
         if !job.progress.state.is_final() && job.begin(wall_ms) && scheduled {
             cell.dirty.insert(id.clone());
         }
@@ -158,8 +163,8 @@
     looked.iter().flat_map(|id| pace::run(cell, id)).collect()
 }
 
-/// Time in milliseconds after which stops are looked for again while nothing shows that there are any: those without effect
-/// are sent anew.
+/// Interval at which due stops are collected even if no event has requested any: stops without
+/// effect are sent again.
 const SEEK_AGAIN: Millis = 100;
 
 /// Stops that are due.
@@ -171,7 +176,7 @@
     ended: Vec<Order>,
 }
 
-/// Stops of runs whose jobs have ended, that are due; asked for after each event while a commit is under way.
+/// Stops that are due for runs of ended jobs; called after each event while a commit is under way.
 pub(crate) fn urgent(cell: &mut Cell, now: Millis) -> Vec<Order> {
     let again = now >= cell.stops_sought_at + SEEK_AGAIN;
     if !cell.stops_due && !again {
@@ -199,10 +204,10 @@
     stops
 }
 
-/// Records that a due stop is sent; `None` where it has to wait.
+/// Records that a due stop is sent; `None` if it has to wait.
 fn stop(cell: &mut Cell, due: &Due, now: Millis) -> Option<Order> {
     let Due { worker, task, .. } = due;
-    // Each stop that goes out may keep the next one back.
+    // Each stop that is sent may keep the next one back.
     if due.is_repeat && !drain::may_repeat(cell, worker, task, now) {
         return None;
     }
@@ -232,7 +237,7 @@
     task: TaskId,
     /// Whether its job goes on.
     goes_on: bool,
-    /// Whether that repeats a stop of a lasting task whose job goes on.
+    /// Whether this repeats a stop of a long-running task whose job goes on.
     is_repeat: bool,
 }
 
@@ -248,7 +253,7 @@
                 Stop::Wanted => true,
                 Stop::SentAt(at) => now >= at + limits.resend,
             };
-            // Few of thousands are due.
+            // A few out of thousands are due.
             if !is_due {
                 continue;
             }
@@ -268,7 +273,7 @@
 /// A job's progress row.
 type Put = (JobId, Bytes);
 
-/// Rows of jobs that have changed, and the final states of those that have ended.
+/// Rows of changed jobs, and the final states of ended ones.
 fn rows(cell: &mut Cell) -> (Vec<Put>, Vec<(JobId, State)>) {
     let mut puts = Vec::new();
     let mut over = Vec::new();
@@ -291,7 +296,7 @@
     json.into()
 }
 
-/// Finished jobs whose rows are to be deleted now; again after a while, if that fails.
+/// Finished jobs whose rows are to be deleted now; tried again after a while if that fails.
 fn forget(cell: &mut Cell, wall_ms: u64) -> Vec<JobId> {
     cell.forgotten.retain(|_id, at| wall_ms < *at + REMEMBER);
     let keep = cell.limits.keep * KEEP_PERCENT / 100;
--- a/crates/cell/src/window.rs
+++ b/crates/cell/src/window.rs
@@ -1,4 +1,5 @@
-//! Up to when an owner knows what callers have cancelled, and which orders still hold once their commit is through.
+//! How current the owner's knowledge of cancels is, and which orders are still valid after their
+//! commit.
 
 use crate::{
     cell::Cell,
@@ -11,41 +12,44 @@
 use primroseroute_domain::work::{Name, TaskId};
 
 impl Cell {
-    /// Takes in that all jobs and cancels which were stored by `at` have been told.
+    /// Records that all jobs and cancels that were stored by `at` are known.
     pub fn heard(&mut self, at: Millis) {
         self.heard_at = self.heard_at.max(Some(at));
     }
 
-    /// Time after `sent_at` in which a start must arrive whose commit was sent then.
+    /// Time after `sent_at` within which a start must arrive whose commit was sent then.
     ///
-    /// Without the bound by what is known, the lag of a busy or cut-off owner and the window of the commit add up, and
-    /// work of a job begins seconds after its caller was told that it is cancelled. What was cancelled by `heard_at` isn't
-    /// started, and no start takes effect later than the window after that.
+    /// Without the bound by the known cancels, the lag of a busy or partitioned owner and the
+    /// window of the commit add up, and work of a job begins seconds after its caller was told that
+    /// it is cancelled. Jobs that were cancelled by `heard_at` aren't started, and no start takes
+    /// effect later than the window after that.
     pub fn start_window(&self, sent_at: Millis) -> Millis {
         let known = self.heard_at.map_or(0, |at| at + self.limits.cancel_window);
         self.limits.start_window.min(known.saturating_sub(sent_at))
     }
 
-    /// Whether enough is left of the window for starts that are decided now.
+    /// Whether enough of the window is left for starts that are decided now.
     pub(crate) fn may_start(&self, now: Millis) -> bool {
         self.start_window(now) >= self.limits.start_time
     }
 
-    /// Up to when all cancels that were stored are taken in.
+    /// All jobs and cancels that were stored by this time are known.
     pub fn heard_at(&self) -> Millis {
         self.heard_at.unwrap_or(self.taken_at)
     }
 
-    /// Of orders that are committed, those that still hold, and those that don't: they were never sent and are taken back.
+    /// Splits committed orders into those that are still valid and those that aren't. The latter
+    /// were never sent and are reverted.
     ///
-    /// What was decided before the commit may be wrong after it, which can take seconds. A cancelled job's stops went out at once,
-    /// and a start that followed could overtake them on another connection; a worker that drains has said so; a lasting task
-    /// that its step could miss is missed no more once another one has ended.
+    /// A decision may be outdated after its commit, which can take seconds. The stops of a
+    /// cancelled job are sent at once, and a start that followed could overtake them on another
+    /// connection; a worker may have announced that it drains; a step that tolerated one more
+    /// unavailable task doesn't tolerate it once another one has ended.
     pub fn standing(&mut self, orders: Vec<Order>, now: Millis) -> (Vec<Order>, Vec<Order>) {
         let mut standing = orders;
         let mut withdrawn = Vec::new();
         loop {
-            // A member of a gang that is withdrawn takes the others with it, in the next pass.
+            // If a member of a gang is withdrawn, the others are too, in the next pass.
             let (holds, fallen): (Vec<Order>, Vec<Order>) = standing
                 .into_iter()
                 .partition(|order| self.stands(order, now));
@@ -95,7 +99,7 @@
                 if !runs || on.is_leaving() || !drain::leaves(self, worker, task) {
                     return true;
                 }
-                // It may have been let go meanwhile, and then its tasks stay.
+                // The evacuation may have been withdrawn meanwhile, and then the tasks stay.
                 on.emptying.is_some() && drain::can_miss(self, task, now)
             }
             Order::Pace { .. } => true,
@@ -111,7 +115,7 @@
                 let Some(entry) = self.run_mut(worker, task) else {
                     return;
                 };
-                // One that may have left before can't be taken back.
+                // A stop that may have been sent before can't be reverted.
                 if entry.stop_left_at.is_some() {
                     entry.stop = Stop::Wanted;
                     return;
@@ -127,7 +131,8 @@
         }
     }
 
-    /// A start was never sent: its run is over, and its task waits again if its job goes on.
+    /// Handles a start that was never sent: its run is over, and its task waits again if its job
+    /// goes on.
     pub(crate) fn withdraw(&mut self, worker: &Name, task: &TaskId, run: u32) {
         if let Some(worker) = self.workers.get_mut(worker)
             && worker.runs.get(task).is_some_and(|entry| entry.run == run)
@@ -140,7 +145,7 @@
         }
     }
 
-    /// Members that have left would wait for the missing one until they end alone.
+    /// Members that were started would wait for the missing one until they end without it.
     fn stop_gang(&mut self, of: &TaskId, run: u32) {
         let runs = self
             .workers
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -1,4 +1,5 @@
-//! One worker in memory: what it has, what may run on it, and how far it can be trusted.
+//! In-memory state of one worker: its capacity, the runs it may have, and how current that
+//! information is.
 
 use crate::{
     limits::{Limits, Millis},
@@ -9,28 +10,28 @@
 use primroseroute_platform::site;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How old the platform's list of instances may be at most.
+/// Maximum age of the platform's list of instances.
 const LIST_LAG: Millis = 2_000;
 
 /// What is known of a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Known {
-    /// It isn't answered yet.
+    /// Not answered yet.
     Sent,
-    /// It was answered, or a look has shown the run, at this time.
+    /// Answered, or listed by a status, at this time.
     Runs(Millis),
-    /// It may run, or may later.
+    /// It may be active, or may become so later.
     Unsure,
 }
 
 /// How an owner knows of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
-    /// It has started it.
+    /// This owner has started it.
     Started,
-    /// It has started it apart from others, since its task may crash its worker.
+    /// This owner has started it isolated, since its task may crash its worker.
     Tried,
-    /// It has found it, started by a predecessor.
+    /// This owner has discovered it, started by a previous owner.
     Found,
 }
 
@@ -42,32 +43,33 @@
 )]
 pub(crate) struct Run {
     pub run: u32,
-    /// What it occupies.
+    /// Reserved resources.
     pub reserved: Demand,
     pub known: Known,
-    /// From then on a start that hasn't taken effect never will.
+    /// A start that hasn't taken effect by this time never will.
     pub sure_after: Millis,
-    /// Share of its work that is done.
+    /// Progress in percent.
     pub percent: u32,
-    /// Tail of its response time, or thousandths of a core in use.
+    /// Tail latency of its responses in milliseconds, or thousandths of a core in use.
     pub load: u64,
     /// Whether it is to be stopped, and when the stop was last sent.
     pub stop: Stop,
-    /// When a stop of it may last have left while its job went on; `None` if none has.
+    /// When a stop of it may last have been sent while its job went on; `None` if none was.
     pub stop_left_at: Option<Millis>,
-    /// When the worker took the stop: from then on it refuses a start that comes late.
+    /// When the worker accepted the stop: from then on it refuses a start that arrives late.
     pub stopped_at: Option<Millis>,
-    /// Share of its speed that it was last given.
+    /// Its speed in percent, as last ordered.
     pub pace: u32,
     /// Whether it serves until it is stopped.
     pub lasting: bool,
     /// How this owner knows of it.
     pub origin: Origin,
-    /// Of one that was found: the life that it was placed in, as far as the row tells.
+    /// For a discovered run: the incarnation that it was placed in, if the row tells.
     pub life: Option<Life>,
-    /// Where the life that it was sent to is over and it got no answer: until when it may still reach the next one.
+    /// If the incarnation that it was sent to has terminated and there was no answer: until when
+    /// its start may still reach the next one.
     pub doubtful_until: Option<Millis>,
-    /// Whether a look was asked for that may acquit its task.
+    /// Whether a status poll was requested that may clear the crash record of its task.
     pub glanced: bool,
 }
 
@@ -93,10 +95,11 @@
         }
     }
 
-    /// Whether its start may reach the next life of its worker, or has reached it, where the one before was over by `over_by`.
+    /// Whether its start may reach or have reached the next incarnation of its worker, where the
+    /// previous one terminated before `over_by`.
     ///
-    /// A successor's token keeps starts of its predecessor out, once it has looked at that life. An answer to a start doesn't tell
-    /// which life has taken it.
+    /// The token of a new owner keeps out starts of the previous owner once it has polled that
+    /// incarnation. An answer to a start doesn't tell which incarnation has accepted it.
     pub(crate) fn may_be_of_next_life(&self, over_by: Millis) -> bool {
         let answered = matches!(self.known, Known::Runs(at) if at < over_by);
         self.origin != Origin::Found && !answered
@@ -118,18 +121,18 @@
     SentAt(Millis),
 }
 
-/// Whether the life of a worker is over.
+/// Whether a worker has terminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Gone {
-    /// It isn't known to be.
+    /// Not known to have terminated.
     No,
-    /// It is, and another one may follow under the same id.
+    /// Its incarnation has terminated; another one may follow under the same id.
     ItsLife,
-    /// It is, and another worker has its place.
+    /// It has terminated, and another worker has its place.
     ForGood,
 }
 
-/// Why a worker is emptied.
+/// Why a worker is being evacuated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// Its instance is due for maintenance, and stays in the pool.
@@ -138,7 +141,7 @@
     Move,
 }
 
-/// Runs that were lost with a lapsed lease.
+/// Runs that were lost by an expired lease.
 #[derive(Clone, Debug)]
 pub(crate) struct Lapsed {
     pub at: Millis,
@@ -148,38 +151,40 @@
 /// A worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
-    /// Its registration; the last one for a worker that is no longer registered.
+    /// Its last registration, also after it is no longer registered.
     pub info: Option<site::Worker>,
     pub registered: bool,
-    /// When the life that looks have shown last began, by the worker's own clock; 0 before the first look.
+    /// The incarnation that the newest status came from, by its start time on the worker's clock; 0
+    /// before the first status.
     pub born: u64,
-    /// The same of the life before, of which looks may still come in.
+    /// The previous incarnation, of which statuses may still arrive.
     pub born_before: u64,
-    /// When its newest look came.
+    /// When its newest status arrived.
     pub looked_at: Option<Millis>,
-    /// Up to when what its looks have shown surely was so.
+    /// Up to this time its statuses certainly held.
     pub shown_at: Option<Millis>,
-    /// When it was last to be looked at at once for a trial.
+    /// When an immediate status poll was last requested for an isolated run.
     pub asked_at: Option<Millis>,
-    /// While it is silent: when the platform was asked last that named it, without a gap in which its life could have ended.
+    /// While it is unresponsive: when the platform was last asked and listed it, without a gap in
+    /// which its incarnation could have ended.
     pub named_at: Option<Millis>,
-    /// Whether fillers were paced after that look.
+    /// Whether fillers were throttled by the newest status.
     pub paced: bool,
-    /// From then on its lease has surely lapsed, if it isn't renewed.
+    /// Its lease has certainly expired after this time, if it isn't renewed.
     pub lapses_at: Millis,
-    /// Whether this life of it is over.
+    /// Whether this incarnation has terminated.
     pub gone: Gone,
-    /// Where this life is over: it was by then.
+    /// If this incarnation has terminated: it had by this time.
     pub over_by: Millis,
-    /// Highest number of this life's ends that was taken in.
+    /// Highest number of an ended run of this incarnation that is recorded.
     pub seen: u64,
-    /// What may run on it.
+    /// Runs that may be under way.
     pub runs: BTreeMap<TaskId, Run>,
-    /// Runs that were new when its lease lapsed, while it isn't known whether it has crashed.
+    /// Runs that were new when its lease expired, while it isn't known whether it has crashed.
     pub lapsed: Option<Lapsed>,
-    /// Whether it is being emptied for planned work.
+    /// Whether it is being evacuated for planned work.
     pub emptying: Option<Purpose>,
-    /// It gets nothing new before then.
+    /// It gets no new runs before this time.
     pub shunned_until: Millis,
     /// Jobs whose tasks have failed on it since the last success.
     pub failures: BTreeSet<JobId>,
@@ -209,13 +214,13 @@
         }
     }
 
-    /// The tasks and numbers of the runs for which `holds`.
+    /// The tasks and numbers of the runs for which `holds` is true.
     pub(crate) fn runs_where(&self, holds: impl Fn(&TaskId, &Run) -> bool) -> Vec<(TaskId, u32)> {
         let runs = self.runs.iter().filter(|(task, run)| holds(task, run));
         runs.map(|(task, run)| (task.clone(), run.run)).collect()
     }
 
-    /// Up to where its ends are taken in.
+    /// Position up to which its ended runs are recorded.
     pub(crate) fn taken_in(&self) -> TakenIn {
         TakenIn {
             born: self.born,
@@ -223,7 +228,7 @@
         }
     }
 
-    /// What isn't occupied; what is being stopped still counts.
+    /// Unreserved capacity; runs that are being stopped still count.
     pub(crate) fn room(&self) -> Demand {
         let capacity = self.info.as_ref().map(|info| info.capacity);
         let used = self.runs.values().map(|run| run.reserved);
@@ -231,25 +236,25 @@
         capacity.unwrap_or_default().minus(used)
     }
 
-    /// Whether its life is over.
+    /// Whether it has terminated.
     pub(crate) fn is_gone(&self) -> bool {
         self.gone > Gone::No
     }
 
-    /// Whether its newest look is recent.
+    /// Whether its newest status is recent.
     pub(crate) fn is_fresh(&self, now: Millis, limits: &Limits) -> bool {
         let looked = self.looked_at.is_some_and(|at| now < at + limits.fresh);
         looked && !self.is_gone()
     }
 
-    /// Whether what its looks show of its runs is recent.
+    /// Whether what its statuses show of its runs is recent.
     pub(crate) fn is_shown(&self, now: Millis, limits: &Limits) -> bool {
         let shown = self.shown_at.is_some_and(|at| now < at + limits.fresh);
         shown && !self.is_gone()
     }
 
-    /// Whether one of its runs hasn't been shown for `settle` since its start, nor its worker to be alive since then: it may be
-    /// what crashes the worker.
+    /// Whether a run may be what crashes the worker: neither has the run been listed for `settle`
+    /// since its start, nor has the worker been seen alive that long after it.
     pub(crate) fn is_new(&self, run: &Run, settle: Millis) -> bool {
         let alive_at = self.alive_at();
         match run.known {
@@ -263,17 +268,17 @@
         }
     }
 
-    /// Up to when the platform has surely shown that it is alive while it is silent.
+    /// Up to this time the platform has certainly shown that it is alive while it is unresponsive.
     pub(crate) fn alive_at(&self) -> Option<Millis> {
         self.named_at.map(|at| at.saturating_sub(LIST_LAG))
     }
 
-    /// Whether it leaves by itself.
+    /// Whether it has announced that it shuts down.
     pub(crate) fn is_leaving(&self) -> bool {
         self.info.as_ref().is_some_and(|info| info.draining)
     }
 
-    /// Whether it may get something new.
+    /// Whether it accepts new runs.
     pub(crate) fn is_open(&self, now: Millis, limits: &Limits) -> bool {
         self.registered
             && self.is_fresh(now, limits)
