--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -4,7 +4,7 @@
     cell::Cell,
     limits::Millis,
     order::Question,
-    place::{Waiting, allows_apart_from_policy},
+    placement::{WaitingStep, allows_ignoring_policy},
 };
 use primroseroute_domain::work::{Name, TaskId};
 use std::{
@@ -14,33 +14,33 @@
 
 /// Maximum number of workers in one request: the service takes longer for each, and a job's
 /// objective leaves time for this many.
-const ASKED: usize = 30;
+const MAX_WORKERS: usize = 30;
 
 /// Maximum number of concurrent requests of one pool; the service rejects entries that have 32 of
 /// them waiting.
-const OPEN: usize = 6;
+const MAX_OPEN_REQUESTS: usize = 6;
 
 /// Part of a ticket's validity that is left for the start to reach its worker.
-const SLACK: Millis = 300;
+const SEND_MARGIN_MS: Millis = 300;
 
 /// Pause after a request without an answer.
-const PAUSE: Millis = 200;
+const RETRY_PAUSE_MS: Millis = 200;
 
 /// What is known of the workers for one step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Policy {
     /// Workers that may not run it; this doesn't change during their incarnation.
-    bad: BTreeSet<Name>,
+    denied: BTreeSet<Name>,
     /// Valid tickets by worker, with the time until which they are used.
     tickets: BTreeMap<Name, (Name, Millis)>,
-    asking: bool,
-    ask_from: Millis,
+    request_open: bool,
+    retry_at: Millis,
 }
 
 impl Policy {
     /// Records that a worker has begun its next incarnation, in which tickets of the previous one
     /// aren't valid.
-    pub(crate) fn begin_life(&mut self, worker: &Name) {
+    pub(crate) fn begin_incarnation(&mut self, worker: &Name) {
         self.tickets.remove(worker);
     }
 
@@ -62,7 +62,7 @@
     policies.retain(|step, _policy| jobs.contains_key(&step.job));
     for policy in policies.values_mut() {
         policy.expire(now);
-        policy.bad.retain(|worker| workers.contains_key(worker));
+        policy.denied.retain(|worker| workers.contains_key(worker));
     }
 }
 
@@ -87,15 +87,15 @@
 /// Requests for steps that still wait: for workers with free capacity that weren't asked about, or
 /// that may run the step and whose ticket has expired. Workers with the most free capacity come
 /// first.
-pub(crate) fn questions(cell: &mut Cell, waiting: &[Waiting], now: Millis) -> Vec<Question> {
+pub(crate) fn questions(cell: &mut Cell, waiting: &[WaitingStep], now: Millis) -> Vec<Question> {
     let open = cell
         .policies
         .values()
-        .filter(|policy| policy.asking)
+        .filter(|policy| policy.request_open)
         .count();
     let mut questions = Vec::new();
     for waiting in waiting {
-        if open + questions.len() >= OPEN {
+        if open + questions.len() >= MAX_OPEN_REQUESTS {
             break;
         }
         let task = waiting.first_task();
@@ -104,7 +104,7 @@
         }
         let step = task.step_id();
         let policy = cell.policies.entry(step.clone()).or_default();
-        if policy.asking || now < policy.ask_from {
+        if policy.request_open || now < policy.retry_at {
             continue;
         }
         let workers = candidates(cell, &task, now);
@@ -112,7 +112,7 @@
             continue;
         }
         if let Some(policy) = cell.policies.get_mut(&step) {
-            policy.asking = true;
+            policy.request_open = true;
         }
         questions.push(Question { step, workers });
     }
@@ -125,22 +125,22 @@
         return Vec::new();
     };
     let open = cell.workers.iter().filter(|(id, worker)| {
-        worker.is_open(now, &cell.limits)
-            && step.reserved().fits(worker.room())
-            && allows_apart_from_policy(worker, task, step, 0)
-            && !policy.bad.contains(*id)
+        worker.accepts_runs(now, &cell.limits)
+            && step.reserved().fits(worker.free_capacity())
+            && allows_ignoring_policy(worker, task, step, 0)
+            && !policy.denied.contains(*id)
             && !policy.tickets.contains_key(*id)
     });
     let mut open: Vec<_> = open
-        .map(|(id, worker)| (Reverse(worker.room().cpu), id))
+        .map(|(id, worker)| (Reverse(worker.free_capacity().cpu), id))
         .collect();
     open.sort_unstable();
-    let ids = open.into_iter().take(ASKED);
+    let ids = open.into_iter().take(MAX_WORKERS);
     ids.map(|(_room, id)| Name::clone(id)).collect()
 }
 
 /// Applies the answer to a request that was sent at `sent_at`; `None` if there was none.
-pub(crate) fn answered(
+pub(crate) fn apply_answer(
     cell: &mut Cell,
     question: &Question,
     answer: Option<(BTreeMap<Name, Name>, Millis)>,
@@ -150,12 +150,12 @@
     let Some(policy) = cell.policies.get_mut(&question.step) else {
         return;
     };
-    policy.asking = false;
+    policy.request_open = false;
     let Some((tickets, valid)) = answer else {
-        policy.ask_from = now + PAUSE;
+        policy.retry_at = now + RETRY_PAUSE_MS;
         return;
     };
-    let until = (sent_at + valid).saturating_sub(SLACK);
+    let until = (sent_at + valid).saturating_sub(SEND_MARGIN_MS);
     for worker in &question.workers {
         match tickets.get(worker) {
             Some(ticket) => {
@@ -163,14 +163,14 @@
                 policy.tickets.insert(Name::clone(worker), ticket);
             }
             None => {
-                policy.bad.insert(Name::clone(worker));
+                policy.denied.insert(Name::clone(worker));
             }
         }
     }
 }
 
 /// Drops a ticket that its worker has refused.
-pub(crate) fn refused(cell: &mut Cell, task: &TaskId, worker: &Name) {
+pub(crate) fn ticket_refused(cell: &mut Cell, task: &TaskId, worker: &Name) {
     if let Some(policy) = cell.policies.get_mut(&task.step_id()) {
         policy.tickets.remove(worker);
     }
--- a/crates/cell/src/arrivals.rs
+++ b/crates/cell/src/arrivals.rs
@@ -24,15 +24,15 @@
 
 /// Number of jobs from which the rate is reliable. A queue in which so many arrive within half of
 /// the near window shows its rise directly, without extrapolation.
-const ENOUGH: u64 = 50;
+const RELIABLE_JOBS: u64 = 50;
 
 /// Rate of the newest jobs, in percent of the near rate, from which it counts as a rise and not as
 /// noise.
-const CLEAR_PERCENT: u64 = 125;
+const RISE_PERCENT: u64 = 125;
 
 /// Maximum factor by which a rise multiplies the current rate: a few jobs after none look like a
 /// steep rise.
-const MOST_RISE: u64 = 3;
+const MAX_RISE_FACTOR: u64 = 3;
 
 /// Minimum time between two recorded sums.
 const SAMPLE_MS: Millis = 20;
@@ -64,9 +64,9 @@
     /// Sums of work by the time of the round that recorded them.
     recent: VecDeque<(Millis, Sum)>,
     /// Whether there was a round: jobs known before the first one have not just arrived.
-    begun: bool,
+    had_round: bool,
     /// Whether any work that ends by itself was ever recorded.
-    any: bool,
+    any_work: bool,
 }
 
 /// A job's demand times its estimated duration in milliseconds; zero for long-running and scheduled
@@ -94,8 +94,8 @@
     /// Records an accepted job.
     pub(crate) fn accept(&mut self, job: &Job) {
         let work = work(job);
-        self.any |= work != Demand::default();
-        if self.begun {
+        self.any_work |= work != Demand::default();
+        if self.had_round {
             self.fresh = self.fresh.plus(Sum {
                 jobs: u64::from(work != Demand::default()),
                 all: work,
@@ -105,18 +105,18 @@
     }
 
     /// Records a job that a previous owner has worked on.
-    pub(crate) fn found(&mut self, job: &Job) {
-        self.any |= work(job) != Demand::default();
+    pub(crate) fn add_restored(&mut self, job: &Job) {
+        self.any_work |= work(job) != Demand::default();
     }
 
     /// Whether any work was ever recorded, including that of a previous owner.
-    pub(crate) fn any(&self) -> bool {
-        self.any
+    pub(crate) fn any_work(&self) -> bool {
+        self.any_work
     }
 
     /// Records a round at `now`.
     pub(crate) fn round(&mut self, now: Millis) {
-        self.begun = true;
+        self.had_round = true;
         let fresh = std::mem::take(&mut self.fresh);
         match self.recent.back_mut() {
             Some((at, sum)) if now < *at + SAMPLE_MS => *sum = sum.plus(fresh),
@@ -154,7 +154,7 @@
                 return None;
             }
             // Work that a round has recorded arrived after the previous round.
-            if sum.jobs >= ENOUGH && span > 0 {
+            if sum.jobs >= RELIABLE_JOBS && span > 0 {
                 return Some(per_millisecond(sum.all, span));
             }
             sum = sum.plus(*earlier);
@@ -169,7 +169,7 @@
     pub(crate) fn expected(&self, now: Millis) -> Demand {
         let (near, several) = self.rate(now, 0, NEAR_MS);
         if let Some(newest) = self.newest(now) {
-            let rises = newest.cpu * 100 >= near.cpu * CLEAR_PERCENT;
+            let rises = newest.cpu * 100 >= near.cpu * RISE_PERCENT;
             return if rises { newest } else { near };
         }
         let (before, _several) = self.rate(now, NEAR_MS, NEAR_MS + BEFORE_MS);
@@ -196,5 +196,5 @@
     const APART: Millis = Millis::midpoint(NEAR_MS, BEFORE_MS);
     const AHEAD: Millis = LEAD_MS + NEAR_MS / 2;
     let rise = several.saturating_sub(before) * AHEAD / APART;
-    (near + rise).min(near * MOST_RISE)
+    (near + rise).min(near * MAX_RISE_FACTOR)
 }
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -4,12 +4,12 @@
     advice::{self, Policy},
     arrivals::Arrivals,
     crash::Culprit,
-    job::{Begun, Job},
+    job::{HasStarted, Job},
     limits::{Limits, Millis},
-    need::Needs,
     order::{Loss, Order, Outcome, Question, Tick},
     row::{Accepted, Phase, Progress},
-    worker::{Known, Origin, Run, Stop, Worker},
+    scaling::RecentEstimates,
+    worker::{Origin, Run, StartState, StopState, Worker},
 };
 use primroseroute_domain::work::{JobId, Name, State, Step, StepId, TaskId};
 use primroseroute_platform::worker::{Ended, Look, Refusal};
@@ -33,15 +33,15 @@
     /// Jobs with uncommitted progress.
     pub(crate) dirty: BTreeSet<JobId>,
     /// Since when a long-running task has found no free capacity.
-    pub(crate) waiting: BTreeMap<TaskId, Millis>,
+    pub(crate) unplaced_since: BTreeMap<TaskId, Millis>,
     /// Tasks that were running when workers crashed, with the number of crashes attributed to each.
     pub(crate) crashed: BTreeMap<TaskId, usize>,
     /// Workers that are reserved for isolated runs of such tasks.
-    pub(crate) reserved: BTreeSet<Name>,
+    pub(crate) isolation_workers: BTreeSet<Name>,
     /// Number of additional workers that waiting tasks of a spread step need.
-    pub(crate) crowded: u64,
+    pub(crate) spread_shortage: u64,
     /// Workers to poll at once because isolated runs wait for their status.
-    pub(crate) asked: Vec<Name>,
+    pub(crate) poll_requests: Vec<Name>,
     /// Runs lost with their workers since the last round.
     pub(crate) losses: Vec<Loss>,
     /// Tasks abandoned since the last round.
@@ -49,9 +49,9 @@
     /// Tasks whose crash records were cleared since the last round.
     pub(crate) acquitted: Vec<TaskId>,
     /// Number of queued jobs by queue, as of the last round.
-    pub(crate) counts: BTreeMap<Name, u64>,
+    pub(crate) queued_counts: BTreeMap<Name, u64>,
     /// Recent estimates of the number of workers that the pool can use.
-    pub(crate) needs: Needs,
+    pub(crate) estimates: RecentEstimates,
     /// Rate of incoming work.
     pub(crate) arrivals: Arrivals,
     /// Queues whose starts need a ticket.
@@ -61,7 +61,7 @@
     /// Whether there may be runs of ended jobs whose stops haven't been collected yet.
     pub(crate) stops_due: bool,
     /// When stops were last collected.
-    pub(crate) stops_sought_at: Millis,
+    pub(crate) stops_collected_at: Millis,
 }
 
 impl Cell {
@@ -76,21 +76,21 @@
             finished: BTreeMap::new(),
             forgotten: BTreeMap::new(),
             dirty: BTreeSet::new(),
-            waiting: BTreeMap::new(),
+            unplaced_since: BTreeMap::new(),
             crashed: BTreeMap::new(),
-            reserved: BTreeSet::new(),
-            crowded: 0,
-            asked: Vec::new(),
+            isolation_workers: BTreeSet::new(),
+            spread_shortage: 0,
+            poll_requests: Vec::new(),
             losses: Vec::new(),
             culprits: Vec::new(),
             acquitted: Vec::new(),
-            counts: BTreeMap::new(),
-            needs: Needs::default(),
+            queued_counts: BTreeMap::new(),
+            estimates: RecentEstimates::default(),
             arrivals: Arrivals::default(),
             advised: BTreeSet::new(),
             policies: BTreeMap::new(),
             stops_due: false,
-            stops_sought_at: now,
+            stops_collected_at: now,
         }
     }
 
@@ -113,13 +113,13 @@
     /// fixed by a commit before that. Waiting for that window on all workers kept tasks from
     /// starting for as long as owners followed each other in less time.
     pub fn restore(&mut self, id: JobId, accepted: Accepted, progress: Progress) {
-        self.arrivals.found(&accepted.job);
+        self.arrivals.add_restored(&accepted.job);
         if let Some(ended) = progress.ended_ms {
             self.finished.insert(id, ended);
             return;
         }
         let job = Job::restored(accepted, progress);
-        let lapses_at = self.taken_at + self.limits.stretched(self.limits.start_window);
+        let lease_expires_at = self.taken_at + self.limits.stretched(self.limits.start_window);
         for (&occurrence, steps) in &job.progress.steps {
             for (step, tasks) in (0..).zip(steps) {
                 for (index, task) in (0..).zip(tasks) {
@@ -140,17 +140,21 @@
                     let reserved = shape.map(Step::reserved).unwrap_or_default();
                     let lasting = shape.is_some_and(|step| step.lasting);
                     let run = Run {
-                        known: Known::Unsure,
-                        sure_after: self.taken_at,
-                        stop: if leaves { Stop::Wanted } else { Stop::No },
+                        start_state: StartState::Uncertain,
+                        start_expires_at: self.taken_at,
+                        stop: if leaves {
+                            StopState::Requested
+                        } else {
+                            StopState::No
+                        },
                         // The previous owner may have sent it.
-                        stop_left_at: leaves.then_some(self.taken_at),
-                        origin: Origin::Found,
-                        life: task.life,
+                        last_stop_sent_at: leaves.then_some(self.taken_at),
+                        origin: Origin::Discovered,
+                        incarnation_tag: task.life,
                         ..Run::new(task.run, reserved, lasting)
                     };
                     let worker = self.worker(worker);
-                    worker.lapses_at = worker.lapses_at.max(lapses_at);
+                    worker.lease_expires_at = worker.lease_expires_at.max(lease_expires_at);
                     worker.runs.insert(id, run);
                 }
             }
@@ -204,9 +208,9 @@
         self.dirty.insert(id.clone());
         self.crashed.retain(|task, _crashes| task.job != *id);
         // A job whose tasks were started once each and are done has no runs and no waiting tasks.
-        let runs_on = job.may_run_on || state != State::Completed;
-        if runs_on {
-            self.waiting.retain(|task, _since| task.job != *id);
+        let may_have_runs = job.may_have_other_runs || state != State::Completed;
+        if may_have_runs {
+            self.unplaced_since.retain(|task, _since| task.job != *id);
             self.stop_all(id);
         }
     }
@@ -216,24 +220,31 @@
         self.stops_due = true;
         for worker in self.workers.values_mut() {
             for (task, run) in &mut worker.runs {
-                if task.job == *id && run.stop == Stop::No {
-                    run.stop = Stop::Wanted;
+                if task.job == *id && run.stop == StopState::No {
+                    run.stop = StopState::Requested;
                 }
             }
         }
     }
 
     /// The ended runs of a worker status that weren't recorded before.
-    pub fn news<'a>(&self, worker: &Name, look: &'a Look) -> impl Iterator<Item = &'a Ended> {
+    pub fn news<'a>(&self, worker: &Name, status: &'a Look) -> impl Iterator<Item = &'a Ended> {
         let worker = self.workers.get(worker);
-        let of_this_life = worker.filter(|worker| worker.born == look.born);
-        let seen = of_this_life.map_or(0, |worker| worker.seen);
-        look.ended.iter().filter(move |ended| ended.number > seen)
+        let same_incarnation = worker.filter(|worker| worker.incarnation == status.born);
+        let seen = same_incarnation.map_or(0, |worker| worker.last_end);
+        status.ended.iter().filter(move |ended| ended.number > seen)
     }
 
     /// Applies a worker status that was requested at `sent_at` and received at `now`.
-    pub fn look(&mut self, worker: &Name, look: &Look, sent_at: Millis, now: Millis, wall_ms: u64) {
-        crate::look::take(self, worker, look, sent_at, now, wall_ms);
+    pub fn look(
+        &mut self,
+        worker: &Name,
+        status: &Look,
+        sent_at: Millis,
+        now: Millis,
+        wall_ms: u64,
+    ) {
+        crate::status::apply(self, worker, status, sent_at, now, wall_ms);
     }
 
     /// Applies the outcome of a start.
@@ -259,22 +270,22 @@
             Outcome::Started => {
                 // The deadline was on the clock of the incarnation that was known; if the next one
                 // has accepted the start, the lease expires later.
-                let lapses_at = now + limits.stretched(limits.lease);
-                found.lapses_at = found.lapses_at.max(lapses_at);
-                if !matches!(entry.known, Known::Runs(_)) {
-                    entry.known = Known::Runs(now);
+                let lease_expires_at = now + limits.stretched(limits.lease);
+                found.lease_expires_at = found.lease_expires_at.max(lease_expires_at);
+                if !matches!(entry.start_state, StartState::Confirmed(_)) {
+                    entry.start_state = StartState::Confirmed(now);
                 }
                 if let Some(job) = self.jobs.get_mut(&task.job) {
-                    job.begun = Begun::Yes;
+                    job.has_started = HasStarted::Yes;
                 }
             }
             Outcome::Unknown => {
-                if entry.known == Known::Sent {
-                    entry.known = Known::Unsure;
+                if entry.start_state == StartState::Sent {
+                    entry.start_state = StartState::Uncertain;
                     // A stop resolves it: the worker refuses the run from then on. Waiting for the
                     // start's deadline instead would delay the task by seconds.
-                    if entry.stop == Stop::No {
-                        entry.stop = Stop::Wanted;
+                    if entry.stop == StopState::No {
+                        entry.stop = StopState::Requested;
                     }
                 }
             }
@@ -283,18 +294,18 @@
                     refusal,
                     Refusal::Unhealthy | Refusal::Room | Refusal::Malformed
                 ) {
-                    found.shunned_until = found.shunned_until.max(now + limits.pause);
+                    found.cordoned_until = found.cordoned_until.max(now + limits.pause);
                 }
                 found.runs.remove(task);
                 if refusal == Refusal::Ticket {
-                    advice::refused(self, task, worker);
+                    advice::ticket_refused(self, task, worker);
                 }
                 self.back_to_waiting(worker, task, run, None);
             }
             Outcome::Withdrawn => self.withdraw(worker, task, run),
             Outcome::Unsent => {
                 // The worker can't be reached: it gets no new runs until a status poll succeeds.
-                found.looked_at = None;
+                found.status_at = None;
                 found.runs.remove(task);
                 self.back_to_waiting(worker, task, run, None);
             }
@@ -315,7 +326,7 @@
         sent_at: Millis,
         now: Millis,
     ) {
-        advice::answered(self, question, answer, sent_at, now);
+        advice::apply_answer(self, question, answer, sent_at, now);
     }
 
     /// Records that a worker has accepted the stop of a run. Returns whether only a later status
@@ -327,8 +338,8 @@
         let Some(entry) = entry.filter(|entry| entry.run == run) else {
             return false;
         };
-        entry.stopped_at.get_or_insert(now);
-        entry.known == Known::Unsure
+        entry.stop_accepted_at.get_or_insert(now);
+        entry.start_state == StartState::Uncertain
     }
 
     /// A run is over without having completed its task: the task waits again, if this was its
@@ -354,22 +365,22 @@
         if checkpoint.is_some() {
             task.checkpoint = checkpoint;
         }
-        if job.begun == Begun::Presumed {
-            job.begun = Begun::No;
+        if job.has_started == HasStarted::Presumed {
+            job.has_started = HasStarted::No;
         }
         self.dirty.insert(id.job.clone());
     }
 
     /// Number of jobs by queue of which no task has started, as of the last round.
     pub fn queued(&self) -> &BTreeMap<Name, u64> {
-        &self.counts
+        &self.queued_counts
     }
 
     /// Computes the counts that [`Self::queued`] returns.
     pub(crate) fn count_queued(&self) -> BTreeMap<Name, u64> {
         let mut counts = BTreeMap::new();
         for job in self.jobs.values() {
-            if job.begun == Begun::No {
+            if job.has_started == HasStarted::No {
                 *counts.entry(Name::clone(&job.accepted.queue)).or_default() += 1;
             }
         }
@@ -383,12 +394,12 @@
 
     /// Stops that are due for runs of ended jobs.
     pub fn urgent(&mut self, now: Millis) -> Vec<Order> {
-        crate::tick::urgent(self, now)
+        crate::tick::immediate_stops(self, now)
     }
 
     /// Records that `tick` is committed, by a transaction that was sent at `sent_at`.
     pub fn committed(&mut self, tick: &Tick, sent_at: Millis) {
-        let sure_after = sent_at + self.limits.stretched(self.limits.start_window);
+        let start_expires_at = sent_at + self.limits.stretched(self.limits.start_window);
         for order in &tick.orders {
             let Order::Start {
                 worker, task, run, ..
@@ -400,11 +411,11 @@
                 continue;
             };
             // A start renews the lease up to its own deadline.
-            worker.lapses_at = worker.lapses_at.max(sure_after);
+            worker.lease_expires_at = worker.lease_expires_at.max(start_expires_at);
             if let Some(entry) = worker.runs.get_mut(task)
                 && entry.run == *run
             {
-                entry.sure_after = sure_after;
+                entry.start_expires_at = start_expires_at;
             }
         }
     }
--- a/crates/cell/src/crash.rs
+++ b/crates/cell/src/crash.rs
@@ -24,20 +24,20 @@
     limits::Millis,
     order::{Cause, Loss},
     row::{Phase, Task},
-    worker::{Known, Origin, Worker},
+    worker::{Origin, StartState, Worker},
 };
 use primroseroute_domain::work::{Name, State, TaskId};
 
 /// Number of crashes from which a task is a suspect.
-const SUSPECT: usize = 2;
+const SUSPECT_CRASHES: usize = 2;
 
 /// Number of crashes from which a task is abandoned: those from the third one on came from isolated
 /// runs.
-const PROVEN: usize = 4;
+const ABANDON_CRASHES: usize = 4;
 
 /// Maximum number of tasks with a single crash that run isolated together: a crash makes all of
 /// them suspects, each of which is then run alone.
-const SHARED: usize = 4;
+const MAX_ISOLATED_TOGETHER: usize = 4;
 
 /// A task that is abandoned because it crashes its workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -51,12 +51,12 @@
 /// The runs of a worker that may have crashed it.
 pub(crate) fn new_runs(worker: &Worker, settle: u64) -> Vec<(TaskId, u32)> {
     // A run whose start may still arrive late was counted when the worker's incarnation ended.
-    worker.runs_where(|_task, run| run.doubtful_until.is_none() && worker.is_new(run, settle))
+    worker.runs_where(|_task, run| run.late_start_until.is_none() && worker.is_new(run, settle))
 }
 
 /// Records that runs of a worker are lost without an end: their tasks wait again, and a crash is
 /// attributed to those of the runs that were `new`.
-pub(crate) fn lose(
+pub(crate) fn record_lost_runs(
     cell: &mut Cell,
     id: &Name,
     cause: Cause,
@@ -71,7 +71,7 @@
         cell.back_to_waiting(id, task, *run, None);
     }
     let blamed = match cause {
-        Cause::Crash => record(cell, new, wall_ms),
+        Cause::Crash => attribute_crash(cell, new, wall_ms),
         Cause::Planned | Cause::Lapse => Vec::new(),
     };
     cell.losses.push(Loss {
@@ -84,17 +84,17 @@
 
 /// Attributes a worker's crash to the tasks of `runs`, which were new there. Returns the tasks that
 /// it was attributed to.
-fn record(cell: &mut Cell, runs: &[(TaskId, u32)], wall_ms: u64) -> Vec<TaskId> {
+fn attribute_crash(cell: &mut Cell, runs: &[(TaskId, u32)], wall_ms: u64) -> Vec<TaskId> {
     let suspects = runs.iter().filter(|(task, _run)| is_suspect(cell, task));
     let suspects: Vec<(TaskId, u32)> = suspects.cloned().collect();
-    let held = match suspects.len() {
+    let accountable = match suspects.len() {
         0 => runs,
         1 => &suspects,
         // Not an isolated run: this owner discovered the runs and can't tell which of them are new.
         _ => &[],
     };
     let mut blamed = Vec::new();
-    for (task, run) in held {
+    for (task, run) in accountable {
         let Some(job) = cell.jobs.get_mut(&task.job) else {
             continue;
         };
@@ -108,7 +108,7 @@
     }
     for task in &blamed {
         let crashes = crashes(cell, task);
-        if crashes >= PROVEN {
+        if crashes >= ABANDON_CRASHES {
             let task = task.clone();
             let lasting = cell.step(&task).is_some_and(|step| step.lasting);
             if !lasting {
@@ -121,7 +121,7 @@
 }
 
 /// Clears the crash records of tasks whose runs have shown that the worker survives them.
-pub(crate) fn acquit(cell: &mut Cell, id: &Name) {
+pub(crate) fn clear_crashes(cell: &mut Cell, id: &Name) {
     if cell.crashed.is_empty() {
         return;
     }
@@ -131,8 +131,8 @@
     // A start without an answer may never have reached the worker, however long the worker stays
     // up.
     let settled = worker.runs_where(|task, run| {
-        has_crashed(cell, task)
-            && matches!(run.known, Known::Runs(_))
+        has_crashes(cell, task)
+            && matches!(run.start_state, StartState::Confirmed(_))
             && !worker.is_new(run, cell.limits.settle)
     });
     for (id, run) in settled {
@@ -153,29 +153,33 @@
 ///
 /// The regular polls wait up to a second for a run to end. If the owner dies meanwhile, its
 /// successor finds a run of a suspect that has been under way for long, with no evidence of that.
-pub(crate) fn glances(cell: &mut Cell, now: Millis) -> Vec<Name> {
-    let mut glances = std::mem::take(&mut cell.asked);
+pub(crate) fn immediate_polls(cell: &mut Cell, now: Millis) -> Vec<Name> {
+    let mut polls = std::mem::take(&mut cell.poll_requests);
     if cell.crashed.is_empty() {
-        return glances;
+        return polls;
     }
     let (crashed, settle) = (&cell.crashed, cell.limits.settle);
     for (id, worker) in &mut cell.workers {
-        let shown_at = worker.shown_at;
+        let status_as_of = worker.status_as_of;
         for (task, run) in &mut worker.runs {
-            let due = matches!(run.known, Known::Runs(at) if now >= at + settle && shown_at < Some(at + settle));
-            if due && run.origin != Origin::Found && !run.glanced && crashed.contains_key(task) {
-                run.glanced = true;
-                glances.push(Name::clone(id));
+            let due = matches!(run.start_state, StartState::Confirmed(at) if now >= at + settle && status_as_of < Some(at + settle));
+            if due
+                && run.origin != Origin::Discovered
+                && !run.clearing_poll_requested
+                && crashed.contains_key(task)
+            {
+                run.clearing_poll_requested = true;
+                polls.push(Name::clone(id));
             }
         }
     }
-    glances.sort();
-    glances.dedup();
-    glances
+    polls.sort();
+    polls.dedup();
+    polls
 }
 
 /// Whether crashes are attributed to a task.
-pub(crate) fn has_crashed(cell: &Cell, task: &TaskId) -> bool {
+pub(crate) fn has_crashes(cell: &Cell, task: &TaskId) -> bool {
     cell.crashed.contains_key(task)
 }
 
@@ -184,51 +188,57 @@
 /// The members of a gang aren't: they start together, on as many workers as they need.
 pub(crate) fn is_suspect(cell: &Cell, task: &TaskId) -> bool {
     let crashes = cell.crashed.get(task);
-    crashes.is_some_and(|crashes| *crashes >= SUSPECT) && !is_gang(cell, task)
+    crashes.is_some_and(|crashes| *crashes >= SUSPECT_CRASHES) && !is_gang(cell, task)
 }
 
 /// Whether there is a suspect that isn't abandoned yet.
 pub(crate) fn has_suspects(cell: &Cell) -> bool {
     let mut crashed = cell.crashed.iter();
-    crashed.any(|(task, crashes)| (SUSPECT..PROVEN).contains(crashes) && !is_gang(cell, task))
+    crashed.any(|(task, crashes)| {
+        (SUSPECT_CRASHES..ABANDON_CRASHES).contains(crashes) && !is_gang(cell, task)
+    })
 }
 
 /// Whether a task has crashes and can be run isolated.
-pub(crate) fn can_be_tried(cell: &Cell, task: &TaskId) -> bool {
-    has_crashed(cell, task) && !is_gang(cell, task)
+pub(crate) fn can_be_isolated(cell: &Cell, task: &TaskId) -> bool {
+    has_crashes(cell, task) && !is_gang(cell, task)
 }
 
 /// Number of workers on which all tasks that wait for an isolated run could run at once.
-pub(crate) fn trials(cell: &Cell) -> u64 {
+pub(crate) fn isolation_workers_needed(cell: &Cell) -> u64 {
     if !has_suspects(cell) {
         return 0;
     }
     let waits = |task: &&TaskId| {
         let job = cell.jobs.get(&task.job);
         let row = job.and_then(|job| job.task(task));
-        row.is_some_and(|row| row.phase == Phase::Waiting && !is_given_up(row))
+        row.is_some_and(|row| row.phase == Phase::Waiting && !is_abandoned(row))
     };
     let waiting = cell.crashed.keys().filter(waits);
-    let triable = waiting.filter(|task| can_be_tried(cell, task));
+    let isolatable = waiting.filter(|task| can_be_isolated(cell, task));
     let (alone, shared): (Vec<&TaskId>, Vec<&TaskId>) =
-        triable.partition(|task| is_suspect(cell, task));
-    (alone.len() + shared.len().div_ceil(SHARED)) as u64
+        isolatable.partition(|task| is_suspect(cell, task));
+    (alone.len() + shared.len().div_ceil(MAX_ISOLATED_TOGETHER)) as u64
 }
 
 /// Maximum number of tasks like this one that run isolated together.
-pub(crate) fn most_tried_together(cell: &Cell, task: &TaskId) -> usize {
-    if is_suspect(cell, task) { 1 } else { SHARED }
+pub(crate) fn max_isolated_together(cell: &Cell, task: &TaskId) -> usize {
+    if is_suspect(cell, task) {
+        1
+    } else {
+        MAX_ISOLATED_TOGETHER
+    }
 }
 
 /// Whether an isolated run is under way on a worker: nothing else may start there.
-pub(crate) fn has_trial(cell: &Cell, worker: &Worker) -> bool {
+pub(crate) fn has_isolated_run(cell: &Cell, worker: &Worker) -> bool {
     let mut runs = worker.runs.values();
-    runs.any(|run| run.origin == Origin::Tried && worker.is_new(run, cell.limits.settle))
+    runs.any(|run| run.origin == Origin::Isolated && worker.is_new(run, cell.limits.settle))
 }
 
 /// Whether a task has crashed so many workers that it is not started again.
-pub(crate) fn is_given_up(task: &Task) -> bool {
-    task.crashed.len() >= PROVEN
+pub(crate) fn is_abandoned(task: &Task) -> bool {
+    task.crashed.len() >= ABANDON_CRASHES
 }
 
 /// Number of crashes attributed to a task, or to its gang.
--- a/crates/cell/src/life.rs
+++ b/crates/cell/src/incarnation.rs
@@ -11,7 +11,7 @@
     limits::Millis,
     order::Cause,
     row::Life,
-    worker::{Gone, Known, Origin, Stop},
+    worker::{Origin, StartState, StopState, Termination},
 };
 use primroseroute_domain::work::{Name, TaskId};
 use primroseroute_platform::worker::Look;
@@ -19,10 +19,10 @@
 
 /// Determines which incarnation of a worker has answered a status poll. Returns whether it is the
 /// one that is now known.
-pub(crate) fn recognise(
+pub(crate) fn identify(
     cell: &mut Cell,
     id: &Name,
-    look: &Look,
+    status: &Look,
     sent_at: Millis,
     now: Millis,
     wall_ms: u64,
@@ -30,17 +30,17 @@
     let Some(worker) = cell.workers.get_mut(id) else {
         return false;
     };
-    if look.born == worker.born {
+    if status.born == worker.incarnation {
         return true;
     }
-    if look.born == worker.born_before && worker.born != 0 {
+    if status.born == worker.previous_incarnation && worker.incarnation != 0 {
         return false;
     }
-    if worker.born == 0 {
-        worker.born = look.born;
-        lose_found(cell, id, look, now, wall_ms);
+    if worker.incarnation == 0 {
+        worker.incarnation = status.born;
+        lose_earlier_runs(cell, id, status, now, wall_ms);
     } else {
-        begin(cell, id, look, sent_at, now, wall_ms);
+        begin_next(cell, id, status, sent_at, now, wall_ms);
     }
     true
 }
@@ -54,35 +54,42 @@
 /// rows have no tag. A run whose job was accepted before this incarnation began, and which the
 /// status doesn't list, was placed in an earlier one, unless the previous owner never came to send
 /// its start.
-fn lose_found(cell: &mut Cell, id: &Name, look: &Look, now: Millis, wall_ms: u64) {
+fn lose_earlier_runs(cell: &mut Cell, id: &Name, status: &Look, now: Millis, wall_ms: u64) {
     let (jobs, Some(worker)) = (&cell.jobs, cell.workers.get(id)) else {
         return;
     };
-    let of_this_life = shown(look);
+    let listed = listed_runs(status);
     let is_older = |task: &TaskId| {
         let job = jobs.get(&task.job);
-        job.is_some_and(|job| job.accepted.at_ms < look.born)
+        job.is_some_and(|job| job.accepted.at_ms < status.born)
     };
-    let life = Life::of(look.born);
+    let tag = Life::of(status.born);
     let taken_over_ms = wall_ms.saturating_sub(now - cell.taken_at);
-    let is_later = look.born > taken_over_ms;
+    let is_later = status.born > taken_over_ms;
     let lost = worker.runs_where(|task, run| {
-        let may_be_older = (is_later || run.life != Some(life)) && is_older(task);
-        run.origin == Origin::Found && may_be_older && !of_this_life.contains(&(task, run.run))
+        let may_be_older = (is_later || run.incarnation_tag != Some(tag)) && is_older(task);
+        run.origin == Origin::Discovered && may_be_older && !listed.contains(&(task, run.run))
     });
     if !lost.is_empty() {
         let new = lost.clone();
-        crash::lose(cell, id, Cause::Crash, lost, &new, wall_ms);
+        crash::record_lost_runs(cell, id, Cause::Crash, lost, &new, wall_ms);
     }
 }
 
 /// Begins the next incarnation of a worker: the runs of the previous one are lost.
-fn begin(cell: &mut Cell, id: &Name, look: &Look, sent_at: Millis, now: Millis, wall_ms: u64) {
+fn begin_next(
+    cell: &mut Cell,
+    id: &Name,
+    status: &Look,
+    sent_at: Millis,
+    now: Millis,
+    wall_ms: u64,
+) {
     let limits = cell.limits;
     let Some(worker) = cell.workers.get_mut(id) else {
         return;
     };
-    let cause = if worker.is_leaving() {
+    let cause = if worker.is_draining() {
         Cause::Planned
     } else {
         Cause::Crash
@@ -90,51 +97,53 @@
     let mut new = crash::new_runs(worker, limits.settle);
     new.extend(
         worker
-            .lapsed
+            .expired_lease
             .take()
             .into_iter()
-            .flat_map(|lapsed| lapsed.runs),
+            .flat_map(|expired| expired.runs),
     );
-    let of_this_life = shown(look);
+    let listed = listed_runs(status);
     let lost = worker.runs_where(|task, run| {
-        let answered = matches!(run.known, Known::Runs(at) if at < sent_at);
-        answered && !of_this_life.contains(&(task, run.run))
+        let answered = matches!(run.start_state, StartState::Confirmed(at) if at < sent_at);
+        answered && !listed.contains(&(task, run.run))
     });
     for run in worker.runs.values_mut() {
         // Stops that the previous incarnation accepted don't count.
-        run.stopped_at = None;
-        run.doubtful_until = None;
-        if run.known == Known::Unsure {
-            run.stop = Stop::Wanted;
+        run.stop_accepted_at = None;
+        run.late_start_until = None;
+        if run.start_state == StartState::Uncertain {
+            run.stop = StopState::Requested;
             // Calls from now on carry a token that makes the worker refuse starts meant for the
             // previous incarnation.
-            run.sure_after = now + 1;
+            run.start_expires_at = now + 1;
         }
     }
-    worker.born_before = worker.born;
-    worker.born = look.born;
-    worker.gone = Gone::No;
-    worker.seen = 0;
-    worker.shown_at = None;
-    worker.named_at = None;
+    worker.previous_incarnation = worker.incarnation;
+    worker.incarnation = status.born;
+    worker.termination = Termination::NotKnown;
+    worker.last_end = 0;
+    worker.status_as_of = None;
+    worker.listed_at = None;
     worker.failures.clear();
-    worker.shunned_until = 0;
+    worker.cordoned_until = 0;
     // A renewal that was meant for the previous incarnation may have reached this one.
-    worker.lapses_at = worker.lapses_at.max(now + limits.stretched(limits.lease));
+    worker.lease_expires_at = worker
+        .lease_expires_at
+        .max(now + limits.stretched(limits.lease));
     cell.stops_due = true;
-    new.retain(|(task, run)| !of_this_life.contains(&(task, *run)));
+    new.retain(|(task, run)| !listed.contains(&(task, *run)));
     for policy in cell.policies.values_mut() {
-        policy.begin_life(id);
+        policy.begin_incarnation(id);
     }
-    crash::lose(cell, id, cause, lost, &new, wall_ms);
+    crash::record_lost_runs(cell, id, cause, lost, &new, wall_ms);
 }
 
 /// The runs that a status lists.
-fn shown(look: &Look) -> BTreeSet<(&TaskId, u32)> {
-    let running = look
+fn listed_runs(status: &Look) -> BTreeSet<(&TaskId, u32)> {
+    let running = status
         .running
         .iter()
         .map(|running| (&running.task, running.run));
-    let ended = look.ended.iter().map(|ended| (&ended.task, ended.run));
+    let ended = status.ended.iter().map(|ended| (&ended.task, ended.run));
     running.chain(ended).collect()
 }
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -6,7 +6,7 @@
 
 /// Whether a task of a job has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Begun {
+pub(crate) enum HasStarted {
     /// None is known to have started.
     No,
     /// A previous owner has placed one, which no worker status has confirmed yet.
@@ -22,9 +22,9 @@
     pub progress: Progress,
     /// Whether there may be runs beside or after those that completed its tasks: runs that were
     /// given up, if a task was started again, and the other members of a gang.
-    pub may_run_on: bool,
+    pub may_have_other_runs: bool,
     /// The job's state is that of its row, which says that it runs as soon as a task is placed.
-    pub begun: Begun,
+    pub has_started: HasStarted,
 }
 
 impl Job {
@@ -37,8 +37,8 @@
                 next: 0,
                 ended_ms: None,
             },
-            may_run_on: false,
-            begun: Begun::No,
+            may_have_other_runs: false,
+            has_started: HasStarted::No,
         }
     }
 
@@ -51,18 +51,18 @@
         };
         // Occurrences whose tasks are all done have been removed from the row.
         let is_over = progress.steps.len() < progress.next as usize;
-        let begun = if is_over || tasks().any(has_run) {
-            Begun::Yes
+        let has_started = if is_over || tasks().any(has_run) {
+            HasStarted::Yes
         } else if tasks().any(|task| task.phase.worker().is_some()) {
-            Begun::Presumed
+            HasStarted::Presumed
         } else {
-            Begun::No
+            HasStarted::No
         };
         Self {
             accepted,
             progress,
-            may_run_on: true,
-            begun,
+            may_have_other_runs: true,
+            has_started,
         }
     }
 
@@ -97,7 +97,7 @@
     /// owner that found it ready would count its task as available and stop others of the step too:
     /// more would be unavailable than the step tolerates. From the row the new owner knows that the
     /// task is unavailable, and repeats the stop.
-    pub(crate) fn leaves(&mut self, id: &TaskId, worker: &Name, run: u32) -> bool {
+    pub(crate) fn mark_leaving(&mut self, id: &TaskId, worker: &Name, run: u32) -> bool {
         let Some(task) = self.task_mut(id) else {
             return false;
         };
@@ -111,7 +111,7 @@
 
     /// Records that a run that was to stop goes on, since its stop was never sent. Returns whether
     /// this changed anything.
-    pub(crate) fn stays(&mut self, id: &TaskId) -> bool {
+    pub(crate) fn unmark_leaving(&mut self, id: &TaskId) -> bool {
         let Some(task) = self.task_mut(id) else {
             return false;
         };
@@ -123,7 +123,7 @@
     }
 
     /// Begins the occurrences that are due. Returns whether there were any.
-    pub(crate) fn begin(&mut self, wall_ms: u64) -> bool {
+    pub(crate) fn begin_due(&mut self, wall_ms: u64) -> bool {
         let before = self.progress.next;
         while self.progress.next < self.accepted.job.occurrences() {
             let due = self.accepted.job.schedule;
@@ -131,13 +131,15 @@
             if due > wall_ms {
                 break;
             }
-            self.progress.steps.insert(self.progress.next, self.fresh());
+            self.progress
+                .steps
+                .insert(self.progress.next, self.new_tasks());
             self.progress.next += 1;
         }
         self.progress.next > before
     }
 
-    fn fresh(&self) -> Steps {
+    fn new_tasks(&self) -> Steps {
         let steps = self.accepted.job.steps.iter();
         steps
             .map(|step| vec![Task::default(); usize::from(step.count)])
@@ -145,7 +147,7 @@
     }
 
     /// Drops occurrences whose tasks are all done. Returns whether nothing of the job is left.
-    pub(crate) fn settle(&mut self) -> bool {
+    pub(crate) fn drop_finished_occurrences(&mut self) -> bool {
         let open = |steps: &Steps| steps.iter().flatten().any(|task| task.phase != Phase::Done);
         self.progress.steps.retain(|_number, steps| open(steps));
         let begun = self.progress.next >= self.accepted.job.occurrences();
@@ -153,7 +155,7 @@
     }
 
     /// Numbers of the steps of `occurrence` whose dependencies are done.
-    pub(crate) fn ready(&self, occurrence: u32) -> Vec<u16> {
+    pub(crate) fn ready_steps(&self, occurrence: u32) -> Vec<u16> {
         let Some(steps) = self.progress.steps.get(&occurrence) else {
             return Vec::new();
         };
--- a/crates/cell/src/order.rs
+++ b/crates/cell/src/order.rs
@@ -1,6 +1,6 @@
 //! Outputs of a cell and the results of its orders.
 
-use crate::{crash::Culprit, need::Need};
+use crate::{crash::Culprit, scaling::Need};
 use bytes::Bytes;
 use primroseroute_domain::work::{JobId, Name, State, StepId, TaskId};
 use primroseroute_platform::worker::Refusal;
--- a/crates/cell/src/place/mod.rs
+++ b/crates/cell/src/placement/mod.rs
@@ -1,11 +1,11 @@
 //! Placement: which waiting task starts next, and on which worker.
 
-mod room;
-mod rooms;
-mod trial;
-mod turn;
+mod candidates;
+mod isolation;
+mod preempt;
+mod urgency;
 
-pub(crate) use turn::{Waiting, is_past, sorted, still_waiting};
+pub(crate) use urgency::{WaitingStep, is_overdue, still_waiting, waiting_steps};
 
 use crate::{
     advice,
@@ -16,59 +16,59 @@
     row::{Life, Phase},
     worker::{Run, Worker},
 };
+use candidates::Candidates;
+use isolation::IsolatedRuns;
+use preempt::reserve_or_preempt;
 use primroseroute_domain::work::{Demand, Name, State, Step, TaskId};
-use room::make_room;
-use rooms::Rooms;
 use std::collections::{BTreeMap, BTreeSet};
-use trial::Trials;
-use turn::{Class, task_id, waiting_tasks};
+use urgency::{Class, task_id, waiting_tasks};
 
 /// Places as many of the `waiting` steps as fit, in their order. Returns the starts.
-pub(crate) fn run(cell: &mut Cell, waiting: &[Waiting], now: Millis) -> Vec<Order> {
-    cell.crowded = 0;
+pub(crate) fn run(cell: &mut Cell, waiting: &[WaitingStep], now: Millis) -> Vec<Order> {
+    cell.spread_shortage = 0;
     if !cell.may_start(now) {
         return Vec::new();
     }
-    let mut rooms = Rooms::of(cell, now);
+    let mut candidates = Candidates::of(cell, now);
     let mut orders = Vec::new();
     let first_short = waiting.partition_point(|waiting| waiting.class == Class::Lasting);
     let (lasting, short) = waiting.split_at(first_short);
     for waiting in lasting {
-        if !place_step(cell, waiting, &mut rooms, &mut orders) {
-            make_room(cell, waiting, &mut rooms, now);
+        if !place_step(cell, waiting, &mut candidates, &mut orders) {
+            reserve_or_preempt(cell, waiting, &mut candidates, now);
         }
     }
-    let mut trials = Trials::of(cell, &rooms, waiting);
-    orders.extend(trials.run(cell, &mut rooms, now));
-    let mut full = Full::default();
+    let mut isolated_runs = IsolatedRuns::of(cell, &candidates, waiting);
+    orders.extend(isolated_runs.run(cell, &mut candidates, now));
+    let mut no_fit = NoFit::default();
     for waiting in short {
-        if full.rules_out(cell, waiting) {
+        if no_fit.covers(cell, waiting) {
             continue;
         }
-        if rooms.is_full() {
+        if candidates.is_full() {
             break;
         }
-        if !place_step(cell, waiting, &mut rooms, &mut orders) {
-            full.record(cell, waiting);
+        if !place_step(cell, waiting, &mut candidates, &mut orders) {
+            no_fit.record(cell, waiting);
         }
     }
-    orders.extend(trials.run_idle(cell, &mut rooms, now));
+    orders.extend(isolated_runs.run_idle(cell, &mut candidates, now));
     orders
 }
 
 /// Maximum number of new runs on one worker whose tasks have crashes. Tasks that were lost together
 /// would otherwise meet again, and the one that crashes its worker would take all others with it a
 /// second time.
-const RETURNED: usize = 4;
+const MAX_CRASH_RETRIES: usize = 4;
 
 /// Demands for which no worker had free capacity in this round. Free capacity only shrinks during a
 /// round, so equal or larger demands needn't be tried: under overload that is nearly all that
 /// waits.
 #[derive(Default)]
-struct Full(Vec<Demand>);
+struct NoFit(Vec<Demand>);
 
-impl Full {
-    fn rules_out(&self, cell: &Cell, waiting: &Waiting) -> bool {
+impl NoFit {
+    fn covers(&self, cell: &Cell, waiting: &WaitingStep) -> bool {
         let job = cell.jobs.get(&waiting.job);
         let step = job.and_then(|job| job.step(waiting.step));
         step.is_some_and(|step| self.0.iter().any(|least| least.fits(step.reserved())))
@@ -76,7 +76,7 @@
 
     /// Records that a task of the step couldn't be placed. A step with constraints of its own may
     /// have failed because of those, which says nothing of others.
-    fn record(&mut self, cell: &Cell, waiting: &Waiting) {
+    fn record(&mut self, cell: &Cell, waiting: &WaitingStep) {
         let job = cell.jobs.get(&waiting.job);
         let Some(step) = job.and_then(|job| job.step(waiting.step)) else {
             return;
@@ -85,14 +85,14 @@
         let plain = step.label.is_none() && step.most_per_worker == 0 && !step.gang && !advised;
         // A worker that is still stopping an earlier run of a task is excluded for that task only,
         // and a worker with many new runs of tasks with crashes is excluded only for such tasks.
-        let hindered = job.is_some_and(|job| {
+        let is_task_specific = job.is_some_and(|job| {
             let mut tasks = waiting_tasks(job, waiting.occurrence, waiting.step);
             tasks.any(|index| {
                 let task = task_id(waiting, index);
-                crash::has_crashed(cell, &task) || may_run(cell, &task)
+                crash::has_crashes(cell, &task) || may_be_running(cell, &task)
             })
         });
-        if plain && !hindered {
+        if plain && !is_task_specific {
             self.0.push(step.reserved());
         }
     }
@@ -101,8 +101,8 @@
 /// Places the waiting tasks of a step. Returns whether all could be placed.
 fn place_step(
     cell: &mut Cell,
-    waiting: &Waiting,
-    rooms: &mut Rooms,
+    waiting: &WaitingStep,
+    candidates: &mut Candidates,
     orders: &mut Vec<Order>,
 ) -> bool {
     let Some(job) = cell.jobs.get(&waiting.job) else {
@@ -113,27 +113,27 @@
     };
     let indexes: Vec<u16> = waiting_tasks(job, waiting.occurrence, waiting.step).collect();
     if step.gang {
-        return place_gang(cell, waiting, &step, &indexes, rooms, orders);
+        return place_gang(cell, waiting, &step, &indexes, candidates, orders);
     }
     let mut all_placed = true;
     for index in indexes {
         let task = task_id(waiting, index);
-        if rooms.needs_trial(cell, &task) {
+        if candidates.needs_isolation(cell, &task) {
             continue;
         }
-        let has_crashed = crash::has_crashed(cell, &task);
-        let Some(place) = choose(cell, &task, &step, rooms, &BTreeMap::new()) else {
+        let has_crashes = crash::has_crashes(cell, &task);
+        let Some(candidate) = choose(cell, &task, &step, candidates, &BTreeMap::new()) else {
             all_placed = false;
-            if has_crashed {
+            if has_crashes {
                 continue;
             }
             break;
         };
-        rooms.take(place, step.reserved());
-        if has_crashed {
-            rooms.add_returned(place);
+        candidates.allocate(candidate, step.reserved());
+        if has_crashes {
+            candidates.add_crash_retry(candidate);
         }
-        orders.extend(start(cell, rooms.id(place), task, &step, None));
+        orders.extend(start(cell, candidates.id(candidate), task, &step, None));
     }
     all_placed
 }
@@ -141,10 +141,10 @@
 /// Places all members of a gang with the same run number, or none.
 fn place_gang(
     cell: &mut Cell,
-    waiting: &Waiting,
+    waiting: &WaitingStep,
     step: &Step,
     indexes: &[u16],
-    rooms: &mut Rooms,
+    candidates: &mut Candidates,
     orders: &mut Vec<Order>,
 ) -> bool {
     let Some(job) = cell.jobs.get(&waiting.job) else {
@@ -156,18 +156,18 @@
     }
     let members = indexes.iter().map(|&index| task_id(waiting, index));
     let members: Vec<TaskId> = members.collect();
-    if members.iter().any(|task| may_run(cell, task)) {
+    if members.iter().any(|task| may_be_running(cell, task)) {
         return true;
     }
     let known = members.iter().filter_map(|task| job.task(task));
     let run = known.clone().map(|task| task.run).max().unwrap_or(0) + 1;
     let checkpoint = known.filter_map(|task| task.checkpoint.clone()).next_back();
-    let Some(chosen) = choose_gang(cell, &members, step, rooms) else {
+    let Some(chosen) = choose_gang(cell, &members, step, candidates) else {
         return false;
     };
-    for (task, place) in members.into_iter().zip(chosen) {
+    for (task, candidate) in members.into_iter().zip(chosen) {
         let given = Some((run, checkpoint.clone()));
-        orders.extend(start(cell, rooms.id(place), task, step, given));
+        orders.extend(start(cell, candidates.id(candidate), task, step, given));
     }
     true
 }
@@ -177,25 +177,25 @@
     cell: &Cell,
     members: &[TaskId],
     step: &Step,
-    rooms: &mut Rooms,
+    candidates: &mut Candidates,
 ) -> Option<Vec<usize>> {
     let mut chosen: Vec<usize> = Vec::with_capacity(members.len());
     let mut extra: BTreeMap<usize, u16> = BTreeMap::new();
     for task in members {
-        let Some(place) = choose(cell, task, step, rooms, &extra) else {
-            for place in chosen {
-                rooms.give_back(place, step.reserved());
+        let Some(candidate) = choose(cell, task, step, candidates, &extra) else {
+            for candidate in chosen {
+                candidates.release(candidate, step.reserved());
             }
             return None;
         };
-        rooms.take(place, step.reserved());
-        *extra.entry(place).or_default() += 1;
-        chosen.push(place);
+        candidates.allocate(candidate, step.reserved());
+        *extra.entry(candidate).or_default() += 1;
+        chosen.push(candidate);
     }
     Some(chosen)
 }
 
-fn may_run(cell: &Cell, task: &TaskId) -> bool {
+fn may_be_running(cell: &Cell, task: &TaskId) -> bool {
     let mut workers = cell.workers.values();
     workers.any(|worker| worker.runs.contains_key(task))
 }
@@ -206,68 +206,75 @@
     cell: &Cell,
     task: &TaskId,
     step: &Step,
-    rooms: &Rooms,
+    candidates: &Candidates,
     extra: &BTreeMap<usize, u16>,
 ) -> Option<usize> {
     let advised = advice::needs_ticket(cell, task);
-    let has_crashed = crash::has_crashed(cell, task);
-    let worker = |place: usize| &cell.workers[rooms.id(place)];
-    let mut fitting = rooms.fitting(step.reserved()).filter(|&place| {
-        let beside = extra.get(&place).copied().unwrap_or(0);
-        (step.lasting || !rooms.is_kept(place))
-            && allows_apart_from_policy(worker(place), task, step, beside)
-            && (!advised || advice::ticket(cell, task, rooms.id(place)).is_some())
-            && !(has_crashed && rooms.returned(place) >= RETURNED)
+    let has_crashes = crash::has_crashes(cell, task);
+    let worker = |candidate: usize| &cell.workers[candidates.id(candidate)];
+    let mut fitting = candidates.fitting(step.reserved()).filter(|&candidate| {
+        let beside = extra.get(&candidate).copied().unwrap_or(0);
+        (step.lasting || !candidates.is_blocked(candidate))
+            && allows_ignoring_policy(worker(candidate), task, step, beside)
+            && (!advised || advice::ticket(cell, task, candidates.id(candidate)).is_some())
+            && !(has_crashes && candidates.crash_retries(candidate) >= MAX_CRASH_RETRIES)
     });
-    let has_failed = |place: usize| worker(place).failures.contains(&task.job);
+    let has_failed = |candidate: usize| worker(candidate).failures.contains(&task.job);
     let is_plain = !step.lasting && !step.same_rack && step.rack.is_none();
     if is_plain {
         // Best fit: the least free capacity, on a worker without a failure of the job if possible.
         let mut failed = None;
-        let sound = fitting.find(|&place| {
-            let has_failed = has_failed(place);
+        let healthy = fitting.find(|&candidate| {
+            let has_failed = has_failed(candidate);
             if has_failed {
-                failed.get_or_insert(place);
+                failed.get_or_insert(candidate);
             }
             !has_failed
         });
-        return sound.or(failed);
+        return healthy.or(failed);
     }
     let siblings = if step.same_rack {
         sibling_labels(cell, task)
     } else {
         Vec::new()
     };
-    fitting.min_by_key(|&place| {
-        let worker = worker(place);
-        let far = step
+    fitting.min_by_key(|&candidate| {
+        let worker = worker(candidate);
+        let wrong_rack = step
             .rack
             .as_ref()
             .is_some_and(|rack| !worker.has_label(rack));
-        let apart = !siblings.is_empty() && !siblings.contains(&labels(worker));
-        let strained = step.lasting && is_strained(cell, worker);
+        let other_rack = !siblings.is_empty() && !siblings.contains(&labels(worker));
+        let near_target = step.lasting && is_near_target(cell, worker);
         // Long-running tasks are packed together: a worker without any can move to another pool or
         // be switched off.
-        let alone = step.lasting && lasting_on(worker) == 0;
-        let free = rooms.free(place).cpu;
-        (far, apart, has_failed(place), strained, alone, free)
+        let no_long_running = step.lasting && lasting_on(worker) == 0;
+        let free = candidates.free(candidate).cpu;
+        (
+            wrong_rack,
+            other_rack,
+            has_failed(candidate),
+            near_target,
+            no_long_running,
+            free,
+        )
     })
 }
 
 /// Share of its target, in percent, from which the tail latency of a long-running task keeps
 /// further ones off its worker.
-const STRAINED: u64 = 60;
+const NEAR_TARGET_PERCENT: u64 = 60;
 
 /// Whether a long-running task on a worker comes near its response time target.
-fn is_strained(cell: &Cell, worker: &Worker) -> bool {
+fn is_near_target(cell: &Cell, worker: &Worker) -> bool {
     worker.runs.iter().any(|(task, run)| {
         let target = cell.step(task).map_or(0, |step| step.target_ms);
-        run.lasting && target > 0 && run.load * 100 >= target * STRAINED
+        run.lasting && target > 0 && run.load * 100 >= target * NEAR_TARGET_PERCENT
     })
 }
 
 /// Whether a worker may run a task, regardless of free capacity and of its queue's policy.
-pub(crate) fn allows_apart_from_policy(
+pub(crate) fn allows_ignoring_policy(
     worker: &Worker,
     task: &TaskId,
     step: &Step,
@@ -277,13 +284,13 @@
         .label
         .as_ref()
         .is_none_or(|label| worker.has_label(label));
-    let apart = step.most_per_worker == 0 || {
+    let is_spread = step.most_per_worker == 0 || {
         let beside = worker.runs.keys().filter(|other| is_sibling(other, task));
         beside.count() + usize::from(extra) < usize::from(step.most_per_worker)
     };
     // An earlier run of the same task that is still being stopped there would be taken for the new
     // one.
-    labelled && apart && !worker.runs.contains_key(task)
+    labelled && is_spread && !worker.runs.contains_key(task)
 }
 
 pub(crate) fn is_sibling(other: &TaskId, task: &TaskId) -> bool {
@@ -295,7 +302,7 @@
 }
 
 fn labels(worker: &Worker) -> Option<&BTreeSet<Name>> {
-    worker.info.as_ref().map(|info| &info.labels)
+    worker.registration.as_ref().map(|info| &info.labels)
 }
 
 /// Labels of the workers that run siblings of `task`.
@@ -308,12 +315,12 @@
 }
 
 /// Whether an open worker has free capacity for a long-running task that is to be moved.
-pub(crate) fn has_room(cell: &Cell, task: &TaskId, now: Millis) -> bool {
+pub(crate) fn fits_somewhere(cell: &Cell, task: &TaskId, now: Millis) -> bool {
     let Some(step) = cell.step(task) else {
         return false;
     };
-    let rooms = Rooms::of(cell, now);
-    choose(cell, task, step, &rooms, &BTreeMap::new()).is_some()
+    let candidates = Candidates::of(cell, now);
+    choose(cell, task, step, &candidates, &BTreeMap::new()).is_some()
 }
 
 /// Records the start of a run; the order is sent once it is committed.
@@ -325,7 +332,10 @@
     gang: Option<(u32, Option<Name>)>,
 ) -> Option<Order> {
     let ticket = advice::ticket(cell, &id, worker);
-    let born = cell.workers.get(worker).map_or(0, |worker| worker.born);
+    let incarnation = cell
+        .workers
+        .get(worker)
+        .map_or(0, |worker| worker.incarnation);
     let job = cell.jobs.get_mut(&id.job)?;
     let payload = Name::clone(&job.accepted.job.payload);
     job.progress.state = State::Running;
@@ -333,10 +343,10 @@
     let (run, checkpoint) = gang.unwrap_or_else(|| (task.run + 1, task.checkpoint.clone()));
     task.run = run;
     task.phase = Phase::Placed(Name::clone(worker));
-    task.life = (!task.crashed.is_empty()).then(|| Life::of(born));
-    job.may_run_on |= run > 1 || step.gang;
+    task.life = (!task.crashed.is_empty()).then(|| Life::of(incarnation));
+    job.may_have_other_runs |= run > 1 || step.gang;
     cell.dirty.insert(id.job.clone());
-    cell.waiting.remove(&id);
+    cell.unplaced_since.remove(&id);
     let entry = Run::new(run, step.reserved(), step.lasting);
     let found = cell.workers.get_mut(worker)?;
     found.runs.insert(id.clone(), entry);
--- a/crates/cell/src/place/room.rs
+++ b/crates/cell/src/placement/preempt.rs
@@ -1,15 +1,15 @@
 //! Preemption for long-running tasks that can't be placed.
 
 use super::{
-    allows_apart_from_policy,
-    rooms::Rooms,
-    turn::{Waiting, task_id, waiting_tasks},
+    allows_ignoring_policy,
+    candidates::Candidates,
+    urgency::{WaitingStep, task_id, waiting_tasks},
 };
 use crate::{
     advice,
     cell::Cell,
     limits::Millis,
-    worker::{Run, Stop, Worker},
+    worker::{Run, StopState, Worker},
 };
 use primroseroute_domain::work::{Name, Step};
 
@@ -19,7 +19,12 @@
 ///
 /// If every worker has the maximum number of tasks of a spread step, or is full of long-running
 /// tasks, only another worker helps: the estimate of needed workers has to count it.
-pub(super) fn make_room(cell: &mut Cell, waiting: &Waiting, rooms: &mut Rooms, now: Millis) {
+pub(super) fn reserve_or_preempt(
+    cell: &mut Cell,
+    waiting: &WaitingStep,
+    candidates: &mut Candidates,
+    now: Millis,
+) {
     let Some(job) = cell.jobs.get(&waiting.job) else {
         return;
     };
@@ -32,38 +37,43 @@
     };
     let others = indexes.count() as u64;
     let task = task_id(waiting, index);
-    let is_able = |place: &usize| {
-        let id = rooms.id(*place);
+    let is_able = |candidate: &usize| {
+        let id = candidates.id(*candidate);
         let worker = &cell.workers[id];
-        allows_apart_from_policy(worker, &task, &step, 0)
+        allows_ignoring_policy(worker, &task, &step, 0)
             && advice::allows(cell, &task, id)
-            && could_hold(worker, &step)
+            && fits_without_batch(worker, &step)
     };
-    let emptiest = rooms.unkept().filter(is_able).max_by_key(|&place| {
-        let free = rooms.free(place);
-        (free.cpu, free.memory)
-    });
-    let Some(place) = emptiest else {
+    let emptiest = candidates
+        .unblocked()
+        .filter(is_able)
+        .max_by_key(|&candidate| {
+            let free = candidates.free(candidate);
+            (free.cpu, free.memory)
+        });
+    let Some(candidate) = emptiest else {
         let is_only_spread = step.most_per_worker > 0 && step.label.is_none();
-        let is_crowded = is_only_spread && !rooms.places().any(|place| is_able(&place));
-        if is_crowded && !advice::needs_ticket(cell, &task) {
+        let is_exhausted = is_only_spread && !candidates.all().any(|candidate| is_able(&candidate));
+        if is_exhausted && !advice::needs_ticket(cell, &task) {
             let wanted = (1 + others).div_ceil(u64::from(step.most_per_worker));
-            cell.crowded = cell.crowded.max(wanted);
+            cell.spread_shortage = cell.spread_shortage.max(wanted);
         }
         return;
     };
-    rooms.keep(place);
-    let id = Name::clone(rooms.id(place));
-    let since = *cell.waiting.entry(task).or_insert(now);
+    candidates.block(candidate);
+    let id = Name::clone(candidates.id(candidate));
+    let since = *cell.unplaced_since.entry(task).or_insert(now);
     if now >= since + cell.limits.patience {
         preempt(cell, &id, &step);
     }
 }
 
 /// Whether a worker has capacity for a task of `step` once its batch tasks are gone.
-pub(super) fn could_hold(worker: &Worker, step: &Step) -> bool {
+pub(super) fn fits_without_batch(worker: &Worker, step: &Step) -> bool {
     let short = worker.runs.values().filter(|run| !run.lasting);
-    let freed = short.fold(worker.room(), |room, run| room.plus(run.reserved));
+    let freed = short.fold(worker.free_capacity(), |available, run| {
+        available.plus(run.reserved)
+    });
     step.reserved().fits(freed)
 }
 
@@ -72,18 +82,18 @@
     let Some(worker) = cell.workers.get_mut(id) else {
         return;
     };
-    let mut room = worker.room();
-    let stopping = worker.runs.values().filter(|run| run.stop != Stop::No);
-    room = stopping.fold(room, |room, run| room.plus(run.reserved));
+    let mut available = worker.free_capacity();
+    let stopping = worker.runs.values().filter(|run| run.stop != StopState::No);
+    available = stopping.fold(available, |available, run| available.plus(run.reserved));
     let mut runs: Vec<&mut Run> = worker.runs.values_mut().collect();
     runs.sort_by_key(|run| run.percent);
     for run in runs {
-        if step.reserved().fits(room) {
+        if step.reserved().fits(available) {
             break;
         }
-        if !run.lasting && run.stop == Stop::No {
-            run.stop = Stop::Wanted;
-            room = room.plus(run.reserved);
+        if !run.lasting && run.stop == StopState::No {
+            run.stop = StopState::Requested;
+            available = available.plus(run.reserved);
         }
     }
 }
--- a/crates/cell/src/place/turn.rs
+++ b/crates/cell/src/placement/urgency.rs
@@ -9,7 +9,7 @@
 use primroseroute_domain::work::{JobId, Step, TaskId};
 
 /// Multiple of its objective after which a job earns nothing more.
-const HOPELESS: u64 = 3;
+const LONG_OVERDUE_OBJECTIVES: u64 = 3;
 
 /// Urgency class of a step; smaller comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -17,22 +17,22 @@
     Lasting,
     InTime,
     Late,
-    Hopeless,
+    LongOverdue,
 }
 
 /// A step with waiting tasks.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Waiting {
+pub(crate) struct WaitingStep {
     pub(super) class: Class,
     /// Remaining work of the job in core-milliseconds: short jobs earn most for the time that they
     /// occupy, and a job that has begun comes before an equal one that hasn't.
-    work: u64,
+    core_ms: u64,
     pub(super) job: JobId,
     pub(super) occurrence: u32,
     pub(super) step: u16,
 }
 
-impl Waiting {
+impl WaitingStep {
     /// The step's first task, which represents all of them.
     pub(crate) fn first_task(&self) -> TaskId {
         task_id(self, 0)
@@ -49,14 +49,14 @@
 }
 
 /// Steps with waiting tasks whose dependencies are done, the most urgent first.
-pub(crate) fn sorted(cell: &Cell, wall_ms: u64) -> Vec<Waiting> {
+pub(crate) fn waiting_steps(cell: &Cell, wall_ms: u64) -> Vec<WaitingStep> {
     let mut all = Vec::new();
     for (id, job) in &cell.jobs {
         if job.progress.state.is_final() {
             continue;
         }
         for &occurrence in job.progress.steps.keys() {
-            for step in job.ready(occurrence) {
+            for step in job.ready_steps(occurrence) {
                 if waiting_tasks(job, occurrence, step).next().is_some() {
                     all.push(urgency(id, job, occurrence, step, wall_ms));
                 }
@@ -71,10 +71,10 @@
 /// late; without those of jobs that earn nothing any more.
 pub(crate) fn still_waiting<'a>(
     cell: &'a Cell,
-    waiting: &'a [Waiting],
+    waiting: &'a [WaitingStep],
 ) -> impl Iterator<Item = (&'a Step, u64, bool)> {
     let worthwhile = waiting.iter();
-    let worthwhile = worthwhile.filter(|waiting| waiting.class != Class::Hopeless);
+    let worthwhile = worthwhile.filter(|waiting| waiting.class != Class::LongOverdue);
     worthwhile.filter_map(|waiting| {
         let job = cell.jobs.get(&waiting.job)?;
         let count = waiting_tasks(job, waiting.occurrence, waiting.step).count();
@@ -85,7 +85,7 @@
 
 /// Whether a job is past its objective. Running tasks count as late only from then on: how much of
 /// the estimate is left of a run isn't known well enough to tell sooner.
-pub(crate) fn is_past(job: &Job, occurrence: u32, wall_ms: u64) -> bool {
+pub(crate) fn is_overdue(job: &Job, occurrence: u32, wall_ms: u64) -> bool {
     let lasting = job.accepted.job.lasting();
     !lasting && age(job, occurrence, wall_ms) > signed(job.accepted.objective_ms)
 }
@@ -95,7 +95,7 @@
     let tasks = steps.and_then(|steps| steps.get(usize::from(step)));
     let numbered = (0..).zip(tasks.into_iter().flatten());
     numbered
-        .filter(|(_index, task)| task.phase == Phase::Waiting && !crash::is_given_up(task))
+        .filter(|(_index, task)| task.phase == Phase::Waiting && !crash::is_abandoned(task))
         .map(|(index, _task)| index)
 }
 
@@ -112,12 +112,12 @@
 fn class(job: &Job, occurrence: u32, step: u16, wall_ms: u64) -> Class {
     let age = age(job, occurrence, wall_ms);
     let objective = signed(job.accepted.objective_ms);
-    let slack = objective - age - signed(remaining(job, occurrence, step));
+    let slack = objective - age - signed(remaining_ms(job, occurrence, step));
     let lasting = job.step(step).is_some_and(|step| step.lasting);
     if lasting {
         Class::Lasting
-    } else if age > objective * signed(HOPELESS) {
-        Class::Hopeless
+    } else if age > objective * signed(LONG_OVERDUE_OBJECTIVES) {
+        Class::LongOverdue
     } else if slack < 0 {
         Class::Late
     } else {
@@ -125,10 +125,10 @@
     }
 }
 
-fn urgency(id: &JobId, job: &Job, occurrence: u32, step: u16, wall_ms: u64) -> Waiting {
-    Waiting {
+fn urgency(id: &JobId, job: &Job, occurrence: u32, step: u16, wall_ms: u64) -> WaitingStep {
+    WaitingStep {
         class: class(job, occurrence, step, wall_ms),
-        work: work_left(job, occurrence),
+        core_ms: work_left(job, occurrence),
         job: id.clone(),
         occurrence,
         step,
@@ -156,7 +156,7 @@
 }
 
 /// Estimated time from now to the job's end, if `step` starts at once.
-fn remaining(job: &Job, occurrence: u32, step: u16) -> u64 {
+fn remaining_ms(job: &Job, occurrence: u32, step: u16) -> u64 {
     let steps = &job.accepted.job.steps;
     let Some(progress) = job.progress.steps.get(&occurrence) else {
         return 0;
@@ -177,7 +177,7 @@
     ends.into_iter().max().unwrap_or(own)
 }
 
-pub(super) fn task_id(waiting: &Waiting, index: u16) -> TaskId {
+pub(super) fn task_id(waiting: &WaitingStep, index: u16) -> TaskId {
     TaskId {
         job: waiting.job.clone(),
         occurrence: waiting.occurrence,
--- a/crates/cell/src/roster.rs
+++ b/crates/cell/src/roster.rs
@@ -5,7 +5,7 @@
     crash,
     limits::Millis,
     row::Life,
-    worker::{Gone, Purpose, Stop, Worker},
+    worker::{Purpose, StopState, Termination, Worker},
 };
 use primroseroute_domain::work::Name;
 use primroseroute_platform::{site, worker::Target};
@@ -16,7 +16,7 @@
     pub fn register(&mut self, info: site::Worker) {
         let id = Name::clone(&info.id);
         let worker = self.worker(&id);
-        worker.info = Some(info);
+        worker.registration = Some(info);
         worker.registered = true;
     }
 
@@ -35,36 +35,36 @@
     /// The information may be old and refer to the previous incarnation: `born` is the incarnation
     /// that was known when the platform was asked, and `asked_at` is the time of that. A start that
     /// was answered later may belong to the next incarnation.
-    pub fn gone(&mut self, worker: &Name, born: u64, asked_at: Millis) -> bool {
+    pub fn gone(&mut self, worker: &Name, incarnation: u64, asked_at: Millis) -> bool {
         let Some(known) = self.workers.get_mut(worker) else {
             return false;
         };
-        if known.born != born {
+        if known.incarnation != incarnation {
             return false;
         }
-        known.over_by = asked_at;
-        self.over(worker, Gone::ItsLife)
+        known.terminated_before = asked_at;
+        self.terminate(worker, Termination::Incarnation)
     }
 
     /// Records that another worker has taken the place of this one, which never comes back. Returns
     /// whether this wasn't known before.
     pub fn replaced(&mut self, worker: &Name) -> bool {
-        self.over(worker, Gone::ForGood)
+        self.terminate(worker, Termination::Permanent)
     }
 
-    fn over(&mut self, worker: &Name, gone: Gone) -> bool {
+    fn terminate(&mut self, worker: &Name, termination: Termination) -> bool {
         let Some(worker) = self.workers.get_mut(worker) else {
             return false;
         };
-        let is_news = !worker.is_gone();
-        worker.gone = worker.gone.max(gone);
-        is_news
+        let is_new = !worker.is_terminated();
+        worker.termination = worker.termination.max(termination);
+        is_new
     }
 
-    /// Records that a renewal is sent: the worker's lease may be valid until `lapses_at`.
-    pub fn renewing(&mut self, worker: &Name, lapses_at: Millis) {
+    /// Records that a renewal is sent: the worker's lease may be valid until `lease_expires_at`.
+    pub fn renewing(&mut self, worker: &Name, lease_expires_at: Millis) {
         if let Some(worker) = self.workers.get_mut(worker) {
-            worker.lapses_at = worker.lapses_at.max(lapses_at);
+            worker.lease_expires_at = worker.lease_expires_at.max(lease_expires_at);
         }
     }
 
@@ -75,17 +75,17 @@
     /// on its way.
     pub fn empty(&mut self, worker: &Name, wanted: Option<Purpose>) {
         if wanted.is_some() {
-            self.worker(worker).emptying = wanted;
+            self.worker(worker).evacuating = wanted;
         } else if let Some(worker) = self.workers.get_mut(worker) {
-            worker.emptying = None;
+            worker.evacuating = None;
         }
     }
 
     /// A worker, which is added if it isn't known.
     pub(crate) fn worker(&mut self, id: &Name) -> &mut Worker {
-        let lapses_at = self.taken_at + self.limits.stretched(self.limits.lease);
+        let lease_expires_at = self.taken_at + self.limits.stretched(self.limits.lease);
         let worker = self.workers.entry(Name::clone(id));
-        worker.or_insert_with(|| Worker::new(lapses_at))
+        worker.or_insert_with(|| Worker::new(lease_expires_at))
     }
 
     /// Requests a stop of all batch tasks on a worker.
@@ -94,8 +94,8 @@
             return;
         };
         for run in worker.runs.values_mut() {
-            if !run.lasting && run.stop == Stop::No {
-                run.stop = Stop::Wanted;
+            if !run.lasting && run.stop == StopState::No {
+                run.stop = StopState::Requested;
             }
         }
     }
@@ -115,7 +115,7 @@
     /// Whether nothing can run on a worker, and it gets no new runs because it is being evacuated.
     pub fn is_emptied(&self, worker: &Name) -> bool {
         let found = self.workers.get(worker);
-        found.is_some_and(|worker| worker.emptying.is_some() && worker.runs.is_empty())
+        found.is_some_and(|worker| worker.evacuating.is_some() && worker.runs.is_empty())
     }
 
     /// Workers without a status for a while that may have runs, or whose lease has expired
@@ -131,7 +131,7 @@
         let settle = self.limits.settle;
         let suspected = self.workers.iter().filter(|(_id, worker)| {
             self.is_silent(worker, now)
-                && (worker.lapsed.is_some() || !crash::new_runs(worker, settle).is_empty())
+                && (worker.expired_lease.is_some() || !crash::new_runs(worker, settle).is_empty())
         });
         suspected.map(|(id, _worker)| Name::clone(id)).collect()
     }
@@ -142,43 +142,45 @@
     /// A worker that has crashed disappears from the list for a while, and may then be listed again
     /// with its next incarnation. So only an uninterrupted series of listings, from the last status
     /// on, refers to one incarnation.
-    pub fn named(&mut self, id: &Name, born: u64, asked_at: Millis) -> bool {
+    pub fn named(&mut self, id: &Name, incarnation: u64, asked_at: Millis) -> bool {
         let settle = self.limits.settle;
         let Some(worker) = self.workers.get_mut(id) else {
             return false;
         };
-        let last = worker.named_at.max(worker.looked_at);
-        let is_same_life = last.is_some_and(|last| asked_at <= last + Life::SPAN);
-        if worker.is_gone() || worker.born != born || !is_same_life {
+        let last = worker.listed_at.max(worker.status_at);
+        let is_same_incarnation = last.is_some_and(|last| asked_at <= last + Life::SPAN);
+        if worker.is_terminated() || worker.incarnation != incarnation || !is_same_incarnation {
             return false;
         }
         let new = crash::new_runs(worker, settle).len();
-        worker.named_at = worker.named_at.max(Some(asked_at));
+        worker.listed_at = worker.listed_at.max(Some(asked_at));
         let outlived = crash::new_runs(worker, settle).len() < new;
         // Its lease had expired by then, and nothing ran any more.
         let alive_at = worker.alive_at();
-        let lapsed = worker.lapsed.take_if(|lapsed| alive_at >= Some(lapsed.at));
+        let expired = worker
+            .expired_lease
+            .take_if(|expired| alive_at >= Some(expired.at));
         if outlived {
-            crash::acquit(self, id);
+            crash::clear_crashes(self, id);
         }
-        outlived || lapsed.is_some()
+        outlived || expired.is_some()
     }
 
     fn is_silent(&self, worker: &Worker, now: Millis) -> bool {
-        let heard = worker.looked_at.unwrap_or(self.taken_at);
-        let matters = !worker.runs.is_empty() || worker.lapsed.is_some();
-        matters && !worker.is_gone() && now >= heard + self.limits.silent
+        let last_status = worker.status_at.unwrap_or(self.taken_at);
+        let matters = !worker.runs.is_empty() || worker.expired_lease.is_some();
+        matters && !worker.is_terminated() && now >= last_status + self.limits.silent
     }
 
     /// The workers whose termination is looked up at the platform, which are the unresponsive ones
     /// and those being evacuated: their last known incarnation, by its start time on the worker's
     /// clock; 0 before the first status.
     pub fn lives(&self, now: Millis) -> BTreeMap<Name, u64> {
-        let lives = self.workers.iter();
-        let lives =
-            lives.filter(|(_id, worker)| worker.emptying.is_some() || self.is_silent(worker, now));
-        lives
-            .map(|(id, worker)| (Name::clone(id), worker.born))
+        let incarnations = self.workers.iter();
+        let incarnations = incarnations
+            .filter(|(_id, worker)| worker.evacuating.is_some() || self.is_silent(worker, now));
+        incarnations
+            .map(|(id, worker)| (Name::clone(id), worker.incarnation))
             .collect()
     }
 
@@ -194,12 +196,12 @@
     /// get starts meant for the last one.
     pub fn targets(&self) -> Vec<Target> {
         let targets = self.workers.values().filter_map(|worker| {
-            let answers = match worker.gone {
-                Gone::No => true,
-                Gone::ItsLife => !worker.runs.is_empty(),
-                Gone::ForGood => false,
+            let answers = match worker.termination {
+                Termination::NotKnown => true,
+                Termination::Incarnation => !worker.runs.is_empty(),
+                Termination::Permanent => false,
             };
-            let info = worker.info.as_ref().filter(|_info| answers)?;
+            let info = worker.registration.as_ref().filter(|_info| answers)?;
             Some(Target {
                 id: Name::clone(&info.id),
                 address: info.address,
--- a/crates/cell/src/need.rs
+++ b/crates/cell/src/scaling.rs
@@ -9,9 +9,9 @@
     cell::Cell,
     crash,
     limits::Millis,
-    place::{self, Waiting},
+    placement::{self, WaitingStep},
     row::Wanted,
-    worker::{Purpose, Stop, Worker},
+    worker::{Purpose, StopState, Worker},
 };
 use primroseroute_domain::work::{Demand, Step};
 use std::collections::VecDeque;
@@ -27,15 +27,15 @@
 
 /// Minimum number of workers: without any, the next job would wait for the seconds that a move
 /// takes.
-const LEAST: u64 = 1;
+const MIN_WORKERS: u64 = 1;
 
 /// How long a pool keeps the workers that it has needed before they are switched off. Switching an
 /// instance off and on again costs two moves, during which it runs nothing; keeping it idle for
 /// much longer than those take costs more than they do.
-const KEEP_MS: Millis = 2_000;
+const SCALE_DOWN_DELAY_MS: Millis = 2_000;
 
 /// How long a pool keeps its initial workers while no work has arrived: none may ever arrive.
-const UNTRIED_MS: Millis = 60_000;
+const INITIAL_KEEP_MS: Millis = 60_000;
 
 /// Minimum time between two recorded estimates.
 const SAMPLE_MS: Millis = 100;
@@ -79,19 +79,19 @@
 
 /// Recent estimates.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Needs {
+pub(crate) struct RecentEstimates {
     recent: VecDeque<(Millis, u64)>,
     /// Last known mean capacity of one worker.
     worker: Demand,
 }
 
-impl Needs {
+impl RecentEstimates {
     /// Records the current estimate and drops expired ones.
     fn record(&mut self, now: Millis, need: u64) {
         while self
             .recent
             .front()
-            .is_some_and(|known| known.0 + KEEP_MS <= now)
+            .is_some_and(|known| known.0 + SCALE_DOWN_DELAY_MS <= now)
         {
             self.recent.pop_front();
         }
@@ -142,37 +142,46 @@
 }
 
 /// Computes the number of workers that the pool can use.
-pub(crate) fn need(cell: &mut Cell, waiting: &[Waiting], now: Millis, wall_ms: u64) -> Need {
+pub(crate) fn estimate(
+    cell: &mut Cell,
+    waiting: &[WaitingStep],
+    now: Millis,
+    wall_ms: u64,
+) -> Need {
     if let Some(capacity) = mean_capacity(cell) {
-        cell.needs.worker = capacity;
+        cell.estimates.worker = capacity;
     }
-    let capacity = cell.needs.worker;
-    let runs = used(cell, wall_ms);
-    let waits = waits(cell, waiting);
+    let capacity = cell.estimates.worker;
+    let runs = running_demand(cell, wall_ms);
+    let waits = waiting_demand(cell, waiting);
     cell.arrivals.round(now);
     let expected = cell.arrivals.expected(now);
     let current = runs.in_time.plus(waits.in_time);
-    let lasting = lasting(cell);
+    let lasting = long_running_demand(cell);
     let coming = runs
         .in_time
         .larger(lasting.plus(expected))
         .plus(waits.in_time);
-    let least = spread(cell).max(crowded(cell, now)).max(LEAST);
+    let least = spread_width(cell)
+        .max(spread_need(cell, now))
+        .max(MIN_WORKERS);
     let workers = workers_for(with_headroom(coming), capacity).max(least);
-    let at_once = workers_for(current, capacity).max(least);
+    let current_workers = workers_for(current, capacity).max(least);
     let with_late = workers_for(current.plus(runs.late).plus(waits.late), capacity);
-    let with_trials = at_once + crash::trials(cell);
+    let with_isolation = current_workers + crash::isolation_workers_needed(cell);
     let all_workers = cell.workers.values();
     let unfit = all_workers
-        .filter(|worker| is_unfit(cell, worker, now))
+        .filter(|worker| is_unusable(cell, worker, now))
         .count() as u64;
-    cell.needs.record(now, workers);
+    cell.estimates.record(now, workers);
     Need {
         workers: workers + unfit,
-        now: at_once + unfit,
-        soon: workers_for(coming, capacity).max(at_once) + unfit,
-        late: with_late.max(with_trials).saturating_sub(at_once),
-        kept: kept(cell, now) + unfit,
+        now: current_workers + unfit,
+        soon: workers_for(coming, capacity).max(current_workers) + unfit,
+        late: with_late
+            .max(with_isolation)
+            .saturating_sub(current_workers),
+        kept: scale_down_floor(cell, now) + unfit,
         runs: runs.all(),
         waits: waits.all(),
         expected,
@@ -185,9 +194,9 @@
 /// Before any work has arrived, the initial number of workers is all that is known of the pool's
 /// demand: when they were switched off while a site started, instances were missing when the first
 /// burst of jobs came.
-fn kept(cell: &Cell, now: Millis) -> u64 {
-    if cell.arrivals.any() || now >= cell.taken_at + UNTRIED_MS {
-        return cell.needs.highest();
+fn scale_down_floor(cell: &Cell, now: Millis) -> u64 {
+    if cell.arrivals.any_work() || now >= cell.taken_at + INITIAL_KEEP_MS {
+        return cell.estimates.highest();
     }
     let registered = cell.workers.values().filter(|worker| worker.registered);
     registered.count() as u64
@@ -196,7 +205,7 @@
 /// Mean capacity of the registered workers; `None` without any.
 fn mean_capacity(cell: &Cell) -> Option<Demand> {
     let registered = cell.workers.values().filter(|worker| worker.registered);
-    let capacities = registered.filter_map(|worker| worker.info.as_ref());
+    let capacities = registered.filter_map(|worker| worker.registration.as_ref());
     let (count, sum) = capacities.fold((0, Demand::default()), |(count, sum), info| {
         (count + 1, sum.plus(info.capacity))
     });
@@ -209,7 +218,7 @@
 
 /// Demand of the tasks of a step. The processor share of a filler isn't reserved, but where all
 /// workers are full nothing is left for it.
-fn used_by(step: &Step, count: u64) -> Demand {
+fn demand_of(step: &Step, count: u64) -> Demand {
     Demand {
         cpu: step.demand.cpu * count,
         memory: step.demand.memory * count,
@@ -218,41 +227,41 @@
 }
 
 /// Demand of running tasks. Runs that are to stop are left out: their tasks wait, or are over.
-fn used(cell: &Cell, wall_ms: u64) -> Load {
+fn running_demand(cell: &Cell, wall_ms: u64) -> Load {
     let mut load = Load::default();
     let runs = cell.workers.values().flat_map(|worker| &worker.runs);
-    for (task, run) in runs.filter(|(_task, run)| run.stop == Stop::No) {
+    for (task, run) in runs.filter(|(_task, run)| run.stop == StopState::No) {
         let job = cell.jobs.get(&task.job);
         let step = job.and_then(|job| job.step(task.step));
-        let demand = step.map_or(run.reserved, |step| used_by(step, 1));
-        let late = job.is_some_and(|job| place::is_past(job, task.occurrence, wall_ms));
+        let demand = step.map_or(run.reserved, |step| demand_of(step, 1));
+        let late = job.is_some_and(|job| placement::is_overdue(job, task.occurrence, wall_ms));
         load.add(demand, late);
     }
     load
 }
 
 /// Demand of long-running tasks.
-fn lasting(cell: &Cell) -> Demand {
+fn long_running_demand(cell: &Cell) -> Demand {
     let runs = cell
         .workers
         .values()
         .flat_map(|worker| worker.runs.values());
-    let lasting = runs.filter(|run| run.lasting && run.stop == Stop::No);
+    let lasting = runs.filter(|run| run.lasting && run.stop == StopState::No);
     lasting.fold(Demand::default(), |sum, run| sum.plus(run.reserved))
 }
 
 /// Demand of waiting tasks whose jobs are not long overdue.
-fn waits(cell: &Cell, waiting: &[Waiting]) -> Load {
+fn waiting_demand(cell: &Cell, waiting: &[WaitingStep]) -> Load {
     let mut load = Load::default();
-    for (step, count, late) in place::still_waiting(cell, waiting) {
-        load.add(soon(step, count), late);
+    for (step, count, late) in placement::still_waiting(cell, waiting) {
+        load.add(near_term_demand(step, count), late);
     }
     load
 }
 
 /// Demand of waiting tasks of a step if they are to be started soon.
-fn soon(step: &Step, count: u64) -> Demand {
-    let all = used_by(step, count);
+fn near_term_demand(step: &Step, count: u64) -> Demand {
+    let all = demand_of(step, count);
     if step.lasting || step.estimate_ms >= HORIZON_MS {
         return all;
     }
@@ -283,7 +292,7 @@
 }
 
 /// Number of workers that the widest step with spread tasks needs.
-fn spread(cell: &Cell) -> u64 {
+fn spread_width(cell: &Cell) -> u64 {
     let jobs = cell
         .jobs
         .values()
@@ -297,29 +306,30 @@
 
 /// Number of workers that the pool needs if tasks of a spread step wait and no open worker can take
 /// them, whatever its free capacity.
-fn crowded(cell: &Cell, now: Millis) -> u64 {
-    if cell.crowded == 0 {
+fn spread_need(cell: &Cell, now: Millis) -> u64 {
+    if cell.spread_shortage == 0 {
         return 0;
     }
     let open = cell.workers.values();
-    let open = open.filter(|worker| worker.is_open(now, &cell.limits));
-    open.count() as u64 + cell.crowded
+    let open = open.filter(|worker| worker.accepts_runs(now, &cell.limits));
+    open.count() as u64 + cell.spread_shortage
 }
 
 /// Whether a worker belongs to the pool but accepts no new runs: it has become unresponsive, is
 /// cordoned, or is being evacuated for maintenance, in which case its long-running tasks need
 /// capacity elsewhere. A worker that was never polled has just registered, and one that is
 /// evacuated for a move is about to leave the pool.
-fn is_unfit(cell: &Cell, worker: &Worker, now: Millis) -> bool {
-    if !worker.registered || worker.is_gone() {
+fn is_unusable(cell: &Cell, worker: &Worker, now: Millis) -> bool {
+    if !worker.registered || worker.is_terminated() {
         return false;
     }
-    match worker.emptying {
+    match worker.evacuating {
         Some(Purpose::Maintenance) => true,
         Some(Purpose::Move) => false,
         None => {
-            let silent = worker.looked_at.is_some() && !worker.is_fresh(now, &cell.limits);
-            silent || now < worker.shunned_until
+            let unresponsive =
+                worker.status_at.is_some() && !worker.is_responsive(now, &cell.limits);
+            unresponsive || now < worker.cordoned_until
         }
     }
 }
--- a/crates/cell/src/look.rs
+++ b/crates/cell/src/status.rs
@@ -2,52 +2,54 @@
 
 use crate::{
     cell::Cell,
-    crash,
-    job::Begun,
-    life,
+    crash, incarnation,
+    job::HasStarted,
     limits::{Limits, Millis},
     row::Phase,
-    worker::{Known, Origin, Run, Stop},
+    worker::{Origin, Run, StartState, StopState},
 };
 use primroseroute_domain::work::{End, Name, State, Step, TaskId};
 use primroseroute_platform::worker::{Ended, Look, Running};
 use std::collections::BTreeMap;
 
 /// Maximum number of ended runs that one status lists: a full list may be incomplete.
-const FULL: usize = 500;
+const MAX_ENDS: usize = 500;
 
-pub(crate) fn take(
+pub(crate) fn apply(
     cell: &mut Cell,
     id: &Name,
-    look: &Look,
+    status: &Look,
     sent_at: Millis,
     now: Millis,
     wall_ms: u64,
 ) {
-    if !life::recognise(cell, id, look, sent_at, now, wall_ms) {
+    if !incarnation::identify(cell, id, status, sent_at, now, wall_ms) {
         return;
     }
     let Some(worker) = cell.workers.get_mut(id) else {
         return;
     };
-    worker.looked_at = Some(now);
-    let shown_at = shown_at(cell.limits, sent_at, now);
-    worker.shown_at = worker.shown_at.max(Some(shown_at));
-    worker.paced = false;
-    worker.lapsed = None;
-    let known = worker.seen;
-    for ended in look.ended.iter().filter(|ended| ended.number > known) {
-        end(cell, id, ended, now, wall_ms);
-    }
-    let listed = look.running.iter().map(|running| (&running.task, running));
+    worker.status_at = Some(now);
+    let status_as_of = status_as_of(cell.limits, sent_at, now);
+    worker.status_as_of = worker.status_as_of.max(Some(status_as_of));
+    worker.throttle_checked = false;
+    worker.expired_lease = None;
+    let recorded = worker.last_end;
+    for ended in status.ended.iter().filter(|ended| ended.number > recorded) {
+        apply_end(cell, id, ended, now, wall_ms);
+    }
+    let listed = status
+        .running
+        .iter()
+        .map(|running| (&running.task, running));
     let listed: BTreeMap<&TaskId, &Running> = listed.collect();
-    if look.ended.len() < FULL {
-        missing(cell, id, &listed, sent_at);
+    if status.ended.len() < MAX_ENDS {
+        remove_unlisted(cell, id, &listed, sent_at);
     }
     for running in listed.values() {
-        shown(cell, id, running, now);
+        apply_listed(cell, id, running, now);
     }
-    crash::acquit(cell, id);
+    crash::clear_crashes(cell, id);
 }
 
 /// The time up to which a status certainly held.
@@ -58,7 +60,7 @@
 /// their step were stopped too, more than may be unavailable. For the question whether the worker
 /// responds at all, a late status counts as current: otherwise a busy owner would take its workers
 /// for unresponsive and place nothing on them.
-fn shown_at(limits: Limits, sent_at: Millis, now: Millis) -> Millis {
+fn status_as_of(limits: Limits, sent_at: Millis, now: Millis) -> Millis {
     if now <= sent_at + limits.look {
         now
     } else {
@@ -67,12 +69,12 @@
 }
 
 /// Applies the end of a run that wasn't recorded before.
-fn end(cell: &mut Cell, id: &Name, ended: &Ended, now: Millis, wall_ms: u64) {
+fn apply_end(cell: &mut Cell, id: &Name, ended: &Ended, now: Millis, wall_ms: u64) {
     let limits = cell.limits;
     let Some(worker) = cell.workers.get_mut(id) else {
         return;
     };
-    worker.seen = worker.seen.max(ended.number);
+    worker.last_end = worker.last_end.max(ended.number);
     if worker
         .runs
         .get(&ended.task)
@@ -85,7 +87,7 @@
         End::Failed => {
             worker.failures.insert(ended.task.job.clone());
             if worker.failures.len() >= limits.failures as usize {
-                worker.shunned_until = now + limits.quarantine;
+                worker.cordoned_until = now + limits.quarantine;
             }
         }
         _ => {}
@@ -93,7 +95,7 @@
     let Some(job) = cell.jobs.get_mut(&ended.task.job) else {
         return;
     };
-    job.begun = Begun::Yes;
+    job.has_started = HasStarted::Yes;
     let Some(step) = job.step(ended.task.step).cloned() else {
         return;
     };
@@ -105,7 +107,7 @@
         return;
     }
     if ended.how == End::Done && !step.lasting {
-        done(cell, ended, step.gang, wall_ms);
+        complete_task(cell, ended, step.gang, wall_ms);
         return;
     }
     let mut failed = false;
@@ -126,12 +128,12 @@
 }
 
 /// A task is completed, by its newest run or by one that was given up.
-fn done(cell: &mut Cell, ended: &Ended, gang: bool, wall_ms: u64) {
+fn complete_task(cell: &mut Cell, ended: &Ended, gang: bool, wall_ms: u64) {
     let Some(job) = cell.jobs.get_mut(&ended.task.job) else {
         return;
     };
     let id = &ended.task;
-    let may_run_on = job.may_run_on;
+    let may_have_other_runs = job.may_have_other_runs;
     // Tasks of which further runs may be under way.
     let mut over = Vec::new();
     if let Some(steps) = job.progress.steps.get_mut(&id.occurrence)
@@ -140,7 +142,7 @@
         for (index, task) in (0..).zip(tasks) {
             if gang || index == id.index {
                 task.phase = Phase::Done;
-                if may_run_on {
+                if may_have_other_runs {
                     over.push(TaskId {
                         index,
                         ..id.clone()
@@ -150,14 +152,14 @@
         }
     }
     cell.dirty.insert(id.job.clone());
-    let settled = job.settle();
-    if may_run_on {
+    let settled = job.drop_finished_occurrences();
+    if may_have_other_runs {
         for worker in cell.workers.values_mut() {
             for task in &over {
                 if let Some(run) = worker.runs.get_mut(task)
-                    && run.stop == Stop::No
+                    && run.stop == StopState::No
                 {
-                    run.stop = Stop::Wanted;
+                    run.stop = StopState::Requested;
                 }
             }
         }
@@ -168,21 +170,26 @@
 }
 
 /// Handles runs that the status doesn't list: they are over, if it would have to list them.
-fn missing(cell: &mut Cell, id: &Name, listed: &BTreeMap<&TaskId, &Running>, sent_at: Millis) {
+fn remove_unlisted(
+    cell: &mut Cell,
+    id: &Name,
+    listed: &BTreeMap<&TaskId, &Running>,
+    sent_at: Millis,
+) {
     let Some(worker) = cell.workers.get_mut(id) else {
         return;
     };
     let mut over = Vec::new();
     worker.runs.retain(|task, run| {
         let shown = listed.get(task).is_some_and(|shown| shown.run == run.run);
-        let ended = match run.known {
-            Known::Sent => false,
-            Known::Runs(at) => at < sent_at,
+        let ended = match run.start_state {
+            StartState::Sent => false,
+            StartState::Confirmed(at) => at < sent_at,
             // A start that hasn't taken effect by then never does: the worker refuses it as late,
             // or as older than a run that was stopped there.
-            Known::Unsure => {
-                let stopped = run.stopped_at.is_some_and(|at| at < sent_at);
-                stopped || sent_at >= run.sure_after
+            StartState::Uncertain => {
+                let stopped = run.stop_accepted_at.is_some_and(|at| at < sent_at);
+                stopped || sent_at >= run.start_expires_at
             }
         };
         if shown || !ended {
@@ -197,10 +204,10 @@
 }
 
 /// Handles a run that the status lists.
-fn shown(cell: &mut Cell, id: &Name, running: &Running, now: Millis) {
+fn apply_listed(cell: &mut Cell, id: &Name, running: &Running, now: Millis) {
     let found = cell.workers.get(id);
     if found.is_some_and(|worker| !worker.runs.contains_key(&running.task)) {
-        find(cell, id, running, now);
+        add_discovered(cell, id, running, now);
     }
     let worker = cell.workers.get_mut(id);
     let Some(run) = worker.and_then(|worker| worker.runs.get_mut(&running.task)) else {
@@ -209,10 +216,10 @@
     if run.run != running.run {
         return;
     }
-    if !matches!(run.known, Known::Runs(_)) {
-        run.known = Known::Runs(now);
+    if !matches!(run.start_state, StartState::Confirmed(_)) {
+        run.start_state = StartState::Confirmed(now);
         if let Some(job) = cell.jobs.get_mut(&running.task.job) {
-            job.begun = Begun::Yes;
+            job.has_started = HasStarted::Yes;
         }
     }
     run.percent = running.percent;
@@ -228,24 +235,24 @@
 
 /// Adds a listed run for which there is no committed placement: it was given up, or its job has
 /// ended.
-fn find(cell: &mut Cell, id: &Name, running: &Running, now: Millis) {
+fn add_discovered(cell: &mut Cell, id: &Name, running: &Running, now: Millis) {
     let step = cell.step(&running.task);
     let reserved = step.map(Step::reserved);
     let lasting = step.is_some_and(|step| step.lasting);
     if let Some(job) = cell.jobs.get_mut(&running.task.job) {
-        job.begun = Begun::Yes;
+        job.has_started = HasStarted::Yes;
     }
     let Some(worker) = cell.workers.get_mut(id) else {
         return;
     };
     // The reservation of a run of an ended job isn't known any more, so it counts as the whole
     // worker until it is stopped.
-    let reserved = reserved.or_else(|| worker.info.as_ref().map(|info| info.capacity));
+    let reserved = reserved.or_else(|| worker.registration.as_ref().map(|info| info.capacity));
     let run = Run {
-        known: Known::Runs(now),
-        sure_after: now,
-        stop: Stop::Wanted,
-        origin: Origin::Found,
+        start_state: StartState::Confirmed(now),
+        start_expires_at: now,
+        stop: StopState::Requested,
+        origin: Origin::Discovered,
         ..Run::new(running.run, reserved.unwrap_or_default(), lasting)
     };
     worker.runs.insert(running.task.clone(), run);
--- a/crates/cell/src/window.rs
+++ b/crates/cell/src/window.rs
@@ -3,11 +3,11 @@
 
 use crate::{
     cell::Cell,
-    drain,
     limits::Millis,
+    migration,
     order::Order,
-    place::is_sibling,
-    worker::{Known, Run, Stop},
+    placement::is_sibling,
+    worker::{Run, StartState, StopState},
 };
 use primroseroute_domain::work::{Name, TaskId};
 
@@ -66,7 +66,7 @@
             if let Order::Stop { worker, task, .. } = order
                 && let Some(entry) = self.run_mut(worker, task)
             {
-                entry.stop_left_at = Some(now);
+                entry.last_stop_sent_at = Some(now);
             }
         }
         (standing, withdrawn)
@@ -82,25 +82,26 @@
                 worker, task, run, ..
             } => {
                 let worker = self.workers.get(worker);
-                let worker = worker.filter(|worker| !worker.is_leaving());
+                let worker = worker.filter(|worker| !worker.is_draining());
                 let entry = worker.and_then(|worker| worker.runs.get(task));
-                entry.is_some_and(|entry| entry.run == *run && entry.stop == Stop::No)
+                entry.is_some_and(|entry| entry.run == *run && entry.stop == StopState::No)
             }
             Order::Stop { worker, task, .. } => {
                 let Some(on) = self.workers.get(worker) else {
                     return true;
                 };
                 let entry = on.runs.get(task).filter(|entry| entry.lasting);
-                let is_repeat = entry.is_some_and(|entry| entry.stop_left_at.is_some());
+                let is_repeat = entry.is_some_and(|entry| entry.last_stop_sent_at.is_some());
                 if is_repeat {
-                    return drain::may_repeat(self, worker, task, now);
+                    return migration::may_repeat_stop(self, worker, task, now);
                 }
-                let runs = entry.is_some_and(|entry| matches!(entry.known, Known::Runs(_)));
-                if !runs || on.is_leaving() || !drain::leaves(self, worker, task) {
+                let runs = entry
+                    .is_some_and(|entry| matches!(entry.start_state, StartState::Confirmed(_)));
+                if !runs || on.is_draining() || !migration::is_to_leave(self, worker, task) {
                     return true;
                 }
                 // The evacuation may have been withdrawn meanwhile, and then the tasks stay.
-                on.emptying.is_some() && drain::can_miss(self, task, now)
+                on.evacuating.is_some() && migration::tolerates_unavailable(self, task, now)
             }
             Order::Pace { .. } => true,
         }
@@ -116,13 +117,13 @@
                     return;
                 };
                 // A stop that may have been sent before can't be reverted.
-                if entry.stop_left_at.is_some() {
-                    entry.stop = Stop::Wanted;
+                if entry.last_stop_sent_at.is_some() {
+                    entry.stop = StopState::Requested;
                     return;
                 }
-                entry.stop = Stop::No;
+                entry.stop = StopState::No;
                 if let Some(job) = self.jobs.get_mut(&task.job)
-                    && job.stays(task)
+                    && job.unmark_leaving(task)
                 {
                     self.dirty.insert(task.job.clone());
                 }
@@ -152,8 +153,8 @@
             .values_mut()
             .flat_map(|worker| &mut worker.runs);
         for (task, entry) in runs {
-            if is_sibling(task, of) && entry.run == run && entry.stop == Stop::No {
-                entry.stop = Stop::Wanted;
+            if is_sibling(task, of) && entry.run == run && entry.stop == StopState::No {
+                entry.stop = StopState::Requested;
             }
         }
     }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -11,17 +11,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Maximum age of the platform's list of instances.
-const LIST_LAG: Millis = 2_000;
+const MAX_LIST_AGE_MS: Millis = 2_000;
 
 /// What is known of a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Known {
+pub(crate) enum StartState {
     /// Not answered yet.
     Sent,
     /// Answered, or listed by a status, at this time.
-    Runs(Millis),
+    Confirmed(Millis),
     /// It may be active, or may become so later.
-    Unsure,
+    Uncertain,
 }
 
 /// How an owner knows of a run.
@@ -30,9 +30,9 @@
     /// This owner has started it.
     Started,
     /// This owner has started it isolated, since its task may crash its worker.
-    Tried,
+    Isolated,
     /// This owner has discovered it, started by a previous owner.
-    Found,
+    Discovered,
 }
 
 /// A run that may be under way.
@@ -45,32 +45,32 @@
     pub run: u32,
     /// Reserved resources.
     pub reserved: Demand,
-    pub known: Known,
+    pub start_state: StartState,
     /// A start that hasn't taken effect by this time never will.
-    pub sure_after: Millis,
+    pub start_expires_at: Millis,
     /// Progress in percent.
     pub percent: u32,
     /// Tail latency of its responses in milliseconds, or thousandths of a core in use.
     pub load: u64,
     /// Whether it is to be stopped, and when the stop was last sent.
-    pub stop: Stop,
+    pub stop: StopState,
     /// When a stop of it may last have been sent while its job went on; `None` if none was.
-    pub stop_left_at: Option<Millis>,
+    pub last_stop_sent_at: Option<Millis>,
     /// When the worker accepted the stop: from then on it refuses a start that arrives late.
-    pub stopped_at: Option<Millis>,
+    pub stop_accepted_at: Option<Millis>,
     /// Its speed in percent, as last ordered.
-    pub pace: u32,
+    pub speed_percent: u32,
     /// Whether it serves until it is stopped.
     pub lasting: bool,
     /// How this owner knows of it.
     pub origin: Origin,
     /// For a discovered run: the incarnation that it was placed in, if the row tells.
-    pub life: Option<Life>,
+    pub incarnation_tag: Option<Life>,
     /// If the incarnation that it was sent to has terminated and there was no answer: until when
     /// its start may still reach the next one.
-    pub doubtful_until: Option<Millis>,
+    pub late_start_until: Option<Millis>,
     /// Whether a status poll was requested that may clear the crash record of its task.
-    pub glanced: bool,
+    pub clearing_poll_requested: bool,
 }
 
 impl Run {
@@ -79,57 +79,58 @@
         Self {
             run,
             reserved,
-            known: Known::Sent,
-            sure_after: Millis::MAX,
+            start_state: StartState::Sent,
+            start_expires_at: Millis::MAX,
             percent: 0,
             load: 0,
-            stop: Stop::No,
-            stop_left_at: None,
-            stopped_at: None,
-            pace: 100,
+            stop: StopState::No,
+            last_stop_sent_at: None,
+            stop_accepted_at: None,
+            speed_percent: 100,
             lasting,
             origin: Origin::Started,
-            life: None,
-            doubtful_until: None,
-            glanced: false,
+            incarnation_tag: None,
+            late_start_until: None,
+            clearing_poll_requested: false,
         }
     }
 
     /// Whether its start may reach or have reached the next incarnation of its worker, where the
-    /// previous one terminated before `over_by`.
+    /// previous one terminated before `terminated_before`.
     ///
     /// The token of a new owner keeps out starts of the previous owner once it has polled that
     /// incarnation. An answer to a start doesn't tell which incarnation has accepted it.
-    pub(crate) fn may_be_of_next_life(&self, over_by: Millis) -> bool {
-        let answered = matches!(self.known, Known::Runs(at) if at < over_by);
-        self.origin != Origin::Found && !answered
+    pub(crate) fn may_be_in_next_incarnation(&self, terminated_before: Millis) -> bool {
+        let answered =
+            matches!(self.start_state, StartState::Confirmed(at) if at < terminated_before);
+        self.origin != Origin::Discovered && !answered
     }
 
     /// Whether a stop of it may be on its way, or may have reached its worker without an answer.
     pub(crate) fn may_be_stopping(&self, now: Millis, limits: &Limits) -> bool {
         let lately = |at| now < at + limits.late_order;
-        self.stop != Stop::No && self.stop_left_at.is_none_or(lately)
+        self.stop != StopState::No && self.last_stop_sent_at.is_none_or(lately)
     }
 }
 
 /// Whether a run is to be stopped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Stop {
+pub(crate) enum StopState {
     #[default]
     No,
-    Wanted,
+    Requested,
     SentAt(Millis),
 }
 
 /// Whether a worker has terminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Gone {
+pub(crate) enum Termination {
     /// Not known to have terminated.
-    No,
+    NotKnown,
     /// Its incarnation has terminated; another one may follow under the same id.
-    ItsLife,
+    Incarnation,
     /// It has terminated, and another worker has its place.
-    ForGood,
+    Permanent,
 }
 
 /// Why a worker is being evacuated.
@@ -143,7 +144,7 @@
 
 /// Runs that were lost by an expired lease.
 #[derive(Clone, Debug)]
-pub(crate) struct Lapsed {
+pub(crate) struct ExpiredLease {
     pub at: Millis,
     pub runs: Vec<(TaskId, u32)>,
 }
@@ -152,64 +153,64 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     /// Its last registration, also after it is no longer registered.
-    pub info: Option<site::Worker>,
+    pub registration: Option<site::Worker>,
     pub registered: bool,
     /// The incarnation that the newest status came from, by its start time on the worker's clock; 0
     /// before the first status.
-    pub born: u64,
+    pub incarnation: u64,
     /// The previous incarnation, of which statuses may still arrive.
-    pub born_before: u64,
+    pub previous_incarnation: u64,
     /// When its newest status arrived.
-    pub looked_at: Option<Millis>,
+    pub status_at: Option<Millis>,
     /// Up to this time its statuses certainly held.
-    pub shown_at: Option<Millis>,
+    pub status_as_of: Option<Millis>,
     /// When an immediate status poll was last requested for an isolated run.
-    pub asked_at: Option<Millis>,
+    pub poll_requested_at: Option<Millis>,
     /// While it is unresponsive: when the platform was last asked and listed it, without a gap in
     /// which its incarnation could have ended.
-    pub named_at: Option<Millis>,
+    pub listed_at: Option<Millis>,
     /// Whether fillers were throttled by the newest status.
-    pub paced: bool,
+    pub throttle_checked: bool,
     /// Its lease has certainly expired after this time, if it isn't renewed.
-    pub lapses_at: Millis,
+    pub lease_expires_at: Millis,
     /// Whether this incarnation has terminated.
-    pub gone: Gone,
+    pub termination: Termination,
     /// If this incarnation has terminated: it had by this time.
-    pub over_by: Millis,
+    pub terminated_before: Millis,
     /// Highest number of an ended run of this incarnation that is recorded.
-    pub seen: u64,
+    pub last_end: u64,
     /// Runs that may be under way.
     pub runs: BTreeMap<TaskId, Run>,
     /// Runs that were new when its lease expired, while it isn't known whether it has crashed.
-    pub lapsed: Option<Lapsed>,
+    pub expired_lease: Option<ExpiredLease>,
     /// Whether it is being evacuated for planned work.
-    pub emptying: Option<Purpose>,
+    pub evacuating: Option<Purpose>,
     /// It gets no new runs before this time.
-    pub shunned_until: Millis,
+    pub cordoned_until: Millis,
     /// Jobs whose tasks have failed on it since the last success.
     pub failures: BTreeSet<JobId>,
 }
 
 impl Worker {
-    pub(crate) fn new(lapses_at: Millis) -> Self {
+    pub(crate) fn new(lease_expires_at: Millis) -> Self {
         Self {
-            info: None,
+            registration: None,
             registered: false,
-            born: 0,
-            born_before: 0,
-            looked_at: None,
-            shown_at: None,
-            asked_at: None,
-            named_at: None,
-            paced: true,
-            lapses_at,
-            gone: Gone::No,
-            over_by: 0,
-            seen: 0,
+            incarnation: 0,
+            previous_incarnation: 0,
+            status_at: None,
+            status_as_of: None,
+            poll_requested_at: None,
+            listed_at: None,
+            throttle_checked: true,
+            lease_expires_at,
+            termination: Termination::NotKnown,
+            terminated_before: 0,
+            last_end: 0,
             runs: BTreeMap::new(),
-            lapsed: None,
-            emptying: None,
-            shunned_until: 0,
+            expired_lease: None,
+            evacuating: None,
+            cordoned_until: 0,
             failures: BTreeSet::new(),
         }
     }
@@ -223,72 +224,73 @@
     /// Position up to which its ended runs are recorded.
     pub(crate) fn taken_in(&self) -> TakenIn {
         TakenIn {
-            born: self.born,
-            number: self.seen,
+            born: self.incarnation,
+            number: self.last_end,
         }
     }
 
     /// Unreserved capacity; runs that are being stopped still count.
-    pub(crate) fn room(&self) -> Demand {
-        let capacity = self.info.as_ref().map(|info| info.capacity);
+    pub(crate) fn free_capacity(&self) -> Demand {
+        let capacity = self.registration.as_ref().map(|info| info.capacity);
         let used = self.runs.values().map(|run| run.reserved);
         let used = used.fold(Demand::default(), Demand::plus);
         capacity.unwrap_or_default().minus(used)
     }
 
     /// Whether it has terminated.
-    pub(crate) fn is_gone(&self) -> bool {
-        self.gone > Gone::No
+    pub(crate) fn is_terminated(&self) -> bool {
+        self.termination > Termination::NotKnown
     }
 
     /// Whether its newest status is recent.
-    pub(crate) fn is_fresh(&self, now: Millis, limits: &Limits) -> bool {
-        let looked = self.looked_at.is_some_and(|at| now < at + limits.fresh);
-        looked && !self.is_gone()
+    pub(crate) fn is_responsive(&self, now: Millis, limits: &Limits) -> bool {
+        let is_recent = self.status_at.is_some_and(|at| now < at + limits.fresh);
+        is_recent && !self.is_terminated()
     }
 
     /// Whether what its statuses show of its runs is recent.
-    pub(crate) fn is_shown(&self, now: Millis, limits: &Limits) -> bool {
-        let shown = self.shown_at.is_some_and(|at| now < at + limits.fresh);
-        shown && !self.is_gone()
+    pub(crate) fn has_current_status(&self, now: Millis, limits: &Limits) -> bool {
+        let shown = self.status_as_of.is_some_and(|at| now < at + limits.fresh);
+        shown && !self.is_terminated()
     }
 
     /// Whether a run may be what crashes the worker: neither has the run been listed for `settle`
     /// since its start, nor has the worker been seen alive that long after it.
     pub(crate) fn is_new(&self, run: &Run, settle: Millis) -> bool {
         let alive_at = self.alive_at();
-        match run.known {
-            Known::Runs(at) => {
-                let lived_until = self.shown_at.max(alive_at);
-                run.origin != Origin::Found && lived_until.is_none_or(|until| until < at + settle)
+        match run.start_state {
+            StartState::Confirmed(at) => {
+                let lived_until = self.status_as_of.max(alive_at);
+                run.origin != Origin::Discovered
+                    && lived_until.is_none_or(|until| until < at + settle)
             }
-            Known::Sent | Known::Unsure => {
-                alive_at.is_none_or(|until| until < run.sure_after.saturating_add(settle))
+            StartState::Sent | StartState::Uncertain => {
+                alive_at.is_none_or(|until| until < run.start_expires_at.saturating_add(settle))
             }
         }
     }
 
     /// Up to this time the platform has certainly shown that it is alive while it is unresponsive.
     pub(crate) fn alive_at(&self) -> Option<Millis> {
-        self.named_at.map(|at| at.saturating_sub(LIST_LAG))
+        self.listed_at.map(|at| at.saturating_sub(MAX_LIST_AGE_MS))
     }
 
     /// Whether it has announced that it shuts down.
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.info.as_ref().is_some_and(|info| info.draining)
+    pub(crate) fn is_draining(&self) -> bool {
+        self.registration.as_ref().is_some_and(|info| info.draining)
     }
 
     /// Whether it accepts new runs.
-    pub(crate) fn is_open(&self, now: Millis, limits: &Limits) -> bool {
+    pub(crate) fn accepts_runs(&self, now: Millis, limits: &Limits) -> bool {
         self.registered
-            && self.is_fresh(now, limits)
-            && !self.is_leaving()
-            && self.emptying.is_none()
-            && now >= self.shunned_until
+            && self.is_responsive(now, limits)
+            && !self.is_draining()
+            && self.evacuating.is_none()
+            && now >= self.cordoned_until
     }
 
     pub(crate) fn has_label(&self, label: &Name) -> bool {
-        let info = self.info.as_ref();
+        let info = self.registration.as_ref();
         info.is_some_and(|info| info.labels.contains(label))
     }
 }
