--- a/crates/cell/benches/turn.rs
+++ b/crates/cell/benches/turn.rs
@@ -147,7 +147,8 @@
             if host.ended.is_empty() {
                 continue;
             }
-            self.cell.look(id, &host.response(now), now, now, now);
+            self.cell
+                .apply_status(id, &host.response(now), now, now, now);
             host.ended.clear();
             self.cell.urgent(now);
         }
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -228,7 +228,7 @@
     }
 
     /// The ended runs of a worker status that weren't recorded before.
-    pub fn news<'a>(&self, worker: &Name, status: &'a Look) -> impl Iterator<Item = &'a Ended> {
+    pub fn new_ends<'a>(&self, worker: &Name, status: &'a Look) -> impl Iterator<Item = &'a Ended> {
         let worker = self.workers.get(worker);
         let same_incarnation = worker.filter(|worker| worker.incarnation == status.born);
         let seen = same_incarnation.map_or(0, |worker| worker.last_end);
@@ -236,7 +236,7 @@
     }
 
     /// Applies a worker status that was requested at `sent_at` and received at `now`.
-    pub fn look(
+    pub fn apply_status(
         &mut self,
         worker: &Name,
         status: &Look,
--- a/crates/cell/src/order.rs
+++ b/crates/cell/src/order.rs
@@ -119,7 +119,7 @@
     /// Orders that may be sent only once the rows are committed.
     pub orders: Vec<Order>,
     /// Workers to poll at once, in addition to the regular polls that wait for a run to end.
-    pub glances: Vec<Name>,
+    pub immediate_polls: Vec<Name>,
     /// Runs that were lost since the last round.
     pub losses: Vec<Loss>,
     /// Tasks that are abandoned because they crash their workers.
--- a/crates/cell/src/tick.rs
+++ b/crates/cell/src/tick.rs
@@ -54,7 +54,7 @@
         forget: expired_jobs(cell, wall_ms),
         urgent,
         orders,
-        glances: crash::immediate_polls(cell, now),
+        immediate_polls: crash::immediate_polls(cell, now),
         losses: std::mem::take(&mut cell.losses),
         culprits: std::mem::take(&mut cell.culprits),
         acquitted: std::mem::take(&mut cell.acquitted),
--- a/crates/cell/tests/all/crash.rs
+++ b/crates/cell/tests/all/crash.rs
@@ -234,8 +234,8 @@
     let id = with_two_crashes(&mut fixture);
     fixture.now += 300;
     let tick = fixture.round();
-    let [on] = &*tick.glances else {
-        panic!("one worker is polled: {:?}", tick.glances);
+    let [on] = &*tick.immediate_polls else {
+        panic!("one worker is polled: {:?}", tick.immediate_polls);
     };
     assert_eq!(starts(&tick.orders), Vec::new());
     assert_eq!(starts(&fixture.round().orders), Vec::new());
@@ -252,10 +252,10 @@
     let id = with_two_crashes(&mut fixture);
     let on = start_in_round(&mut fixture, &task(&id, 0, 0)).expect("the task starts");
     fixture.now += 900;
-    assert_eq!(fixture.round().glances, Vec::<Name>::new());
+    assert_eq!(fixture.round().immediate_polls, Vec::<Name>::new());
     fixture.now += 100;
-    assert_eq!(fixture.round().glances, vec![Name::clone(&on)]);
-    assert_eq!(fixture.round().glances, Vec::<Name>::new());
+    assert_eq!(fixture.round().immediate_polls, vec![Name::clone(&on)]);
+    assert_eq!(fixture.round().immediate_polls, Vec::<Name>::new());
     fixture.poll(&on);
     assert_eq!(fixture.round().acquitted, vec![task(&id, 0, 0)]);
 }
--- a/crates/cell/tests/all/fixture.rs
+++ b/crates/cell/tests/all/fixture.rs
@@ -238,7 +238,8 @@
             ended: self.ended.get(id).cloned().unwrap_or_default(),
         };
         let wall = WALL_AT_ZERO_MS + self.now;
-        self.cell.look(id, &response, sent_at, self.now, wall);
+        self.cell
+            .apply_status(id, &response, sent_at, self.now, wall);
     }
 
     /// Returns the workers on which a task runs.
--- a/crates/cell/tests/all/incarnation.rs
+++ b/crates/cell/tests/all/incarnation.rs
@@ -79,7 +79,7 @@
     let now = fixture.now;
     fixture
         .cell
-        .look(&worker(), response, now, now, WALL_AT_ZERO_MS + now);
+        .apply_status(&worker(), response, now, now, WALL_AT_ZERO_MS + now);
 }
 
 fn acknowledged_up_to(tick: &Tick) -> TakenIn {
@@ -335,7 +335,7 @@
     let now = fixture.now;
     fixture
         .cell
-        .look(on, &with_run, now, now, WALL_AT_ZERO_MS + now);
+        .apply_status(on, &with_run, now, now, WALL_AT_ZERO_MS + now);
     let tick = fixture.round();
     assert_eq!(starts(&tick.orders), Vec::new());
     let lost = tick.losses.iter().map(|loss| loss.runs.len());
--- a/crates/cell/tests/all/pace.rs
+++ b/crates/cell/tests/all/pace.rs
@@ -43,7 +43,7 @@
             running: vec![running(&serving, tail_latency), running(&filler, 500)],
             ended: Vec::new(),
         };
-        fixture.cell.look(
+        fixture.cell.apply_status(
             &"w-1".into(),
             &response,
             fixture.now,
--- a/crates/owner/src/run.rs
+++ b/crates/owner/src/run.rs
@@ -223,14 +223,14 @@
                 sent_at,
                 at,
             } => {
-                for ended in self.cell.news(&worker, &look) {
+                for ended in self.cell.new_ends(&worker, &look) {
                     self.context.observer.ended(ended.how);
                     if ended.how != End::Done {
                         self.digest
                             .ended(&worker, &ended.task, ended.run, ended.how);
                     }
                 }
-                self.cell.look(&worker, &look, sent_at, at, wall_ms);
+                self.cell.apply_status(&worker, &look, sent_at, at, wall_ms);
             }
             Event::Gone {
                 worker,
@@ -322,7 +322,7 @@
         tell::losses(&self.context.pool, &tick.losses);
         tell::culprits(&self.context.pool, &tick.culprits);
         tell::acquitted(&self.context.pool, &tick.acquitted);
-        for worker in &tick.glances {
+        for worker in &tick.immediate_polls {
             self.reach.glance(worker);
         }
         let urgent = std::mem::take(&mut tick.urgent);
