--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -150,7 +150,7 @@
                         // The previous owner may have sent it.
                         last_stop_sent_at: leaves.then_some(self.taken_at),
                         origin: Origin::Discovered,
-                        incarnation_tag: task.life,
+                        incarnation_tag: task.incarnation_tag,
                         ..Run::new(task.run, reserved, lasting)
                     };
                     let worker = self.worker(worker);
--- a/crates/cell/src/crash.rs
+++ b/crates/cell/src/crash.rs
@@ -140,7 +140,7 @@
         let task = job.and_then(|job| job.task_mut(&id));
         if let Some(task) = task.filter(|task| task.run == run) {
             task.crashed.clear();
-            task.life = None;
+            task.incarnation_tag = None;
             cell.crashed.remove(&id);
             cell.dirty.insert(id.job.clone());
             cell.acquitted.push(id);
--- a/crates/cell/src/incarnation.rs
+++ b/crates/cell/src/incarnation.rs
@@ -10,7 +10,7 @@
     crash,
     limits::Millis,
     order::Cause,
-    row::Life,
+    row::IncarnationTag,
     worker::{Origin, StartState, StopState, Termination},
 };
 use primroseroute_domain::work::{Name, TaskId};
@@ -63,7 +63,7 @@
         let job = jobs.get(&task.job);
         job.is_some_and(|job| job.accepted.at_ms < status.born)
     };
-    let tag = Life::of(status.born);
+    let tag = IncarnationTag::of(status.born);
     let taken_over_ms = wall_ms.saturating_sub(now - cell.taken_at);
     let is_later = status.born > taken_over_ms;
     let lost = worker.runs_where(|task, run| {
--- a/crates/cell/src/placement/mod.rs
+++ b/crates/cell/src/placement/mod.rs
@@ -13,7 +13,7 @@
     crash,
     limits::Millis,
     order::Order,
-    row::{Life, Phase},
+    row::{IncarnationTag, Phase},
     worker::{Run, Worker},
 };
 use candidates::Candidates;
@@ -343,7 +343,7 @@
     let (run, checkpoint) = gang.unwrap_or_else(|| (task.run + 1, task.checkpoint.clone()));
     task.run = run;
     task.phase = Phase::Placed(Name::clone(worker));
-    task.life = (!task.crashed.is_empty()).then(|| Life::of(incarnation));
+    task.incarnation_tag = (!task.crashed.is_empty()).then(|| IncarnationTag::of(incarnation));
     job.may_have_other_runs |= run > 1 || step.gang;
     cell.dirty.insert(id.job.clone());
     cell.unplaced_since.remove(&id);
--- a/crates/cell/src/roster.rs
+++ b/crates/cell/src/roster.rs
@@ -4,7 +4,7 @@
     cell::Cell,
     crash,
     limits::Millis,
-    row::Life,
+    row::IncarnationTag,
     worker::{Purpose, StopState, Termination, Worker},
 };
 use primroseroute_domain::work::Name;
@@ -32,10 +32,10 @@
     /// calls that got no answer may reach its next incarnation. Returns whether this wasn't known
     /// before.
     ///
-    /// The information may be old and refer to the previous incarnation: `born` is the incarnation
+    /// The information may be old and refer to the previous incarnation: `incarnation` is the one
     /// that was known when the platform was asked, and `asked_at` is the time of that. A start that
     /// was answered later may belong to the next incarnation.
-    pub fn gone(&mut self, worker: &Name, incarnation: u64, asked_at: Millis) -> bool {
+    pub fn worker_terminated(&mut self, worker: &Name, incarnation: u64, asked_at: Millis) -> bool {
         let Some(known) = self.workers.get_mut(worker) else {
             return false;
         };
@@ -48,7 +48,7 @@
 
     /// Records that another worker has taken the place of this one, which never comes back. Returns
     /// whether this wasn't known before.
-    pub fn replaced(&mut self, worker: &Name) -> bool {
+    pub fn worker_replaced(&mut self, worker: &Name) -> bool {
         self.terminate(worker, Termination::Permanent)
     }
 
@@ -142,13 +142,13 @@
     /// A worker that has crashed disappears from the list for a while, and may then be listed again
     /// with its next incarnation. So only an uninterrupted series of listings, from the last status
     /// on, refers to one incarnation.
-    pub fn named(&mut self, id: &Name, incarnation: u64, asked_at: Millis) -> bool {
+    pub fn worker_listed(&mut self, id: &Name, incarnation: u64, asked_at: Millis) -> bool {
         let settle = self.limits.settle;
         let Some(worker) = self.workers.get_mut(id) else {
             return false;
         };
         let last = worker.listed_at.max(worker.status_at);
-        let is_same_incarnation = last.is_some_and(|last| asked_at <= last + Life::SPAN);
+        let is_same_incarnation = last.is_some_and(|last| asked_at <= last + IncarnationTag::SPAN);
         if worker.is_terminated() || worker.incarnation != incarnation || !is_same_incarnation {
             return false;
         }
@@ -175,7 +175,7 @@
     /// The workers whose termination is looked up at the platform, which are the unresponsive ones
     /// and those being evacuated: their last known incarnation, by its start time on the worker's
     /// clock; 0 before the first status.
-    pub fn lives(&self, now: Millis) -> BTreeMap<Name, u64> {
+    pub fn incarnations(&self, now: Millis) -> BTreeMap<Name, u64> {
         let incarnations = self.workers.iter();
         let incarnations = incarnations
             .filter(|(_id, worker)| worker.evacuating.is_some() || self.is_silent(worker, now));
--- a/crates/cell/src/row/mod.rs
+++ b/crates/cell/src/row/mod.rs
@@ -250,7 +250,7 @@
     /// Runs that may have crashed their workers, since a run last went on for a while.
     pub crashed: BTreeSet<u32>,
     /// For a task with such runs: the incarnation of the worker that it was placed on.
-    pub life: Option<Life>,
+    pub incarnation_tag: Option<IncarnationTag>,
 }
 
 /// Distinguishes a worker's incarnation from most others of it: a single digit, so that the largest
@@ -260,9 +260,9 @@
 /// the incarnations of a worker that crashes repeatedly are shorter than that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Life(u8);
+pub struct IncarnationTag(u8);
 
-impl Life {
+impl IncarnationTag {
     /// Minimum time in milliseconds between the starts of two incarnations: a worker takes longer
     /// than that to come back.
     pub(crate) const SPAN: u64 = 2_000;
@@ -270,9 +270,9 @@
     /// Number of values.
     const DIGITS: u64 = 10;
 
-    /// The tag of an incarnation that began at `born` by the worker's clock.
-    pub fn of(born: u64) -> Self {
-        Self(u8::try_from(born / Self::SPAN % Self::DIGITS).unwrap_or(0))
+    /// The tag of an incarnation that began at `incarnation` by the worker's clock.
+    pub fn of(incarnation: u64) -> Self {
+        Self(u8::try_from(incarnation / Self::SPAN % Self::DIGITS).unwrap_or(0))
     }
 }
 
@@ -310,18 +310,18 @@
     BTreeSet<u32>,
     Option<Name>,
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")] BTreeSet<u32>,
-    #[serde(default, skip_serializing_if = "Option::is_none")] Option<Life>,
+    #[serde(default, skip_serializing_if = "Option::is_none")] Option<IncarnationTag>,
 );
 
 impl From<Packed> for Task {
-    fn from(Packed(phase, run, failed, checkpoint, crashed, life): Packed) -> Self {
+    fn from(Packed(phase, run, failed, checkpoint, crashed, incarnation_tag): Packed) -> Self {
         Self {
             phase,
             run,
             failed,
             checkpoint,
             crashed,
-            life,
+            incarnation_tag,
         }
     }
 }
@@ -334,7 +334,7 @@
             task.failed,
             task.checkpoint,
             task.crashed,
-            task.life,
+            task.incarnation_tag,
         )
     }
 }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -4,7 +4,7 @@
 use crate::{
     limits::{Limits, Millis},
     order::TakenIn,
-    row::Life,
+    row::IncarnationTag,
 };
 use primroseroute_domain::work::{Demand, JobId, Name, TaskId};
 use primroseroute_platform::site;
@@ -65,7 +65,7 @@
     /// How this owner knows of it.
     pub origin: Origin,
     /// For a discovered run: the incarnation that it was placed in, if the row tells.
-    pub incarnation_tag: Option<Life>,
+    pub incarnation_tag: Option<IncarnationTag>,
     /// If the incarnation that it was sent to has terminated and there was no answer: until when
     /// its start may still reach the next one.
     pub late_start_until: Option<Millis>,
--- a/crates/cell/tests/all/crash.rs
+++ b/crates/cell/tests/all/crash.rs
@@ -94,7 +94,9 @@
     fixture.running.remove(id);
     // A new owner that hasn't polled the worker doesn't know its boot time.
     let now = fixture.now;
-    assert!(fixture.cell.gone(id, 1, now) || fixture.cell.gone(id, 0, now));
+    assert!(
+        fixture.cell.worker_terminated(id, 1, now) || fixture.cell.worker_terminated(id, 0, now)
+    );
 }
 
 fn fails_after_four() {
@@ -277,7 +279,7 @@
         fixture.now += 200;
         fixture.poll(&other);
         if fixture.cell.suspected(fixture.now).contains(&on) && is_listed(fixture.now) {
-            fixture.cell.named(&on, 1, fixture.now);
+            fixture.cell.worker_listed(&on, 1, fixture.now);
         }
         let mut tick = fixture.round();
         if let Some(loss) = tick.losses.pop() {
@@ -395,7 +397,7 @@
     for _listing in 0..60 {
         fixture.now += 100;
         if fixture.cell.suspected(fixture.now).contains(worker) {
-            fixture.cell.named(worker, 1, fixture.now);
+            fixture.cell.worker_listed(worker, 1, fixture.now);
         }
         assert_eq!(fixture.round().acquitted, Vec::new());
     }
--- a/crates/cell/tests/all/incarnation.rs
+++ b/crates/cell/tests/all/incarnation.rs
@@ -4,7 +4,7 @@
     cases,
     fixture::{Fixture, WALL_AT_ZERO_MS, job, starts, step, task},
 };
-use primroseroute_cell::{Cause, Order, Outcome, Purpose, TakenIn, Tick, row::Life};
+use primroseroute_cell::{Cause, Order, Outcome, Purpose, TakenIn, Tick, row::IncarnationTag};
 use primroseroute_domain::work::{End, JobId, Name};
 use primroseroute_platform::worker::{Ended, Look, Running};
 
@@ -233,7 +233,7 @@
     fixture.cell.empty(&"w-2".into(), Some(Purpose::Move));
     let id = without_answer(fixture);
     fixture.cell.empty(&"w-2".into(), None);
-    assert!(fixture.cell.gone(&worker(), 1, fixture.now));
+    assert!(fixture.cell.worker_terminated(&worker(), 1, fixture.now));
     id
 }
 
@@ -241,7 +241,7 @@
     let mut fixture = Fixture::new(&[WORKER, "w-2"]);
     lost_without_answer(&mut fixture);
     assert_eq!(starts(&fixture.round().orders), Vec::new());
-    fixture.cell.replaced(&worker());
+    fixture.cell.worker_replaced(&worker());
     assert_eq!(starts(&fixture.round().orders).len(), 1);
 }
 
@@ -303,7 +303,7 @@
     fixture.replace_owner();
     fixture.now += 20_000;
     let next = born + 20_000;
-    assert_eq!(Life::of(born), Life::of(next));
+    assert_eq!(IncarnationTag::of(born), IncarnationTag::of(next));
     deliver(&mut fixture, &response(next));
     let tick = fixture.round();
     assert_eq!(tick.losses[0].blamed, vec![task(&id, 0, 0)]);
@@ -314,7 +314,7 @@
     deliver(&mut fixture, &response(NEXT_BOOT));
     fixture.accept(job(vec![step(1, 1_000)]));
     assert_eq!(starts(&fixture.tick()).len(), 1);
-    assert!(!fixture.cell.gone(&worker(), 1, fixture.now));
+    assert!(!fixture.cell.worker_terminated(&worker(), 1, fixture.now));
     assert_eq!(fixture.round().losses, Vec::new());
 }
 
@@ -328,7 +328,7 @@
     let [(_task, on)] = &*starts(&started) else {
         panic!("{started:?}");
     };
-    assert!(fixture.cell.gone(on, 1, asked_at));
+    assert!(fixture.cell.worker_terminated(on, 1, asked_at));
     assert_eq!(starts(&fixture.tick()), Vec::new());
     fixture.now += 300;
     let with_run = running_response(&id, 30);
--- a/crates/cell/tests/all/long_running.rs
+++ b/crates/cell/tests/all/long_running.rs
@@ -189,7 +189,7 @@
 fn lose_others(fixture: &mut Fixture, id: &JobId, on: &[Name; 2]) {
     let others: Vec<Name> = fixture.running.keys().map(Name::clone).collect();
     for other in others.iter().filter(|other| **other != on[0]) {
-        fixture.cell.gone(other, 1, fixture.now);
+        fixture.cell.worker_terminated(other, 1, fixture.now);
         fixture.running.remove(other);
     }
     fixture.round();
--- a/crates/cell/tests/all/need.rs
+++ b/crates/cell/tests/all/need.rs
@@ -309,7 +309,7 @@
         assert_eq!(fixture.workers_running(&task(&id, 0, 0)), [Name::from(on)]);
         fixture.running.remove(on);
         let now = fixture.now;
-        assert!(fixture.cell.gone(&on.into(), 1, now));
+        assert!(fixture.cell.worker_terminated(&on.into(), 1, now));
     }
     let first = need(&mut fixture);
     assert_eq!(first.now + first.late, 4);
--- a/crates/cell/tests/all/rows.rs
+++ b/crates/cell/tests/all/rows.rs
@@ -1,7 +1,7 @@
 //! Encoding, size, keys and partitions of stored rows.
 
 use crate::cases;
-use primroseroute_cell::row::{self, ControlKey, JobKey, Life, Phase, Progress, Task};
+use primroseroute_cell::row::{self, ControlKey, IncarnationTag, JobKey, Phase, Progress, Task};
 use primroseroute_domain::work::{JobId, State};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,7 +22,7 @@
         failed: BTreeSet::from([3, 7]),
         checkpoint: Some("00000bb87a21d94b".into()),
         crashed: BTreeSet::from([2, 9]),
-        life: Some(Life::of(4)),
+        incarnation_tag: Some(IncarnationTag::of(4)),
     }
 }
 
@@ -50,7 +50,7 @@
 fn without_crashes() {
     let task = Task {
         crashed: BTreeSet::new(),
-        life: None,
+        incarnation_tag: None,
         ..task("i-1")
     };
     let json = serde_json::to_string(&task).expect("it serializes");
@@ -74,7 +74,11 @@
 fn incarnations() {
     for apart in 2_000..18_000 {
         for born in [0, 1, 999, 1_900] {
-            assert_ne!(Life::of(born), Life::of(born + apart), "{born} {apart}");
+            assert_ne!(
+                IncarnationTag::of(born),
+                IncarnationTag::of(born + apart),
+                "{born} {apart}"
+            );
         }
     }
 }
--- a/crates/owner/src/run.rs
+++ b/crates/owner/src/run.rs
@@ -237,18 +237,20 @@
                 born,
                 asked_at,
             } => {
-                self.over(worker, |cell, worker| cell.gone(worker, born, asked_at));
+                self.over(worker, |cell, worker| {
+                    cell.worker_terminated(worker, born, asked_at)
+                });
             }
             Event::Named {
                 worker,
                 born,
                 asked_at,
             } => {
-                if self.cell.named(&worker, born, asked_at) {
+                if self.cell.worker_listed(&worker, born, asked_at) {
                     info!(pool = &*self.context.pool, worker = &*worker; "a silent worker has outlived runs that were new");
                 }
             }
-            Event::Replaced(worker) => self.over(worker, Cell::replaced),
+            Event::Replaced(worker) => self.over(worker, Cell::worker_replaced),
             Event::Answered {
                 worker,
                 task,
@@ -489,7 +491,7 @@
             registered: self.registered.clone(),
             silent: self.cell.silent(now),
             suspected: self.cell.suspected(now),
-            lives: self.cell.lives(now),
+            lives: self.cell.incarnations(now),
             kept,
         };
         self.status.send_if_modified(|known| {
