--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -61,6 +61,6 @@
 pub use cell::Cell;
 pub use crash::Culprit;
 pub use limits::{Limits, Millis};
-pub use order::{Cause, Loss, Order, Outcome, Question, TakenIn, Tick};
+pub use order::{Cause, EndsCursor, Loss, Order, Outcome, Question, Tick};
 pub use scaling::Need;
 pub use worker::Purpose;
--- a/crates/cell/src/order.rs
+++ b/crates/cell/src/order.rs
@@ -71,10 +71,10 @@
 
 /// Position up to which the ended runs of a worker are recorded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct TakenIn {
+pub struct EndsCursor {
     /// The incarnation that listed them, by its start time on the worker's clock: another one
     /// numbers its ended runs anew.
-    pub born: u64,
+    pub incarnation: u64,
     /// The highest number.
     pub number: u64,
 }
@@ -129,7 +129,7 @@
     /// Requests to the advice service; they need no commit.
     pub questions: Vec<Question>,
     /// For each worker, the position up to which its ended runs are in the rows.
-    pub seen: Vec<(Name, TakenIn)>,
+    pub ends_committed: Vec<(Name, EndsCursor)>,
     /// How many workers the pool can use.
     pub need: Need,
 }
--- a/crates/cell/src/tick.rs
+++ b/crates/cell/src/tick.rs
@@ -43,9 +43,9 @@
     orders.extend(stops.go_on);
     let urgent = stops.ended;
     let (puts, ended) = changed_rows(cell);
-    let seen = cell.workers.iter();
-    let seen = seen.map(|(id, worker)| (Name::clone(id), worker.taken_in()));
-    let seen = seen.collect();
+    let ends_committed = cell.workers.iter();
+    let ends_committed = ends_committed.map(|(id, worker)| (Name::clone(id), worker.ends_cursor()));
+    let ends_committed = ends_committed.collect();
     cell.queued_counts = cell.count_queued();
     Tick {
         questions: advice::questions(cell, &waiting, now),
@@ -58,7 +58,7 @@
         losses: std::mem::take(&mut cell.losses),
         culprits: std::mem::take(&mut cell.culprits),
         acquitted: std::mem::take(&mut cell.acquitted),
-        seen,
+        ends_committed,
         need: scaling::estimate(cell, &waiting, now, wall_ms),
     }
 }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     limits::{Limits, Millis},
-    order::TakenIn,
+    order::EndsCursor,
     row::IncarnationTag,
 };
 use primroseroute_domain::work::{Demand, JobId, Name, TaskId};
@@ -222,9 +222,9 @@
     }
 
     /// Position up to which its ended runs are recorded.
-    pub(crate) fn taken_in(&self) -> TakenIn {
-        TakenIn {
-            born: self.incarnation,
+    pub(crate) fn ends_cursor(&self) -> EndsCursor {
+        EndsCursor {
+            incarnation: self.incarnation,
             number: self.last_end,
         }
     }
--- a/crates/cell/tests/all/incarnation.rs
+++ b/crates/cell/tests/all/incarnation.rs
@@ -4,7 +4,7 @@
     cases,
     fixture::{Fixture, WALL_AT_ZERO_MS, job, starts, step, task},
 };
-use primroseroute_cell::{Cause, Order, Outcome, Purpose, TakenIn, Tick, row::IncarnationTag};
+use primroseroute_cell::{Cause, EndsCursor, Order, Outcome, Purpose, Tick, row::IncarnationTag};
 use primroseroute_domain::work::{End, JobId, Name};
 use primroseroute_platform::worker::{Ended, Look, Running};
 
@@ -82,8 +82,11 @@
         .apply_status(&worker(), response, now, now, WALL_AT_ZERO_MS + now);
 }
 
-fn acknowledged_up_to(tick: &Tick) -> TakenIn {
-    let found = tick.seen.iter().find(|(id, _seen)| &**id == WORKER);
+fn acknowledged_up_to(tick: &Tick) -> EndsCursor {
+    let found = tick
+        .ends_committed
+        .iter()
+        .find(|(id, _seen)| &**id == WORKER);
     found.expect("the worker is known").1
 }
 
@@ -108,7 +111,13 @@
     }
     fixture.advance(100);
     let tick = fixture.round();
-    assert_eq!(acknowledged_up_to(&tick), TakenIn { born: 1, number: 5 });
+    assert_eq!(
+        acknowledged_up_to(&tick),
+        EndsCursor {
+            incarnation: 1,
+            number: 5
+        }
+    );
     fixture
 }
 
@@ -132,8 +141,8 @@
     let mut fixture = with_ends();
     deliver(&mut fixture, &response(NEXT_BOOT));
     let tick = fixture.round();
-    let none = TakenIn {
-        born: NEXT_BOOT,
+    let none = EndsCursor {
+        incarnation: NEXT_BOOT,
         number: 0,
     };
     assert_eq!(acknowledged_up_to(&tick), none);
@@ -160,7 +169,7 @@
     fixture.now += 100;
     deliver(&mut fixture, &response(1));
     let tick = fixture.round();
-    assert_eq!(acknowledged_up_to(&tick).born, NEXT_BOOT);
+    assert_eq!(acknowledged_up_to(&tick).incarnation, NEXT_BOOT);
     assert_eq!(starts(&tick.orders), Vec::new(), "{id} runs");
 }
 
--- a/crates/owner/src/lease.rs
+++ b/crates/owner/src/lease.rs
@@ -3,7 +3,7 @@
 use crate::{clock::Clock, event::Event, fence::Fence};
 use parking_lot::Mutex;
 use primroseroute_backoff::Retry;
-use primroseroute_cell::{Limits, Millis, TakenIn};
+use primroseroute_cell::{EndsCursor, Limits, Millis};
 use primroseroute_domain::work::Name;
 use primroseroute_platform::worker::{Hold, Look, Seen, Target, Workers};
 use std::{
@@ -87,7 +87,7 @@
     /// When the store last confirmed the ownership.
     pub confirmed: Receiver<Millis>,
     /// Up to where each worker's ends are committed.
-    pub seen: Receiver<Arc<BTreeMap<Name, TakenIn>>>,
+    pub seen: Receiver<Arc<BTreeMap<Name, EndsCursor>>>,
     pub events: UnboundedSender<Event>,
     /// When the last answer came.
     pub answered_at: Option<Millis>,
@@ -209,7 +209,8 @@
             .is_some_and(|at| now < at + ACKNOWLEDGED_WITHIN);
         let seen = self.seen.borrow();
         let taken_in = seen.get(&self.target.id);
-        let of_life = taken_in.filter(|known| answers && lately && self.fence.is_of(known.born));
+        let of_life =
+            taken_in.filter(|known| answers && lately && self.fence.is_of(known.incarnation));
         of_life.map_or(0, |known| known.number)
     }
 
@@ -217,7 +218,7 @@
     /// the same ends.
     async fn until_committed(&mut self, born: u64, newest: u64) {
         let id = Name::clone(&self.target.id);
-        let is_in = |known: &TakenIn| known.born == born && known.number >= newest;
+        let is_in = |known: &EndsCursor| known.incarnation == born && known.number >= newest;
         let done = self.seen.wait_for(|seen| seen.get(&id).is_some_and(is_in));
         if timeout(COMMIT_WAIT, done).await.is_err() {
             log::debug!(worker = &*id, newest; "ends aren't committed yet");
--- a/crates/owner/src/reach.rs
+++ b/crates/owner/src/reach.rs
@@ -8,7 +8,7 @@
     send::{Pending, Sending, Times},
 };
 use log::debug;
-use primroseroute_cell::{Millis, Order, Outcome, TakenIn};
+use primroseroute_cell::{EndsCursor, Millis, Order, Outcome};
 use primroseroute_domain::work::{Name, TaskId};
 use primroseroute_platform::{rows::Version, worker::Target};
 use std::{
@@ -55,7 +55,7 @@
     /// When the store last confirmed the ownership.
     pub confirmed: watch::Sender<Millis>,
     /// Up to where each worker's ends are committed.
-    pub seen: watch::Sender<Arc<BTreeMap<Name, TakenIn>>>,
+    pub seen: watch::Sender<Arc<BTreeMap<Name, EndsCursor>>>,
     watched: BTreeMap<Name, Watched>,
     /// Fences of the watched workers, and of those that were met before.
     fences: BTreeMap<Name, Arc<Fence>>,
--- a/crates/owner/src/run.rs
+++ b/crates/owner/src/run.rs
@@ -385,7 +385,10 @@
         }
         tell::orders(&self.context.pool, &orders);
         tell::ended(&self.context.pool, &tick.ended, clock.now() - sent_at);
-        let seen = tick.seen.iter().map(|(id, seen)| (Name::clone(id), *seen));
+        let seen = tick
+            .ends_committed
+            .iter()
+            .map(|(id, seen)| (Name::clone(id), *seen));
         self.reach.seen.send_replace(Arc::new(seen.collect()));
         for id in &tick.forget {
             let rows = Arc::clone(&self.context.rows);
