--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -63,4 +63,4 @@
 pub use limits::{Limits, Millis};
 pub use order::{Cause, EndsCursor, Loss, Order, Outcome, Question, Tick};
 pub use scaling::Need;
-pub use worker::Purpose;
+pub use worker::EvacuationReason;
--- a/crates/cell/src/roster.rs
+++ b/crates/cell/src/roster.rs
@@ -5,7 +5,7 @@
     crash,
     limits::Millis,
     row::IncarnationTag,
-    worker::{Purpose, StopState, Termination, Worker},
+    worker::{EvacuationReason, StopState, Termination, Worker},
 };
 use primroseroute_domain::work::Name;
 use primroseroute_platform::{site, worker::Target};
@@ -62,7 +62,7 @@
     }
 
     /// Records that a renewal is sent: the worker's lease may be valid until `lease_expires_at`.
-    pub fn renewing(&mut self, worker: &Name, lease_expires_at: Millis) {
+    pub fn lease_renewal_sent(&mut self, worker: &Name, lease_expires_at: Millis) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.lease_expires_at = worker.lease_expires_at.max(lease_expires_at);
         }
@@ -73,7 +73,7 @@
     /// This is also recorded for a worker that isn't known yet: the platform may list it before its
     /// registration arrives. Otherwise it would get tasks then, while the order to its instance is
     /// on its way.
-    pub fn empty(&mut self, worker: &Name, wanted: Option<Purpose>) {
+    pub fn set_evacuating(&mut self, worker: &Name, wanted: Option<EvacuationReason>) {
         if wanted.is_some() {
             self.worker(worker).evacuating = wanted;
         } else if let Some(worker) = self.workers.get_mut(worker) {
@@ -89,7 +89,7 @@
     }
 
     /// Requests a stop of all batch tasks on a worker.
-    pub fn clear(&mut self, worker: &Name) {
+    pub fn stop_batch_tasks(&mut self, worker: &Name) {
         let Some(worker) = self.workers.get_mut(worker) else {
             return;
         };
@@ -113,7 +113,7 @@
     }
 
     /// Whether nothing can run on a worker, and it gets no new runs because it is being evacuated.
-    pub fn is_emptied(&self, worker: &Name) -> bool {
+    pub fn is_evacuated(&self, worker: &Name) -> bool {
         let found = self.workers.get(worker);
         found.is_some_and(|worker| worker.evacuating.is_some() && worker.runs.is_empty())
     }
@@ -185,7 +185,7 @@
     }
 
     /// Number of long-running tasks that may run on a worker.
-    pub fn lasting_on(&self, worker: &Name) -> usize {
+    pub fn long_running_on(&self, worker: &Name) -> usize {
         let found = self.workers.get(worker);
         found.map_or(0, |worker| {
             worker.runs.values().filter(|run| run.lasting).count()
--- a/crates/cell/src/scaling.rs
+++ b/crates/cell/src/scaling.rs
@@ -11,7 +11,7 @@
     limits::Millis,
     placement::{self, WaitingStep},
     row::Wanted,
-    worker::{Purpose, StopState, Worker},
+    worker::{EvacuationReason, StopState, Worker},
 };
 use primroseroute_domain::work::{Demand, Step};
 use std::collections::VecDeque;
@@ -324,8 +324,8 @@
         return false;
     }
     match worker.evacuating {
-        Some(Purpose::Maintenance) => true,
-        Some(Purpose::Move) => false,
+        Some(EvacuationReason::Maintenance) => true,
+        Some(EvacuationReason::Move) => false,
         None => {
             let unresponsive =
                 worker.status_at.is_some() && !worker.is_responsive(now, &cell.limits);
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -135,7 +135,7 @@
 
 /// Why a worker is being evacuated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Purpose {
+pub enum EvacuationReason {
     /// Its instance is due for maintenance, and stays in the pool.
     Maintenance,
     /// Its instance is to move to another pool.
@@ -184,7 +184,7 @@
     /// Runs that were new when its lease expired, while it isn't known whether it has crashed.
     pub expired_lease: Option<ExpiredLease>,
     /// Whether it is being evacuated for planned work.
-    pub evacuating: Option<Purpose>,
+    pub evacuating: Option<EvacuationReason>,
     /// It gets no new runs before this time.
     pub cordoned_until: Millis,
     /// Jobs whose tasks have failed on it since the last success.
--- a/crates/cell/tests/all/ends.rs
+++ b/crates/cell/tests/all/ends.rs
@@ -179,7 +179,7 @@
     let id = fixture.accept(job(vec![step(1, 1_000)]));
     let first = Name::clone(&starts(&fixture.tick())[0].1);
     let other: Name = if &*first == "w-1" { "w-2" } else { "w-1" }.into();
-    fixture.cell.renewing(&first, 15_000);
+    fixture.cell.lease_renewal_sent(&first, 15_000);
     for _tenth in 0..149 {
         fixture.now += 100;
         fixture.poll(&other);
--- a/crates/cell/tests/all/incarnation.rs
+++ b/crates/cell/tests/all/incarnation.rs
@@ -4,7 +4,9 @@
     cases,
     fixture::{Fixture, WALL_AT_ZERO_MS, job, starts, step, task},
 };
-use primroseroute_cell::{Cause, EndsCursor, Order, Outcome, Purpose, Tick, row::IncarnationTag};
+use primroseroute_cell::{
+    Cause, EndsCursor, EvacuationReason, Order, Outcome, Tick, row::IncarnationTag,
+};
 use primroseroute_domain::work::{End, JobId, Name};
 use primroseroute_platform::worker::{Ended, Look, Running};
 
@@ -239,9 +241,11 @@
 
 /// Submits a job whose only start got no answer from a worker that has ended; another worker is free.
 fn lost_without_answer(fixture: &mut Fixture) -> JobId {
-    fixture.cell.empty(&"w-2".into(), Some(Purpose::Move));
+    fixture
+        .cell
+        .set_evacuating(&"w-2".into(), Some(EvacuationReason::Move));
     let id = without_answer(fixture);
-    fixture.cell.empty(&"w-2".into(), None);
+    fixture.cell.set_evacuating(&"w-2".into(), None);
     assert!(fixture.cell.worker_terminated(&worker(), 1, fixture.now));
     id
 }
--- a/crates/cell/tests/all/long_running.rs
+++ b/crates/cell/tests/all/long_running.rs
@@ -4,7 +4,7 @@
     cases,
     fixture::{Fixture, job, step, task},
 };
-use primroseroute_cell::{Order, Outcome, Purpose};
+use primroseroute_cell::{EvacuationReason, Order, Outcome};
 use primroseroute_domain::work::{JobId, Name, Step, TaskId};
 
 cases! {
@@ -59,7 +59,9 @@
 fn one_at_a_time() {
     let (mut fixture, id, on) = with_ready_tasks(&["w-1", "w-2", "w-3", "w-4"], 1_000);
     for worker in &on {
-        fixture.cell.empty(worker, Some(Purpose::Maintenance));
+        fixture
+            .cell
+            .set_evacuating(worker, Some(EvacuationReason::Maintenance));
     }
     for round in 0..40 {
         fixture.tick();
@@ -81,7 +83,9 @@
 fn none_while_unavailable() {
     let (mut fixture, id, on) = with_ready_tasks(&["w-1", "w-2", "w-3"], 1_000);
     // The second task keeps running, but its worker no longer answers.
-    fixture.cell.empty(&on[0], Some(Purpose::Maintenance));
+    fixture
+        .cell
+        .set_evacuating(&on[0], Some(EvacuationReason::Maintenance));
     let unresponsive = Name::clone(&on[1]);
     for _tenth in 0..35 {
         fixture.now += 100;
@@ -111,7 +115,9 @@
             fixture.poll(&worker);
         }
     }
-    fixture.cell.empty(&on[0], Some(Purpose::Maintenance));
+    fixture
+        .cell
+        .set_evacuating(&on[0], Some(EvacuationReason::Maintenance));
     let orders = fixture.tick();
     let stops = |order: &Order| matches!(order, Order::Stop { task: stopped, .. } if *stopped == task(&id, 0, 0));
     assert!(!orders.iter().any(stops), "{orders:?}");
@@ -119,7 +125,9 @@
 
 fn no_capacity() {
     let (mut fixture, id, on) = with_ready_tasks(&["w-1", "w-2"], 6_000);
-    fixture.cell.empty(&on[0], Some(Purpose::Maintenance));
+    fixture
+        .cell
+        .set_evacuating(&on[0], Some(EvacuationReason::Maintenance));
     fixture.tick();
     assert_eq!(
         fixture.workers_running(&task(&id, 0, 0)),
@@ -145,7 +153,9 @@
 // which may never have been sent.
 fn taken_over() {
     let (mut fixture, id, on) = with_ready_tasks(&["w-1", "w-2", "w-3", "w-4"], 1_000);
-    fixture.cell.empty(&on[0], Some(Purpose::Maintenance));
+    fixture
+        .cell
+        .set_evacuating(&on[0], Some(EvacuationReason::Maintenance));
     let first = Order::Stop {
         worker: Name::clone(&on[0]),
         task: task(&id, 0, 0),
@@ -154,7 +164,9 @@
     assert_eq!(fixture.round().orders, vec![first.clone()]);
     fixture.replace_owner();
     fixture.advance(100);
-    fixture.cell.empty(&on[1], Some(Purpose::Maintenance));
+    fixture
+        .cell
+        .set_evacuating(&on[1], Some(EvacuationReason::Maintenance));
     assert_eq!(fixture.tick(), vec![first]);
     for round in 0..40 {
         fixture.advance(100);
@@ -173,7 +185,9 @@
 /// A fixture whose first task is to leave its worker, with the stop, which was never delivered.
 fn undelivered_stop(workers: &[&str]) -> (Fixture, JobId, [Name; 2], Order) {
     let (mut fixture, id, on) = with_ready_tasks(workers, 1_000);
-    fixture.cell.empty(&on[0], Some(Purpose::Maintenance));
+    fixture
+        .cell
+        .set_evacuating(&on[0], Some(EvacuationReason::Maintenance));
     let tick = fixture.round();
     let orders = fixture.standing(tick);
     let stop = Order::Stop {
--- a/crates/cell/tests/all/need.rs
+++ b/crates/cell/tests/all/need.rs
@@ -4,7 +4,7 @@
     cases,
     fixture::{Fixture, job, step, task},
 };
-use primroseroute_cell::{Need, Purpose};
+use primroseroute_cell::{EvacuationReason, Need};
 use primroseroute_domain::work::{End, Name, Step};
 
 cases! {
@@ -290,11 +290,13 @@
     fixture.accept(job(vec![long_running]));
     let before = need(&mut fixture);
     assert_eq!((before.now, before.unfit), (2, 0));
-    fixture.cell.empty(&"w-1".into(), Some(Purpose::Move));
+    fixture
+        .cell
+        .set_evacuating(&"w-1".into(), Some(EvacuationReason::Move));
     assert_eq!(need(&mut fixture).unfit, 0);
     fixture
         .cell
-        .empty(&"w-1".into(), Some(Purpose::Maintenance));
+        .set_evacuating(&"w-1".into(), Some(EvacuationReason::Maintenance));
     let after = need(&mut fixture);
     assert_eq!((after.now, after.unfit), (3, 1));
 }
--- a/crates/cell/tests/all/window.rs
+++ b/crates/cell/tests/all/window.rs
@@ -4,7 +4,7 @@
     cases,
     fixture::{Fixture, WALL_AT_ZERO_MS, job, starts, step, task, worker},
 };
-use primroseroute_cell::{Limits, Order, Outcome, Purpose};
+use primroseroute_cell::{EvacuationReason, Limits, Order, Outcome};
 use primroseroute_domain::work::{End, Name, Step};
 use primroseroute_platform::site::Worker;
 
@@ -74,7 +74,7 @@
     let id = fixture.accept(job(vec![together]));
     let tick = fixture.round();
     assert_eq!(starts(&tick.orders).len(), 2);
-    fixture.cell.clear(&"w-1".into());
+    fixture.cell.stop_batch_tasks(&"w-1".into());
     assert_eq!(starts(&fixture.standing(tick)), Vec::new());
     assert_eq!(starts(&fixture.tick()).len(), 2);
     assert_eq!(fixture.workers_running(&task(&id, 0, 0)).len(), 1);
@@ -155,7 +155,9 @@
     fixture.tick();
     let from = Name::clone(&fixture.workers_running(&task(&id, 0, 0))[0]);
     let other = Name::clone(&fixture.workers_running(&task(&id, 0, 1))[0]);
-    fixture.cell.empty(&from, Some(Purpose::Move));
+    fixture
+        .cell
+        .set_evacuating(&from, Some(EvacuationReason::Move));
     let tick = fixture.round();
     assert_eq!(tick.orders.len(), 1);
     fixture.end_run(&other, &task(&id, 0, 1), End::Failed);
@@ -189,10 +191,12 @@
     fixture.advance(100);
     fixture.tick();
     let on = Name::clone(&fixture.workers_running(&task(&id, 0, 0))[0]);
-    fixture.cell.empty(&on, Some(Purpose::Move));
+    fixture
+        .cell
+        .set_evacuating(&on, Some(EvacuationReason::Move));
     let tick = fixture.round();
     assert_eq!(tick.orders.len(), 1);
-    fixture.cell.empty(&on, None);
+    fixture.cell.set_evacuating(&on, None);
     assert_eq!(fixture.standing(tick), Vec::new());
     fixture.advance(1_000);
     assert_eq!(fixture.tick(), Vec::new());
--- a/crates/owner/src/emptying.rs
+++ b/crates/owner/src/emptying.rs
@@ -1,7 +1,7 @@
 //! Workers of a pool that are being emptied, and what for.
 
 use crate::event::Event;
-use primroseroute_cell::{Millis, Purpose};
+use primroseroute_cell::{EvacuationReason, Millis};
 use primroseroute_domain::work::Name;
 use primroseroute_platform::site::{Condition, Instance};
 use std::{
@@ -46,7 +46,7 @@
 pub(crate) struct Emptying {
     status: Receiver<Arc<Status>>,
     events: UnboundedSender<Event>,
-    workers: BTreeMap<Name, (Purpose, Instant)>,
+    workers: BTreeMap<Name, (EvacuationReason, Instant)>,
     /// Workers whose instances were ordered away since the last list, or may have been, with the births of their lives then.
     ordered: BTreeMap<Name, u64>,
 }
@@ -76,7 +76,7 @@
     }
 
     /// Workers that are emptied for `purpose`.
-    pub(crate) fn of(&self, purpose: Purpose) -> BTreeSet<Name> {
+    pub(crate) fn of(&self, purpose: EvacuationReason) -> BTreeSet<Name> {
         let own = self.workers.iter();
         let own = own.filter(|(_worker, (of, _since))| *of == purpose);
         own.map(|(worker, _of)| Name::clone(worker)).collect()
@@ -93,7 +93,7 @@
 
     /// Asks for a worker to be emptied; the newest purpose counts. Instances that a wave waits for are
     /// never to move, so a wave takes a worker over from a move and not the other way round.
-    pub(crate) fn begin(&mut self, worker: &Name, purpose: Purpose) {
+    pub(crate) fn begin(&mut self, worker: &Name, purpose: EvacuationReason) {
         let known = self.workers.get(worker).map(|(of, _since)| *of);
         if known != Some(purpose) {
             self.workers
@@ -112,7 +112,7 @@
     }
 
     /// Those that are emptied for `purpose` and aren't in `wanted` take new tasks again.
-    pub(crate) fn keep(&mut self, purpose: Purpose, wanted: &BTreeSet<Name>) {
+    pub(crate) fn keep(&mut self, purpose: EvacuationReason, wanted: &BTreeSet<Name>) {
         for worker in self.of(purpose) {
             if !wanted.contains(&worker) {
                 self.workers.remove(&worker);
@@ -162,7 +162,7 @@
     /// Stops shorter tasks on workers that a wave has waited for too long.
     pub(crate) fn clear(&self) {
         for (worker, (purpose, since)) in &self.workers {
-            if *purpose == Purpose::Maintenance && since.elapsed() >= CLEAR_AFTER {
+            if *purpose == EvacuationReason::Maintenance && since.elapsed() >= CLEAR_AFTER {
                 self.tell(Event::Clear(Name::clone(worker)));
             }
         }
--- a/crates/owner/src/event.rs
+++ b/crates/owner/src/event.rs
@@ -1,7 +1,7 @@
 //! What a pool's loop is told.
 
 use crate::load::Jobs;
-use primroseroute_cell::{Millis, Outcome, Purpose, Question};
+use primroseroute_cell::{EvacuationReason, Millis, Outcome, Question};
 use primroseroute_domain::work::{JobId, Name, TaskId};
 use primroseroute_platform::worker::Look;
 use std::collections::BTreeMap;
@@ -58,7 +58,7 @@
     },
     Empty {
         worker: Name,
-        wanted: Option<Purpose>,
+        wanted: Option<EvacuationReason>,
     },
     Clear(Name),
 }
--- a/crates/owner/src/maintain.rs
+++ b/crates/owner/src/maintain.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use log::{info, warn};
 use primroseroute_cell::{
-    Purpose,
+    EvacuationReason,
     row::{self, Given, Order, Wave as Progress},
 };
 use primroseroute_domain::work::Name;
@@ -88,9 +88,9 @@
         let workers = instances.iter();
         let workers = workers.filter(|known| waiting.contains(&known.name));
         let workers = workers.filter_map(|known| known.worker.clone()).collect();
-        emptying.keep(Purpose::Maintenance, &workers);
+        emptying.keep(EvacuationReason::Maintenance, &workers);
         emptying.clear();
-        let emptied = emptying.of(Purpose::Maintenance);
+        let emptied = emptying.of(EvacuationReason::Maintenance);
         let stays = instances.iter().filter(|known| {
             let worker = known.worker.as_ref();
             active.contains(&known.name) || worker.is_some_and(|worker| emptied.contains(worker))
@@ -108,7 +108,7 @@
         emptying: &Emptying,
     ) -> Vec<Step> {
         let status = emptying.status();
-        let workers = emptying.of(Purpose::Maintenance);
+        let workers = emptying.of(EvacuationReason::Maintenance);
         let over = workers.iter().filter(|worker| emptying.is_over(worker));
         steps(&Situation {
             wave,
@@ -143,7 +143,7 @@
             match step {
                 Step::Empty(worker) => {
                     info!(wave = wave.number, worker = &*worker; "worker is being emptied");
-                    emptying.begin(&worker, Purpose::Maintenance);
+                    emptying.begin(&worker, EvacuationReason::Maintenance);
                 }
                 Step::Begin(instance) | Step::Repeat(instance) => due.push(instance),
                 Step::Finish(name) => {
--- a/crates/owner/src/relocate.rs
+++ b/crates/owner/src/relocate.rs
@@ -8,7 +8,7 @@
 };
 use log::{info, warn};
 use primroseroute_cell::{
-    Purpose,
+    EvacuationReason,
     row::{Given, Order},
 };
 use primroseroute_domain::work::Name;
@@ -95,7 +95,7 @@
             instances,
             blocked,
             refused: &self.refused,
-            emptying: &emptying.of(Purpose::Move),
+            emptying: &emptying.of(EvacuationReason::Move),
             runs: &status.runs,
             lasting: &status.lasting,
             kept: status.kept,
--- a/crates/owner/src/run.rs
+++ b/crates/owner/src/run.rs
@@ -216,7 +216,9 @@
                     .take(&mut self.cell, &jobs.cancelled, read, times);
             }
             Event::Heard(at) => self.cell.heard(at),
-            Event::Renewing { worker, lapses_at } => self.cell.renewing(&worker, lapses_at),
+            Event::Renewing { worker, lapses_at } => {
+                self.cell.lease_renewal_sent(&worker, lapses_at)
+            }
             Event::Look {
                 worker,
                 look,
@@ -274,8 +276,8 @@
                 answer,
                 sent_at,
             } => self.cell.advice(&question, answer, sent_at, now),
-            Event::Empty { worker, wanted } => self.cell.empty(&worker, wanted),
-            Event::Clear(worker) => self.cell.clear(&worker),
+            Event::Empty { worker, wanted } => self.cell.set_evacuating(&worker, wanted),
+            Event::Clear(worker) => self.cell.stop_batch_tasks(&worker),
         }
     }
 
@@ -465,10 +467,10 @@
     /// emptied, let go and given a lasting task counts as emptied until then, and its instance may be ordered away.
     fn occupied(&self) {
         self.status.send_if_modified(|known| {
-            let occupied = known.emptied.iter().any(|id| !self.cell.is_emptied(id));
+            let occupied = known.emptied.iter().any(|id| !self.cell.is_evacuated(id));
             if occupied {
                 let status = Arc::make_mut(known);
-                status.emptied.retain(|id| self.cell.is_emptied(id));
+                status.emptied.retain(|id| self.cell.is_evacuated(id));
             }
             occupied
         });
@@ -478,13 +480,13 @@
     fn publish(&self, kept: u64) {
         let workers = self.cell.workers();
         let lasting = workers.clone().map(|id| {
-            let lasting = self.cell.lasting_on(id);
+            let lasting = self.cell.long_running_on(id);
             (Name::clone(id), lasting)
         });
         let runs = workers
             .clone()
             .map(|id| (Name::clone(id), self.cell.runs_on(id)));
-        let emptied = workers.filter(|id| self.cell.is_emptied(id));
+        let emptied = workers.filter(|id| self.cell.is_evacuated(id));
         let now = self.context.clock.now();
         let status = Status {
             told: true,
--- a/crates/owner/src/upkeep.rs
+++ b/crates/owner/src/upkeep.rs
@@ -12,7 +12,7 @@
     rest::Rest,
 };
 use log::info;
-use primroseroute_cell::{Millis, Purpose, row};
+use primroseroute_cell::{EvacuationReason, Millis, row};
 use primroseroute_domain::work::Name;
 use primroseroute_platform::{
     Error,
@@ -205,9 +205,9 @@
             .iter()
             .filter_map(|wanted| wanted.instance.worker.clone());
         let workers: BTreeSet<Name> = workers.collect();
-        self.emptying.keep(Purpose::Move, &workers);
+        self.emptying.keep(EvacuationReason::Move, &workers);
         for worker in &workers {
-            self.emptying.begin(worker, Purpose::Move);
+            self.emptying.begin(worker, EvacuationReason::Move);
         }
         self.emptying.repeat();
         let ready = moves.into_iter().filter(|wanted| {
