--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -3,7 +3,7 @@
 use crate::{
     advice::{self, Policy},
     arrivals::Arrivals,
-    crash::Culprit,
+    crash::PoisonTask,
     job::{HasStarted, Job},
     limits::{Limits, Millis},
     order::{Loss, Order, Outcome, Question, Tick},
@@ -45,9 +45,9 @@
     /// Runs lost with their workers since the last round.
     pub(crate) losses: Vec<Loss>,
     /// Tasks abandoned since the last round.
-    pub(crate) culprits: Vec<Culprit>,
+    pub(crate) poison_tasks: Vec<PoisonTask>,
     /// Tasks whose crash records were cleared since the last round.
-    pub(crate) acquitted: Vec<TaskId>,
+    pub(crate) crashes_cleared: Vec<TaskId>,
     /// Number of queued jobs by queue, as of the last round.
     pub(crate) queued_counts: BTreeMap<Name, u64>,
     /// Recent estimates of the number of workers that the pool can use.
@@ -82,8 +82,8 @@
             spread_shortage: 0,
             poll_requests: Vec::new(),
             losses: Vec::new(),
-            culprits: Vec::new(),
-            acquitted: Vec::new(),
+            poison_tasks: Vec::new(),
+            crashes_cleared: Vec::new(),
             queued_counts: BTreeMap::new(),
             estimates: RecentEstimates::default(),
             arrivals: Arrivals::default(),
--- a/crates/cell/src/crash.rs
+++ b/crates/cell/src/crash.rs
@@ -41,7 +41,7 @@
 
 /// A task that is abandoned because it crashes its workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Culprit {
+pub struct PoisonTask {
     /// The task.
     pub task: TaskId,
     /// Number of crashes attributed to it.
@@ -70,7 +70,7 @@
         }
         cell.back_to_waiting(id, task, *run, None);
     }
-    let blamed = match cause {
+    let attributed_to = match cause {
         Cause::Crash => attribute_crash(cell, new, wall_ms),
         Cause::Planned | Cause::Lapse => Vec::new(),
     };
@@ -78,7 +78,7 @@
         worker: Name::clone(id),
         cause,
         runs,
-        blamed,
+        attributed_to,
     });
 }
 
@@ -93,7 +93,7 @@
         // Not an isolated run: this owner discovered the runs and can't tell which of them are new.
         _ => &[],
     };
-    let mut blamed = Vec::new();
+    let mut attributed_to = Vec::new();
     for (task, run) in accountable {
         let Some(job) = cell.jobs.get_mut(&task.job) else {
             continue;
@@ -104,9 +104,9 @@
         known.crashed.insert(*run);
         cell.crashed.insert(task.clone(), known.crashed.len());
         cell.dirty.insert(task.job.clone());
-        blamed.push(task.clone());
+        attributed_to.push(task.clone());
     }
-    for task in &blamed {
+    for task in &attributed_to {
         let crashes = crashes(cell, task);
         if crashes >= ABANDON_CRASHES {
             let task = task.clone();
@@ -114,10 +114,10 @@
             if !lasting {
                 cell.finish(&task.job, State::Failed, wall_ms);
             }
-            cell.culprits.push(Culprit { task, crashes });
+            cell.poison_tasks.push(PoisonTask { task, crashes });
         }
     }
-    blamed
+    attributed_to
 }
 
 /// Clears the crash records of tasks whose runs have shown that the worker survives them.
@@ -143,7 +143,7 @@
             task.incarnation_tag = None;
             cell.crashed.remove(&id);
             cell.dirty.insert(id.job.clone());
-            cell.acquitted.push(id);
+            cell.crashes_cleared.push(id);
         }
     }
 }
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -59,7 +59,7 @@
 mod worker;
 
 pub use cell::Cell;
-pub use crash::Culprit;
+pub use crash::PoisonTask;
 pub use limits::{Limits, Millis};
 pub use order::{Cause, EndsCursor, Loss, Order, Outcome, Question, Tick};
 pub use scaling::Need;
--- a/crates/cell/src/order.rs
+++ b/crates/cell/src/order.rs
@@ -1,6 +1,6 @@
 //! Outputs of a cell and the results of its orders.
 
-use crate::{crash::Culprit, scaling::Need};
+use crate::{crash::PoisonTask, scaling::Need};
 use bytes::Bytes;
 use primroseroute_domain::work::{JobId, Name, State, StepId, TaskId};
 use primroseroute_platform::worker::Refusal;
@@ -101,7 +101,7 @@
     /// Their tasks and run numbers.
     pub runs: Vec<(TaskId, u32)>,
     /// The tasks that the crash is attributed to.
-    pub blamed: Vec<TaskId>,
+    pub attributed_to: Vec<TaskId>,
 }
 
 /// Result of a round: what to commit, and what to do after that.
@@ -123,9 +123,9 @@
     /// Runs that were lost since the last round.
     pub losses: Vec<Loss>,
     /// Tasks that are abandoned because they crash their workers.
-    pub culprits: Vec<Culprit>,
+    pub poison_tasks: Vec<PoisonTask>,
     /// Tasks whose crash records were cleared because their workers survived them.
-    pub acquitted: Vec<TaskId>,
+    pub crashes_cleared: Vec<TaskId>,
     /// Requests to the advice service; they need no commit.
     pub questions: Vec<Question>,
     /// For each worker, the position up to which its ended runs are in the rows.
--- a/crates/cell/src/roster.rs
+++ b/crates/cell/src/roster.rs
@@ -120,20 +120,22 @@
 
     /// Workers without a status for a while that may have runs, or whose lease has expired
     /// recently.
-    pub fn silent(&self, now: Millis) -> BTreeSet<Name> {
-        let silent = self.workers.iter();
-        let silent = silent.filter(|(_id, worker)| self.is_silent(worker, now));
-        silent.map(|(id, _worker)| Name::clone(id)).collect()
+    pub fn unresponsive(&self, now: Millis) -> BTreeSet<Name> {
+        let unresponsive = self.workers.iter();
+        let unresponsive = unresponsive.filter(|(_id, worker)| self.is_unresponsive(worker, now));
+        unresponsive.map(|(id, _worker)| Name::clone(id)).collect()
     }
 
     /// The unresponsive workers that new runs may have crashed.
-    pub fn suspected(&self, now: Millis) -> BTreeSet<Name> {
+    pub fn possibly_crashed(&self, now: Millis) -> BTreeSet<Name> {
         let settle = self.limits.settle;
-        let suspected = self.workers.iter().filter(|(_id, worker)| {
-            self.is_silent(worker, now)
+        let possibly_crashed = self.workers.iter().filter(|(_id, worker)| {
+            self.is_unresponsive(worker, now)
                 && (worker.expired_lease.is_some() || !crash::new_runs(worker, settle).is_empty())
         });
-        suspected.map(|(id, _worker)| Name::clone(id)).collect()
+        possibly_crashed
+            .map(|(id, _worker)| Name::clone(id))
+            .collect()
     }
 
     /// Records that the platform, asked at `asked_at`, still listed an unresponsive worker. Returns
@@ -166,7 +168,7 @@
         outlived || expired.is_some()
     }
 
-    fn is_silent(&self, worker: &Worker, now: Millis) -> bool {
+    fn is_unresponsive(&self, worker: &Worker, now: Millis) -> bool {
         let last_status = worker.status_at.unwrap_or(self.taken_at);
         let matters = !worker.runs.is_empty() || worker.expired_lease.is_some();
         matters && !worker.is_terminated() && now >= last_status + self.limits.silent
@@ -177,8 +179,9 @@
     /// clock; 0 before the first status.
     pub fn incarnations(&self, now: Millis) -> BTreeMap<Name, u64> {
         let incarnations = self.workers.iter();
-        let incarnations = incarnations
-            .filter(|(_id, worker)| worker.evacuating.is_some() || self.is_silent(worker, now));
+        let incarnations = incarnations.filter(|(_id, worker)| {
+            worker.evacuating.is_some() || self.is_unresponsive(worker, now)
+        });
         incarnations
             .map(|(id, worker)| (Name::clone(id), worker.incarnation))
             .collect()
--- a/crates/cell/src/tick.rs
+++ b/crates/cell/src/tick.rs
@@ -56,8 +56,8 @@
         orders,
         immediate_polls: crash::immediate_polls(cell, now),
         losses: std::mem::take(&mut cell.losses),
-        culprits: std::mem::take(&mut cell.culprits),
-        acquitted: std::mem::take(&mut cell.acquitted),
+        poison_tasks: std::mem::take(&mut cell.poison_tasks),
+        crashes_cleared: std::mem::take(&mut cell.crashes_cleared),
         ends_committed,
         need: scaling::estimate(cell, &waiting, now, wall_ms),
     }
--- a/crates/cell/tests/all/crash.rs
+++ b/crates/cell/tests/all/crash.rs
@@ -109,7 +109,7 @@
     fixture.advance(10);
     let tick = crash(&mut fixture, &on);
     assert_eq!(state(&tick, &id), State::Failed);
-    assert_eq!(tick.culprits.len(), 1);
+    assert_eq!(tick.poison_tasks.len(), 1);
     assert_eq!(tick.losses[0].cause, Cause::Crash);
     assert_eq!(starts(&tick.orders), Vec::new());
 }
@@ -124,7 +124,11 @@
     fixture.advance(10);
     let tick = crash(&mut fixture, &"w-1".into());
     assert_eq!(tick.losses[0].runs.len(), 2);
-    assert_eq!(tick.losses[0].blamed, vec![task(&new, 0, 0)], "{old}");
+    assert_eq!(
+        tick.losses[0].attributed_to,
+        vec![task(&new, 0, 0)],
+        "{old}"
+    );
 }
 
 fn isolated() {
@@ -200,7 +204,7 @@
     fixture.poll_all();
     let tick = crash(&mut fixture, &on);
     assert_eq!(tick.losses[0].runs.len(), 1);
-    assert_eq!(tick.losses[0].blamed, Vec::new());
+    assert_eq!(tick.losses[0].attributed_to, Vec::new());
 }
 
 fn planned() {
@@ -212,7 +216,7 @@
     fixture.cell.register(draining_worker);
     let tick = crash(&mut fixture, &on);
     assert_eq!(tick.losses[0].cause, Cause::Planned);
-    assert_eq!(tick.losses[0].blamed, Vec::new());
+    assert_eq!(tick.losses[0].attributed_to, Vec::new());
 }
 
 fn cleared() {
@@ -225,7 +229,7 @@
         fixture.replace_owner();
         // The new owner never gets a response of the worker, and can't tell when the run began.
         let tick = crash(&mut fixture, &on);
-        assert_eq!(tick.culprits, Vec::new());
+        assert_eq!(tick.poison_tasks, Vec::new());
         fixture.poll_all();
     }
     assert!(start_in_round(&mut fixture, &task(&id, 0, 0)).is_some());
@@ -259,7 +263,7 @@
     assert_eq!(fixture.round().immediate_polls, vec![Name::clone(&on)]);
     assert_eq!(fixture.round().immediate_polls, Vec::<Name>::new());
     fixture.poll(&on);
-    assert_eq!(fixture.round().acquitted, vec![task(&id, 0, 0)]);
+    assert_eq!(fixture.round().crashes_cleared, vec![task(&id, 0, 0)]);
 }
 
 /// Starts a task whose worker stays unresponsive until its lease has expired; returns the job, the worker and the loss.
@@ -278,7 +282,7 @@
     loop {
         fixture.now += 200;
         fixture.poll(&other);
-        if fixture.cell.suspected(fixture.now).contains(&on) && is_listed(fixture.now) {
+        if fixture.cell.possibly_crashed(fixture.now).contains(&on) && is_listed(fixture.now) {
             fixture.cell.worker_listed(&on, 1, fixture.now);
         }
         let mut tick = fixture.round();
@@ -293,16 +297,16 @@
     let mut fixture = Fixture::new(&["w-1", "w-2"]);
     let (_id, _on, loss) = expire_lease(&mut fixture);
     assert_eq!(loss.cause, Cause::Lapse);
-    assert_eq!(loss.blamed, Vec::new());
+    assert_eq!(loss.attributed_to, Vec::new());
 }
 
 fn expiry_was_crash() {
     let mut fixture = Fixture::new(&["w-1", "w-2"]);
     let (id, on, _loss) = expire_lease(&mut fixture);
-    assert!(fixture.cell.silent(fixture.now).contains(&on));
+    assert!(fixture.cell.unresponsive(fixture.now).contains(&on));
     let tick = crash(&mut fixture, &on);
     assert_eq!(tick.losses[0].cause, Cause::Crash);
-    assert_eq!(tick.losses[0].blamed, vec![task(&id, 0, 0)]);
+    assert_eq!(tick.losses[0].attributed_to, vec![task(&id, 0, 0)]);
 }
 
 fn came_back() {
@@ -365,7 +369,7 @@
 fn survived_partition() {
     let mut fixture = Fixture::new(&["w-1", "w-2"]);
     let (_id, on, loss) = expire_lease_while_listed(&mut fixture, |_now| true);
-    assert_eq!(loss.blamed, Vec::new());
+    assert_eq!(loss.attributed_to, Vec::new());
     let tick = crash(&mut fixture, &on);
     assert_eq!(tick.losses, Vec::new());
 }
@@ -375,7 +379,7 @@
     let (id, on, _loss) =
         expire_lease_while_listed(&mut fixture, |now| !(2_000..4_500).contains(&now));
     let tick = crash(&mut fixture, &on);
-    assert_eq!(tick.losses[0].blamed, vec![task(&id, 0, 0)]);
+    assert_eq!(tick.losses[0].attributed_to, vec![task(&id, 0, 0)]);
 }
 
 fn never_started() {
@@ -396,10 +400,10 @@
         .answered(worker, task, *run, Outcome::Unknown, fixture.now);
     for _listing in 0..60 {
         fixture.now += 100;
-        if fixture.cell.suspected(fixture.now).contains(worker) {
+        if fixture.cell.possibly_crashed(fixture.now).contains(worker) {
             fixture.cell.worker_listed(worker, 1, fixture.now);
         }
-        assert_eq!(fixture.round().acquitted, Vec::new());
+        assert_eq!(fixture.round().crashes_cleared, Vec::new());
     }
 }
 
@@ -413,7 +417,7 @@
     };
     let id = fixture.accept(job(vec![long_running]));
     crash_under(&mut fixture, &id, 4);
-    assert_eq!(fixture.round().culprits.len(), 1);
+    assert_eq!(fixture.round().poison_tasks.len(), 1);
     let once = fixture.accept(job(vec![step(2, 1_000)]));
     crash_under(&mut fixture, &once, 1);
     fixture.accept(job(vec![step(8, 1_000)]));
--- a/crates/cell/tests/all/incarnation.rs
+++ b/crates/cell/tests/all/incarnation.rs
@@ -160,7 +160,7 @@
     let tick = fixture.round();
     assert_eq!(starts(&tick.orders).len(), 3);
     assert_eq!(tick.losses[0].cause, Cause::Crash);
-    assert_eq!(tick.losses[0].blamed, Vec::new());
+    assert_eq!(tick.losses[0].attributed_to, Vec::new());
 }
 
 fn stale_response() {
@@ -285,7 +285,7 @@
     fixture.replace_owner();
     deliver(&mut fixture, &response(WALL_AT_ZERO_MS + 2_000));
     let tick = fixture.round();
-    assert_eq!(tick.losses[0].blamed, vec![task(&id, 0, 0)]);
+    assert_eq!(tick.losses[0].attributed_to, vec![task(&id, 0, 0)]);
 }
 
 fn never_reached() {
@@ -296,7 +296,7 @@
     let second = response(WALL_AT_ZERO_MS + 2_000);
     deliver(&mut fixture, &second);
     let tick = fixture.round();
-    assert_eq!(tick.losses[0].blamed, vec![task(&id, 0, 0)]);
+    assert_eq!(tick.losses[0].attributed_to, vec![task(&id, 0, 0)]);
     assert_eq!(starts(&tick.orders).len(), 1);
     fixture.replace_owner();
     deliver(&mut fixture, &second);
@@ -319,7 +319,7 @@
     assert_eq!(IncarnationTag::of(born), IncarnationTag::of(next));
     deliver(&mut fixture, &response(next));
     let tick = fixture.round();
-    assert_eq!(tick.losses[0].blamed, vec![task(&id, 0, 0)]);
+    assert_eq!(tick.losses[0].attributed_to, vec![task(&id, 0, 0)]);
 }
 
 fn late_list() {
@@ -374,5 +374,5 @@
     fixture.now += 100;
     deliver(&mut fixture, &response(NEXT_BOOT));
     let tick = fixture.round();
-    assert_eq!(tick.losses[0].blamed, vec![task(&id, 0, 0)]);
+    assert_eq!(tick.losses[0].attributed_to, vec![task(&id, 0, 0)]);
 }
--- a/crates/owner/src/run.rs
+++ b/crates/owner/src/run.rs
@@ -324,8 +324,8 @@
             self.context.observer.lost(loss.cause, loss.runs.len());
         }
         tell::losses(&self.context.pool, &tick.losses);
-        tell::culprits(&self.context.pool, &tick.culprits);
-        tell::acquitted(&self.context.pool, &tick.acquitted);
+        tell::culprits(&self.context.pool, &tick.poison_tasks);
+        tell::acquitted(&self.context.pool, &tick.crashes_cleared);
         for worker in &tick.immediate_polls {
             self.reach.glance(worker);
         }
@@ -494,8 +494,8 @@
             runs: runs.collect(),
             emptied: emptied.map(Name::clone).collect(),
             registered: self.registered.clone(),
-            silent: self.cell.silent(now),
-            suspected: self.cell.suspected(now),
+            silent: self.cell.unresponsive(now),
+            suspected: self.cell.possibly_crashed(now),
             lives: self.cell.incarnations(now),
             kept,
         };
--- a/crates/owner/src/tell.rs
+++ b/crates/owner/src/tell.rs
@@ -2,7 +2,7 @@
 
 use crate::digest::first;
 use log::{info, warn};
-use primroseroute_cell::{Culprit, Loss, Need, Order};
+use primroseroute_cell::{Loss, Need, Order, PoisonTask};
 use primroseroute_domain::work::{JobId, State, TaskId};
 
 /// One line for each order to a worker.
@@ -44,18 +44,18 @@
         worker,
         cause,
         runs,
-        blamed,
+        attributed_to,
     } in losses
     {
         let tasks = first(runs.iter().map(|(task, run)| format!("{task}/{run}")));
-        let blamed = first(blamed.iter().map(ToString::to_string));
-        info!(pool, worker = &**worker, cause:? = cause, count = runs.len(), tasks = &*tasks, blamed = &*blamed; "runs lost with their worker");
+        let attributed_to = first(attributed_to.iter().map(ToString::to_string));
+        info!(pool, worker = &**worker, cause:? = cause, count = runs.len(), tasks = &*tasks, blamed = &*attributed_to; "runs lost with their worker");
     }
 }
 
 /// One line for each task that is given up since it crashes its workers.
-pub(crate) fn culprits(pool: &str, culprits: &[Culprit]) {
-    for Culprit { task, crashes } in culprits {
+pub(crate) fn culprits(pool: &str, culprits: &[PoisonTask]) {
+    for PoisonTask { task, crashes } in culprits {
         warn!(pool, task:% = task, crashes; "a task that crashes its workers is given up");
     }
 }
