--- a/crates/cell/benches/tick.rs
+++ b/crates/cell/benches/tick.rs
@@ -67,7 +67,7 @@
         let full = {
             let mut cell = cell(workers);
             let tick = cell.tick(1, 1);
-            cell.committed(&tick, 1);
+            cell.record_commit(&tick, 1);
             cell
         };
         group.bench_with_input(BenchmarkId::new("full", workers), &full, |bencher, full| {
--- a/crates/cell/benches/turn.rs
+++ b/crates/cell/benches/turn.rs
@@ -150,7 +150,7 @@
             self.cell
                 .apply_status(id, &host.response(now), now, now, now);
             host.ended.clear();
-            self.cell.urgent(now);
+            self.cell.immediate_stops(now);
         }
     }
 
@@ -158,12 +158,12 @@
         self.now += ROUND_INTERVAL_MS;
         let now = self.now;
         self.accept();
-        self.cell.heard(now);
+        self.cell.advance_feed_watermark(now);
         self.poll_all();
         let mut tick = self.cell.tick(now, now);
-        self.cell.committed(&tick, now);
+        self.cell.record_commit(&tick, now);
         let orders = std::mem::take(&mut tick.orders);
-        let (orders, _withdrawn) = self.cell.standing(orders, now);
+        let (orders, _withdrawn) = self.cell.revalidate(orders, now);
         for order in orders {
             let Order::Start {
                 worker, task, run, ..
@@ -173,7 +173,7 @@
             };
             self.starts += 1;
             self.cell
-                .answered(&worker, &task, run, Outcome::Started, now);
+                .record_start_outcome(&worker, &task, run, Outcome::Started, now);
             let host = self.hosts.get_mut(&worker).expect("a known worker");
             host.running.insert(task, (run, now + TASK_DURATION_MS));
         }
--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -69,7 +69,7 @@
 /// Whether starts of a task need a ticket.
 pub(crate) fn needs_ticket(cell: &Cell, task: &TaskId) -> bool {
     let job = cell.jobs.get(&task.job);
-    job.is_some_and(|job| cell.advised.contains(&job.accepted.queue))
+    job.is_some_and(|job| cell.advised_queues.contains(&job.accepted.queue))
 }
 
 /// Whether the queue's policy is known to allow a worker to run a task.
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -22,14 +22,14 @@
     /// When this owner took over.
     pub(crate) taken_at: Millis,
     /// All jobs and cancels that were stored by this time are known; `None` before the first read.
-    pub(crate) heard_at: Option<Millis>,
+    pub(crate) feed_watermark: Option<Millis>,
     pub(crate) workers: BTreeMap<Name, Worker>,
     /// Unfinished jobs.
     pub(crate) jobs: BTreeMap<JobId, Job>,
     /// Finished jobs whose rows are still stored, with the wall-clock time of their end.
     pub(crate) finished: BTreeMap<JobId, u64>,
     /// Jobs whose rows were deleted recently, with the wall-clock time of the deletion.
-    pub(crate) forgotten: BTreeMap<JobId, u64>,
+    pub(crate) deleted: BTreeMap<JobId, u64>,
     /// Jobs with uncommitted progress.
     pub(crate) dirty: BTreeSet<JobId>,
     /// Since when a long-running task has found no free capacity.
@@ -55,7 +55,7 @@
     /// Rate of incoming work.
     pub(crate) arrivals: Arrivals,
     /// Queues whose starts need a ticket.
-    pub(crate) advised: BTreeSet<Name>,
+    pub(crate) advised_queues: BTreeSet<Name>,
     /// What the advice service has said about workers, by step.
     pub(crate) policies: BTreeMap<StepId, Policy>,
     /// Whether there may be runs of ended jobs whose stops haven't been collected yet.
@@ -70,11 +70,11 @@
         Self {
             limits,
             taken_at: now,
-            heard_at: None,
+            feed_watermark: None,
             workers: BTreeMap::new(),
             jobs: BTreeMap::new(),
             finished: BTreeMap::new(),
-            forgotten: BTreeMap::new(),
+            deleted: BTreeMap::new(),
             dirty: BTreeSet::new(),
             unplaced_since: BTreeMap::new(),
             crashed: BTreeMap::new(),
@@ -87,7 +87,7 @@
             queued_counts: BTreeMap::new(),
             estimates: RecentEstimates::default(),
             arrivals: Arrivals::default(),
-            advised: BTreeSet::new(),
+            advised_queues: BTreeSet::new(),
             policies: BTreeMap::new(),
             stops_due: false,
             stops_collected_at: now,
@@ -96,7 +96,7 @@
 
     /// Adds an accepted job; does nothing if the job is known already.
     pub fn accept(&mut self, id: JobId, accepted: Accepted) {
-        let over = self.finished.contains_key(&id) || self.forgotten.contains_key(&id);
+        let over = self.finished.contains_key(&id) || self.deleted.contains_key(&id);
         if !over && !self.jobs.contains_key(&id) {
             self.arrivals.accept(&accepted.job);
             self.jobs.insert(id, Job::new(accepted));
@@ -163,9 +163,9 @@
     }
 
     /// Records that the rows of a finished job are deleted.
-    pub fn forgotten(&mut self, id: JobId, wall_ms: u64) {
+    pub fn record_rows_deleted(&mut self, id: JobId, wall_ms: u64) {
         self.finished.remove(&id);
-        self.forgotten.insert(id, wall_ms);
+        self.deleted.insert(id, wall_ms);
     }
 
     /// Applies a committed cancel. Returns the number of runs to stop, or `None` if the job has
@@ -248,7 +248,7 @@
     }
 
     /// Applies the outcome of a start.
-    pub fn answered(
+    pub fn record_start_outcome(
         &mut self,
         worker: &Name,
         task: &TaskId,
@@ -313,8 +313,8 @@
     }
 
     /// Sets the queues whose starts need a ticket.
-    pub fn advised(&mut self, queues: BTreeSet<Name>) {
-        self.advised = queues;
+    pub fn set_advised_queues(&mut self, queues: BTreeSet<Name>) {
+        self.advised_queues = queues;
     }
 
     /// Applies the answer to an advice request that was sent at `sent_at`: tickets by worker and
@@ -332,7 +332,13 @@
     /// Records that a worker has accepted the stop of a run. Returns whether only a later status
     /// poll will tell what became of the run, because it may never have started and so may have no
     /// end to report.
-    pub fn stopped(&mut self, worker: &Name, task: &TaskId, run: u32, now: Millis) -> bool {
+    pub fn record_stop_accepted(
+        &mut self,
+        worker: &Name,
+        task: &TaskId,
+        run: u32,
+        now: Millis,
+    ) -> bool {
         let worker = self.workers.get_mut(worker);
         let entry = worker.and_then(|worker| worker.runs.get_mut(task));
         let Some(entry) = entry.filter(|entry| entry.run == run) else {
@@ -393,12 +399,12 @@
     }
 
     /// Stops that are due for runs of ended jobs.
-    pub fn urgent(&mut self, now: Millis) -> Vec<Order> {
+    pub fn immediate_stops(&mut self, now: Millis) -> Vec<Order> {
         crate::tick::immediate_stops(self, now)
     }
 
     /// Records that `tick` is committed, by a transaction that was sent at `sent_at`.
-    pub fn committed(&mut self, tick: &Tick, sent_at: Millis) {
+    pub fn record_commit(&mut self, tick: &Tick, sent_at: Millis) {
         let start_expires_at = sent_at + self.limits.stretched(self.limits.start_window);
         for order in &tick.orders {
             let Order::Start {
--- a/crates/cell/src/order.rs
+++ b/crates/cell/src/order.rs
@@ -115,7 +115,7 @@
     pub forget: Vec<JobId>,
     /// Stops of runs whose jobs have ended. They need no commit: a job that has ended never goes
     /// on, so a commit that waits for a slow store must not delay them.
-    pub urgent: Vec<Order>,
+    pub immediate_stops: Vec<Order>,
     /// Orders that may be sent only once the rows are committed.
     pub orders: Vec<Order>,
     /// Workers to poll at once, in addition to the regular polls that wait for a run to end.
--- a/crates/cell/src/placement/mod.rs
+++ b/crates/cell/src/placement/mod.rs
@@ -81,7 +81,7 @@
         let Some(step) = job.and_then(|job| job.step(waiting.step)) else {
             return;
         };
-        let advised = job.is_some_and(|job| cell.advised.contains(&job.accepted.queue));
+        let advised = job.is_some_and(|job| cell.advised_queues.contains(&job.accepted.queue));
         let plain = step.label.is_none() && step.most_per_worker == 0 && !step.gang && !advised;
         // A worker that is still stopping an earlier run of a task is excluded for that task only,
         // and a worker with many new runs of tasks with crashes is excluded only for such tasks.
--- a/crates/cell/src/tick.rs
+++ b/crates/cell/src/tick.rs
@@ -41,7 +41,7 @@
     orders.extend(throttle_all(cell));
     let stops = collect_stops(cell, now);
     orders.extend(stops.go_on);
-    let urgent = stops.ended;
+    let immediate_stops = stops.ended;
     let (puts, ended) = changed_rows(cell);
     let ends_committed = cell.workers.iter();
     let ends_committed = ends_committed.map(|(id, worker)| (Name::clone(id), worker.ends_cursor()));
@@ -52,7 +52,7 @@
         puts,
         ended,
         forget: expired_jobs(cell, wall_ms),
-        urgent,
+        immediate_stops,
         orders,
         immediate_polls: crash::immediate_polls(cell, now),
         losses: std::mem::take(&mut cell.losses),
@@ -305,7 +305,7 @@
 
 /// Finished jobs whose rows are to be deleted now; tried again after a while if that fails.
 fn expired_jobs(cell: &mut Cell, wall_ms: u64) -> Vec<JobId> {
-    cell.forgotten
+    cell.deleted
         .retain(|_id, at| wall_ms < *at + DELETED_JOB_MEMORY_MS);
     let keep = cell.limits.keep * RETENTION_PERCENT / 100;
     let due = cell.finished.iter_mut();
--- a/crates/cell/src/window.rs
+++ b/crates/cell/src/window.rs
@@ -13,18 +13,20 @@
 
 impl Cell {
     /// Records that all jobs and cancels that were stored by `at` are known.
-    pub fn heard(&mut self, at: Millis) {
-        self.heard_at = self.heard_at.max(Some(at));
+    pub fn advance_feed_watermark(&mut self, at: Millis) {
+        self.feed_watermark = self.feed_watermark.max(Some(at));
     }
 
     /// Time after `sent_at` within which a start must arrive whose commit was sent then.
     ///
     /// Without the bound by the known cancels, the lag of a busy or partitioned owner and the
     /// window of the commit add up, and work of a job begins seconds after its caller was told that
-    /// it is cancelled. Jobs that were cancelled by `heard_at` aren't started, and no start takes
+    /// it is cancelled. Jobs that were cancelled by `feed_watermark` aren't started, and no start takes
     /// effect later than the window after that.
     pub fn start_window(&self, sent_at: Millis) -> Millis {
-        let known = self.heard_at.map_or(0, |at| at + self.limits.cancel_window);
+        let known = self
+            .feed_watermark
+            .map_or(0, |at| at + self.limits.cancel_window);
         self.limits.start_window.min(known.saturating_sub(sent_at))
     }
 
@@ -34,8 +36,8 @@
     }
 
     /// All jobs and cancels that were stored by this time are known.
-    pub fn heard_at(&self) -> Millis {
-        self.heard_at.unwrap_or(self.taken_at)
+    pub fn feed_watermark(&self) -> Millis {
+        self.feed_watermark.unwrap_or(self.taken_at)
     }
 
     /// Splits committed orders into those that are still valid and those that aren't. The latter
@@ -45,38 +47,38 @@
     /// cancelled job are sent at once, and a start that followed could overtake them on another
     /// connection; a worker may have announced that it drains; a step that tolerated one more
     /// unavailable task doesn't tolerate it once another one has ended.
-    pub fn standing(&mut self, orders: Vec<Order>, now: Millis) -> (Vec<Order>, Vec<Order>) {
-        let mut standing = orders;
-        let mut withdrawn = Vec::new();
+    pub fn revalidate(&mut self, orders: Vec<Order>, now: Millis) -> (Vec<Order>, Vec<Order>) {
+        let mut valid = orders;
+        let mut invalid = Vec::new();
         loop {
             // If a member of a gang is withdrawn, the others are too, in the next pass.
-            let (holds, fallen): (Vec<Order>, Vec<Order>) = standing
+            let (holds, newly_invalid): (Vec<Order>, Vec<Order>) = valid
                 .into_iter()
-                .partition(|order| self.stands(order, now));
-            standing = holds;
-            if fallen.is_empty() {
+                .partition(|order| self.is_valid(order, now));
+            valid = holds;
+            if newly_invalid.is_empty() {
                 break;
             }
-            for order in &fallen {
-                self.take_back(order);
+            for order in &newly_invalid {
+                self.revert(order);
             }
-            withdrawn.extend(fallen);
+            invalid.extend(newly_invalid);
         }
-        for order in &standing {
+        for order in &valid {
             if let Order::Stop { worker, task, .. } = order
                 && let Some(entry) = self.run_mut(worker, task)
             {
                 entry.last_stop_sent_at = Some(now);
             }
         }
-        (standing, withdrawn)
+        (valid, invalid)
     }
 
     fn run_mut(&mut self, worker: &Name, task: &TaskId) -> Option<&mut Run> {
         self.workers.get_mut(worker)?.runs.get_mut(task)
     }
 
-    fn stands(&self, order: &Order, now: Millis) -> bool {
+    fn is_valid(&self, order: &Order, now: Millis) -> bool {
         match order {
             Order::Start {
                 worker, task, run, ..
@@ -107,7 +109,7 @@
         }
     }
 
-    fn take_back(&mut self, order: &Order) {
+    fn revert(&mut self, order: &Order) {
         match order {
             Order::Start {
                 worker, task, run, ..
--- a/crates/cell/tests/all/advice.rs
+++ b/crates/cell/tests/all/advice.rs
@@ -22,7 +22,7 @@
 
 fn with_advised_queue(workers: &[&str]) -> Fixture {
     let mut fixture = Fixture::new(workers);
-    fixture.cell.advised(["queue".into()].into());
+    fixture.cell.set_advised_queues(["queue".into()].into());
     fixture
 }
 
@@ -94,7 +94,7 @@
     let worker = "w-1".into();
     fixture
         .cell
-        .answered(&worker, &task(&id, 0, 0), 1, outcome, fixture.now);
+        .record_start_outcome(&worker, &task(&id, 0, 0), 1, outcome, fixture.now);
     let tick = fixture.round();
     assert_eq!(starts(&tick.orders), []);
     only_request(&tick);
--- a/crates/cell/tests/all/crash.rs
+++ b/crates/cell/tests/all/crash.rs
@@ -397,7 +397,7 @@
     assert_eq!(task.job, id);
     fixture
         .cell
-        .answered(worker, task, *run, Outcome::Unknown, fixture.now);
+        .record_start_outcome(worker, task, *run, Outcome::Unknown, fixture.now);
     for _listing in 0..60 {
         fixture.now += 100;
         if fixture.cell.possibly_crashed(fixture.now).contains(worker) {
--- a/crates/cell/tests/all/ends.rs
+++ b/crates/cell/tests/all/ends.rs
@@ -128,7 +128,7 @@
     let unknown = Outcome::Unknown;
     fixture
         .cell
-        .answered(&on, &task(&id, 0, 0), 1, unknown, fixture.now);
+        .record_start_outcome(&on, &task(&id, 0, 0), 1, unknown, fixture.now);
     fixture.advance(100);
     let orders = fixture.round().orders;
     assert!(
@@ -137,7 +137,9 @@
     );
     fixture.advance(10);
     assert_eq!(starts(&fixture.round().orders), Vec::new());
-    fixture.cell.stopped(&on, &task(&id, 0, 0), 1, fixture.now);
+    fixture
+        .cell
+        .record_stop_accepted(&on, &task(&id, 0, 0), 1, fixture.now);
     fixture.advance(10);
     assert_eq!(starts(&fixture.round().orders).len(), 1);
 }
@@ -150,7 +152,7 @@
     let unknown = Outcome::Unknown;
     fixture
         .cell
-        .answered(&on, &task(&id, 0, 0), 1, unknown, fixture.now);
+        .record_start_outcome(&on, &task(&id, 0, 0), 1, unknown, fixture.now);
     fixture.advance(2_000);
     assert_eq!(starts(&fixture.round().orders), Vec::new());
     fixture.advance(1_000);
@@ -222,7 +224,7 @@
     for _tenth in 0..40 {
         fixture.advance(100);
         let tick = fixture.round();
-        assert!(tick.orders.is_empty() && tick.urgent.is_empty());
+        assert!(tick.orders.is_empty() && tick.immediate_stops.is_empty());
     }
 }
 
@@ -232,7 +234,7 @@
     let running = fixture.running.entry("w-1".into()).or_default();
     running.insert(task(&id, 0, 0), (3, 10));
     fixture.advance(100);
-    let orders = fixture.round().urgent;
+    let orders = fixture.round().immediate_stops;
     assert!(
         matches!(orders[..], [Order::Stop { run: 3, .. }]),
         "{orders:?}"
--- a/crates/cell/tests/all/fixture.rs
+++ b/crates/cell/tests/all/fixture.rs
@@ -137,7 +137,7 @@
     /// Runs and commits one round, executes all its orders and returns them.
     pub(crate) fn tick(&mut self) -> Vec<Order> {
         let tick = self.round();
-        let orders = [tick.urgent, tick.orders].concat();
+        let orders = [tick.immediate_stops, tick.orders].concat();
         for order in &orders {
             self.execute(order);
         }
@@ -146,16 +146,16 @@
 
     /// Runs and commits one round without sending its orders.
     pub(crate) fn round(&mut self) -> Tick {
-        self.cell.heard(self.now);
+        self.cell.advance_feed_watermark(self.now);
         let tick = self.cell.tick(self.now, WALL_AT_ZERO_MS + self.now);
         self.rows.extend(tick.puts.iter().cloned());
-        self.cell.committed(&tick, self.now);
+        self.cell.record_commit(&tick, self.now);
         tick
     }
 
     /// Returns the orders of a round that are still valid after its commit.
     pub(crate) fn standing(&mut self, tick: Tick) -> Vec<Order> {
-        let (standing, _withdrawn) = self.cell.standing(tick.orders, self.now);
+        let (standing, _withdrawn) = self.cell.revalidate(tick.orders, self.now);
         standing
     }
 
@@ -168,10 +168,10 @@
                 running.insert(task.clone(), (*run, 0));
                 let now = self.now;
                 self.cell
-                    .answered(worker, task, *run, Outcome::Started, now);
+                    .record_start_outcome(worker, task, *run, Outcome::Started, now);
             }
             Order::Stop { worker, task, run } => {
-                self.cell.stopped(worker, task, *run, self.now);
+                self.cell.record_stop_accepted(worker, task, *run, self.now);
                 let on = Name::clone(worker);
                 self.end_run(&on, task, End::Stopped);
             }
--- a/crates/cell/tests/all/incarnation.rs
+++ b/crates/cell/tests/all/incarnation.rs
@@ -183,7 +183,7 @@
     let unknown = Outcome::Unknown;
     fixture
         .cell
-        .answered(&worker(), &task(&id, 0, 0), 1, unknown, now);
+        .record_start_outcome(&worker(), &task(&id, 0, 0), 1, unknown, now);
     id
 }
 
@@ -203,7 +203,7 @@
     assert_eq!(stops(&tick), 1);
     fixture
         .cell
-        .stopped(&worker(), &task(&id, 0, 0), 1, fixture.now);
+        .record_stop_accepted(&worker(), &task(&id, 0, 0), 1, fixture.now);
     fixture.now += 10;
     deliver(&mut fixture, &response(NEXT_BOOT));
     assert_eq!(starts(&fixture.round().orders).len(), 1);
@@ -215,7 +215,7 @@
     fixture.round();
     fixture
         .cell
-        .stopped(&worker(), &task(&id, 0, 0), 1, fixture.now);
+        .record_stop_accepted(&worker(), &task(&id, 0, 0), 1, fixture.now);
     fixture.now += 3_000;
     deliver(&mut fixture, &response(NEXT_BOOT));
     let tick = fixture.round();
@@ -233,7 +233,7 @@
     assert_eq!(stops(&fixture.round()), 1);
     fixture
         .cell
-        .stopped(&worker(), &task(&id, 0, 0), 1, fixture.now);
+        .record_stop_accepted(&worker(), &task(&id, 0, 0), 1, fixture.now);
     fixture.now += 10;
     deliver(&mut fixture, &response(NEXT_BOOT));
     assert_eq!(starts(&fixture.round().orders).len(), 1);
--- a/crates/cell/tests/all/long_running.rs
+++ b/crates/cell/tests/all/long_running.rs
@@ -273,7 +273,7 @@
         let now = fixture.now;
         fixture
             .cell
-            .answered(&worker, &task, run, Outcome::Unknown, now);
+            .record_start_outcome(&worker, &task, run, Outcome::Unknown, now);
         runs.push((worker, task));
     }
     let tick = fixture.round();
--- a/crates/cell/tests/all/queued.rs
+++ b/crates/cell/tests/all/queued.rs
@@ -53,7 +53,9 @@
         panic!("{orders:?}");
     };
     let now = fixture.now;
-    fixture.cell.answered(worker, task, *run, outcome, now);
+    fixture
+        .cell
+        .record_start_outcome(worker, task, *run, outcome, now);
     assert_eq!(queued(&mut fixture), 1);
 }
 
@@ -63,7 +65,9 @@
     fixture.round();
     let (task, on) = (task(&id, 0, 0), "w-1".into());
     let now = fixture.now;
-    fixture.cell.answered(&on, &task, 1, Outcome::Unknown, now);
+    fixture
+        .cell
+        .record_start_outcome(&on, &task, 1, Outcome::Unknown, now);
     assert_eq!(queued(&mut fixture), 1);
     let running = fixture.running.get_mut("w-1").expect("the worker is known");
     running.insert(task, (1, 0));
--- a/crates/cell/tests/all/window.rs
+++ b/crates/cell/tests/all/window.rs
@@ -30,7 +30,7 @@
         .cell
         .tick(fixture.now, WALL_AT_ZERO_MS + fixture.now);
     assert_eq!(starts(&tick.orders), Vec::new());
-    fixture.cell.heard(fixture.now);
+    fixture.cell.advance_feed_watermark(fixture.now);
     let tick = fixture
         .cell
         .tick(fixture.now, WALL_AT_ZERO_MS + fixture.now);
@@ -46,7 +46,7 @@
         limits.cancel_window - 1_000
     );
     assert_eq!(fixture.cell.start_window(9_000), 0);
-    fixture.cell.heard(9_000);
+    fixture.cell.advance_feed_watermark(9_000);
     assert_eq!(fixture.cell.start_window(9_000), limits.start_window);
 }
 
@@ -88,7 +88,7 @@
     let now = fixture.now;
     fixture
         .cell
-        .answered(&worker, &task(&id, 0, 0), 1, Outcome::Withdrawn, now);
+        .record_start_outcome(&worker, &task(&id, 0, 0), 1, Outcome::Withdrawn, now);
     assert_eq!(fixture.cell.runs_on(&worker), 0);
     // The run number advances, since the previous one is in the row.
     let again = fixture.tick();
@@ -118,7 +118,7 @@
     let now = fixture.now;
     fixture
         .cell
-        .answered(worker, task, *run, Outcome::Withdrawn, now);
+        .record_start_outcome(worker, task, *run, Outcome::Withdrawn, now);
     let stops = fixture.tick();
     let stops = stops
         .iter()
--- a/crates/owner/src/cancels.rs
+++ b/crates/owner/src/cancels.rs
@@ -36,7 +36,7 @@
         for job in jobs {
             if let Some(runs) = cell.cancel(job, wall_ms) {
                 info!(pool, job:% = job, runs; "cancel found at a takeover");
-                self.stops(job, runs, cell.heard_at());
+                self.stops(job, runs, cell.feed_watermark());
             }
         }
     }
--- a/crates/owner/src/load.rs
+++ b/crates/owner/src/load.rs
@@ -40,7 +40,7 @@
     let (work, _version) = read_parts(rows, row::WORK, &[Name::clone(pool)]).await?;
     let begin = clock.now();
     let (jobs, next) = jobs(rows, pool).await?;
-    cell.heard(begin);
+    cell.advance_feed_watermark(begin);
     let last = work.iter().find(|row| &*row.place.key == row::BATCH);
     let last = last.map_or(0, |row| row.version);
     let mut progress: BTreeMap<JobId, Progress> = BTreeMap::new();
--- a/crates/owner/src/run.rs
+++ b/crates/owner/src/run.rs
@@ -142,7 +142,7 @@
             let begin = Instant::now();
             if configuration.has_changed().unwrap_or(false) {
                 self.cell
-                    .advised(advised(configuration.borrow_and_update().as_ref()));
+                    .set_advised_queues(advised(configuration.borrow_and_update().as_ref()));
             }
             self.register(registered.borrow_and_update().clone());
             while let Ok(event) = self.events.try_recv() {
@@ -175,7 +175,7 @@
             pool,
             ..
         } = &self.context;
-        let ago = clock.now().saturating_sub(self.cell.heard_at());
+        let ago = clock.now().saturating_sub(self.cell.feed_watermark());
         observer.jobs_read(pool, Duration::from_millis(ago));
         observer.round(pool, round);
     }
@@ -205,7 +205,7 @@
         match event {
             Event::Jobs(jobs, at) => {
                 let read = Read {
-                    before: self.cell.heard_at(),
+                    before: self.cell.feed_watermark(),
                     at,
                 };
                 for (id, accepted) in jobs.accepted {
@@ -215,7 +215,7 @@
                 self.cancels
                     .take(&mut self.cell, &jobs.cancelled, read, times);
             }
-            Event::Heard(at) => self.cell.heard(at),
+            Event::Heard(at) => self.cell.advance_feed_watermark(at),
             Event::Renewing { worker, lapses_at } => {
                 self.cell.lease_renewal_sent(&worker, lapses_at)
             }
@@ -263,14 +263,15 @@
                 if outcome != Outcome::Started {
                     info!(worker = &*worker, task:% = task, run, outcome:? = outcome; "start not confirmed");
                 }
-                self.cell.answered(&worker, &task, run, outcome, now);
+                self.cell
+                    .record_start_outcome(&worker, &task, run, outcome, now);
             }
             Event::Stopped { worker, task, run } => {
-                if self.cell.stopped(&worker, &task, run, now) {
+                if self.cell.record_stop_accepted(&worker, &task, run, now) {
                     self.reach.glance(&worker);
                 }
             }
-            Event::Forgotten(id) => self.cell.forgotten(id, wall_ms),
+            Event::Forgotten(id) => self.cell.record_rows_deleted(id, wall_ms),
             Event::Advised {
                 question,
                 answer,
@@ -329,7 +330,7 @@
         for worker in &tick.immediate_polls {
             self.reach.glance(worker);
         }
-        let urgent = std::mem::take(&mut tick.urgent);
+        let urgent = std::mem::take(&mut tick.immediate_stops);
         for question in std::mem::take(&mut tick.questions) {
             self.beside.spawn(ask(
                 Arc::clone(&self.context.advisor),
@@ -373,12 +374,12 @@
     /// Sends what still holds of a round, once it is committed by a transaction that was sent at `sent_at`.
     fn carry_out(&mut self, mut tick: Tick, sent_at: Millis, decided: Instant) {
         let clock = self.context.clock;
-        self.cell.committed(&tick, sent_at);
+        self.cell.record_commit(&tick, sent_at);
         // The commit may have taken long.
         let workers = self.roster.workers.borrow().clone();
         self.register(workers);
         let orders = std::mem::take(&mut tick.orders);
-        let (orders, withdrawn) = self.cell.standing(orders, clock.now());
+        let (orders, withdrawn) = self.cell.revalidate(orders, clock.now());
         for order in &withdrawn {
             if matches!(order, Order::Start { .. }) {
                 self.context.observer.started(Outcome::Withdrawn);
@@ -430,7 +431,7 @@
             self.digest.tell_held(&self.context.pool);
             let now = self.context.clock.now();
             let decided = Instant::now();
-            let urgent = self.cell.urgent(now);
+            let urgent = self.cell.immediate_stops(now);
             tell::orders(&self.context.pool, &urgent);
             self.send(urgent, now, decided);
         }
@@ -440,7 +441,7 @@
     fn send(&mut self, orders: Vec<Order>, sent_at: Millis, decided: Instant) {
         let times = Times {
             decided,
-            heard_at: self.cell.heard_at(),
+            heard_at: self.cell.feed_watermark(),
             sent_at,
             window: self.cell.start_window(sent_at),
         };
