--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -3,7 +3,7 @@
 use crate::{
     cell::Cell,
     limits::Millis,
-    order::Question,
+    order::AdviceRequest,
     placement::{WaitingStep, allows_ignoring_policy},
 };
 use primroseroute_domain::work::{Name, TaskId};
@@ -87,15 +87,19 @@
 /// Requests for steps that still wait: for workers with free capacity that weren't asked about, or
 /// that may run the step and whose ticket has expired. Workers with the most free capacity come
 /// first.
-pub(crate) fn questions(cell: &mut Cell, waiting: &[WaitingStep], now: Millis) -> Vec<Question> {
+pub(crate) fn requests(
+    cell: &mut Cell,
+    waiting: &[WaitingStep],
+    now: Millis,
+) -> Vec<AdviceRequest> {
     let open = cell
         .policies
         .values()
         .filter(|policy| policy.request_open)
         .count();
-    let mut questions = Vec::new();
+    let mut requests = Vec::new();
     for waiting in waiting {
-        if open + questions.len() >= MAX_OPEN_REQUESTS {
+        if open + requests.len() >= MAX_OPEN_REQUESTS {
             break;
         }
         let task = waiting.first_task();
@@ -114,9 +118,9 @@
         if let Some(policy) = cell.policies.get_mut(&step) {
             policy.request_open = true;
         }
-        questions.push(Question { step, workers });
+        requests.push(AdviceRequest { step, workers });
     }
-    questions
+    requests
 }
 
 fn candidates(cell: &Cell, task: &TaskId, now: Millis) -> Vec<Name> {
@@ -142,12 +146,12 @@
 /// Applies the answer to a request that was sent at `sent_at`; `None` if there was none.
 pub(crate) fn apply_answer(
     cell: &mut Cell,
-    question: &Question,
+    request: &AdviceRequest,
     answer: Option<(BTreeMap<Name, Name>, Millis)>,
     sent_at: Millis,
     now: Millis,
 ) {
-    let Some(policy) = cell.policies.get_mut(&question.step) else {
+    let Some(policy) = cell.policies.get_mut(&request.step) else {
         return;
     };
     policy.request_open = false;
@@ -156,7 +160,7 @@
         return;
     };
     let until = (sent_at + valid).saturating_sub(SEND_MARGIN_MS);
-    for worker in &question.workers {
+    for worker in &request.workers {
         match tickets.get(worker) {
             Some(ticket) => {
                 let ticket = (Name::clone(ticket), until);
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -6,7 +6,7 @@
     crash::PoisonTask,
     job::{HasStarted, Job},
     limits::{Limits, Millis},
-    order::{Loss, Order, Outcome, Question, Tick},
+    order::{AdviceRequest, Loss, Order, Outcome, Tick},
     row::{Accepted, Phase, Progress},
     scaling::RecentEstimates,
     worker::{Origin, Run, StartState, StopState, Worker},
@@ -319,14 +319,14 @@
 
     /// Applies the answer to an advice request that was sent at `sent_at`: tickets by worker and
     /// how long they are valid; `None` if there was no answer.
-    pub fn advice(
+    pub fn record_advice(
         &mut self,
-        question: &Question,
+        request: &AdviceRequest,
         answer: Option<(BTreeMap<Name, Name>, Millis)>,
         sent_at: Millis,
         now: Millis,
     ) {
-        advice::apply_answer(self, question, answer, sent_at, now);
+        advice::apply_answer(self, request, answer, sent_at, now);
     }
 
     /// Records that a worker has accepted the stop of a run. Returns whether only a later status
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -61,6 +61,6 @@
 pub use cell::Cell;
 pub use crash::PoisonTask;
 pub use limits::{Limits, Millis};
-pub use order::{Cause, EndsCursor, Loss, Order, Outcome, Question, Tick};
+pub use order::{AdviceRequest, Cause, EndsCursor, Loss, Order, Outcome, Tick};
 pub use scaling::Need;
 pub use worker::EvacuationReason;
--- a/crates/cell/src/order.rs
+++ b/crates/cell/src/order.rs
@@ -47,7 +47,7 @@
 
 /// A request to the advice service.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct AdviceRequest {
     /// The step.
     pub step: StepId,
     /// The workers that might run it.
@@ -127,7 +127,7 @@
     /// Tasks whose crash records were cleared because their workers survived them.
     pub crashes_cleared: Vec<TaskId>,
     /// Requests to the advice service; they need no commit.
-    pub questions: Vec<Question>,
+    pub advice_requests: Vec<AdviceRequest>,
     /// For each worker, the position up to which its ended runs are in the rows.
     pub ends_committed: Vec<(Name, EndsCursor)>,
     /// How many workers the pool can use.
--- a/crates/cell/src/tick.rs
+++ b/crates/cell/src/tick.rs
@@ -48,7 +48,7 @@
     let ends_committed = ends_committed.collect();
     cell.queued_counts = cell.count_queued();
     Tick {
-        questions: advice::questions(cell, &waiting, now),
+        advice_requests: advice::requests(cell, &waiting, now),
         puts,
         ended,
         forget: expired_jobs(cell, wall_ms),
--- a/crates/cell/tests/all/advice.rs
+++ b/crates/cell/tests/all/advice.rs
@@ -4,7 +4,7 @@
     cases,
     fixture::{Fixture, job, starts, step, task},
 };
-use primroseroute_cell::{Order, Outcome, Question, Tick};
+use primroseroute_cell::{AdviceRequest, Order, Outcome, Tick};
 use primroseroute_domain::work::{End, Name};
 use primroseroute_platform::worker::Refusal;
 use std::collections::BTreeMap;
@@ -26,13 +26,13 @@
     fixture
 }
 
-fn only_request(tick: &Tick) -> Question {
-    assert_eq!(tick.questions.len(), 1, "{:?}", tick.questions);
-    tick.questions[0].clone()
+fn only_request(tick: &Tick) -> AdviceRequest {
+    assert_eq!(tick.advice_requests.len(), 1, "{:?}", tick.advice_requests);
+    tick.advice_requests[0].clone()
 }
 
 /// Answers a request: all workers except `forbidden` may run the step.
-fn answer(fixture: &mut Fixture, request: &Question, forbidden: &[&str]) {
+fn answer(fixture: &mut Fixture, request: &AdviceRequest, forbidden: &[&str]) {
     let allowed = request.workers.iter();
     let allowed = allowed.filter(|worker| !forbidden.contains(&&***worker));
     let now = fixture.now;
@@ -41,7 +41,7 @@
         .collect();
     fixture
         .cell
-        .advice(request, Some((tickets, TICKET_VALID_MS)), now, now);
+        .record_advice(request, Some((tickets, TICKET_VALID_MS)), now, now);
 }
 
 fn tickets(tick: &Tick) -> Vec<Option<Name>> {
@@ -60,7 +60,7 @@
     assert_eq!(starts(&tick.orders), []);
     let request = only_request(&tick);
     assert_eq!(request.workers.len(), 2);
-    assert_eq!(fixture.round().questions, [], "requested twice");
+    assert_eq!(fixture.round().advice_requests, [], "requested twice");
     answer(&mut fixture, &request, &["w-1"]);
     let tick = fixture.round();
     assert_eq!(tickets(&tick), [Some("w-2@0".into())]);
@@ -107,7 +107,10 @@
     answer(&mut fixture, &request, &["w-1"]);
     fixture.advance(TICKET_VALID_MS);
     let tick = fixture.round();
-    assert_eq!((starts(&tick.orders), tick.questions), (vec![], vec![]));
+    assert_eq!(
+        (starts(&tick.orders), tick.advice_requests),
+        (vec![], vec![])
+    );
     fixture.cell.register(crate::fixture::worker("w-2"));
     fixture.running.insert("w-2".into(), BTreeMap::new());
     fixture.poll_all();
@@ -120,8 +123,8 @@
     let request = only_request(&fixture.round());
     fixture
         .cell
-        .advice(&request, None, fixture.now, fixture.now);
-    assert_eq!(fixture.round().questions, []);
+        .record_advice(&request, None, fixture.now, fixture.now);
+    assert_eq!(fixture.round().advice_requests, []);
     fixture.advance(250);
     assert_eq!(only_request(&fixture.round()), request);
 }
--- a/crates/owner/src/ask.rs
+++ b/crates/owner/src/ask.rs
@@ -2,7 +2,7 @@
 
 use crate::{clock::Clock, event::Event};
 use log::{debug, info};
-use primroseroute_cell::{Millis, Question};
+use primroseroute_cell::{AdviceRequest, Millis};
 use primroseroute_platform::advice::Advisor;
 use std::sync::Arc;
 use tokio::sync::mpsc::UnboundedSender;
@@ -11,7 +11,7 @@
 pub(crate) async fn ask(
     advisor: Arc<dyn Advisor>,
     clock: Clock,
-    question: Question,
+    question: AdviceRequest,
     events: UnboundedSender<Event>,
 ) {
     let sent_at = clock.now();
--- a/crates/owner/src/event.rs
+++ b/crates/owner/src/event.rs
@@ -1,7 +1,7 @@
 //! What a pool's loop is told.
 
 use crate::load::Jobs;
-use primroseroute_cell::{EvacuationReason, Millis, Outcome, Question};
+use primroseroute_cell::{AdviceRequest, EvacuationReason, Millis, Outcome};
 use primroseroute_domain::work::{JobId, Name, TaskId};
 use primroseroute_platform::worker::Look;
 use std::collections::BTreeMap;
@@ -51,7 +51,7 @@
         run: u32,
     },
     Advised {
-        question: Question,
+        question: AdviceRequest,
         /// Tickets by worker, and how long they are valid; none where there was no answer.
         answer: Option<(BTreeMap<Name, Name>, Millis)>,
         sent_at: Millis,
--- a/crates/owner/src/run.rs
+++ b/crates/owner/src/run.rs
@@ -276,7 +276,7 @@
                 question,
                 answer,
                 sent_at,
-            } => self.cell.advice(&question, answer, sent_at, now),
+            } => self.cell.record_advice(&question, answer, sent_at, now),
             Event::Empty { worker, wanted } => self.cell.set_evacuating(&worker, wanted),
             Event::Clear(worker) => self.cell.stop_batch_tasks(&worker),
         }
@@ -331,7 +331,7 @@
             self.reach.glance(worker);
         }
         let urgent = std::mem::take(&mut tick.immediate_stops);
-        for question in std::mem::take(&mut tick.questions) {
+        for question in std::mem::take(&mut tick.advice_requests) {
             self.beside.spawn(ask(
                 Arc::clone(&self.context.advisor),
                 self.context.clock,
