--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -37,7 +37,7 @@
 //! * [`row`]: the rows in the store, their locations and formats.
 //! * [`Cell`] and its parts: jobs, workers, worker statuses, placement, migration of long-running
 //!   tasks, and which workers the advice service allows.
-//! * [`Need`]: how many workers the pool should have.
+//! * [`ScalingEstimate`]: how many workers the pool should have.
 
 mod advice;
 mod arrivals;
@@ -62,5 +62,5 @@
 pub use crash::PoisonTask;
 pub use limits::{Limits, Millis};
 pub use order::{AdviceRequest, Cause, EndsCursor, Loss, Order, Outcome, Tick};
-pub use scaling::Need;
+pub use scaling::ScalingEstimate;
 pub use worker::EvacuationReason;
--- a/crates/cell/src/order.rs
+++ b/crates/cell/src/order.rs
@@ -1,6 +1,6 @@
 //! Outputs of a cell and the results of its orders.
 
-use crate::{crash::PoisonTask, scaling::Need};
+use crate::{crash::PoisonTask, scaling::ScalingEstimate};
 use bytes::Bytes;
 use primroseroute_domain::work::{JobId, Name, State, StepId, TaskId};
 use primroseroute_platform::worker::Refusal;
@@ -131,5 +131,5 @@
     /// For each worker, the position up to which its ended runs are in the rows.
     pub ends_committed: Vec<(Name, EndsCursor)>,
     /// How many workers the pool can use.
-    pub need: Need,
+    pub scaling: ScalingEstimate,
 }
--- a/crates/cell/src/row/mod.rs
+++ b/crates/cell/src/row/mod.rs
@@ -8,7 +8,7 @@
 //! | `work` | pool | id | [`Progress`] | the pool's owner |
 //! | `work` | pool | `.batch` | [`Batch`] | the pool's owner, with each commit |
 //! | `control` | pool | `owner` | [`Owner`] | the entry that takes over or releases the pool |
-//! | `control` | pool | `wanted` | [`Wanted`] | the pool's owner, with a commit |
+//! | `control` | pool | `wanted` | [`DesiredWorkers`] | the pool's owner, with a commit |
 //! | `control` | pool | `orders` | [`Orders`] | the pool's owner, to request orders to its instances |
 //! | `control` | pool | `answer` and a group | [`Answer`] | the holder of the group, before and after it gives the orders |
 //! | `control` | group | `owner` | [`Owner`] | the entry that takes over or releases the group of instances |
@@ -58,7 +58,7 @@
 const OWNER: &str = "owner";
 
 /// Key of the number of workers that a pool can use.
-const WANTED: &str = "wanted";
+const DESIRED_WORKERS: &str = "wanted";
 
 /// Table of progress.
 pub const WORK: &str = "work";
@@ -122,8 +122,8 @@
 }
 
 /// Location of the number of workers that a pool can use.
-pub fn wanted(pool: &str) -> Place {
-    Place::new(CONTROL, pool, WANTED)
+pub fn desired_workers(pool: &str) -> Place {
+    Place::new(CONTROL, pool, DESIRED_WORKERS)
 }
 
 /// Location of an entry's heartbeat.
@@ -145,7 +145,7 @@
     /// The heartbeat of this entry.
     Member(Name),
     /// The number of workers that this pool can use.
-    Wanted(Name),
+    DesiredWorkers(Name),
     /// The orders that the owner of this pool requests.
     Orders(Name),
     /// The answer of a group's holder to the owner of a pool.
@@ -164,8 +164,8 @@
             Some(Self::Member(Name::clone(&place.key)))
         } else if &*place.key == OWNER {
             Some(Self::Owner(Name::clone(&place.part)))
-        } else if &*place.key == WANTED {
-            Some(Self::Wanted(Name::clone(&place.part)))
+        } else if &*place.key == DESIRED_WORKERS {
+            Some(Self::DesiredWorkers(Name::clone(&place.part)))
         } else if &*place.key == ORDERS {
             Some(Self::Orders(Name::clone(&place.part)))
         } else {
@@ -270,7 +270,7 @@
     /// Number of values.
     const DIGITS: u64 = 10;
 
-    /// The tag of an incarnation that began at `incarnation` by the worker's clock.
+    /// The tag of an incarnation, which is identified by its start time on the worker's clock.
     pub fn of(incarnation: u64) -> Self {
         Self(u8::try_from(incarnation / Self::SPAN % Self::DIGITS).unwrap_or(0))
     }
@@ -395,7 +395,7 @@
 /// The number of workers that a pool can use, as published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Wanted {
+pub struct DesiredWorkers {
     /// What it uses and expects to use, with headroom.
     pub workers: u64,
     /// What it can use now, without overdue work.
--- a/crates/cell/src/scaling.rs
+++ b/crates/cell/src/scaling.rs
@@ -10,7 +10,7 @@
     crash,
     limits::Millis,
     placement::{self, WaitingStep},
-    row::Wanted,
+    row::DesiredWorkers,
     worker::{EvacuationReason, StopState, Worker},
 };
 use primroseroute_domain::work::{Demand, Step};
@@ -42,7 +42,7 @@
 
 /// How many workers a pool can use, and the figures behind it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Need {
+pub struct ScalingEstimate {
     /// Number of workers that the pool can use, now or when an instance that is requested now
     /// becomes available.
     pub workers: u64,
@@ -54,21 +54,21 @@
     /// Number of workers beyond `now` that it can use for overdue work and for isolated runs.
     pub late: u64,
     /// No workers are switched off below this number.
-    pub kept: u64,
+    pub scale_down_floor: u64,
     /// Demand of running tasks.
-    pub runs: Demand,
+    pub running: Demand,
     /// Demand of waiting tasks, as far as they should be started soon.
-    pub waits: Demand,
+    pub waiting: Demand,
     /// Expected demand of incoming work when an instance that is requested now becomes available.
     pub expected: Demand,
     /// Workers that belong to the pool but accept no new runs.
-    pub unfit: u64,
+    pub unusable: u64,
 }
 
-impl Need {
+impl ScalingEstimate {
     /// The part that is published to other entries.
-    pub fn wanted(&self) -> Wanted {
-        Wanted {
+    pub fn published(&self) -> DesiredWorkers {
+        DesiredWorkers {
             workers: self.workers,
             now: self.now,
             soon: self.soon,
@@ -147,45 +147,45 @@
     waiting: &[WaitingStep],
     now: Millis,
     wall_ms: u64,
-) -> Need {
+) -> ScalingEstimate {
     if let Some(capacity) = mean_capacity(cell) {
         cell.estimates.worker = capacity;
     }
     let capacity = cell.estimates.worker;
-    let runs = running_demand(cell, wall_ms);
-    let waits = waiting_demand(cell, waiting);
+    let running = running_demand(cell, wall_ms);
+    let waiting_sum = waiting_demand(cell, waiting);
     cell.arrivals.round(now);
     let expected = cell.arrivals.expected(now);
-    let current = runs.in_time.plus(waits.in_time);
+    let current = running.in_time.plus(waiting_sum.in_time);
     let lasting = long_running_demand(cell);
-    let coming = runs
+    let coming = running
         .in_time
         .larger(lasting.plus(expected))
-        .plus(waits.in_time);
+        .plus(waiting_sum.in_time);
     let least = spread_width(cell)
         .max(spread_need(cell, now))
         .max(MIN_WORKERS);
     let workers = workers_for(with_headroom(coming), capacity).max(least);
     let current_workers = workers_for(current, capacity).max(least);
-    let with_late = workers_for(current.plus(runs.late).plus(waits.late), capacity);
+    let with_late = workers_for(current.plus(running.late).plus(waiting_sum.late), capacity);
     let with_isolation = current_workers + crash::isolation_workers_needed(cell);
     let all_workers = cell.workers.values();
-    let unfit = all_workers
+    let unusable = all_workers
         .filter(|worker| is_unusable(cell, worker, now))
         .count() as u64;
     cell.estimates.record(now, workers);
-    Need {
-        workers: workers + unfit,
-        now: current_workers + unfit,
-        soon: workers_for(coming, capacity).max(current_workers) + unfit,
+    ScalingEstimate {
+        workers: workers + unusable,
+        now: current_workers + unusable,
+        soon: workers_for(coming, capacity).max(current_workers) + unusable,
         late: with_late
             .max(with_isolation)
             .saturating_sub(current_workers),
-        kept: scale_down_floor(cell, now) + unfit,
-        runs: runs.all(),
-        waits: waits.all(),
+        scale_down_floor: scale_down_floor(cell, now) + unusable,
+        running: running.all(),
+        waiting: waiting_sum.all(),
         expected,
-        unfit,
+        unusable,
     }
 }
 
--- a/crates/cell/src/tick.rs
+++ b/crates/cell/src/tick.rs
@@ -59,7 +59,7 @@
         poison_tasks: std::mem::take(&mut cell.poison_tasks),
         crashes_cleared: std::mem::take(&mut cell.crashes_cleared),
         ends_committed,
-        need: scaling::estimate(cell, &waiting, now, wall_ms),
+        scaling: scaling::estimate(cell, &waiting, now, wall_ms),
     }
 }
 
--- a/crates/cell/tests/all/need.rs
+++ b/crates/cell/tests/all/need.rs
@@ -4,7 +4,7 @@
     cases,
     fixture::{Fixture, job, step, task},
 };
-use primroseroute_cell::{EvacuationReason, Need};
+use primroseroute_cell::{EvacuationReason, ScalingEstimate};
 use primroseroute_domain::work::{End, Name, Step};
 
 cases! {
@@ -33,13 +33,13 @@
     worker_evacuated_for_maintenance_is_replaced => evacuated();
 }
 
-fn need(fixture: &mut Fixture) -> Need {
+fn need(fixture: &mut Fixture) -> ScalingEstimate {
     fixture.now += 25;
     let tick = fixture.round();
     for order in &tick.orders {
         fixture.execute(order);
     }
-    tick.need
+    tick.scaling
 }
 
 fn wanted(fixture: &mut Fixture) -> u64 {
@@ -56,8 +56,8 @@
     };
     fixture.accept(job(vec![long]));
     let need = need(&mut fixture);
-    assert_eq!(need.runs.cpu, 20_000);
-    assert_eq!(need.waits.cpu, 20_000);
+    assert_eq!(need.running.cpu, 20_000);
+    assert_eq!(need.waiting.cpu, 20_000);
     assert_eq!(need.workers, 5);
 }
 
@@ -70,7 +70,7 @@
         ..step(70, 1_000)
     };
     fixture.accept(job(vec![short]));
-    assert_eq!(need(&mut fixture).waits.cpu, 6_000);
+    assert_eq!(need(&mut fixture).waiting.cpu, 6_000);
 }
 
 fn spread() {
@@ -87,13 +87,13 @@
 fn long_overdue() {
     let mut fixture = Fixture::new(&["w-1"]);
     fixture.accept(job(vec![step(9, 9_000)]));
-    assert!(need(&mut fixture).waits.cpu > 0);
+    assert!(need(&mut fixture).waiting.cpu > 0);
     fixture.now += 8_000;
-    assert_eq!(need(&mut fixture).waits.cpu, 0);
+    assert_eq!(need(&mut fixture).waiting.cpu, 0);
 }
 
 /// Submits jobs of one task of five cores and a second, one each `gap` ms, for `span` ms.
-fn arrive(fixture: &mut Fixture, gap: u64, span: u64) -> Need {
+fn arrive(fixture: &mut Fixture, gap: u64, span: u64) -> ScalingEstimate {
     let mut last = need(fixture);
     let until = fixture.now + span;
     let mut next = fixture.now + gap;
@@ -114,7 +114,7 @@
     let mut fixture = Fixture::new(&["w-1"]);
     let need = arrive(&mut fixture, 50, 4_000);
     assert_eq!(need.expected.cpu, 100_000);
-    assert!(need.runs.cpu <= 10_000);
+    assert!(need.running.cpu <= 10_000);
 }
 
 /// The start of a burst: jobs arrive six times as fast as before. The expected demand exceeds what they need
@@ -195,13 +195,13 @@
     }
     fixture.poll_all();
     let before = need(&mut fixture);
-    assert_eq!((before.workers, before.kept), (1, 2));
+    assert_eq!((before.workers, before.scale_down_floor), (1, 2));
     fixture.now += 1_900;
     fixture.poll_all();
-    assert_eq!(need(&mut fixture).kept, 2);
+    assert_eq!(need(&mut fixture).scale_down_floor, 2);
     fixture.now += 100;
     fixture.poll_all();
-    assert_eq!(need(&mut fixture).kept, 1);
+    assert_eq!(need(&mut fixture).scale_down_floor, 1);
 }
 
 /// Expected number of occupied workers in each of `rounds` rounds of 25 ms, while `jobs` jobs of one task of ten cores and half a
@@ -244,7 +244,7 @@
     fixture.now += 10_000;
     fixture.poll_all();
     let need = need(&mut fixture);
-    assert_eq!((need.workers, need.kept), (1, 3));
+    assert_eq!((need.workers, need.scale_down_floor), (1, 3));
     let id = fixture.accept(job(vec![step(1, 1_000)]));
     wanted(&mut fixture);
     for (worker, runs) in fixture.running.clone() {
@@ -254,16 +254,16 @@
     }
     fixture.now += 10_000;
     fixture.poll_all();
-    assert_eq!(self::need(&mut fixture).kept, 1);
+    assert_eq!(self::need(&mut fixture).scale_down_floor, 1);
 }
 
 /// Where no work ever arrives, the pool releases its workers after a minute like any other.
 fn never_used() {
     let mut fixture = Fixture::new(&["w-1", "w-2", "w-3"]);
-    assert_eq!(need(&mut fixture).kept, 3);
+    assert_eq!(need(&mut fixture).scale_down_floor, 3);
     fixture.now += 60_000;
     fixture.poll_all();
-    assert_eq!(need(&mut fixture).kept, 1);
+    assert_eq!(need(&mut fixture).scale_down_floor, 1);
 }
 
 /// A worker that has become unresponsive is unusable: another is asked for in its place. One that has
@@ -276,7 +276,7 @@
     fixture.running.remove(&Name::from("w-2"));
     fixture.now += 4_000;
     fixture.poll(&"w-1".into());
-    assert_eq!(need(&mut fixture).unfit, 1);
+    assert_eq!(need(&mut fixture).unusable, 1);
 }
 
 /// Each of two workers has a long-running task and no room for another. The one that is due for
@@ -289,16 +289,16 @@
     };
     fixture.accept(job(vec![long_running]));
     let before = need(&mut fixture);
-    assert_eq!((before.now, before.unfit), (2, 0));
+    assert_eq!((before.now, before.unusable), (2, 0));
     fixture
         .cell
         .set_evacuating(&"w-1".into(), Some(EvacuationReason::Move));
-    assert_eq!(need(&mut fixture).unfit, 0);
+    assert_eq!(need(&mut fixture).unusable, 0);
     fixture
         .cell
         .set_evacuating(&"w-1".into(), Some(EvacuationReason::Maintenance));
     let after = need(&mut fixture);
-    assert_eq!((after.now, after.unfit), (3, 1));
+    assert_eq!((after.now, after.unusable), (3, 1));
 }
 
 /// Three tasks have crashed two workers, and become long overdue: each needs an isolated run, and there is no worker.
--- a/crates/inspect/src/pool.rs
+++ b/crates/inspect/src/pool.rs
@@ -1,7 +1,7 @@
 //! Pools: who owns them, what they need and have, and what waits.
 
 use crate::parsed;
-use primroseroute_cell::row::{self, Batch, Owner, Wanted};
+use primroseroute_cell::row::{self, Batch, DesiredWorkers, Owner};
 use primroseroute_domain::work::Name;
 use primroseroute_platform::{
     Error,
@@ -67,8 +67,8 @@
     let token = owner.as_ref().map_or(0, |row| row.version);
     let owner: Option<Owner> = owner.as_ref().map(parsed).transpose()?;
     let owner = owner.filter(|owner| !owner.released);
-    let wanted = read_row(rows, row::wanted(name)).await?;
-    let wanted: Option<Wanted> = wanted.as_ref().map(parsed).transpose()?;
+    let wanted = read_row(rows, row::desired_workers(name)).await?;
+    let wanted: Option<DesiredWorkers> = wanted.as_ref().map(parsed).transpose()?;
     let batch = read_row(rows, row::batch(name)).await?;
     let batch: Option<Batch> = batch.as_ref().map(parsed).transpose()?;
     let own = instances.iter().filter(|instance| instance.pool == *name);
--- a/crates/owner/src/commit.rs
+++ b/crates/owner/src/commit.rs
@@ -9,7 +9,7 @@
 use primroseroute_backoff::Retry;
 use primroseroute_cell::{
     Millis,
-    row::{self, Batch, Wanted},
+    row::{self, Batch, DesiredWorkers},
 };
 use primroseroute_domain::work::{JobId, Name};
 use primroseroute_platform::{
@@ -37,7 +37,7 @@
     /// For each queue, its jobs of which no task has started.
     pub queued: &'a BTreeMap<Name, u64>,
     /// What the pool needs, where it is to be published.
-    pub wanted: Option<Wanted>,
+    pub wanted: Option<DesiredWorkers>,
 }
 
 /// The lane of one owner.
@@ -146,7 +146,7 @@
         writes.push((row::batch(&self.pool), value.into()));
         if let Some(wanted) = notes.wanted {
             let value = serde_json::to_vec(&wanted).expect("numbers serialize");
-            writes.push((row::wanted(&self.pool), value.into()));
+            writes.push((row::desired_workers(&self.pool), value.into()));
         }
         Txn {
             conditions: vec![
--- a/crates/owner/src/control.rs
+++ b/crates/owner/src/control.rs
@@ -11,7 +11,7 @@
 use parking_lot::Mutex;
 use primroseroute_cell::{
     Millis,
-    row::{self, Answer, ControlKey, Member, Orders, Owner, Wanted},
+    row::{self, Answer, ControlKey, DesiredWorkers, Member, Orders, Owner},
 };
 use primroseroute_domain::work::Name;
 use primroseroute_platform::{
@@ -140,7 +140,7 @@
     pub members: Members,
     pub owners: BTreeMap<Name, (Owner, Version)>,
     /// What each pool needs.
-    pub wanted: BTreeMap<Name, Wanted>,
+    pub wanted: BTreeMap<Name, DesiredWorkers>,
     /// The orders that the owner of each pool asks for, with the version of their row.
     pub orders: BTreeMap<Name, (Orders, Version)>,
     /// What the holders of groups answer the owners of pools.
@@ -265,8 +265,8 @@
                     self.owners.remove(&pool);
                 }
             },
-            Some(ControlKey::Wanted(pool)) => {
-                if let Some(wanted) = parsed::<Wanted>(row) {
+            Some(ControlKey::DesiredWorkers(pool)) => {
+                if let Some(wanted) = parsed::<DesiredWorkers>(row) {
                     self.wanted.insert(pool, wanted);
                 }
             }
--- a/crates/owner/src/published.rs
+++ b/crates/owner/src/published.rs
@@ -3,7 +3,7 @@
 //! Both figures go out with any commit. For their own sake a commit is made at once, or soon, where one
 //! has risen, and later where they have only fallen: a pool at work commits something else by then.
 
-use primroseroute_cell::{Millis, row::Wanted};
+use primroseroute_cell::{Millis, row::DesiredWorkers};
 use primroseroute_domain::work::Name;
 use std::collections::BTreeMap;
 
@@ -19,19 +19,19 @@
 /// The need that was published last.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Need {
-    known: Option<Wanted>,
+    known: Option<DesiredWorkers>,
     at: Millis,
 }
 
 impl Need {
     /// Takes in that `wanted` is published.
-    pub(crate) fn put(&mut self, wanted: Wanted, now: Millis) {
+    pub(crate) fn put(&mut self, wanted: DesiredWorkers, now: Millis) {
         self.known = Some(wanted);
         self.at = now;
     }
 
     /// Whether `wanted` is due.
-    pub(crate) fn is_due(&self, wanted: Wanted, now: Millis) -> bool {
+    pub(crate) fn is_due(&self, wanted: DesiredWorkers, now: Millis) -> bool {
         let Some(known) = self.known else {
             return true;
         };
--- a/crates/owner/src/run.rs
+++ b/crates/owner/src/run.rs
@@ -342,7 +342,7 @@
         tell::orders(&self.context.pool, &urgent);
         self.send(urgent, clock.now(), decided);
         let counts = self.counts.is_due(self.cell.queued(), clock.now());
-        let need = tick.need.wanted();
+        let need = tick.scaling.published();
         let publish = self.need.is_due(need, clock.now());
         let sent_at = if !tick.puts.is_empty() || counts || publish {
             let queued = self.cell.queued().clone();
@@ -357,7 +357,7 @@
             let sent_at = self.meanwhile(lane.commit(&tick.puts, notes)).await?;
             self.context.observer.committed(begin.elapsed());
             if publish {
-                tell::need(&self.context.pool, &tick.need, self.registered.len());
+                tell::need(&self.context.pool, &tick.scaling, self.registered.len());
                 self.need.put(need, clock.now());
             }
             self.counts.put(queued, clock.now());
@@ -406,7 +406,7 @@
         }
         self.send(orders, sent_at, decided);
         self.reach.look_at(self.cell.targets());
-        self.publish(tick.need.kept);
+        self.publish(tick.scaling.scale_down_floor);
     }
 
     /// Waits for a call to the store, and takes in what happens meanwhile.
--- a/crates/owner/src/share.rs
+++ b/crates/owner/src/share.rs
@@ -5,7 +5,7 @@
 //! out its own part. Where their figures differ for a moment, a pool may get an instance too many, and
 //! gives it away again.
 
-use primroseroute_cell::row::Wanted;
+use primroseroute_cell::row::DesiredWorkers;
 use primroseroute_domain::work::Name;
 use primroseroute_platform::site::{Condition, Instance};
 use std::{
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Pool {
     /// What it needs; `None` where its owner hasn't said yet.
-    pub need: Option<Wanted>,
+    pub need: Option<DesiredWorkers>,
     /// Whether its instances are switched off.
     pub standby: bool,
 }
--- a/crates/owner/src/tell.rs
+++ b/crates/owner/src/tell.rs
@@ -2,7 +2,7 @@
 
 use crate::digest::first;
 use log::{info, warn};
-use primroseroute_cell::{Loss, Need, Order, PoisonTask};
+use primroseroute_cell::{Loss, Order, PoisonTask, ScalingEstimate};
 use primroseroute_domain::work::{JobId, State, TaskId};
 
 /// One line for each order to a worker.
@@ -75,17 +75,17 @@
 }
 
 /// What the pool needs, with what it was worked out from.
-pub(crate) fn need(pool: &str, need: &Need, registered: usize) {
-    let Need {
+pub(crate) fn need(pool: &str, need: &ScalingEstimate, registered: usize) {
+    let ScalingEstimate {
         workers,
         now,
         soon,
         late,
-        kept,
-        runs,
-        waits,
+        scale_down_floor: kept,
+        running,
+        waiting,
         expected,
-        unfit,
+        unusable: unfit,
     } = need;
-    info!(pool, workers, now, soon, late, kept, running_cpu = runs.cpu, waiting_cpu = waits.cpu, expected_cpu = expected.cpu, unfit, registered; "need of workers published");
+    info!(pool, workers, now, soon, late, kept, running_cpu = running.cpu, waiting_cpu = waiting.cpu, expected_cpu = expected.cpu, unfit, registered; "need of workers published");
 }
--- a/crates/owner/tests/all/share.rs
+++ b/crates/owner/tests/all/share.rs
@@ -1,6 +1,6 @@
 //! Moves that the owners of all pools decide on, each by itself, against a planner that sees them all.
 
-use primroseroute_cell::row::Wanted;
+use primroseroute_cell::row::DesiredWorkers;
 use primroseroute_domain::work::Name;
 use primroseroute_owner::share::{Move, Pool, Situation, moves};
 use primroseroute_platform::site::{Condition, Instance};
@@ -42,7 +42,7 @@
     }
 
     fn add(&mut self, pool: &str, has: u64, wanted: Option<u64>, standby: bool) {
-        let need = wanted.map(|workers| Wanted {
+        let need = wanted.map(|workers| DesiredWorkers {
             workers,
             now: workers,
             soon: workers,
@@ -117,7 +117,7 @@
 #[test]
 fn what_a_pool_wants_to_spare_goes_where_tasks_wait() {
     let mut fleet = Fleet::new(&[(2, 6), (6, 6)], 0);
-    let reserved = Wanted {
+    let reserved = DesiredWorkers {
         workers: 6,
         now: 2,
         soon: 2,
@@ -125,7 +125,7 @@
     };
     fleet.pools.get_mut("p-1").expect("a pool").need = Some(reserved);
     assert_eq!(targets(&fleet.moves_of("p-1")), [("p-0", 4)].into());
-    let short = Wanted {
+    let short = DesiredWorkers {
         workers: 6,
         now: 2,
         soon: 2,
@@ -140,7 +140,7 @@
 #[test]
 fn late_work_gives_way_to_work_in_time_elsewhere() {
     let mut fleet = Fleet::new(&[(6, 1), (1, 4)], 0);
-    fleet.pools.get_mut("p-0").expect("a pool").need = Some(Wanted {
+    fleet.pools.get_mut("p-0").expect("a pool").need = Some(DesiredWorkers {
         workers: 1,
         now: 1,
         soon: 1,
@@ -153,7 +153,7 @@
 #[test]
 fn late_work_gets_what_nobody_else_needs() {
     let mut fleet = Fleet::new(&[(2, 1), (1, 1)], 3);
-    fleet.pools.get_mut("p-0").expect("a pool").need = Some(Wanted {
+    fleet.pools.get_mut("p-0").expect("a pool").need = Some(DesiredWorkers {
         workers: 1,
         now: 1,
         soon: 1,
@@ -169,7 +169,7 @@
     let mut fleet = Fleet::new(&[(8, 8), (1, 5)], 0);
     let needs = [("p-0", 8, 2, 2), ("p-1", 5, 1, 5)];
     for (pool, workers, now, soon) in needs {
-        fleet.pools.get_mut(pool).expect("a pool").need = Some(Wanted {
+        fleet.pools.get_mut(pool).expect("a pool").need = Some(DesiredWorkers {
             workers,
             now,
             soon,
@@ -246,7 +246,7 @@
         for (pool, known) in &fleet.pools {
             let gets = to.get(&**pool).copied().unwrap_or(0);
             let gives = fleet.moves_of(pool).len() as u64;
-            let Some(Wanted { workers: wanted, .. }) = known.need else { continue };
+            let Some(DesiredWorkers { workers: wanted, .. }) = known.need else { continue };
             let has = fleet.count(pool);
             prop_assert!(gets <= wanted.saturating_sub(has), "{pool} gets {gets}");
             prop_assert!(gives <= has.saturating_sub(wanted), "{pool} gives {gives}");
