--- a/crates/cell/src/order.rs
+++ b/crates/cell/src/order.rs
@@ -33,7 +33,7 @@
         run: u32,
     },
     /// Run at a share of full speed.
-    Pace {
+    Throttle {
         /// The worker's id.
         worker: Name,
         /// The task.
--- a/crates/cell/src/throttle.rs
+++ b/crates/cell/src/throttle.rs
@@ -58,7 +58,7 @@
         let wanted = next_speed(run.speed_percent, share);
         if wanted != run.speed_percent {
             run.speed_percent = wanted;
-            orders.push(Order::Pace {
+            orders.push(Order::Throttle {
                 worker: Name::clone(id),
                 task,
                 run: run.run,
--- a/crates/cell/src/window.rs
+++ b/crates/cell/src/window.rs
@@ -105,7 +105,7 @@
                 // The evacuation may have been withdrawn meanwhile, and then the tasks stay.
                 on.evacuating.is_some() && migration::tolerates_unavailable(self, task, now)
             }
-            Order::Pace { .. } => true,
+            Order::Throttle { .. } => true,
         }
     }
 
@@ -130,7 +130,7 @@
                     self.dirty.insert(task.job.clone());
                 }
             }
-            Order::Pace { .. } => {}
+            Order::Throttle { .. } => {}
         }
     }
 
--- a/crates/cell/tests/all/fixture.rs
+++ b/crates/cell/tests/all/fixture.rs
@@ -175,7 +175,7 @@
                 let on = Name::clone(worker);
                 self.end_run(&on, task, End::Stopped);
             }
-            Order::Pace { .. } => {}
+            Order::Throttle { .. } => {}
         }
     }
 
--- a/crates/cell/tests/all/pace.rs
+++ b/crates/cell/tests/all/pace.rs
@@ -51,7 +51,7 @@
             WALL_AT_ZERO_MS + fixture.now,
         );
         for order in fixture.round().orders {
-            if let Order::Pace { percent, task, .. } = order {
+            if let Order::Throttle { percent, task, .. } = order {
                 assert_eq!(task.job, filler);
                 percentages.push(percent);
             }
--- a/crates/owner/src/reach.rs
+++ b/crates/owner/src/reach.rs
@@ -153,7 +153,7 @@
             let worker = match &order {
                 Order::Start { worker, .. }
                 | Order::Stop { worker, .. }
-                | Order::Pace { worker, .. } => worker,
+                | Order::Throttle { worker, .. } => worker,
             };
             let Some(watched) = self.watched.get(worker) else {
                 self.unsent(&order);
--- a/crates/owner/src/send.rs
+++ b/crates/owner/src/send.rs
@@ -69,7 +69,7 @@
     match order {
         Order::Start { .. } => "start",
         Order::Stop { .. } => "stop",
-        Order::Pace { .. } => "pace",
+        Order::Throttle { .. } => "pace",
     }
 }
 
@@ -129,7 +129,7 @@
                     self.tell(Event::Stopped { worker, task, run });
                 }
             }
-            Order::Pace {
+            Order::Throttle {
                 task, run, percent, ..
             } => {
                 let answer =
--- a/crates/owner/src/tell.rs
+++ b/crates/owner/src/tell.rs
@@ -15,7 +15,7 @@
             Order::Stop { worker, task, run } => {
                 info!(pool, worker = &**worker, task:% = task, run; "run is to stop");
             }
-            Order::Pace {
+            Order::Throttle {
                 worker,
                 task,
                 percent,
@@ -34,7 +34,7 @@
         Order::Stop { worker, task, run } => {
             info!(pool, worker = &**worker, task:% = task, run; "stop withdrawn");
         }
-        Order::Pace { .. } => {}
+        Order::Throttle { .. } => {}
     }
 }
 
