--- a/crates/cell/src/row/mod.rs
+++ b/crates/cell/src/row/mod.rs
@@ -6,14 +6,14 @@
 //! | `jobs-N` | hash of the id | id | [`Accepted`] | the same transaction |
 //! | `jobs-N` | hash of the id | id `.cancel` | empty | the gateway that accepts the cancel |
 //! | `work` | pool | id | [`Progress`] | the pool's owner |
-//! | `work` | pool | `.batch` | [`Batch`] | the pool's owner, with each commit |
+//! | `work` | pool | `.batch` | [`CommitRecord`] | the pool's owner, with each commit |
 //! | `control` | pool | `owner` | [`Owner`] | the entry that takes over or releases the pool |
 //! | `control` | pool | `wanted` | [`DesiredWorkers`] | the pool's owner, with a commit |
 //! | `control` | pool | `orders` | [`Orders`] | the pool's owner, to request orders to its instances |
 //! | `control` | pool | `answer` and a group | [`Answer`] | the holder of the group, before and after it gives the orders |
 //! | `control` | group | `owner` | [`Owner`] | the entry that takes over or releases the group of instances |
 //! | `control` | `.members-` and a hash of the entry | entry | [`Member`] | the entry, as its heartbeat |
-//! | `waves` | `waves` | number | [`Wave`] | owners of pools with instances of the wave |
+//! | `waves` | `waves` | number | [`WaveProgress`] | owners of pools with instances of the wave |
 //!
 //! `N` is a hash of the pool, so that an owner's feed shows few jobs of other pools. Ids are
 //! partitioned independently of pools: a queue may be reassigned to another pool between two
@@ -21,7 +21,7 @@
 
 mod orders;
 
-pub use orders::{Answer, Given, Order, Orders, answer, group, groups, is_group, orders};
+pub use orders::{Answer, Order, OrderResult, Orders, answer, group, groups, is_group, orders};
 
 use orders::{ANSWER, ORDERS};
 use primroseroute_domain::work::{Job, JobId, Name, State};
@@ -42,7 +42,7 @@
 const CANCEL: &str = ".cancel";
 
 /// Key of the row that every commit of an owner writes.
-pub const BATCH: &str = ".batch";
+pub const COMMIT_RECORD: &str = ".batch";
 
 /// Table of owners and heartbeats: one feed shows both.
 pub const CONTROL: &str = "control";
@@ -112,8 +112,8 @@
 }
 
 /// Location of the commit record of a pool.
-pub fn batch(pool: &str) -> Place {
-    Place::new(WORK, pool, BATCH)
+pub fn commit_record(pool: &str) -> Place {
+    Place::new(WORK, pool, COMMIT_RECORD)
 }
 
 /// Location of a pool's owner.
@@ -359,7 +359,7 @@
 /// Record that each commit of an owner writes in addition to progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Batch {
+pub struct CommitRecord {
     /// Fencing token of the owner that wrote it. Together with the commit's number it identifies a
     /// commit whose answer was lost.
     pub owner: u64,
@@ -430,7 +430,7 @@
 /// Progress of a wave.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Wave {
+pub struct WaveProgress {
     /// Instances that may be in maintenance, each with the worker that it had before.
     pub active: BTreeMap<Name, Option<Name>>,
     /// Instances whose maintenance is done.
--- a/crates/cell/src/row/orders.rs
+++ b/crates/cell/src/row/orders.rs
@@ -65,13 +65,13 @@
     /// Version of the row with the requested orders.
     pub asked: u64,
     /// Result of each order; empty while they are being given.
-    pub results: BTreeMap<Name, Given>,
+    pub results: BTreeMap<Name, OrderResult>,
 }
 
 /// Result of an order to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Given {
+pub enum OrderResult {
     /// Accepted, or carried out before.
     Taken,
     /// The instance isn't up, or is leaving.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -12,7 +12,7 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use log::{debug, info};
 use parking_lot::Mutex;
-use primroseroute_cell::row::{self, Accepted, Batch, Claim};
+use primroseroute_cell::row::{self, Accepted, Claim, CommitRecord};
 use primroseroute_domain::{
     outcome::Code,
     time::{self, Clock},
@@ -354,9 +354,9 @@
         if let Some(count) = self.known_count(queue) {
             return json(self.parts.codec.queued(count));
         }
-        match self.read(row::batch(&queue.pool)).await {
+        match self.read(row::commit_record(&queue.pool)).await {
             Ok(row) => {
-                let batch: Batch = match row.as_ref().map(parsed).transpose() {
+                let batch: CommitRecord = match row.as_ref().map(parsed).transpose() {
                     Ok(batch) => batch.unwrap_or_default(),
                     Err(error) => {
                         return refused(Code::StateUnavailable, error.to_string(), head.request);
--- a/crates/inspect/src/pool.rs
+++ b/crates/inspect/src/pool.rs
@@ -1,7 +1,7 @@
 //! Pools: who owns them, what they need and have, and what waits.
 
 use crate::parsed;
-use primroseroute_cell::row::{self, Batch, DesiredWorkers, Owner};
+use primroseroute_cell::row::{self, CommitRecord, DesiredWorkers, Owner};
 use primroseroute_domain::work::Name;
 use primroseroute_platform::{
     Error,
@@ -69,8 +69,8 @@
     let owner = owner.filter(|owner| !owner.released);
     let wanted = read_row(rows, row::desired_workers(name)).await?;
     let wanted: Option<DesiredWorkers> = wanted.as_ref().map(parsed).transpose()?;
-    let batch = read_row(rows, row::batch(name)).await?;
-    let batch: Option<Batch> = batch.as_ref().map(parsed).transpose()?;
+    let batch = read_row(rows, row::commit_record(name)).await?;
+    let batch: Option<CommitRecord> = batch.as_ref().map(parsed).transpose()?;
     let own = instances.iter().filter(|instance| instance.pool == *name);
     let (up, away): (Vec<&Instance>, Vec<&Instance>) =
         own.partition(|instance| instance.condition == Condition::Up);
--- a/crates/inspect/src/wave.rs
+++ b/crates/inspect/src/wave.rs
@@ -1,7 +1,7 @@
 //! Waves of maintenance and how far they are.
 
 use crate::parsed;
-use primroseroute_cell::row::{self, Wave as Progress};
+use primroseroute_cell::row::{self, WaveProgress as Progress};
 use primroseroute_domain::work::Name;
 use primroseroute_platform::{
     Error,
--- a/crates/owner/src/commit.rs
+++ b/crates/owner/src/commit.rs
@@ -9,7 +9,7 @@
 use primroseroute_backoff::Retry;
 use primroseroute_cell::{
     Millis,
-    row::{self, Batch, DesiredWorkers},
+    row::{self, CommitRecord, DesiredWorkers},
 };
 use primroseroute_domain::work::{JobId, Name};
 use primroseroute_platform::{
@@ -133,7 +133,7 @@
     }
 
     fn txn(&self, puts: &[(JobId, Bytes)], notes: Notes<'_>) -> Txn {
-        let batch = Batch {
+        let batch = CommitRecord {
             owner: self.token,
             number: self.number,
             queued: notes.queued.clone(),
@@ -143,7 +143,7 @@
             .iter()
             .map(|(id, value)| (row::progress(&self.pool, id), value.clone()));
         let mut writes: Vec<(Place, Bytes)> = progress.collect();
-        writes.push((row::batch(&self.pool), value.into()));
+        writes.push((row::commit_record(&self.pool), value.into()));
         if let Some(wanted) = notes.wanted {
             let value = serde_json::to_vec(&wanted).expect("numbers serialize");
             writes.push((row::desired_workers(&self.pool), value.into()));
@@ -151,7 +151,7 @@
         Txn {
             conditions: vec![
                 (row::owner(&self.pool), self.token),
-                (row::batch(&self.pool), self.last),
+                (row::commit_record(&self.pool), self.last),
             ],
             puts: writes,
             deletes: Vec::new(),
@@ -173,9 +173,9 @@
 
     /// The version of the batch row among `rows`, if this owner's newest commit wrote it.
     fn own_batch(&self, rows: &[Row]) -> Option<Version> {
-        let place = row::batch(&self.pool);
+        let place = row::commit_record(&self.pool);
         let found = rows.iter().find(|row| row.place == place)?;
-        let batch: Batch = parsed(found)?;
+        let batch: CommitRecord = parsed(found)?;
         let own = batch.owner == self.token && batch.number == self.number;
         own.then_some(found.version)
     }
@@ -183,7 +183,7 @@
     /// Looks whether the newest commit stands; `None` where it doesn't, or can't be told.
     async fn look(&mut self) -> Result<Option<Version>, Lost> {
         let owner = read_row(&*self.rows, row::owner(&self.pool));
-        let batch = read_row(&*self.rows, row::batch(&self.pool));
+        let batch = read_row(&*self.rows, row::commit_record(&self.pool));
         match tokio::try_join!(owner, batch) {
             Ok((owner, batch)) => {
                 let rows: Vec<Row> = owner.into_iter().chain(batch).collect();
--- a/crates/owner/src/holder.rs
+++ b/crates/owner/src/holder.rs
@@ -23,7 +23,7 @@
 use futures::future::join_all;
 use log::{info, warn};
 use parking_lot::Mutex;
-use primroseroute_cell::row::{self, Answer, Given, Order, Orders};
+use primroseroute_cell::row::{self, Answer, Order, OrderResult, Orders};
 use primroseroute_domain::work::Name;
 use primroseroute_platform::{
     Error,
@@ -239,7 +239,7 @@
         })
     }
 
-    async fn give(&self, request: &Request, token: Version) -> BTreeMap<Name, Given> {
+    async fn give(&self, request: &Request, token: Version) -> BTreeMap<Name, OrderResult> {
         let holder = site::Holder {
             entry: Name::clone(&self.parts.entry),
             token,
@@ -258,12 +258,12 @@
         for (instance, result) in join_all(orders).await {
             let order = &request.orders.orders[&instance];
             let given = match result {
-                Ok(Ordered::Taken) => Given::Taken,
-                Ok(Ordered::Busy) => Given::Busy,
-                Ok(Ordered::Refused) => Given::Refused,
+                Ok(Ordered::Taken) => OrderResult::Taken,
+                Ok(Ordered::Busy) => OrderResult::Busy,
+                Ok(Ordered::Refused) => OrderResult::Refused,
                 Err(error) => {
                     warn!(instance = &*instance, token, error:% = error; "an order to an instance failed");
-                    Given::Unknown
+                    OrderResult::Unknown
                 }
             };
             info!(instance = &*instance, pool = &*request.pool, asked = request.version, order:?, token, given:?; "order to an instance given");
@@ -273,7 +273,7 @@
     }
 
     /// Tells the pool's owner. Without an answer it asks again, and orders are idempotent.
-    async fn answer(&self, request: &Request, results: BTreeMap<Name, Given>) {
+    async fn answer(&self, request: &Request, results: BTreeMap<Name, OrderResult>) {
         let Parts { rows, group, .. } = &self.parts;
         let answer = Answer {
             asked: request.version,
--- a/crates/owner/src/load.rs
+++ b/crates/owner/src/load.rs
@@ -41,7 +41,9 @@
     let begin = clock.now();
     let (jobs, next) = jobs(rows, pool).await?;
     cell.advance_feed_watermark(begin);
-    let last = work.iter().find(|row| &*row.place.key == row::BATCH);
+    let last = work
+        .iter()
+        .find(|row| &*row.place.key == row::COMMIT_RECORD);
     let last = last.map_or(0, |row| row.version);
     let mut progress: BTreeMap<JobId, Progress> = BTreeMap::new();
     for row in &work {
--- a/crates/owner/src/maintain.rs
+++ b/crates/owner/src/maintain.rs
@@ -10,7 +10,7 @@
 use log::{info, warn};
 use primroseroute_cell::{
     EvacuationReason,
-    row::{self, Given, Order, Wave as Progress},
+    row::{self, Order, OrderResult, WaveProgress as Progress},
 };
 use primroseroute_domain::work::Name;
 use primroseroute_platform::{
@@ -204,19 +204,19 @@
         for instance in instances {
             let name = &*instance.name;
             match results.get(&instance.name) {
-                Some(Given::Taken) => self.begun(wave.number, instance),
-                Some(Given::Refused) => {
+                Some(OrderResult::Taken) => self.begun(wave.number, instance),
+                Some(OrderResult::Refused) => {
                     warn!(wave = wave.number, instance = name; "maintenance refused");
                     next.active.remove(&instance.name);
                 }
                 // It may be down by an order whose answer was lost: it stays counted until a list shows it up.
-                Some(Given::Busy) => {
+                Some(OrderResult::Busy) => {
                     warn!(wave = wave.number, instance = name; "maintenance refused for now");
                     let busy = self.busy.entry(wave.number).or_default();
                     busy.insert(Name::clone(&instance.name));
                 }
                 // It stays counted, and is ordered again while it is up as before.
-                Some(Given::Unknown) | None => {
+                Some(OrderResult::Unknown) | None => {
                     info!(wave = wave.number, instance = name; "it isn't known whether maintenance was ordered");
                 }
             }
--- a/crates/owner/src/relocate.rs
+++ b/crates/owner/src/relocate.rs
@@ -9,7 +9,7 @@
 use log::{info, warn};
 use primroseroute_cell::{
     EvacuationReason,
-    row::{Given, Order},
+    row::{Order, OrderResult},
 };
 use primroseroute_domain::work::Name;
 use primroseroute_platform::{Error, site::Instance};
@@ -128,7 +128,7 @@
         let results = requests.order(written.collect()).await?;
         for wanted in moves {
             let given = results.get(&wanted.instance.name).copied();
-            self.settle(wanted, given.unwrap_or(Given::Unknown));
+            self.settle(wanted, given.unwrap_or(OrderResult::Unknown));
         }
         Ok(())
     }
@@ -150,18 +150,18 @@
     }
 
     /// Takes in what came of an order.
-    fn settle(&mut self, wanted: &Move, given: Given) {
+    fn settle(&mut self, wanted: &Move, given: OrderResult) {
         let instance = &*wanted.instance.name;
         let to = &*wanted.to;
         match given {
-            Given::Taken => info!(instance, to; "instance moves"),
-            Given::Busy => info!(instance, to; "instance can't move now"),
-            Given::Refused => {
+            OrderResult::Taken => info!(instance, to; "instance moves"),
+            OrderResult::Busy => info!(instance, to; "instance can't move now"),
+            OrderResult::Refused => {
                 warn!(instance, to; "instance can't move to this pool");
                 let pair = (Name::clone(&wanted.instance.name), Name::clone(&wanted.to));
                 self.refused.insert(pair);
             }
-            Given::Unknown => info!(instance, to; "it isn't known whether an instance moves"),
+            OrderResult::Unknown => info!(instance, to; "it isn't known whether an instance moves"),
         }
     }
 }
--- a/crates/owner/src/request.rs
+++ b/crates/owner/src/request.rs
@@ -3,7 +3,7 @@
 use crate::{own::Context, rest::SLACK};
 use bytes::Bytes;
 use log::info;
-use primroseroute_cell::row::{self, Given, Order, Orders};
+use primroseroute_cell::row::{self, Order, OrderResult, Orders};
 use primroseroute_domain::work::Name;
 use primroseroute_platform::{
     Error,
@@ -66,7 +66,7 @@
     pub(crate) async fn order(
         &mut self,
         orders: BTreeMap<Name, Order>,
-    ) -> Result<BTreeMap<Name, Given>, Error> {
+    ) -> Result<BTreeMap<Name, OrderResult>, Error> {
         if let Some(listed_at) = self.listed_at
             && listed_at.elapsed() > LIST_AGE
         {
@@ -140,13 +140,13 @@
     context: &Context,
     asked: Version,
     instances: &BTreeSet<Name>,
-) -> BTreeMap<Name, Given> {
+) -> BTreeMap<Name, OrderResult> {
     let groups: BTreeSet<Name> = instances.iter().map(|name| row::group(name)).collect();
     let deadline = Instant::now() + ANSWERS;
     let mut news = context.picture.lock().news();
     loop {
         news.mark_unchanged();
-        let results: BTreeMap<Name, Given> = {
+        let results: BTreeMap<Name, OrderResult> = {
             let picture = context.picture.lock();
             let answers = groups.iter();
             let answers = answers.filter_map(|group| picture.answer(&context.pool, group, asked));
--- a/crates/owner/src/wave.rs
+++ b/crates/owner/src/wave.rs
@@ -3,7 +3,7 @@
 //! Each owner maintains the instances of its own pool. How many of a wave are in maintenance over
 //! all pools is counted in the wave's row, which owners change under a condition.
 
-use primroseroute_cell::row::Wave as Progress;
+use primroseroute_cell::row::WaveProgress as Progress;
 use primroseroute_domain::work::Name;
 use primroseroute_platform::site::{Condition, Instance, Wave};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/owner/tests/all/wave.rs
+++ b/crates/owner/tests/all/wave.rs
@@ -1,6 +1,6 @@
 //! The next steps of a wave in one pool.
 
-use primroseroute_cell::row::Wave as Progress;
+use primroseroute_cell::row::WaveProgress as Progress;
 use primroseroute_domain::work::Name;
 use primroseroute_owner::wave::{Situation, Step, steps};
 use primroseroute_platform::site::{Condition, Instance, Wave};
--- a/tests/site/lives.rs
+++ b/tests/site/lives.rs
@@ -5,7 +5,7 @@
     cases,
 };
 use eyre::{Result, bail, ensure, eyre};
-use primroseroute_cell::row::{self, Orders, Wave as Progress};
+use primroseroute_cell::row::{self, Orders, WaveProgress as Progress};
 use primroseroute_domain::work::{Name, State};
 use primroseroute_platform::{
     rows::{Place, Rows, Txn, read_row},
--- a/tests/site/maintain.rs
+++ b/tests/site/maintain.rs
@@ -200,9 +200,9 @@
     let worker = worker.ok_or_else(|| eyre::eyre!("no worker"))?;
     // As a predecessor would have left it.
     let caller = bed.world.caller("predecessor");
-    let progress = primroseroute_cell::row::Wave {
+    let progress = primroseroute_cell::row::WaveProgress {
         active: [(Name::clone(&name), Some(Name::clone(&worker)))].into(),
-        ..primroseroute_cell::row::Wave::default()
+        ..primroseroute_cell::row::WaveProgress::default()
     };
     let place = primroseroute_cell::row::wave(1);
     let txn = primroseroute_platform::rows::Txn {
@@ -228,11 +228,11 @@
 }
 
 /// How far the wave is.
-async fn progress(bed: &Bed) -> Result<row::Wave> {
+async fn progress(bed: &Bed) -> Result<row::WaveProgress> {
     let rows = bed.world.caller("observer");
     let row = primroseroute_platform::rows::read_row(&rows, row::wave(1)).await?;
     let value = row.and_then(|row| row.value);
-    value.map_or(Ok(row::Wave::default()), |value| {
+    value.map_or(Ok(row::WaveProgress::default()), |value| {
         Ok(serde_json::from_slice(&value)?)
     })
 }
