--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -119,7 +119,7 @@
             return;
         }
         let job = Job::restored(accepted, progress);
-        let lease_expires_at = self.taken_at + self.limits.stretched(self.limits.start_window);
+        let lease_expires_at = self.taken_at + self.limits.max_local_span(self.limits.start_window);
         for (&occurrence, steps) in &job.progress.steps {
             for (step, tasks) in (0..).zip(steps) {
                 for (index, task) in (0..).zip(tasks) {
@@ -270,7 +270,7 @@
             Outcome::Started => {
                 // The deadline was on the clock of the incarnation that was known; if the next one
                 // has accepted the start, the lease expires later.
-                let lease_expires_at = now + limits.stretched(limits.lease);
+                let lease_expires_at = now + limits.max_local_span(limits.lease);
                 found.lease_expires_at = found.lease_expires_at.max(lease_expires_at);
                 if !matches!(entry.start_state, StartState::Confirmed(_)) {
                     entry.start_state = StartState::Confirmed(now);
@@ -294,7 +294,7 @@
                     refusal,
                     Refusal::Unhealthy | Refusal::Room | Refusal::Malformed
                 ) {
-                    found.cordoned_until = found.cordoned_until.max(now + limits.pause);
+                    found.cordoned_until = found.cordoned_until.max(now + limits.overload_backoff);
                 }
                 found.runs.remove(task);
                 if refusal == Refusal::Ticket {
@@ -405,7 +405,7 @@
 
     /// Records that `tick` is committed, by a transaction that was sent at `sent_at`.
     pub fn record_commit(&mut self, tick: &Tick, sent_at: Millis) {
-        let start_expires_at = sent_at + self.limits.stretched(self.limits.start_window);
+        let start_expires_at = sent_at + self.limits.max_local_span(self.limits.start_window);
         for order in &tick.orders {
             let Order::Start {
                 worker, task, run, ..
--- a/crates/cell/src/crash.rs
+++ b/crates/cell/src/crash.rs
@@ -49,9 +49,10 @@
 }
 
 /// The runs of a worker that may have crashed it.
-pub(crate) fn new_runs(worker: &Worker, settle: u64) -> Vec<(TaskId, u32)> {
+pub(crate) fn new_runs(worker: &Worker, settle_time: u64) -> Vec<(TaskId, u32)> {
     // A run whose start may still arrive late was counted when the worker's incarnation ended.
-    worker.runs_where(|_task, run| run.late_start_until.is_none() && worker.is_new(run, settle))
+    worker
+        .runs_where(|_task, run| run.late_start_until.is_none() && worker.is_new(run, settle_time))
 }
 
 /// Records that runs of a worker are lost without an end: their tasks wait again, and a crash is
@@ -133,7 +134,7 @@
     let settled = worker.runs_where(|task, run| {
         has_crashes(cell, task)
             && matches!(run.start_state, StartState::Confirmed(_))
-            && !worker.is_new(run, cell.limits.settle)
+            && !worker.is_new(run, cell.limits.settle_time)
     });
     for (id, run) in settled {
         let job = cell.jobs.get_mut(&id.job);
@@ -158,11 +159,11 @@
     if cell.crashed.is_empty() {
         return polls;
     }
-    let (crashed, settle) = (&cell.crashed, cell.limits.settle);
+    let (crashed, settle_time) = (&cell.crashed, cell.limits.settle_time);
     for (id, worker) in &mut cell.workers {
         let status_as_of = worker.status_as_of;
         for (task, run) in &mut worker.runs {
-            let due = matches!(run.start_state, StartState::Confirmed(at) if now >= at + settle && status_as_of < Some(at + settle));
+            let due = matches!(run.start_state, StartState::Confirmed(at) if now >= at + settle_time && status_as_of < Some(at + settle_time));
             if due
                 && run.origin != Origin::Discovered
                 && !run.clearing_poll_requested
@@ -233,7 +234,7 @@
 /// Whether an isolated run is under way on a worker: nothing else may start there.
 pub(crate) fn has_isolated_run(cell: &Cell, worker: &Worker) -> bool {
     let mut runs = worker.runs.values();
-    runs.any(|run| run.origin == Origin::Isolated && worker.is_new(run, cell.limits.settle))
+    runs.any(|run| run.origin == Origin::Isolated && worker.is_new(run, cell.limits.settle_time))
 }
 
 /// Whether a task has crashed so many workers that it is not started again.
--- a/crates/cell/src/incarnation.rs
+++ b/crates/cell/src/incarnation.rs
@@ -94,7 +94,7 @@
     } else {
         Cause::Crash
     };
-    let mut new = crash::new_runs(worker, limits.settle);
+    let mut new = crash::new_runs(worker, limits.settle_time);
     new.extend(
         worker
             .expired_lease
@@ -129,7 +129,7 @@
     // A renewal that was meant for the previous incarnation may have reached this one.
     worker.lease_expires_at = worker
         .lease_expires_at
-        .max(now + limits.stretched(limits.lease));
+        .max(now + limits.max_local_span(limits.lease));
     cell.stops_due = true;
     new.retain(|(task, run)| !listed.contains(&(task, *run)));
     for policy in cell.policies.values_mut() {
--- a/crates/cell/src/limits.rs
+++ b/crates/cell/src/limits.rs
@@ -17,7 +17,7 @@
     pub start_window: Millis,
     /// Minimum time that a start needs from its decision to its worker: a commit and a call, thirty
     /// times slower than usual.
-    pub start_time: Millis,
+    pub min_start_time: Millis,
     /// Time on the worker's clock, from the time up to which the owner knows all cancels, within
     /// which a start must arrive. Work of a cancelled job may begin for 3 s after the
     /// acknowledgement; on a worker's clock that is as slow as it may be, this is over 0.14 s
@@ -27,62 +27,62 @@
     pub margin: Millis,
     /// Longest time from the sending of a status poll to its answer: it waits a second for a run to
     /// end, and has half a second for the round trip.
-    pub look: Millis,
+    pub poll_timeout: Millis,
     /// A worker without a status for this long gets no new runs: two polls went unanswered.
-    pub fresh: Millis,
+    pub fresh_for: Millis,
     /// A worker without a status for this long is looked up at the platform: one and a half polls.
-    pub silent: Millis,
+    pub unresponsive_after: Millis,
     /// Time for which a run has to be listed after its start until it counts as not having crashed
     /// its worker.
-    pub settle: Millis,
+    pub settle_time: Millis,
     /// How long after the expiry of a worker's lease the platform is asked whether the worker has
     /// crashed.
-    pub doubt: Millis,
+    pub crash_check_time: Millis,
     /// Interval at which a stop without effect is sent again.
-    pub resend: Millis,
+    pub stop_retry_interval: Millis,
     /// Time after which an order without an answer is no longer carried out; before that it may be,
     /// seconds after newer ones.
-    pub late_order: Millis,
+    pub late_order_window: Millis,
     /// Consecutive failures, of different jobs, after which a worker gets no new runs for a while.
     /// One job that always fails doesn't reach it.
-    pub failures: u32,
+    pub max_failures: u32,
     /// Length of that time; after it the worker gets a task again, and one more failure renews it.
     pub quarantine: Millis,
     /// How long a worker that refused an order as overloaded gets no new runs.
-    pub pause: Millis,
+    pub overload_backoff: Millis,
     /// How long a long-running task waits for free capacity before batch tasks are stopped for it.
-    pub patience: Millis,
+    pub preempt_after: Millis,
     /// How long the rows of finished jobs are kept.
-    pub keep: Millis,
+    pub retention: Millis,
 }
 
 impl Limits {
     /// Limits for workers that grant leases of at most `lease`, if finished jobs stay readable for
-    /// `keep`.
-    pub fn new(lease: Millis, keep: Millis) -> Self {
+    /// `retention`.
+    pub fn new(lease: Millis, retention: Millis) -> Self {
         Self {
             lease,
             start_window: 2_500,
-            start_time: 500,
+            min_start_time: 500,
             cancel_window: 2_800,
             margin: 100,
-            look: 1_500,
-            fresh: 3_200,
-            silent: 1_600,
-            settle: 1_000,
-            doubt: 10_000,
-            resend: 500,
-            late_order: 15_000,
-            failures: 3,
+            poll_timeout: 1_500,
+            fresh_for: 3_200,
+            unresponsive_after: 1_600,
+            settle_time: 1_000,
+            crash_check_time: 10_000,
+            stop_retry_interval: 500,
+            late_order_window: 15_000,
+            max_failures: 3,
             quarantine: 3_000,
-            pause: 400,
-            patience: 1_200,
-            keep,
+            overload_backoff: 400,
+            preempt_after: 1_200,
+            retention,
         }
     }
 
     /// Longest time on this clock that `span` on a worker's clock can take.
-    pub fn stretched(&self, span: Millis) -> Millis {
+    pub fn max_local_span(&self, span: Millis) -> Millis {
         span + span * CLOCK_ERROR_PERCENT / (100 - CLOCK_ERROR_PERCENT) + 1 + self.margin
     }
 }
--- a/crates/cell/src/placement/candidates.rs
+++ b/crates/cell/src/placement/candidates.rs
@@ -23,7 +23,7 @@
     }
     let runs = worker.runs.iter();
     let crash_retries = runs.filter(|(task, run)| {
-        worker.is_new(run, cell.limits.settle) && crash::has_crashes(cell, task)
+        worker.is_new(run, cell.limits.settle_time) && crash::has_crashes(cell, task)
     });
     crash_retries.count()
 }
--- a/crates/cell/src/placement/isolation.rs
+++ b/crates/cell/src/placement/isolation.rs
@@ -280,5 +280,5 @@
     let worker = &cell.workers[candidates.id(candidate)];
     let mut runs = worker.runs.values();
     step.reserved().fits(candidates.free(candidate))
-        && !runs.any(|run| worker.is_new(run, cell.limits.settle))
+        && !runs.any(|run| worker.is_new(run, cell.limits.settle_time))
 }
--- a/crates/cell/src/placement/preempt.rs
+++ b/crates/cell/src/placement/preempt.rs
@@ -63,7 +63,7 @@
     candidates.block(candidate);
     let id = Name::clone(candidates.id(candidate));
     let since = *cell.unplaced_since.entry(task).or_insert(now);
-    if now >= since + cell.limits.patience {
+    if now >= since + cell.limits.preempt_after {
         preempt(cell, &id, &step);
     }
 }
--- a/crates/cell/src/roster.rs
+++ b/crates/cell/src/roster.rs
@@ -83,7 +83,7 @@
 
     /// A worker, which is added if it isn't known.
     pub(crate) fn worker(&mut self, id: &Name) -> &mut Worker {
-        let lease_expires_at = self.taken_at + self.limits.stretched(self.limits.lease);
+        let lease_expires_at = self.taken_at + self.limits.max_local_span(self.limits.lease);
         let worker = self.workers.entry(Name::clone(id));
         worker.or_insert_with(|| Worker::new(lease_expires_at))
     }
@@ -128,10 +128,11 @@
 
     /// The unresponsive workers that new runs may have crashed.
     pub fn possibly_crashed(&self, now: Millis) -> BTreeSet<Name> {
-        let settle = self.limits.settle;
+        let settle_time = self.limits.settle_time;
         let possibly_crashed = self.workers.iter().filter(|(_id, worker)| {
             self.is_unresponsive(worker, now)
-                && (worker.expired_lease.is_some() || !crash::new_runs(worker, settle).is_empty())
+                && (worker.expired_lease.is_some()
+                    || !crash::new_runs(worker, settle_time).is_empty())
         });
         possibly_crashed
             .map(|(id, _worker)| Name::clone(id))
@@ -145,7 +146,7 @@
     /// with its next incarnation. So only an uninterrupted series of listings, from the last status
     /// on, refers to one incarnation.
     pub fn worker_listed(&mut self, id: &Name, incarnation: u64, asked_at: Millis) -> bool {
-        let settle = self.limits.settle;
+        let settle_time = self.limits.settle_time;
         let Some(worker) = self.workers.get_mut(id) else {
             return false;
         };
@@ -154,9 +155,9 @@
         if worker.is_terminated() || worker.incarnation != incarnation || !is_same_incarnation {
             return false;
         }
-        let new = crash::new_runs(worker, settle).len();
+        let new = crash::new_runs(worker, settle_time).len();
         worker.listed_at = worker.listed_at.max(Some(asked_at));
-        let outlived = crash::new_runs(worker, settle).len() < new;
+        let outlived = crash::new_runs(worker, settle_time).len() < new;
         // Its lease had expired by then, and nothing ran any more.
         let alive_at = worker.alive_at();
         let expired = worker
@@ -171,7 +172,7 @@
     fn is_unresponsive(&self, worker: &Worker, now: Millis) -> bool {
         let last_status = worker.status_at.unwrap_or(self.taken_at);
         let matters = !worker.runs.is_empty() || worker.expired_lease.is_some();
-        matters && !worker.is_terminated() && now >= last_status + self.limits.silent
+        matters && !worker.is_terminated() && now >= last_status + self.limits.unresponsive_after
     }
 
     /// The workers whose termination is looked up at the platform, which are the unresponsive ones
--- a/crates/cell/src/status.rs
+++ b/crates/cell/src/status.rs
@@ -61,7 +61,7 @@
 /// responds at all, a late status counts as current: otherwise a busy owner would take its workers
 /// for unresponsive and place nothing on them.
 fn status_as_of(limits: Limits, sent_at: Millis, now: Millis) -> Millis {
-    if now <= sent_at + limits.look {
+    if now <= sent_at + limits.poll_timeout {
         now
     } else {
         sent_at
@@ -86,7 +86,7 @@
         End::Done => worker.failures.clear(),
         End::Failed => {
             worker.failures.insert(ended.task.job.clone());
-            if worker.failures.len() >= limits.failures as usize {
+            if worker.failures.len() >= limits.max_failures as usize {
                 worker.cordoned_until = now + limits.quarantine;
             }
         }
--- a/crates/cell/src/tick.rs
+++ b/crates/cell/src/tick.rs
@@ -86,7 +86,7 @@
     for (id, worker) in &mut cell.workers {
         if !worker.runs.is_empty() && over(worker) {
             let cause = loss_cause(worker);
-            let new = crash::new_runs(worker, limits.settle);
+            let new = crash::new_runs(worker, limits.settle_time);
             if cause == Cause::Lapse && !new.is_empty() {
                 worker.expired_lease = Some(ExpiredLease {
                     at: now,
@@ -101,7 +101,7 @@
         {
             lost.push((Name::clone(id), Cause::Crash, Vec::new(), expired.runs));
         }
-        let is_outdated = |expired: &mut ExpiredLease| now >= expired.at + limits.doubt;
+        let is_outdated = |expired: &mut ExpiredLease| now >= expired.at + limits.crash_check_time;
         worker.expired_lease.take_if(is_outdated);
     }
     for (id, cause, runs, new) in lost {
@@ -129,7 +129,8 @@
     });
     worker.runs = may_start_late;
     for run in worker.runs.values_mut() {
-        run.late_start_until.get_or_insert(now + limits.late_order);
+        run.late_start_until
+            .get_or_insert(now + limits.late_order_window);
     }
     over
 }
@@ -258,7 +259,7 @@
             let is_due = match run.stop {
                 StopState::No => false,
                 StopState::Requested => true,
-                StopState::SentAt(at) => now >= at + limits.resend,
+                StopState::SentAt(at) => now >= at + limits.stop_retry_interval,
             };
             // A few out of thousands are due.
             if !is_due {
@@ -307,12 +308,12 @@
 fn expired_jobs(cell: &mut Cell, wall_ms: u64) -> Vec<JobId> {
     cell.deleted
         .retain(|_id, at| wall_ms < *at + DELETED_JOB_MEMORY_MS);
-    let keep = cell.limits.keep * RETENTION_PERCENT / 100;
+    let retention = cell.limits.retention * RETENTION_PERCENT / 100;
     let due = cell.finished.iter_mut();
-    let due = due.filter(|(_id, ended)| wall_ms >= **ended + keep);
+    let due = due.filter(|(_id, ended)| wall_ms >= **ended + retention);
     let mut ids = Vec::new();
     for (id, ended) in due.take(MAX_DELETIONS) {
-        *ended = wall_ms.saturating_sub(keep) + DELETE_RETRY_MS;
+        *ended = wall_ms.saturating_sub(retention) + DELETE_RETRY_MS;
         ids.push(id.clone());
     }
     ids
--- a/crates/cell/src/window.rs
+++ b/crates/cell/src/window.rs
@@ -32,7 +32,7 @@
 
     /// Whether enough of the window is left for starts that are decided now.
     pub(crate) fn may_start(&self, now: Millis) -> bool {
-        self.start_window(now) >= self.limits.start_time
+        self.start_window(now) >= self.limits.min_start_time
     }
 
     /// All jobs and cancels that were stored by this time are known.
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -108,7 +108,7 @@
 
     /// Whether a stop of it may be on its way, or may have reached its worker without an answer.
     pub(crate) fn may_be_stopping(&self, now: Millis, limits: &Limits) -> bool {
-        let lately = |at| now < at + limits.late_order;
+        let lately = |at| now < at + limits.late_order_window;
         self.stop != StopState::No && self.last_stop_sent_at.is_none_or(lately)
     }
 }
@@ -244,29 +244,30 @@
 
     /// Whether its newest status is recent.
     pub(crate) fn is_responsive(&self, now: Millis, limits: &Limits) -> bool {
-        let is_recent = self.status_at.is_some_and(|at| now < at + limits.fresh);
+        let is_recent = self.status_at.is_some_and(|at| now < at + limits.fresh_for);
         is_recent && !self.is_terminated()
     }
 
     /// Whether what its statuses show of its runs is recent.
     pub(crate) fn has_current_status(&self, now: Millis, limits: &Limits) -> bool {
-        let shown = self.status_as_of.is_some_and(|at| now < at + limits.fresh);
+        let shown = self
+            .status_as_of
+            .is_some_and(|at| now < at + limits.fresh_for);
         shown && !self.is_terminated()
     }
 
-    /// Whether a run may be what crashes the worker: neither has the run been listed for `settle`
+    /// Whether a run may be what crashes the worker: neither has the run been listed for `settle_time`
     /// since its start, nor has the worker been seen alive that long after it.
-    pub(crate) fn is_new(&self, run: &Run, settle: Millis) -> bool {
+    pub(crate) fn is_new(&self, run: &Run, settle_time: Millis) -> bool {
         let alive_at = self.alive_at();
         match run.start_state {
             StartState::Confirmed(at) => {
                 let lived_until = self.status_as_of.max(alive_at);
                 run.origin != Origin::Discovered
-                    && lived_until.is_none_or(|until| until < at + settle)
-            }
-            StartState::Sent | StartState::Uncertain => {
-                alive_at.is_none_or(|until| until < run.start_expires_at.saturating_add(settle))
+                    && lived_until.is_none_or(|until| until < at + settle_time)
             }
+            StartState::Sent | StartState::Uncertain => alive_at
+                .is_none_or(|until| until < run.start_expires_at.saturating_add(settle_time)),
         }
     }
 
--- a/crates/owner/src/lease.rs
+++ b/crates/owner/src/lease.rs
@@ -152,7 +152,7 @@
             // Told before it is sent: a look that is lost may have renewed the lease all the same.
             self.send(Event::Renewing {
                 worker: Name::clone(&self.target.id),
-                lapses_at: confirmed + self.limits.stretched(lease),
+                lapses_at: confirmed + self.limits.max_local_span(lease),
             });
         }
         let hold = Hold {
