--- a/crates/cell/src/window.rs
+++ b/crates/cell/src/window.rs
@@ -21,8 +21,8 @@
     ///
     /// Without the bound by the known cancels, the lag of a busy or partitioned owner and the
     /// window of the commit add up, and work of a job begins seconds after its caller was told that
-    /// it is cancelled. Jobs that were cancelled by `feed_watermark` aren't started, and no start takes
-    /// effect later than the window after that.
+    /// it is cancelled. Jobs that were cancelled by `feed_watermark` aren't started, and no start
+    /// takes effect later than the window after that.
     pub fn start_window(&self, sent_at: Millis) -> Millis {
         let known = self
             .feed_watermark
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -256,8 +256,8 @@
         shown && !self.is_terminated()
     }
 
-    /// Whether a run may be what crashes the worker: neither has the run been listed for `settle_time`
-    /// since its start, nor has the worker been seen alive that long after it.
+    /// Whether a run may be what crashes the worker: neither has the run been listed for
+    /// `settle_time` since its start, nor has the worker been seen alive that long after it.
     pub(crate) fn is_new(&self, run: &Run, settle_time: Millis) -> bool {
         let alive_at = self.alive_at();
         match run.start_state {
