--- a/crates/cell/benches/tick.rs
+++ b/crates/cell/benches/tick.rs
@@ -66,12 +66,12 @@
     for workers in WORKERS {
         let full = {
             let mut cell = cell(workers);
-            let tick = cell.tick(1, 1);
+            let tick = cell.run_round(1, 1);
             cell.record_commit(&tick, 1);
             cell
         };
         group.bench_with_input(BenchmarkId::new("full", workers), &full, |bencher, full| {
-            let round = |mut cell: Cell| cell.tick(2, 2);
+            let round = |mut cell: Cell| cell.run_round(2, 2);
             bencher.iter_batched(|| full.clone(), round, BatchSize::LargeInput);
         });
     }
--- a/crates/cell/benches/turn.rs
+++ b/crates/cell/benches/turn.rs
@@ -160,7 +160,7 @@
         self.accept();
         self.cell.advance_feed_watermark(now);
         self.poll_all();
-        let mut tick = self.cell.tick(now, now);
+        let mut tick = self.cell.run_round(now, now);
         self.cell.record_commit(&tick, now);
         let orders = std::mem::take(&mut tick.orders);
         let (orders, _withdrawn) = self.cell.revalidate(orders, now);
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -6,7 +6,7 @@
     crash::PoisonTask,
     job::{HasStarted, Job},
     limits::{Limits, Millis},
-    order::{AdviceRequest, Loss, Order, Outcome, Tick},
+    order::{AdviceRequest, Loss, Order, Outcome, RoundOutput},
     row::{Accepted, Phase, Progress},
     scaling::RecentEstimates,
     worker::{Origin, Run, StartState, StopState, Worker},
@@ -394,19 +394,19 @@
     }
 
     /// Runs one round of decisions: rows to commit, and orders to send after that.
-    pub fn tick(&mut self, now: Millis, wall_ms: u64) -> Tick {
-        crate::tick::run(self, now, wall_ms)
+    pub fn run_round(&mut self, now: Millis, wall_ms: u64) -> RoundOutput {
+        crate::round::run(self, now, wall_ms)
     }
 
     /// Stops that are due for runs of ended jobs.
     pub fn immediate_stops(&mut self, now: Millis) -> Vec<Order> {
-        crate::tick::immediate_stops(self, now)
+        crate::round::immediate_stops(self, now)
     }
 
-    /// Records that `tick` is committed, by a transaction that was sent at `sent_at`.
-    pub fn record_commit(&mut self, tick: &Tick, sent_at: Millis) {
+    /// Records that `output` is committed, by a transaction that was sent at `sent_at`.
+    pub fn record_commit(&mut self, output: &RoundOutput, sent_at: Millis) {
         let start_expires_at = sent_at + self.limits.max_local_span(self.limits.start_window);
-        for order in &tick.orders {
+        for order in &output.orders {
             let Order::Start {
                 worker, task, run, ..
             } = order
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -4,7 +4,7 @@
 //! A *cell* is a pool's workers together with the jobs that were accepted for it. One entry at a
 //! time owns a cell; [`Cell`] is the state and the decision logic of that entry. It has no clock,
 //! does no I/O and draws no random numbers: its inputs are rows, worker statuses and results of
-//! calls, and its output is a [`Tick`] with rows to commit and orders to send once they are
+//! calls, and its output is a [`RoundOutput`] with rows to commit and orders to send once they are
 //! committed. A new owner rebuilds it from the rows alone.
 //!
 //! # Never two runs of one task
@@ -50,17 +50,17 @@
 mod order;
 mod placement;
 mod roster;
+mod round;
 pub mod row;
 mod scaling;
 mod status;
 mod throttle;
-mod tick;
 mod window;
 mod worker;
 
 pub use cell::Cell;
 pub use crash::PoisonTask;
 pub use limits::{Limits, Millis};
-pub use order::{AdviceRequest, Cause, EndsCursor, Loss, Order, Outcome, Tick};
+pub use order::{AdviceRequest, Cause, EndsCursor, Loss, Order, Outcome, RoundOutput};
 pub use scaling::ScalingEstimate;
 pub use worker::EvacuationReason;
--- a/crates/cell/src/order.rs
+++ b/crates/cell/src/order.rs
@@ -106,7 +106,7 @@
 
 /// Result of a round: what to commit, and what to do after that.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tick {
+pub struct RoundOutput {
     /// Progress rows to write.
     pub puts: Vec<(JobId, Bytes)>,
     /// Jobs that have reached a final state.
--- a/crates/cell/src/tick.rs
+++ b/crates/cell/src/round.rs
@@ -6,7 +6,7 @@
     crash,
     limits::{Limits, Millis},
     migration,
-    order::{Cause, Order, Tick},
+    order::{Cause, Order, RoundOutput},
     placement,
     row::Progress,
     scaling, throttle,
@@ -31,7 +31,7 @@
 /// Maximum number of finished jobs whose rows are deleted in one round, which keeps rounds short.
 const MAX_DELETIONS: usize = 10;
 
-pub(crate) fn run(cell: &mut Cell, now: Millis, wall_ms: u64) -> Tick {
+pub(crate) fn run(cell: &mut Cell, now: Millis, wall_ms: u64) -> RoundOutput {
     remove_lost_runs(cell, now, wall_ms);
     begin_occurrences(cell, wall_ms);
     migration::run(cell, now);
@@ -47,7 +47,7 @@
     let ends_committed = ends_committed.map(|(id, worker)| (Name::clone(id), worker.ends_cursor()));
     let ends_committed = ends_committed.collect();
     cell.queued_counts = cell.count_queued();
-    Tick {
+    RoundOutput {
         advice_requests: advice::requests(cell, &waiting, now),
         puts,
         ended,
--- a/crates/cell/tests/all/advice.rs
+++ b/crates/cell/tests/all/advice.rs
@@ -4,7 +4,7 @@
     cases,
     fixture::{Fixture, job, starts, step, task},
 };
-use primroseroute_cell::{AdviceRequest, Order, Outcome, Tick};
+use primroseroute_cell::{AdviceRequest, Order, Outcome, RoundOutput};
 use primroseroute_domain::work::{End, Name};
 use primroseroute_platform::worker::Refusal;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
     fixture
 }
 
-fn only_request(tick: &Tick) -> AdviceRequest {
+fn only_request(tick: &RoundOutput) -> AdviceRequest {
     assert_eq!(tick.advice_requests.len(), 1, "{:?}", tick.advice_requests);
     tick.advice_requests[0].clone()
 }
@@ -44,7 +44,7 @@
         .record_advice(request, Some((tickets, TICKET_VALID_MS)), now, now);
 }
 
-fn tickets(tick: &Tick) -> Vec<Option<Name>> {
+fn tickets(tick: &RoundOutput) -> Vec<Option<Name>> {
     let orders = tick.orders.iter();
     let tickets = orders.filter_map(|order| match order {
         Order::Start { ticket, .. } => Some(ticket.clone()),
--- a/crates/cell/tests/all/crash.rs
+++ b/crates/cell/tests/all/crash.rs
@@ -4,7 +4,7 @@
     cases,
     fixture::{Fixture, job, starts, step, task, worker},
 };
-use primroseroute_cell::{Cause, Loss, Millis, Order, Outcome, Tick, row::Progress};
+use primroseroute_cell::{Cause, Loss, Millis, Order, Outcome, RoundOutput, row::Progress};
 use primroseroute_domain::work::{JobId, Name, State, Step, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -52,7 +52,7 @@
 }
 
 /// Terminates a worker and returns the next round.
-fn crash(fixture: &mut Fixture, id: &Name) -> Tick {
+fn crash(fixture: &mut Fixture, id: &Name) -> RoundOutput {
     terminate(fixture, id);
     fixture.round()
 }
@@ -71,7 +71,7 @@
     found.map(|(_task, on)| on)
 }
 
-fn state(tick: &Tick, id: &JobId) -> State {
+fn state(tick: &RoundOutput, id: &JobId) -> State {
     let row = tick.puts.iter().find(|(of, _row)| of == id);
     let (_id, row) = row.expect("its row is written");
     let progress: Progress = serde_json::from_slice(row).expect("progress");
--- a/crates/cell/tests/all/ends.rs
+++ b/crates/cell/tests/all/ends.rs
@@ -73,7 +73,7 @@
         }],
     };
     new_owner.apply_status(&"w-1".into(), &response, 10, 11, WALL_AT_ZERO_MS);
-    let tick = new_owner.tick(20, WALL_AT_ZERO_MS);
+    let tick = new_owner.run_round(20, WALL_AT_ZERO_MS);
     for (_id, row) in tick.puts {
         let progress: Progress = serde_json::from_slice(&row).expect("progress");
         assert_ne!(progress.state, State::Failed);
--- a/crates/cell/tests/all/fixture.rs
+++ b/crates/cell/tests/all/fixture.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use primroseroute_cell::{
-    Cell, Limits, Millis, Order, Outcome, Tick,
+    Cell, Limits, Millis, Order, Outcome, RoundOutput,
     row::{Accepted, Progress},
 };
 use primroseroute_domain::work::{Demand, End, Job, JobId, Name, Step, TaskId};
@@ -145,16 +145,16 @@
     }
 
     /// Runs and commits one round without sending its orders.
-    pub(crate) fn round(&mut self) -> Tick {
+    pub(crate) fn round(&mut self) -> RoundOutput {
         self.cell.advance_feed_watermark(self.now);
-        let tick = self.cell.tick(self.now, WALL_AT_ZERO_MS + self.now);
+        let tick = self.cell.run_round(self.now, WALL_AT_ZERO_MS + self.now);
         self.rows.extend(tick.puts.iter().cloned());
         self.cell.record_commit(&tick, self.now);
         tick
     }
 
     /// Returns the orders of a round that are still valid after its commit.
-    pub(crate) fn standing(&mut self, tick: Tick) -> Vec<Order> {
+    pub(crate) fn standing(&mut self, tick: RoundOutput) -> Vec<Order> {
         let (standing, _withdrawn) = self.cell.revalidate(tick.orders, self.now);
         standing
     }
--- a/crates/cell/tests/all/incarnation.rs
+++ b/crates/cell/tests/all/incarnation.rs
@@ -5,7 +5,7 @@
     fixture::{Fixture, WALL_AT_ZERO_MS, job, starts, step, task},
 };
 use primroseroute_cell::{
-    Cause, EndsCursor, EvacuationReason, Order, Outcome, Tick, row::IncarnationTag,
+    Cause, EndsCursor, EvacuationReason, Order, Outcome, RoundOutput, row::IncarnationTag,
 };
 use primroseroute_domain::work::{End, JobId, Name};
 use primroseroute_platform::worker::{Ended, Look, Running};
@@ -84,7 +84,7 @@
         .apply_status(&worker(), response, now, now, WALL_AT_ZERO_MS + now);
 }
 
-fn acknowledged_up_to(tick: &Tick) -> EndsCursor {
+fn acknowledged_up_to(tick: &RoundOutput) -> EndsCursor {
     let found = tick
         .ends_committed
         .iter()
@@ -187,7 +187,7 @@
     id
 }
 
-fn stops(tick: &Tick) -> usize {
+fn stops(tick: &RoundOutput) -> usize {
     let stops = tick.orders.iter();
     let stops = stops.filter(|order| matches!(order, Order::Stop { .. }));
     stops.count()
--- a/crates/cell/tests/all/window.rs
+++ b/crates/cell/tests/all/window.rs
@@ -28,12 +28,12 @@
     fixture.advance(2_500);
     let tick = fixture
         .cell
-        .tick(fixture.now, WALL_AT_ZERO_MS + fixture.now);
+        .run_round(fixture.now, WALL_AT_ZERO_MS + fixture.now);
     assert_eq!(starts(&tick.orders), Vec::new());
     fixture.cell.advance_feed_watermark(fixture.now);
     let tick = fixture
         .cell
-        .tick(fixture.now, WALL_AT_ZERO_MS + fixture.now);
+        .run_round(fixture.now, WALL_AT_ZERO_MS + fixture.now);
     assert_eq!(starts(&tick.orders)[0].0, task(&id, 0, 0));
 }
 
--- a/crates/owner/src/run.rs
+++ b/crates/owner/src/run.rs
@@ -19,7 +19,7 @@
     watch::{Followed, Workers as Registered},
 };
 use log::{info, warn};
-use primroseroute_cell::{Cell, Millis, Order, Outcome, Tick};
+use primroseroute_cell::{Cell, Millis, Order, Outcome, RoundOutput};
 use primroseroute_domain::work::{End, Name};
 use primroseroute_platform::{rows::Version, site::Configuration};
 use std::{collections::BTreeSet, pin::pin, sync::Arc, time::Duration};
@@ -318,7 +318,7 @@
         let clock = self.context.clock;
         self.digest.tell(&self.context.pool);
         let decided = Instant::now();
-        let mut tick = self.cell.tick(clock.now(), clock.wall_ms());
+        let mut tick = self.cell.run_round(clock.now(), clock.wall_ms());
         self.cancels.tell_over(&self.cell, clock.now());
         self.occupied();
         for loss in &tick.losses {
@@ -372,7 +372,7 @@
     }
 
     /// Sends what still holds of a round, once it is committed by a transaction that was sent at `sent_at`.
-    fn carry_out(&mut self, mut tick: Tick, sent_at: Millis, decided: Instant) {
+    fn carry_out(&mut self, mut tick: RoundOutput, sent_at: Millis, decided: Instant) {
         let clock = self.context.clock;
         self.cell.record_commit(&tick, sent_at);
         // The commit may have taken long.
