--- a/crates/cell/src/placement/candidates.rs
+++ b/crates/cell/src/placement/candidates.rs
@@ -35,8 +35,8 @@
 #[derive(Debug)]
 pub(super) struct Candidates {
     /// In the order of their ids.
-    candidates: Vec<Candidate>,
-    /// Free processor share, and index in `candidates`.
+    workers: Vec<Candidate>,
+    /// Free processor share, and index in `workers`.
     by_cpu: BTreeSet<(u64, usize)>,
     /// Number of workers that accept nothing while an isolated run is under way there.
     isolating: usize,
@@ -46,11 +46,11 @@
 
 impl Candidates {
     pub(super) fn of(cell: &Cell, now: Millis) -> Self {
-        let candidates = cell.workers.iter();
-        let candidates = candidates.filter(|(_id, worker)| worker.accepts_runs(now, &cell.limits));
-        let (isolating, candidates): (Vec<_>, Vec<_>) =
-            candidates.partition(|(_id, worker)| crash::has_isolated_run(cell, worker));
-        let candidates: Vec<Candidate> = candidates
+        let workers = cell.workers.iter();
+        let workers = workers.filter(|(_id, worker)| worker.accepts_runs(now, &cell.limits));
+        let (isolating, workers): (Vec<_>, Vec<_>) =
+            workers.partition(|(_id, worker)| crash::has_isolated_run(cell, worker));
+        let workers: Vec<Candidate> = workers
             .into_iter()
             .map(|(id, worker)| Candidate {
                 id: Name::clone(id),
@@ -59,11 +59,11 @@
                 crash_retries: crash_retries(cell, worker),
             })
             .collect();
-        let by_cpu = candidates.iter().enumerate();
+        let by_cpu = workers.iter().enumerate();
         let by_cpu = by_cpu.map(|(candidate, worker)| (worker.free.cpu, candidate));
         Self {
             by_cpu: by_cpu.collect(),
-            candidates,
+            workers,
             isolating: isolating.len(),
             has_suspects: crash::has_suspects(cell),
         }
@@ -79,46 +79,46 @@
     pub(super) fn fitting(&self, demand: Demand) -> impl Iterator<Item = usize> {
         let wide = self.by_cpu.range((demand.cpu, 0)..);
         let fitting = wide.map(|(_cpu, candidate)| *candidate);
-        fitting.filter(move |candidate| demand.fits(self.candidates[*candidate].free))
+        fitting.filter(move |candidate| demand.fits(self.workers[*candidate].free))
     }
 
     /// All indexes.
     pub(super) fn all(&self) -> impl Iterator<Item = usize> {
-        0..self.candidates.len()
+        0..self.workers.len()
     }
 
     /// Indexes of all workers that aren't reserved.
     pub(super) fn unblocked(&self) -> impl Iterator<Item = usize> {
-        let numbered = self.candidates.iter().enumerate();
+        let numbered = self.workers.iter().enumerate();
         let unblocked = numbered.filter(|(_index, worker)| !worker.blocked);
         unblocked.map(|(candidate, _worker)| candidate)
     }
 
     pub(super) fn id(&self, candidate: usize) -> &Name {
-        &self.candidates[candidate].id
+        &self.workers[candidate].id
     }
 
     pub(super) fn free(&self, candidate: usize) -> Demand {
-        self.candidates[candidate].free
+        self.workers[candidate].free
     }
 
     pub(super) fn is_blocked(&self, candidate: usize) -> bool {
-        self.candidates[candidate].blocked
+        self.workers[candidate].blocked
     }
 
     /// Reserves a worker.
     pub(super) fn block(&mut self, candidate: usize) {
-        self.candidates[candidate].blocked = true;
+        self.workers[candidate].blocked = true;
     }
 
     /// Number of new runs on a worker whose tasks have crashes.
     pub(super) fn crash_retries(&self, candidate: usize) -> usize {
-        self.candidates[candidate].crash_retries
+        self.workers[candidate].crash_retries
     }
 
     /// Counts one more such run.
     pub(super) fn add_crash_retry(&mut self, candidate: usize) {
-        self.candidates[candidate].crash_retries += 1;
+        self.workers[candidate].crash_retries += 1;
     }
 
     /// Number of workers that accept nothing while an isolated run is under way there.
@@ -147,7 +147,7 @@
     }
 
     fn set(&mut self, candidate: usize, free: Demand) {
-        let worker = &mut self.candidates[candidate];
+        let worker = &mut self.workers[candidate];
         self.by_cpu.remove(&(worker.free.cpu, candidate));
         worker.free = free;
         self.by_cpu.insert((free.cpu, candidate));
--- a/crates/owner/src/run.rs
+++ b/crates/owner/src/run.rs
@@ -217,7 +217,7 @@
             }
             Event::Heard(at) => self.cell.advance_feed_watermark(at),
             Event::Renewing { worker, lapses_at } => {
-                self.cell.lease_renewal_sent(&worker, lapses_at)
+                self.cell.lease_renewal_sent(&worker, lapses_at);
             }
             Event::Look {
                 worker,
