--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -1,10 +1,10 @@
-//! Which workers may run the steps of queues whose policy only the advice service knows.
+//! Advice on which workers may run the steps of queues whose policy only the advice service knows.
 
 use crate::{
     cell::Cell,
     limits::Millis,
-    order::Question,
-    place::{Waiting, allows_apart_from_policy},
+    order::AdviceRequest,
+    placement::{WaitingStep, allows_ignoring_policy},
 };
 use primroseroute_domain::work::{Name, TaskId};
 use std::{
@@ -12,34 +12,35 @@
     collections::{BTreeMap, BTreeSet},
 };
 
-/// Workers that one question names: the service takes longer for each, and this many is what a job's
-/// objective allows for.
-const ASKED: usize = 30;
+/// Maximum number of workers in one request: the service takes longer for each, and a job's
+/// objective leaves time for this many.
+const MAX_WORKERS: usize = 30;
 
-/// Questions of one pool that wait for their answers at the same time; the service turns entries away
-/// that let 32 wait.
-const OPEN: usize = 6;
+/// Maximum number of concurrent requests of one pool; the service rejects entries that have 32 of
+/// them waiting.
+const MAX_OPEN_REQUESTS: usize = 6;
 
-/// Part of a ticket's time that is left for the start to reach its worker, in milliseconds.
-const SLACK: Millis = 300;
+/// Part of a ticket's validity that is left for the start to reach its worker.
+const SEND_MARGIN_MS: Millis = 300;
 
-/// Pause after a question without an answer, in milliseconds.
-const PAUSE: Millis = 200;
+/// Pause after a request without an answer.
+const RETRY_PAUSE_MS: Millis = 200;
 
 /// What is known of the workers for one step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Policy {
-    /// Workers that may not run it, which doesn't change while they live.
-    bad: BTreeSet<Name>,
-    /// Tickets that are still valid, with the time up to which they are used.
+    /// Workers that may not run it; this doesn't change during their incarnation.
+    denied: BTreeSet<Name>,
+    /// Valid tickets by worker, with the time until which they are used.
     tickets: BTreeMap<Name, (Name, Millis)>,
-    asking: bool,
-    ask_from: Millis,
+    request_open: bool,
+    retry_at: Millis,
 }
 
 impl Policy {
-    /// Takes in that a worker has begun its next life, in which no ticket of the one before is valid.
-    pub(crate) fn begin_life(&mut self, worker: &Name) {
+    /// Records that a worker has begun its next incarnation, in which tickets of the previous one
+    /// aren't valid.
+    pub(crate) fn begin_incarnation(&mut self, worker: &Name) {
         self.tickets.remove(worker);
     }
 
@@ -50,7 +51,7 @@
     }
 }
 
-/// Drops what is too old, or of steps and workers that are over.
+/// Drops expired tickets and entries of steps and workers that no longer exist.
 pub(crate) fn expire(cell: &mut Cell, now: Millis) {
     let Cell {
         policies,
@@ -61,17 +62,17 @@
     policies.retain(|step, _policy| jobs.contains_key(&step.job));
     for policy in policies.values_mut() {
         policy.expire(now);
-        policy.bad.retain(|worker| workers.contains_key(worker));
+        policy.denied.retain(|worker| workers.contains_key(worker));
     }
 }
 
 /// Whether starts of a task need a ticket.
 pub(crate) fn needs_ticket(cell: &Cell, task: &TaskId) -> bool {
     let job = cell.jobs.get(&task.job);
-    job.is_some_and(|job| cell.advised.contains(&job.accepted.queue))
+    job.is_some_and(|job| cell.advised_queues.contains(&job.accepted.queue))
 }
 
-/// Whether the queue's policy allows a worker to run a task, as far as is known now.
+/// Whether the queue's policy is known to allow a worker to run a task.
 pub(crate) fn allows(cell: &Cell, task: &TaskId, worker: &Name) -> bool {
     !needs_ticket(cell, task) || ticket(cell, task, worker).is_some()
 }
@@ -83,17 +84,22 @@
     Some(Name::clone(ticket))
 }
 
-/// Questions for steps that still wait: about workers with room that weren't asked about, or that may
-/// run the step and whose ticket has become too old. The roomiest come first.
-pub(crate) fn questions(cell: &mut Cell, waiting: &[Waiting], now: Millis) -> Vec<Question> {
+/// Requests for steps that still wait: for workers with free capacity that weren't asked about, or
+/// that may run the step and whose ticket has expired. Workers with the most free capacity come
+/// first.
+pub(crate) fn requests(
+    cell: &mut Cell,
+    waiting: &[WaitingStep],
+    now: Millis,
+) -> Vec<AdviceRequest> {
     let open = cell
         .policies
         .values()
-        .filter(|policy| policy.asking)
+        .filter(|policy| policy.request_open)
         .count();
-    let mut questions = Vec::new();
+    let mut requests = Vec::new();
     for waiting in waiting {
-        if open + questions.len() >= OPEN {
+        if open + requests.len() >= MAX_OPEN_REQUESTS {
             break;
         }
         let task = waiting.first_task();
@@ -102,7 +108,7 @@
         }
         let step = task.step_id();
         let policy = cell.policies.entry(step.clone()).or_default();
-        if policy.asking || now < policy.ask_from {
+        if policy.request_open || now < policy.retry_at {
             continue;
         }
         let workers = candidates(cell, &task, now);
@@ -110,11 +116,11 @@
             continue;
         }
         if let Some(policy) = cell.policies.get_mut(&step) {
-            policy.asking = true;
+            policy.request_open = true;
         }
-        questions.push(Question { step, workers });
+        requests.push(AdviceRequest { step, workers });
     }
-    questions
+    requests
 }
 
 fn candidates(cell: &Cell, task: &TaskId, now: Millis) -> Vec<Name> {
@@ -123,52 +129,52 @@
         return Vec::new();
     };
     let open = cell.workers.iter().filter(|(id, worker)| {
-        worker.is_open(now, &cell.limits)
-            && step.reserved().fits(worker.room())
-            && allows_apart_from_policy(worker, task, step, 0)
-            && !policy.bad.contains(*id)
+        worker.accepts_runs(now, &cell.limits)
+            && step.reserved().fits(worker.free_capacity())
+            && allows_ignoring_policy(worker, task, step, 0)
+            && !policy.denied.contains(*id)
             && !policy.tickets.contains_key(*id)
     });
     let mut open: Vec<_> = open
-        .map(|(id, worker)| (Reverse(worker.room().cpu), id))
+        .map(|(id, worker)| (Reverse(worker.free_capacity().cpu), id))
         .collect();
     open.sort_unstable();
-    let ids = open.into_iter().take(ASKED);
+    let ids = open.into_iter().take(MAX_WORKERS);
     ids.map(|(_room, id)| Name::clone(id)).collect()
 }
 
-/// Takes in an answer to a question that was sent at `sent_at`; `None` where there was none.
-pub(crate) fn answered(
+/// Applies the answer to a request that was sent at `sent_at`; `None` if there was none.
+pub(crate) fn apply_answer(
     cell: &mut Cell,
-    question: &Question,
+    request: &AdviceRequest,
     answer: Option<(BTreeMap<Name, Name>, Millis)>,
     sent_at: Millis,
     now: Millis,
 ) {
-    let Some(policy) = cell.policies.get_mut(&question.step) else {
+    let Some(policy) = cell.policies.get_mut(&request.step) else {
         return;
     };
-    policy.asking = false;
+    policy.request_open = false;
     let Some((tickets, valid)) = answer else {
-        policy.ask_from = now + PAUSE;
+        policy.retry_at = now + RETRY_PAUSE_MS;
         return;
     };
-    let until = (sent_at + valid).saturating_sub(SLACK);
-    for worker in &question.workers {
+    let until = (sent_at + valid).saturating_sub(SEND_MARGIN_MS);
+    for worker in &request.workers {
         match tickets.get(worker) {
             Some(ticket) => {
                 let ticket = (Name::clone(ticket), until);
                 policy.tickets.insert(Name::clone(worker), ticket);
             }
             None => {
-                policy.bad.insert(Name::clone(worker));
+                policy.denied.insert(Name::clone(worker));
             }
         }
     }
 }
 
-/// A worker has refused a ticket: it isn't used again.
-pub(crate) fn refused(cell: &mut Cell, task: &TaskId, worker: &Name) {
+/// Drops a ticket that its worker has refused.
+pub(crate) fn ticket_refused(cell: &mut Cell, task: &TaskId, worker: &Name) {
     if let Some(policy) = cell.policies.get_mut(&task.step_id()) {
         policy.tickets.remove(worker);
     }
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -1,4 +1,4 @@
-//! One job in memory.
+//! In-memory state of one job.
 
 use crate::row::{Accepted, Phase, Progress, Steps, Task};
 use primroseroute_domain::work::{Name, State, Step, TaskId};
@@ -6,25 +6,25 @@
 
 /// Whether a task of a job has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Begun {
-    /// None is known to have.
+pub(crate) enum HasStarted {
+    /// None is known to have started.
     No,
-    /// A predecessor has placed one, and no look has told of it yet.
+    /// A previous owner has placed one, which no worker status has confirmed yet.
     Presumed,
-    /// One has.
+    /// One has started.
     Yes,
 }
 
-/// A job that isn't finished.
+/// An unfinished job.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub accepted: Accepted,
     pub progress: Progress,
-    /// Whether runs of it may be under way beside or after those that have done its work: where a task was started again, runs
-    /// that were given up, and where a step is a gang, its other members.
-    pub may_run_on: bool,
-    /// Its state is that of its row, which says that it runs as soon as a task is placed.
-    pub begun: Begun,
+    /// Whether there may be runs beside or after those that completed its tasks: runs that were
+    /// given up, if a task was started again, and the other members of a gang.
+    pub may_have_other_runs: bool,
+    /// The job's state is that of its row, which says that it runs as soon as a task is placed.
+    pub has_started: HasStarted,
 }
 
 impl Job {
@@ -37,32 +37,32 @@
                 next: 0,
                 ended_ms: None,
             },
-            may_run_on: false,
-            begun: Begun::No,
+            may_have_other_runs: false,
+            has_started: HasStarted::No,
         }
     }
 
-    /// A job of which a predecessor has committed `progress`.
+    /// A job with the `progress` that a previous owner has committed.
     pub(crate) fn restored(accepted: Accepted, progress: Progress) -> Self {
         let tasks = || progress.steps.values().flatten().flatten();
         let has_run = |task: &Task| {
             let told = !task.failed.is_empty() || !task.crashed.is_empty();
             told || task.checkpoint.is_some() || task.phase == Phase::Done
         };
-        // An occurrence whose tasks are all done has no row any more.
+        // Occurrences whose tasks are all done have been removed from the row.
         let is_over = progress.steps.len() < progress.next as usize;
-        let begun = if is_over || tasks().any(has_run) {
-            Begun::Yes
+        let has_started = if is_over || tasks().any(has_run) {
+            HasStarted::Yes
         } else if tasks().any(|task| task.phase.worker().is_some()) {
-            Begun::Presumed
+            HasStarted::Presumed
         } else {
-            Begun::No
+            HasStarted::No
         };
         Self {
             accepted,
             progress,
-            may_run_on: true,
-            begun,
+            may_have_other_runs: true,
+            has_started,
         }
     }
 
@@ -82,7 +82,7 @@
             .get_mut(usize::from(id.index))
     }
 
-    /// Number of runs of a gang that are among those that `of` gives of any member.
+    /// Number of distinct run numbers that `of` selects from the members of a gang.
     pub(crate) fn gang_runs(&self, id: &TaskId, of: impl Fn(&Task) -> &BTreeSet<u32>) -> usize {
         let steps = self.progress.steps.get(&id.occurrence);
         let members = steps.and_then(|steps| steps.get(usize::from(id.step)));
@@ -90,12 +90,14 @@
         runs.collect::<BTreeSet<_>>().len()
     }
 
-    /// Records that a run on `worker` is to stop while the job goes on; whether that is news.
+    /// Records that a run on `worker` is to stop while the job goes on. Returns whether this
+    /// changed anything.
     ///
-    /// It is committed before the stop is sent. A worker shows a run until it has ended, so a successor that
-    /// found it at work would count its task as at work, and end others of the step beside it: more would be
-    /// away than the step can miss. By the row the successor counts it as away, and repeats the stop.
-    pub(crate) fn leaves(&mut self, id: &TaskId, worker: &Name, run: u32) -> bool {
+    /// This is committed before the stop is sent. A worker lists a run until it has ended, so a new
+    /// owner that found it ready would count its task as available and stop others of the step too:
+    /// more would be unavailable than the step tolerates. From the row the new owner knows that the
+    /// task is unavailable, and repeats the stop.
+    pub(crate) fn mark_leaving(&mut self, id: &TaskId, worker: &Name, run: u32) -> bool {
         let Some(task) = self.task_mut(id) else {
             return false;
         };
@@ -107,8 +109,9 @@
         true
     }
 
-    /// Records that a run that was to stop goes on, since its stop was never sent; whether that is news.
-    pub(crate) fn stays(&mut self, id: &TaskId) -> bool {
+    /// Records that a run that was to stop goes on, since its stop was never sent. Returns whether
+    /// this changed anything.
+    pub(crate) fn unmark_leaving(&mut self, id: &TaskId) -> bool {
         let Some(task) = self.task_mut(id) else {
             return false;
         };
@@ -119,8 +122,8 @@
         true
     }
 
-    /// Begins the occurrences that are due; whether there were any.
-    pub(crate) fn begin(&mut self, wall_ms: u64) -> bool {
+    /// Begins the occurrences that are due. Returns whether there were any.
+    pub(crate) fn begin_due(&mut self, wall_ms: u64) -> bool {
         let before = self.progress.next;
         while self.progress.next < self.accepted.job.occurrences() {
             let due = self.accepted.job.schedule;
@@ -128,29 +131,31 @@
             if due > wall_ms {
                 break;
             }
-            self.progress.steps.insert(self.progress.next, self.fresh());
+            self.progress
+                .steps
+                .insert(self.progress.next, self.new_tasks());
             self.progress.next += 1;
         }
         self.progress.next > before
     }
 
-    fn fresh(&self) -> Steps {
+    fn new_tasks(&self) -> Steps {
         let steps = self.accepted.job.steps.iter();
         steps
             .map(|step| vec![Task::default(); usize::from(step.count)])
             .collect()
     }
 
-    /// Drops occurrences whose tasks are all done; whether nothing of the job is left.
-    pub(crate) fn settle(&mut self) -> bool {
+    /// Drops occurrences whose tasks are all done. Returns whether nothing of the job is left.
+    pub(crate) fn drop_finished_occurrences(&mut self) -> bool {
         let open = |steps: &Steps| steps.iter().flatten().any(|task| task.phase != Phase::Done);
         self.progress.steps.retain(|_number, steps| open(steps));
         let begun = self.progress.next >= self.accepted.job.occurrences();
         begun && self.progress.steps.is_empty()
     }
 
-    /// Numbers of the steps of `occurrence` whose turn has come.
-    pub(crate) fn ready(&self, occurrence: u32) -> Vec<u16> {
+    /// Numbers of the steps of `occurrence` whose dependencies are done.
+    pub(crate) fn ready_steps(&self, occurrence: u32) -> Vec<u16> {
         let Some(steps) = self.progress.steps.get(&occurrence) else {
             return Vec::new();
         };
--- a/crates/cell/src/place/turn.rs
+++ b/crates/cell/src/placement/urgency.rs
@@ -1,38 +1,39 @@
-//! In which order waiting steps get their turn.
+//! Order in which waiting steps are placed.
 //!
-//! Lasting tasks come first, since their users wait all the time that they are away. Then jobs that
-//! can still meet their objective, those with the least work left first; then late ones, and last those
-//! that are past three times their objective, which earn nothing more and only have to finish some day.
+//! Long-running tasks come first, since their users are affected all the time that they are
+//! unavailable. Then come jobs that can still meet their objective, those with the least remaining
+//! work first; then late ones, and last those that are past three times their objective, which earn
+//! nothing more and only have to finish eventually.
 
 use crate::{cell::Cell, crash, job::Job, row::Phase};
 use primroseroute_domain::work::{JobId, Step, TaskId};
 
-/// Times its objective after which a job earns nothing more.
-const HOPELESS: u64 = 3;
+/// Multiple of its objective after which a job earns nothing more.
+const LONG_OVERDUE_OBJECTIVES: u64 = 3;
 
-/// How urgent a step is; smaller comes first.
+/// Urgency class of a step; smaller comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Class {
     Lasting,
     InTime,
     Late,
-    Hopeless,
+    LongOverdue,
 }
 
 /// A step with waiting tasks.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Waiting {
+pub(crate) struct WaitingStep {
     pub(super) class: Class,
-    /// What is left of the job's work in core-milliseconds: short jobs earn most for the time that
-    /// they occupy, and a job that has begun comes before one like it that hasn't.
-    work: u64,
+    /// Remaining work of the job in core-milliseconds: short jobs earn most for the time that they
+    /// occupy, and a job that has begun comes before an equal one that hasn't.
+    core_ms: u64,
     pub(super) job: JobId,
     pub(super) occurrence: u32,
     pub(super) step: u16,
 }
 
-impl Waiting {
-    /// The step's first task, which stands for them all.
+impl WaitingStep {
+    /// The step's first task, which represents all of them.
     pub(crate) fn first_task(&self) -> TaskId {
         task_id(self, 0)
     }
@@ -47,15 +48,15 @@
     }
 }
 
-/// Steps with waiting tasks whose turn has come, the most urgent first.
-pub(crate) fn sorted(cell: &Cell, wall_ms: u64) -> Vec<Waiting> {
+/// Steps with waiting tasks whose dependencies are done, the most urgent first.
+pub(crate) fn waiting_steps(cell: &Cell, wall_ms: u64) -> Vec<WaitingStep> {
     let mut all = Vec::new();
     for (id, job) in &cell.jobs {
         if job.progress.state.is_final() {
             continue;
         }
         for &occurrence in job.progress.steps.keys() {
-            for step in job.ready(occurrence) {
+            for step in job.ready_steps(occurrence) {
                 if waiting_tasks(job, occurrence, step).next().is_some() {
                     all.push(urgency(id, job, occurrence, step, wall_ms));
                 }
@@ -66,14 +67,14 @@
     all
 }
 
-/// What still waits of `waiting`: each step with the number of its tasks, and whether it is late already;
-/// without those of jobs that earn nothing any more.
+/// The steps of `waiting` that still wait, each with the number of its tasks and whether it is
+/// late; without those of jobs that earn nothing any more.
 pub(crate) fn still_waiting<'a>(
     cell: &'a Cell,
-    waiting: &'a [Waiting],
+    waiting: &'a [WaitingStep],
 ) -> impl Iterator<Item = (&'a Step, u64, bool)> {
     let worthwhile = waiting.iter();
-    let worthwhile = worthwhile.filter(|waiting| waiting.class != Class::Hopeless);
+    let worthwhile = worthwhile.filter(|waiting| waiting.class != Class::LongOverdue);
     worthwhile.filter_map(|waiting| {
         let job = cell.jobs.get(&waiting.job)?;
         let count = waiting_tasks(job, waiting.occurrence, waiting.step).count();
@@ -82,9 +83,9 @@
     })
 }
 
-/// Whether a job is past its objective. What runs of it counts as late only then: how much of the estimate
-/// is left of a run isn't known well enough to tell sooner.
-pub(crate) fn is_past(job: &Job, occurrence: u32, wall_ms: u64) -> bool {
+/// Whether a job is past its objective. Running tasks count as late only from then on: how much of
+/// the estimate is left of a run isn't known well enough to tell sooner.
+pub(crate) fn is_overdue(job: &Job, occurrence: u32, wall_ms: u64) -> bool {
     let lasting = job.accepted.job.lasting();
     !lasting && age(job, occurrence, wall_ms) > signed(job.accepted.objective_ms)
 }
@@ -94,11 +95,11 @@
     let tasks = steps.and_then(|steps| steps.get(usize::from(step)));
     let numbered = (0..).zip(tasks.into_iter().flatten());
     numbered
-        .filter(|(_index, task)| task.phase == Phase::Waiting && !crash::is_given_up(task))
+        .filter(|(_index, task)| task.phase == Phase::Waiting && !crash::is_abandoned(task))
         .map(|(index, _task)| index)
 }
 
-/// Time since an occurrence was due; negative where a clock was ahead.
+/// Time since an occurrence was due; negative if a clock was ahead.
 fn age(job: &Job, occurrence: u32, wall_ms: u64) -> i64 {
     let accepted = &job.accepted;
     let due = accepted
@@ -111,12 +112,12 @@
 fn class(job: &Job, occurrence: u32, step: u16, wall_ms: u64) -> Class {
     let age = age(job, occurrence, wall_ms);
     let objective = signed(job.accepted.objective_ms);
-    let slack = objective - age - signed(remaining(job, occurrence, step));
+    let slack = objective - age - signed(remaining_ms(job, occurrence, step));
     let lasting = job.step(step).is_some_and(|step| step.lasting);
     if lasting {
         Class::Lasting
-    } else if age > objective * signed(HOPELESS) {
-        Class::Hopeless
+    } else if age > objective * signed(LONG_OVERDUE_OBJECTIVES) {
+        Class::LongOverdue
     } else if slack < 0 {
         Class::Late
     } else {
@@ -124,10 +125,10 @@
     }
 }
 
-fn urgency(id: &JobId, job: &Job, occurrence: u32, step: u16, wall_ms: u64) -> Waiting {
-    Waiting {
+fn urgency(id: &JobId, job: &Job, occurrence: u32, step: u16, wall_ms: u64) -> WaitingStep {
+    WaitingStep {
         class: class(job, occurrence, step, wall_ms),
-        work: work_left(job, occurrence),
+        core_ms: work_left(job, occurrence),
         job: id.clone(),
         occurrence,
         step,
@@ -138,7 +139,7 @@
     i64::try_from(value).unwrap_or(i64::MAX)
 }
 
-/// Estimated core-milliseconds of the tasks that aren't done.
+/// Estimated core-milliseconds of the unfinished tasks.
 fn work_left(job: &Job, occurrence: u32) -> u64 {
     let Some(progress) = job.progress.steps.get(&occurrence) else {
         return 0;
@@ -155,7 +156,7 @@
 }
 
 /// Estimated time from now to the job's end, if `step` starts at once.
-fn remaining(job: &Job, occurrence: u32, step: u16) -> u64 {
+fn remaining_ms(job: &Job, occurrence: u32, step: u16) -> u64 {
     let steps = &job.accepted.job.steps;
     let Some(progress) = job.progress.steps.get(&occurrence) else {
         return 0;
@@ -176,7 +177,7 @@
     ends.into_iter().max().unwrap_or(own)
 }
 
-pub(super) fn task_id(waiting: &Waiting, index: u16) -> TaskId {
+pub(super) fn task_id(waiting: &WaitingStep, index: u16) -> TaskId {
     TaskId {
         job: waiting.job.clone(),
         occurrence: waiting.occurrence,
--- a/crates/cell/src/roster.rs
+++ b/crates/cell/src/roster.rs
@@ -1,102 +1,106 @@
-//! What the cell is told of its workers' lives and use, and what it tells of them.
+//! Inputs about registration, termination and evacuation of workers, and queries about workers.
 
 use crate::{
     cell::Cell,
     crash,
     limits::Millis,
-    row::Life,
-    worker::{Gone, Purpose, Stop, Worker},
+    row::IncarnationTag,
+    worker::{EvacuationReason, StopState, Termination, Worker},
 };
 use primroseroute_domain::work::Name;
 use primroseroute_platform::{site, worker::Target};
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Cell {
-    /// Takes in a worker's registration.
+    /// Records a worker's registration.
     pub fn register(&mut self, info: site::Worker) {
         let id = Name::clone(&info.id);
         let worker = self.worker(&id);
-        worker.info = Some(info);
+        worker.registration = Some(info);
         worker.registered = true;
     }
 
-    /// Takes in that a worker isn't registered any more. What runs there runs on until its lease
-    /// lapses or its end is seen: it may only have lost its way to the store.
+    /// Records that a worker isn't registered any more. Its runs go on until its lease expires or
+    /// their ends are seen: it may only have lost its connection to the store.
     pub fn unregister(&mut self, worker: &Name) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.registered = false;
         }
     }
 
-    /// Takes in that a life of a worker is over: nothing runs on it any more, but what has got no answer may reach its next
-    /// life. Whether that is news.
+    /// Records that an incarnation of a worker has terminated: nothing runs on it any more, but
+    /// calls that got no answer may reach its next incarnation. Returns whether this wasn't known
+    /// before.
     ///
-    /// Whoever tells may have asked long ago, and mean the life before: `born` is what was known of the worker then, and
-    /// `asked_at` is when it was asked. A start that was answered later may be of the next life.
-    pub fn gone(&mut self, worker: &Name, born: u64, asked_at: Millis) -> bool {
+    /// The information may be old and refer to the previous incarnation: `incarnation` is the one
+    /// that was known when the platform was asked, and `asked_at` is the time of that. A start that
+    /// was answered later may belong to the next incarnation.
+    pub fn worker_terminated(&mut self, worker: &Name, incarnation: u64, asked_at: Millis) -> bool {
         let Some(known) = self.workers.get_mut(worker) else {
             return false;
         };
-        if known.born != born {
+        if known.incarnation != incarnation {
             return false;
         }
-        known.over_by = asked_at;
-        self.over(worker, Gone::ItsLife)
+        known.terminated_before = asked_at;
+        self.terminate(worker, Termination::Incarnation)
     }
 
-    /// Takes in that another worker answers in the place of one, which never comes back. Whether that is news.
-    pub fn replaced(&mut self, worker: &Name) -> bool {
-        self.over(worker, Gone::ForGood)
+    /// Records that another worker has taken the place of this one, which never comes back. Returns
+    /// whether this wasn't known before.
+    pub fn worker_replaced(&mut self, worker: &Name) -> bool {
+        self.terminate(worker, Termination::Permanent)
     }
 
-    fn over(&mut self, worker: &Name, gone: Gone) -> bool {
+    fn terminate(&mut self, worker: &Name, termination: Termination) -> bool {
         let Some(worker) = self.workers.get_mut(worker) else {
             return false;
         };
-        let is_news = !worker.is_gone();
-        worker.gone = worker.gone.max(gone);
-        is_news
+        let is_new = !worker.is_terminated();
+        worker.termination = worker.termination.max(termination);
+        is_new
     }
 
-    /// Takes in that a renewal is sent: the worker's lease may hold until `lapses_at`.
-    pub fn renewing(&mut self, worker: &Name, lapses_at: Millis) {
+    /// Records that a renewal is sent: the worker's lease may be valid until `lease_expires_at`.
+    pub fn lease_renewal_sent(&mut self, worker: &Name, lease_expires_at: Millis) {
         if let Some(worker) = self.workers.get_mut(worker) {
-            worker.lapses_at = worker.lapses_at.max(lapses_at);
+            worker.lease_expires_at = worker.lease_expires_at.max(lease_expires_at);
         }
     }
 
-    /// Asks for a worker to be emptied for planned work, or no more.
+    /// Requests that a worker is evacuated for planned work, or withdraws that request.
     ///
-    /// One that isn't known yet is remembered: the platform may list it before its registration comes. Otherwise it would
-    /// get tasks then, while the order to its instance is on its way.
-    pub fn empty(&mut self, worker: &Name, wanted: Option<Purpose>) {
+    /// This is also recorded for a worker that isn't known yet: the platform may list it before its
+    /// registration arrives. Otherwise it would get tasks then, while the order to its instance is
+    /// on its way.
+    pub fn set_evacuating(&mut self, worker: &Name, wanted: Option<EvacuationReason>) {
         if wanted.is_some() {
-            self.worker(worker).emptying = wanted;
+            self.worker(worker).evacuating = wanted;
         } else if let Some(worker) = self.workers.get_mut(worker) {
-            worker.emptying = None;
+            worker.evacuating = None;
         }
     }
 
-    /// A worker, which may not have been known before.
+    /// A worker, which is added if it isn't known.
     pub(crate) fn worker(&mut self, id: &Name) -> &mut Worker {
-        let lapses_at = self.taken_at + self.limits.stretched(self.limits.lease);
+        let lease_expires_at = self.taken_at + self.limits.max_local_span(self.limits.lease);
         let worker = self.workers.entry(Name::clone(id));
-        worker.or_insert_with(|| Worker::new(lapses_at))
+        worker.or_insert_with(|| Worker::new(lease_expires_at))
     }
 
-    /// Asks for everything but lasting tasks on a worker to be stopped.
-    pub fn clear(&mut self, worker: &Name) {
+    /// Requests a stop of all batch tasks on a worker.
+    pub fn stop_batch_tasks(&mut self, worker: &Name) {
         let Some(worker) = self.workers.get_mut(worker) else {
             return;
         };
         for run in worker.runs.values_mut() {
-            if !run.lasting && run.stop == Stop::No {
-                run.stop = Stop::Wanted;
+            if !run.lasting && run.stop == StopState::No {
+                run.stop = StopState::Requested;
             }
         }
     }
 
-    /// The workers that are known, those among them that are known by what may run on them only.
+    /// All known workers, including those that are known only because runs of them may exist.
     pub fn workers(&self) -> impl Iterator<Item = &Name> + Clone {
         self.workers.keys()
     }
@@ -108,90 +112,100 @@
             .map_or(0, |worker| worker.runs.len())
     }
 
-    /// Whether nothing can run on a worker, and it gets nothing new because it is to be emptied.
-    pub fn is_emptied(&self, worker: &Name) -> bool {
+    /// Whether nothing can run on a worker, and it gets no new runs because it is being evacuated.
+    pub fn is_evacuated(&self, worker: &Name) -> bool {
         let found = self.workers.get(worker);
-        found.is_some_and(|worker| worker.emptying.is_some() && worker.runs.is_empty())
+        found.is_some_and(|worker| worker.evacuating.is_some() && worker.runs.is_empty())
     }
 
-    /// Workers that have shown nothing for a while, and on which something may run, or has lapsed lately.
-    pub fn silent(&self, now: Millis) -> BTreeSet<Name> {
-        let silent = self.workers.iter();
-        let silent = silent.filter(|(_id, worker)| self.is_silent(worker, now));
-        silent.map(|(id, _worker)| Name::clone(id)).collect()
+    /// Workers without a status for a while that may have runs, or whose lease has expired
+    /// recently.
+    pub fn unresponsive(&self, now: Millis) -> BTreeSet<Name> {
+        let unresponsive = self.workers.iter();
+        let unresponsive = unresponsive.filter(|(_id, worker)| self.is_unresponsive(worker, now));
+        unresponsive.map(|(id, _worker)| Name::clone(id)).collect()
     }
 
-    /// Those of the silent workers that new runs may have crashed.
-    pub fn suspected(&self, now: Millis) -> BTreeSet<Name> {
-        let settle = self.limits.settle;
-        let suspected = self.workers.iter().filter(|(_id, worker)| {
-            self.is_silent(worker, now)
-                && (worker.lapsed.is_some() || !crash::new_runs(worker, settle).is_empty())
+    /// The unresponsive workers that new runs may have crashed.
+    pub fn possibly_crashed(&self, now: Millis) -> BTreeSet<Name> {
+        let settle_time = self.limits.settle_time;
+        let possibly_crashed = self.workers.iter().filter(|(_id, worker)| {
+            self.is_unresponsive(worker, now)
+                && (worker.expired_lease.is_some()
+                    || !crash::new_runs(worker, settle_time).is_empty())
         });
-        suspected.map(|(id, _worker)| Name::clone(id)).collect()
+        possibly_crashed
+            .map(|(id, _worker)| Name::clone(id))
+            .collect()
     }
 
-    /// Takes in that the platform was asked at `asked_at` and still named a silent worker; whether it shows that the worker has
-    /// outlived runs that were new.
+    /// Records that the platform, asked at `asked_at`, still listed an unresponsive worker. Returns
+    /// whether this shows that the worker has survived runs that were new.
     ///
-    /// A worker that has crashed is named no more for a while, and then perhaps again, in its next life. So only names without a
-    /// gap between them, from the last look on, tell of one life.
-    pub fn named(&mut self, id: &Name, born: u64, asked_at: Millis) -> bool {
-        let settle = self.limits.settle;
+    /// A worker that has crashed disappears from the list for a while, and may then be listed again
+    /// with its next incarnation. So only an uninterrupted series of listings, from the last status
+    /// on, refers to one incarnation.
+    pub fn worker_listed(&mut self, id: &Name, incarnation: u64, asked_at: Millis) -> bool {
+        let settle_time = self.limits.settle_time;
         let Some(worker) = self.workers.get_mut(id) else {
             return false;
         };
-        let last = worker.named_at.max(worker.looked_at);
-        let is_same_life = last.is_some_and(|last| asked_at <= last + Life::SPAN);
-        if worker.is_gone() || worker.born != born || !is_same_life {
+        let last = worker.listed_at.max(worker.status_at);
+        let is_same_incarnation = last.is_some_and(|last| asked_at <= last + IncarnationTag::SPAN);
+        if worker.is_terminated() || worker.incarnation != incarnation || !is_same_incarnation {
             return false;
         }
-        let new = crash::new_runs(worker, settle).len();
-        worker.named_at = worker.named_at.max(Some(asked_at));
-        let outlived = crash::new_runs(worker, settle).len() < new;
-        // Its lease had lapsed by then, and nothing ran any more.
+        let new = crash::new_runs(worker, settle_time).len();
+        worker.listed_at = worker.listed_at.max(Some(asked_at));
+        let outlived = crash::new_runs(worker, settle_time).len() < new;
+        // Its lease had expired by then, and nothing ran any more.
         let alive_at = worker.alive_at();
-        let lapsed = worker.lapsed.take_if(|lapsed| alive_at >= Some(lapsed.at));
+        let expired = worker
+            .expired_lease
+            .take_if(|expired| alive_at >= Some(expired.at));
         if outlived {
-            crash::acquit(self, id);
+            crash::clear_crashes(self, id);
         }
-        outlived || lapsed.is_some()
+        outlived || expired.is_some()
     }
 
-    fn is_silent(&self, worker: &Worker, now: Millis) -> bool {
-        let heard = worker.looked_at.unwrap_or(self.taken_at);
-        let matters = !worker.runs.is_empty() || worker.lapsed.is_some();
-        matters && !worker.is_gone() && now >= heard + self.limits.silent
+    fn is_unresponsive(&self, worker: &Worker, now: Millis) -> bool {
+        let last_status = worker.status_at.unwrap_or(self.taken_at);
+        let matters = !worker.runs.is_empty() || worker.expired_lease.is_some();
+        matters && !worker.is_terminated() && now >= last_status + self.limits.unresponsive_after
     }
 
-    /// Of the workers whose ends are asked for at the platform, the silent ones and those that are emptied: when the life began
-    /// that looks have shown last, by the worker's own clock; 0 before the first look.
-    pub fn lives(&self, now: Millis) -> BTreeMap<Name, u64> {
-        let lives = self.workers.iter();
-        let lives =
-            lives.filter(|(_id, worker)| worker.emptying.is_some() || self.is_silent(worker, now));
-        lives
-            .map(|(id, worker)| (Name::clone(id), worker.born))
+    /// The workers whose termination is looked up at the platform, which are the unresponsive ones
+    /// and those being evacuated: their last known incarnation, by its start time on the worker's
+    /// clock; 0 before the first status.
+    pub fn incarnations(&self, now: Millis) -> BTreeMap<Name, u64> {
+        let incarnations = self.workers.iter();
+        let incarnations = incarnations.filter(|(_id, worker)| {
+            worker.evacuating.is_some() || self.is_unresponsive(worker, now)
+        });
+        incarnations
+            .map(|(id, worker)| (Name::clone(id), worker.incarnation))
             .collect()
     }
 
-    /// Number of lasting tasks that may run on a worker.
-    pub fn lasting_on(&self, worker: &Name) -> usize {
+    /// Number of long-running tasks that may run on a worker.
+    pub fn long_running_on(&self, worker: &Name) -> usize {
         let found = self.workers.get(worker);
         found.map_or(0, |worker| {
             worker.runs.values().filter(|run| run.lasting).count()
         })
     }
 
-    /// Where to reach the workers whose lives aren't over, and those whose next lives may get starts of the last one.
+    /// Addresses of the workers that haven't terminated, and of those whose next incarnation may
+    /// get starts meant for the last one.
     pub fn targets(&self) -> Vec<Target> {
         let targets = self.workers.values().filter_map(|worker| {
-            let answers = match worker.gone {
-                Gone::No => true,
-                Gone::ItsLife => !worker.runs.is_empty(),
-                Gone::ForGood => false,
+            let answers = match worker.termination {
+                Termination::NotKnown => true,
+                Termination::Incarnation => !worker.runs.is_empty(),
+                Termination::Permanent => false,
             };
-            let info = worker.info.as_ref().filter(|_info| answers)?;
+            let info = worker.registration.as_ref().filter(|_info| answers)?;
             Some(Target {
                 id: Name::clone(&info.id),
                 address: info.address,
--- a/crates/cell/src/look.rs
+++ b/crates/cell/src/status.rs
@@ -1,76 +1,80 @@
-//! What a look at a worker tells: runs that go on, ends, and starts that came to nothing.
+//! Processing of worker statuses: active runs, ended runs, and starts that never took effect.
 
 use crate::{
     cell::Cell,
-    crash,
-    job::Begun,
-    life,
+    crash, incarnation,
+    job::HasStarted,
     limits::{Limits, Millis},
     row::Phase,
-    worker::{Known, Origin, Run, Stop},
+    worker::{Origin, Run, StartState, StopState},
 };
 use primroseroute_domain::work::{End, Name, State, Step, TaskId};
 use primroseroute_platform::worker::{Ended, Look, Running};
 use std::collections::BTreeMap;
 
-/// Most ends that one look lists: with so many, others may be missing from it.
-const FULL: usize = 500;
+/// Maximum number of ended runs that one status lists: a full list may be incomplete.
+const MAX_ENDS: usize = 500;
 
-pub(crate) fn take(
+pub(crate) fn apply(
     cell: &mut Cell,
     id: &Name,
-    look: &Look,
+    status: &Look,
     sent_at: Millis,
     now: Millis,
     wall_ms: u64,
 ) {
-    if !life::recognise(cell, id, look, sent_at, now, wall_ms) {
+    if !incarnation::identify(cell, id, status, sent_at, now, wall_ms) {
         return;
     }
     let Some(worker) = cell.workers.get_mut(id) else {
         return;
     };
-    worker.looked_at = Some(now);
-    let shown_at = shown_at(cell.limits, sent_at, now);
-    worker.shown_at = worker.shown_at.max(Some(shown_at));
-    worker.paced = false;
-    worker.lapsed = None;
-    let known = worker.seen;
-    for ended in look.ended.iter().filter(|ended| ended.number > known) {
-        end(cell, id, ended, now, wall_ms);
-    }
-    let listed = look.running.iter().map(|running| (&running.task, running));
+    worker.status_at = Some(now);
+    let status_as_of = status_as_of(cell.limits, sent_at, now);
+    worker.status_as_of = worker.status_as_of.max(Some(status_as_of));
+    worker.throttle_checked = false;
+    worker.expired_lease = None;
+    let recorded = worker.last_end;
+    for ended in status.ended.iter().filter(|ended| ended.number > recorded) {
+        apply_end(cell, id, ended, now, wall_ms);
+    }
+    let listed = status
+        .running
+        .iter()
+        .map(|running| (&running.task, running));
     let listed: BTreeMap<&TaskId, &Running> = listed.collect();
-    if look.ended.len() < FULL {
-        missing(cell, id, &listed, sent_at);
+    if status.ended.len() < MAX_ENDS {
+        remove_unlisted(cell, id, &listed, sent_at);
     }
     for running in listed.values() {
-        shown(cell, id, running, now);
+        apply_listed(cell, id, running, now);
     }
-    crash::acquit(cell, id);
+    crash::clear_crashes(cell, id);
 }
 
-/// Up to when what a look shows surely was so.
+/// The time up to which a status certainly held.
 ///
-/// A look is answered within its own wait. One that is taken in later was answered long before: its owner's process stood still, or
-/// got no processor time. Taken for new, it showed tasks at work that had ended seconds ago, and others of their step were ended
-/// beside them, more than it may miss. That the worker answers at all is as good as new: a busy owner that took its workers for
-/// silent by this would place nothing on them.
-fn shown_at(limits: Limits, sent_at: Millis, now: Millis) -> Millis {
-    if now <= sent_at + limits.look {
+/// A status poll is answered within its own timeout. One that is processed later was answered long
+/// before: its owner's process was suspended or got no processor time. When such a status was
+/// treated as current, it showed tasks as ready that had ended seconds ago, and other tasks of
+/// their step were stopped too, more than may be unavailable. For the question whether the worker
+/// responds at all, a late status counts as current: otherwise a busy owner would take its workers
+/// for unresponsive and place nothing on them.
+fn status_as_of(limits: Limits, sent_at: Millis, now: Millis) -> Millis {
+    if now <= sent_at + limits.poll_timeout {
         now
     } else {
         sent_at
     }
 }
 
-/// Takes in an end that wasn't seen before.
-fn end(cell: &mut Cell, id: &Name, ended: &Ended, now: Millis, wall_ms: u64) {
+/// Applies the end of a run that wasn't recorded before.
+fn apply_end(cell: &mut Cell, id: &Name, ended: &Ended, now: Millis, wall_ms: u64) {
     let limits = cell.limits;
     let Some(worker) = cell.workers.get_mut(id) else {
         return;
     };
-    worker.seen = worker.seen.max(ended.number);
+    worker.last_end = worker.last_end.max(ended.number);
     if worker
         .runs
         .get(&ended.task)
@@ -82,8 +86,8 @@
         End::Done => worker.failures.clear(),
         End::Failed => {
             worker.failures.insert(ended.task.job.clone());
-            if worker.failures.len() >= limits.failures as usize {
-                worker.shunned_until = now + limits.quarantine;
+            if worker.failures.len() >= limits.max_failures as usize {
+                worker.cordoned_until = now + limits.quarantine;
             }
         }
         _ => {}
@@ -91,7 +95,7 @@
     let Some(job) = cell.jobs.get_mut(&ended.task.job) else {
         return;
     };
-    job.begun = Begun::Yes;
+    job.has_started = HasStarted::Yes;
     let Some(step) = job.step(ended.task.step).cloned() else {
         return;
     };
@@ -103,12 +107,12 @@
         return;
     }
     if ended.how == End::Done && !step.lasting {
-        done(cell, ended, step.gang, wall_ms);
+        complete_task(cell, ended, step.gang, wall_ms);
         return;
     }
     let mut failed = false;
     if ended.how == End::Failed && !step.lasting {
-        // By its number, so that an end that a successor sees again isn't counted twice.
+        // Recorded by run number, so that an end that a new owner sees again isn't counted twice.
         task.failed.insert(ended.run);
         failed = if step.gang {
             job.gang_runs(&ended.task, |task| &task.failed) >= max_attempts
@@ -123,13 +127,13 @@
     }
 }
 
-/// A task has done its work, be it in its newest run or in one that was given up.
-fn done(cell: &mut Cell, ended: &Ended, gang: bool, wall_ms: u64) {
+/// A task is completed, by its newest run or by one that was given up.
+fn complete_task(cell: &mut Cell, ended: &Ended, gang: bool, wall_ms: u64) {
     let Some(job) = cell.jobs.get_mut(&ended.task.job) else {
         return;
     };
     let id = &ended.task;
-    let may_run_on = job.may_run_on;
+    let may_have_other_runs = job.may_have_other_runs;
     // Tasks of which further runs may be under way.
     let mut over = Vec::new();
     if let Some(steps) = job.progress.steps.get_mut(&id.occurrence)
@@ -138,7 +142,7 @@
         for (index, task) in (0..).zip(tasks) {
             if gang || index == id.index {
                 task.phase = Phase::Done;
-                if may_run_on {
+                if may_have_other_runs {
                     over.push(TaskId {
                         index,
                         ..id.clone()
@@ -148,14 +152,14 @@
         }
     }
     cell.dirty.insert(id.job.clone());
-    let settled = job.settle();
-    if may_run_on {
+    let settled = job.drop_finished_occurrences();
+    if may_have_other_runs {
         for worker in cell.workers.values_mut() {
             for task in &over {
                 if let Some(run) = worker.runs.get_mut(task)
-                    && run.stop == Stop::No
+                    && run.stop == StopState::No
                 {
-                    run.stop = Stop::Wanted;
+                    run.stop = StopState::Requested;
                 }
             }
         }
@@ -165,22 +169,27 @@
     }
 }
 
-/// Runs that the look doesn't list: over, if it would have to list them.
-fn missing(cell: &mut Cell, id: &Name, listed: &BTreeMap<&TaskId, &Running>, sent_at: Millis) {
+/// Handles runs that the status doesn't list: they are over, if it would have to list them.
+fn remove_unlisted(
+    cell: &mut Cell,
+    id: &Name,
+    listed: &BTreeMap<&TaskId, &Running>,
+    sent_at: Millis,
+) {
     let Some(worker) = cell.workers.get_mut(id) else {
         return;
     };
     let mut over = Vec::new();
     worker.runs.retain(|task, run| {
         let shown = listed.get(task).is_some_and(|shown| shown.run == run.run);
-        let ended = match run.known {
-            Known::Sent => false,
-            Known::Runs(at) => at < sent_at,
-            // No start that hasn't taken effect by then ever does: the worker refuses it as late, or
-            // as older than a run that was stopped there.
-            Known::Unsure => {
-                let stopped = run.stopped_at.is_some_and(|at| at < sent_at);
-                stopped || sent_at >= run.sure_after
+        let ended = match run.start_state {
+            StartState::Sent => false,
+            StartState::Confirmed(at) => at < sent_at,
+            // A start that hasn't taken effect by then never does: the worker refuses it as late,
+            // or as older than a run that was stopped there.
+            StartState::Uncertain => {
+                let stopped = run.stop_accepted_at.is_some_and(|at| at < sent_at);
+                stopped || sent_at >= run.start_expires_at
             }
         };
         if shown || !ended {
@@ -194,11 +203,11 @@
     }
 }
 
-/// A run that the look lists.
-fn shown(cell: &mut Cell, id: &Name, running: &Running, now: Millis) {
+/// Handles a run that the status lists.
+fn apply_listed(cell: &mut Cell, id: &Name, running: &Running, now: Millis) {
     let found = cell.workers.get(id);
     if found.is_some_and(|worker| !worker.runs.contains_key(&running.task)) {
-        find(cell, id, running, now);
+        add_discovered(cell, id, running, now);
     }
     let worker = cell.workers.get_mut(id);
     let Some(run) = worker.and_then(|worker| worker.runs.get_mut(&running.task)) else {
@@ -207,10 +216,10 @@
     if run.run != running.run {
         return;
     }
-    if !matches!(run.known, Known::Runs(_)) {
-        run.known = Known::Runs(now);
+    if !matches!(run.start_state, StartState::Confirmed(_)) {
+        run.start_state = StartState::Confirmed(now);
         if let Some(job) = cell.jobs.get_mut(&running.task.job) {
-            job.begun = Begun::Yes;
+            job.has_started = HasStarted::Yes;
         }
     }
     run.percent = running.percent;
@@ -224,24 +233,26 @@
     }
 }
 
-/// Takes in a run that nothing committed asks for: it was given up, or its job ended.
-fn find(cell: &mut Cell, id: &Name, running: &Running, now: Millis) {
+/// Adds a listed run for which there is no committed placement: it was given up, or its job has
+/// ended.
+fn add_discovered(cell: &mut Cell, id: &Name, running: &Running, now: Millis) {
     let step = cell.step(&running.task);
     let reserved = step.map(Step::reserved);
     let lasting = step.is_some_and(|step| step.lasting);
     if let Some(job) = cell.jobs.get_mut(&running.task.job) {
-        job.begun = Begun::Yes;
+        job.has_started = HasStarted::Yes;
     }
     let Some(worker) = cell.workers.get_mut(id) else {
         return;
     };
-    // What a run of an ended job occupies isn't known any more: nothing fits beside it until it is stopped.
-    let reserved = reserved.or_else(|| worker.info.as_ref().map(|info| info.capacity));
+    // The reservation of a run of an ended job isn't known any more, so it counts as the whole
+    // worker until it is stopped.
+    let reserved = reserved.or_else(|| worker.registration.as_ref().map(|info| info.capacity));
     let run = Run {
-        known: Known::Runs(now),
-        sure_after: now,
-        stop: Stop::Wanted,
-        origin: Origin::Found,
+        start_state: StartState::Confirmed(now),
+        start_expires_at: now,
+        stop: StopState::Requested,
+        origin: Origin::Discovered,
         ..Run::new(running.run, reserved.unwrap_or_default(), lasting)
     };
     worker.runs.insert(running.task.clone(), run);
--- a/crates/cell/src/window.rs
+++ b/crates/cell/src/window.rs
@@ -1,108 +1,115 @@
-//! Up to when an owner knows what callers have cancelled, and which orders still hold once their commit is through.
+//! How current the owner's knowledge of cancels is, and which orders are still valid after their
+//! commit.
 
 use crate::{
     cell::Cell,
-    drain,
     limits::Millis,
+    migration,
     order::Order,
-    place::is_sibling,
-    worker::{Known, Run, Stop},
+    placement::is_sibling,
+    worker::{Run, StartState, StopState},
 };
 use primroseroute_domain::work::{Name, TaskId};
 
 impl Cell {
-    /// Takes in that all jobs and cancels which were stored by `at` have been told.
-    pub fn heard(&mut self, at: Millis) {
-        self.heard_at = self.heard_at.max(Some(at));
+    /// Records that all jobs and cancels that were stored by `at` are known.
+    pub fn advance_feed_watermark(&mut self, at: Millis) {
+        self.feed_watermark = self.feed_watermark.max(Some(at));
     }
 
-    /// Time after `sent_at` in which a start must arrive whose commit was sent then.
+    /// Time after `sent_at` within which a start must arrive whose commit was sent then.
     ///
-    /// Without the bound by what is known, the lag of a busy or cut-off owner and the window of the commit add up, and
-    /// work of a job begins seconds after its caller was told that it is cancelled. What was cancelled by `heard_at` isn't
-    /// started, and no start takes effect later than the window after that.
+    /// Without the bound by the known cancels, the lag of a busy or partitioned owner and the
+    /// window of the commit add up, and work of a job begins seconds after its caller was told that
+    /// it is cancelled. Jobs that were cancelled by `feed_watermark` aren't started, and no start
+    /// takes effect later than the window after that.
     pub fn start_window(&self, sent_at: Millis) -> Millis {
-        let known = self.heard_at.map_or(0, |at| at + self.limits.cancel_window);
+        let known = self
+            .feed_watermark
+            .map_or(0, |at| at + self.limits.cancel_window);
         self.limits.start_window.min(known.saturating_sub(sent_at))
     }
 
-    /// Whether enough is left of the window for starts that are decided now.
+    /// Whether enough of the window is left for starts that are decided now.
     pub(crate) fn may_start(&self, now: Millis) -> bool {
-        self.start_window(now) >= self.limits.start_time
+        self.start_window(now) >= self.limits.min_start_time
     }
 
-    /// Up to when all cancels that were stored are taken in.
-    pub fn heard_at(&self) -> Millis {
-        self.heard_at.unwrap_or(self.taken_at)
+    /// All jobs and cancels that were stored by this time are known.
+    pub fn feed_watermark(&self) -> Millis {
+        self.feed_watermark.unwrap_or(self.taken_at)
     }
 
-    /// Of orders that are committed, those that still hold, and those that don't: they were never sent and are taken back.
+    /// Splits committed orders into those that are still valid and those that aren't. The latter
+    /// were never sent and are reverted.
     ///
-    /// What was decided before the commit may be wrong after it, which can take seconds. A cancelled job's stops went out at once,
-    /// and a start that followed could overtake them on another connection; a worker that drains has said so; a lasting task
-    /// that its step could miss is missed no more once another one has ended.
-    pub fn standing(&mut self, orders: Vec<Order>, now: Millis) -> (Vec<Order>, Vec<Order>) {
-        let mut standing = orders;
-        let mut withdrawn = Vec::new();
+    /// A decision may be outdated after its commit, which can take seconds. The stops of a
+    /// cancelled job are sent at once, and a start that followed could overtake them on another
+    /// connection; a worker may have announced that it drains; a step that tolerated one more
+    /// unavailable task doesn't tolerate it once another one has ended.
+    pub fn revalidate(&mut self, orders: Vec<Order>, now: Millis) -> (Vec<Order>, Vec<Order>) {
+        let mut valid = orders;
+        let mut invalid = Vec::new();
         loop {
-            // A member of a gang that is withdrawn takes the others with it, in the next pass.
-            let (holds, fallen): (Vec<Order>, Vec<Order>) = standing
+            // If a member of a gang is withdrawn, the others are too, in the next pass.
+            let (holds, newly_invalid): (Vec<Order>, Vec<Order>) = valid
                 .into_iter()
-                .partition(|order| self.stands(order, now));
-            standing = holds;
-            if fallen.is_empty() {
+                .partition(|order| self.is_valid(order, now));
+            valid = holds;
+            if newly_invalid.is_empty() {
                 break;
             }
-            for order in &fallen {
-                self.take_back(order);
+            for order in &newly_invalid {
+                self.revert(order);
             }
-            withdrawn.extend(fallen);
+            invalid.extend(newly_invalid);
         }
-        for order in &standing {
+        for order in &valid {
             if let Order::Stop { worker, task, .. } = order
                 && let Some(entry) = self.run_mut(worker, task)
             {
-                entry.stop_left_at = Some(now);
+                entry.last_stop_sent_at = Some(now);
             }
         }
-        (standing, withdrawn)
+        (valid, invalid)
     }
 
     fn run_mut(&mut self, worker: &Name, task: &TaskId) -> Option<&mut Run> {
         self.workers.get_mut(worker)?.runs.get_mut(task)
     }
 
-    fn stands(&self, order: &Order, now: Millis) -> bool {
+    fn is_valid(&self, order: &Order, now: Millis) -> bool {
         match order {
             Order::Start {
                 worker, task, run, ..
             } => {
                 let worker = self.workers.get(worker);
-                let worker = worker.filter(|worker| !worker.is_leaving());
+                let worker = worker.filter(|worker| !worker.is_draining());
                 let entry = worker.and_then(|worker| worker.runs.get(task));
-                entry.is_some_and(|entry| entry.run == *run && entry.stop == Stop::No)
+                entry.is_some_and(|entry| entry.run == *run && entry.stop == StopState::No)
             }
             Order::Stop { worker, task, .. } => {
                 let Some(on) = self.workers.get(worker) else {
                     return true;
                 };
                 let entry = on.runs.get(task).filter(|entry| entry.lasting);
-                let is_repeat = entry.is_some_and(|entry| entry.stop_left_at.is_some());
+                let is_repeat = entry.is_some_and(|entry| entry.last_stop_sent_at.is_some());
                 if is_repeat {
-                    return drain::may_repeat(self, worker, task, now);
+                    return migration::may_repeat_stop(self, worker, task, now);
                 }
-                let runs = entry.is_some_and(|entry| matches!(entry.known, Known::Runs(_)));
-                if !runs || on.is_leaving() || !drain::leaves(self, worker, task) {
+                let runs = entry
+                    .is_some_and(|entry| matches!(entry.start_state, StartState::Confirmed(_)));
+                if !runs || on.is_draining() || !migration::is_to_leave(self, worker, task) {
                     return true;
                 }
-                // It may have been let go meanwhile, and then its tasks stay.
-                on.emptying.is_some() && drain::can_miss(self, task, now)
+                // The evacuation may have been withdrawn meanwhile, and then the tasks stay.
+                on.evacuating.is_some() && migration::tolerates_unavailable(self, task, now)
             }
-            Order::Pace { .. } => true,
+            Order::Throttle { .. } => true,
         }
     }
 
-    fn take_back(&mut self, order: &Order) {
+    fn revert(&mut self, order: &Order) {
         match order {
             Order::Start {
                 worker, task, run, ..
@@ -111,23 +118,24 @@
                 let Some(entry) = self.run_mut(worker, task) else {
                     return;
                 };
-                // One that may have left before can't be taken back.
-                if entry.stop_left_at.is_some() {
-                    entry.stop = Stop::Wanted;
+                // A stop that may have been sent before can't be reverted.
+                if entry.last_stop_sent_at.is_some() {
+                    entry.stop = StopState::Requested;
                     return;
                 }
-                entry.stop = Stop::No;
+                entry.stop = StopState::No;
                 if let Some(job) = self.jobs.get_mut(&task.job)
-                    && job.stays(task)
+                    && job.unmark_leaving(task)
                 {
                     self.dirty.insert(task.job.clone());
                 }
             }
-            Order::Pace { .. } => {}
+            Order::Throttle { .. } => {}
         }
     }
 
-    /// A start was never sent: its run is over, and its task waits again if its job goes on.
+    /// Handles a start that was never sent: its run is over, and its task waits again if its job
+    /// goes on.
     pub(crate) fn withdraw(&mut self, worker: &Name, task: &TaskId, run: u32) {
         if let Some(worker) = self.workers.get_mut(worker)
             && worker.runs.get(task).is_some_and(|entry| entry.run == run)
@@ -140,15 +148,15 @@
         }
     }
 
-    /// Members that have left would wait for the missing one until they end alone.
+    /// Members that were started would wait for the missing one until they end without it.
     fn stop_gang(&mut self, of: &TaskId, run: u32) {
         let runs = self
             .workers
             .values_mut()
             .flat_map(|worker| &mut worker.runs);
         for (task, entry) in runs {
-            if is_sibling(task, of) && entry.run == run && entry.stop == Stop::No {
-                entry.stop = Stop::Wanted;
+            if is_sibling(task, of) && entry.run == run && entry.stop == StopState::No {
+                entry.stop = StopState::Requested;
             }
         }
     }
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -1,37 +1,38 @@
-//! One worker in memory: what it has, what may run on it, and how far it can be trusted.
+//! In-memory state of one worker: its capacity, the runs it may have, and how current that
+//! information is.
 
 use crate::{
     limits::{Limits, Millis},
-    order::TakenIn,
-    row::Life,
+    order::EndsCursor,
+    row::IncarnationTag,
 };
 use primroseroute_domain::work::{Demand, JobId, Name, TaskId};
 use primroseroute_platform::site;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How old the platform's list of instances may be at most.
-const LIST_LAG: Millis = 2_000;
+/// Maximum age of the platform's list of instances.
+const MAX_LIST_AGE_MS: Millis = 2_000;
 
 /// What is known of a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Known {
-    /// It isn't answered yet.
+pub(crate) enum StartState {
+    /// Not answered yet.
     Sent,
-    /// It was answered, or a look has shown the run, at this time.
-    Runs(Millis),
-    /// It may run, or may later.
-    Unsure,
+    /// Answered, or listed by a status, at this time.
+    Confirmed(Millis),
+    /// It may be active, or may become so later.
+    Uncertain,
 }
 
 /// How an owner knows of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
-    /// It has started it.
+    /// This owner has started it.
     Started,
-    /// It has started it apart from others, since its task may crash its worker.
-    Tried,
-    /// It has found it, started by a predecessor.
-    Found,
+    /// This owner has started it isolated, since its task may crash its worker.
+    Isolated,
+    /// This owner has discovered it, started by a previous owner.
+    Discovered,
 }
 
 /// A run that may be under way.
@@ -42,33 +43,34 @@
 )]
 pub(crate) struct Run {
     pub run: u32,
-    /// What it occupies.
+    /// Reserved resources.
     pub reserved: Demand,
-    pub known: Known,
-    /// From then on a start that hasn't taken effect never will.
-    pub sure_after: Millis,
-    /// Share of its work that is done.
+    pub start_state: StartState,
+    /// A start that hasn't taken effect by this time never will.
+    pub start_expires_at: Millis,
+    /// Progress in percent.
     pub percent: u32,
-    /// Tail of its response time, or thousandths of a core in use.
+    /// Tail latency of its responses in milliseconds, or thousandths of a core in use.
     pub load: u64,
     /// Whether it is to be stopped, and when the stop was last sent.
-    pub stop: Stop,
-    /// When a stop of it may last have left while its job went on; `None` if none has.
-    pub stop_left_at: Option<Millis>,
-    /// When the worker took the stop: from then on it refuses a start that comes late.
-    pub stopped_at: Option<Millis>,
-    /// Share of its speed that it was last given.
-    pub pace: u32,
+    pub stop: StopState,
+    /// When a stop of it may last have been sent while its job went on; `None` if none was.
+    pub last_stop_sent_at: Option<Millis>,
+    /// When the worker accepted the stop: from then on it refuses a start that arrives late.
+    pub stop_accepted_at: Option<Millis>,
+    /// Its speed in percent, as last ordered.
+    pub speed_percent: u32,
     /// Whether it serves until it is stopped.
     pub lasting: bool,
     /// How this owner knows of it.
     pub origin: Origin,
-    /// Of one that was found: the life that it was placed in, as far as the row tells.
-    pub life: Option<Life>,
-    /// Where the life that it was sent to is over and it got no answer: until when it may still reach the next one.
-    pub doubtful_until: Option<Millis>,
-    /// Whether a look was asked for that may acquit its task.
-    pub glanced: bool,
+    /// For a discovered run: the incarnation that it was placed in, if the row tells.
+    pub incarnation_tag: Option<IncarnationTag>,
+    /// If the incarnation that it was sent to has terminated and there was no answer: until when
+    /// its start may still reach the next one.
+    pub late_start_until: Option<Millis>,
+    /// Whether a status poll was requested that may clear the crash record of its task.
+    pub clearing_poll_requested: bool,
 }
 
 impl Run {
@@ -77,70 +79,72 @@
         Self {
             run,
             reserved,
-            known: Known::Sent,
-            sure_after: Millis::MAX,
+            start_state: StartState::Sent,
+            start_expires_at: Millis::MAX,
             percent: 0,
             load: 0,
-            stop: Stop::No,
-            stop_left_at: None,
-            stopped_at: None,
-            pace: 100,
+            stop: StopState::No,
+            last_stop_sent_at: None,
+            stop_accepted_at: None,
+            speed_percent: 100,
             lasting,
             origin: Origin::Started,
-            life: None,
-            doubtful_until: None,
-            glanced: false,
+            incarnation_tag: None,
+            late_start_until: None,
+            clearing_poll_requested: false,
         }
     }
 
-    /// Whether its start may reach the next life of its worker, or has reached it, where the one before was over by `over_by`.
+    /// Whether its start may reach or have reached the next incarnation of its worker, where the
+    /// previous one terminated before `terminated_before`.
     ///
-    /// A successor's token keeps starts of its predecessor out, once it has looked at that life. An answer to a start doesn't tell
-    /// which life has taken it.
-    pub(crate) fn may_be_of_next_life(&self, over_by: Millis) -> bool {
-        let answered = matches!(self.known, Known::Runs(at) if at < over_by);
-        self.origin != Origin::Found && !answered
+    /// The token of a new owner keeps out starts of the previous owner once it has polled that
+    /// incarnation. An answer to a start doesn't tell which incarnation has accepted it.
+    pub(crate) fn may_be_in_next_incarnation(&self, terminated_before: Millis) -> bool {
+        let answered =
+            matches!(self.start_state, StartState::Confirmed(at) if at < terminated_before);
+        self.origin != Origin::Discovered && !answered
     }
 
     /// Whether a stop of it may be on its way, or may have reached its worker without an answer.
     pub(crate) fn may_be_stopping(&self, now: Millis, limits: &Limits) -> bool {
-        let lately = |at| now < at + limits.late_order;
-        self.stop != Stop::No && self.stop_left_at.is_none_or(lately)
+        let lately = |at| now < at + limits.late_order_window;
+        self.stop != StopState::No && self.last_stop_sent_at.is_none_or(lately)
     }
 }
 
 /// Whether a run is to be stopped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Stop {
+pub(crate) enum StopState {
     #[default]
     No,
-    Wanted,
+    Requested,
     SentAt(Millis),
 }
 
-/// Whether the life of a worker is over.
+/// Whether a worker has terminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Gone {
-    /// It isn't known to be.
-    No,
-    /// It is, and another one may follow under the same id.
-    ItsLife,
-    /// It is, and another worker has its place.
-    ForGood,
+pub(crate) enum Termination {
+    /// Not known to have terminated.
+    NotKnown,
+    /// Its incarnation has terminated; another one may follow under the same id.
+    Incarnation,
+    /// It has terminated, and another worker has its place.
+    Permanent,
 }
 
-/// Why a worker is emptied.
+/// Why a worker is being evacuated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Purpose {
+pub enum EvacuationReason {
     /// Its instance is due for maintenance, and stays in the pool.
     Maintenance,
     /// Its instance is to move to another pool.
     Move,
 }
 
-/// Runs that were lost with a lapsed lease.
+/// Runs that were lost by an expired lease.
 #[derive(Clone, Debug)]
-pub(crate) struct Lapsed {
+pub(crate) struct ExpiredLease {
     pub at: Millis,
     pub runs: Vec<(TaskId, u32)>,
 }
@@ -148,142 +152,146 @@
 /// A worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
-    /// Its registration; the last one for a worker that is no longer registered.
-    pub info: Option<site::Worker>,
+    /// Its last registration, also after it is no longer registered.
+    pub registration: Option<site::Worker>,
     pub registered: bool,
-    /// When the life that looks have shown last began, by the worker's own clock; 0 before the first look.
-    pub born: u64,
-    /// The same of the life before, of which looks may still come in.
-    pub born_before: u64,
-    /// When its newest look came.
-    pub looked_at: Option<Millis>,
-    /// Up to when what its looks have shown surely was so.
-    pub shown_at: Option<Millis>,
-    /// When it was last to be looked at at once for a trial.
-    pub asked_at: Option<Millis>,
-    /// While it is silent: when the platform was asked last that named it, without a gap in which its life could have ended.
-    pub named_at: Option<Millis>,
-    /// Whether fillers were paced after that look.
-    pub paced: bool,
-    /// From then on its lease has surely lapsed, if it isn't renewed.
-    pub lapses_at: Millis,
-    /// Whether this life of it is over.
-    pub gone: Gone,
-    /// Where this life is over: it was by then.
-    pub over_by: Millis,
-    /// Highest number of this life's ends that was taken in.
-    pub seen: u64,
-    /// What may run on it.
+    /// The incarnation that the newest status came from, by its start time on the worker's clock; 0
+    /// before the first status.
+    pub incarnation: u64,
+    /// The previous incarnation, of which statuses may still arrive.
+    pub previous_incarnation: u64,
+    /// When its newest status arrived.
+    pub status_at: Option<Millis>,
+    /// Up to this time its statuses certainly held.
+    pub status_as_of: Option<Millis>,
+    /// When an immediate status poll was last requested for an isolated run.
+    pub poll_requested_at: Option<Millis>,
+    /// While it is unresponsive: when the platform was last asked and listed it, without a gap in
+    /// which its incarnation could have ended.
+    pub listed_at: Option<Millis>,
+    /// Whether fillers were throttled by the newest status.
+    pub throttle_checked: bool,
+    /// Its lease has certainly expired after this time, if it isn't renewed.
+    pub lease_expires_at: Millis,
+    /// Whether this incarnation has terminated.
+    pub termination: Termination,
+    /// If this incarnation has terminated: it had by this time.
+    pub terminated_before: Millis,
+    /// Highest number of an ended run of this incarnation that is recorded.
+    pub last_end: u64,
+    /// Runs that may be under way.
     pub runs: BTreeMap<TaskId, Run>,
-    /// Runs that were new when its lease lapsed, while it isn't known whether it has crashed.
-    pub lapsed: Option<Lapsed>,
-    /// Whether it is being emptied for planned work.
-    pub emptying: Option<Purpose>,
-    /// It gets nothing new before then.
-    pub shunned_until: Millis,
+    /// Runs that were new when its lease expired, while it isn't known whether it has crashed.
+    pub expired_lease: Option<ExpiredLease>,
+    /// Whether it is being evacuated for planned work.
+    pub evacuating: Option<EvacuationReason>,
+    /// It gets no new runs before this time.
+    pub cordoned_until: Millis,
     /// Jobs whose tasks have failed on it since the last success.
     pub failures: BTreeSet<JobId>,
 }
 
 impl Worker {
-    pub(crate) fn new(lapses_at: Millis) -> Self {
+    pub(crate) fn new(lease_expires_at: Millis) -> Self {
         Self {
-            info: None,
+            registration: None,
             registered: false,
-            born: 0,
-            born_before: 0,
-            looked_at: None,
-            shown_at: None,
-            asked_at: None,
-            named_at: None,
-            paced: true,
-            lapses_at,
-            gone: Gone::No,
-            over_by: 0,
-            seen: 0,
+            incarnation: 0,
+            previous_incarnation: 0,
+            status_at: None,
+            status_as_of: None,
+            poll_requested_at: None,
+            listed_at: None,
+            throttle_checked: true,
+            lease_expires_at,
+            termination: Termination::NotKnown,
+            terminated_before: 0,
+            last_end: 0,
             runs: BTreeMap::new(),
-            lapsed: None,
-            emptying: None,
-            shunned_until: 0,
+            expired_lease: None,
+            evacuating: None,
+            cordoned_until: 0,
             failures: BTreeSet::new(),
         }
     }
 
-    /// The tasks and numbers of the runs for which `holds`.
+    /// The tasks and numbers of the runs for which `holds` is true.
     pub(crate) fn runs_where(&self, holds: impl Fn(&TaskId, &Run) -> bool) -> Vec<(TaskId, u32)> {
         let runs = self.runs.iter().filter(|(task, run)| holds(task, run));
         runs.map(|(task, run)| (task.clone(), run.run)).collect()
     }
 
-    /// Up to where its ends are taken in.
-    pub(crate) fn taken_in(&self) -> TakenIn {
-        TakenIn {
-            born: self.born,
-            number: self.seen,
+    /// Position up to which its ended runs are recorded.
+    pub(crate) fn ends_cursor(&self) -> EndsCursor {
+        EndsCursor {
+            incarnation: self.incarnation,
+            number: self.last_end,
         }
     }
 
-    /// What isn't occupied; what is being stopped still counts.
-    pub(crate) fn room(&self) -> Demand {
-        let capacity = self.info.as_ref().map(|info| info.capacity);
+    /// Unreserved capacity; runs that are being stopped still count.
+    pub(crate) fn free_capacity(&self) -> Demand {
+        let capacity = self.registration.as_ref().map(|info| info.capacity);
         let used = self.runs.values().map(|run| run.reserved);
         let used = used.fold(Demand::default(), Demand::plus);
         capacity.unwrap_or_default().minus(used)
     }
 
-    /// Whether its life is over.
-    pub(crate) fn is_gone(&self) -> bool {
-        self.gone > Gone::No
+    /// Whether it has terminated.
+    pub(crate) fn is_terminated(&self) -> bool {
+        self.termination > Termination::NotKnown
     }
 
-    /// Whether its newest look is recent.
-    pub(crate) fn is_fresh(&self, now: Millis, limits: &Limits) -> bool {
-        let looked = self.looked_at.is_some_and(|at| now < at + limits.fresh);
-        looked && !self.is_gone()
+    /// Whether its newest status is recent.
+    pub(crate) fn is_responsive(&self, now: Millis, limits: &Limits) -> bool {
+        let is_recent = self.status_at.is_some_and(|at| now < at + limits.fresh_for);
+        is_recent && !self.is_terminated()
     }
 
-    /// Whether what its looks show of its runs is recent.
-    pub(crate) fn is_shown(&self, now: Millis, limits: &Limits) -> bool {
-        let shown = self.shown_at.is_some_and(|at| now < at + limits.fresh);
-        shown && !self.is_gone()
+    /// Whether what its statuses show of its runs is recent.
+    pub(crate) fn has_current_status(&self, now: Millis, limits: &Limits) -> bool {
+        let shown = self
+            .status_as_of
+            .is_some_and(|at| now < at + limits.fresh_for);
+        shown && !self.is_terminated()
     }
 
-    /// Whether one of its runs hasn't been shown for `settle` since its start, nor its worker to be alive since then: it may be
-    /// what crashes the worker.
-    pub(crate) fn is_new(&self, run: &Run, settle: Millis) -> bool {
+    /// Whether a run may be what crashes the worker: neither has the run been listed for
+    /// `settle_time` since its start, nor has the worker been seen alive that long after it.
+    pub(crate) fn is_new(&self, run: &Run, settle_time: Millis) -> bool {
         let alive_at = self.alive_at();
-        match run.known {
-            Known::Runs(at) => {
-                let lived_until = self.shown_at.max(alive_at);
-                run.origin != Origin::Found && lived_until.is_none_or(|until| until < at + settle)
-            }
-            Known::Sent | Known::Unsure => {
-                alive_at.is_none_or(|until| until < run.sure_after.saturating_add(settle))
+        match run.start_state {
+            StartState::Confirmed(at) => {
+                let lived_until = self.status_as_of.max(alive_at);
+                run.origin != Origin::Discovered
+                    && lived_until.is_none_or(|until| until < at + settle_time)
             }
+            StartState::Sent | StartState::Uncertain => alive_at
+                .is_none_or(|until| until < run.start_expires_at.saturating_add(settle_time)),
         }
     }
 
-    /// Up to when the platform has surely shown that it is alive while it is silent.
+    /// Up to this time the platform has certainly shown that it is alive while it is unresponsive.
     pub(crate) fn alive_at(&self) -> Option<Millis> {
-        self.named_at.map(|at| at.saturating_sub(LIST_LAG))
+        self.listed_at.map(|at| at.saturating_sub(MAX_LIST_AGE_MS))
     }
 
-    /// Whether it leaves by itself.
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.info.as_ref().is_some_and(|info| info.draining)
+    /// Whether it has announced that it shuts down.
+    pub(crate) fn is_draining(&self) -> bool {
+        self.registration.as_ref().is_some_and(|info| info.draining)
     }
 
-    /// Whether it may get something new.
-    pub(crate) fn is_open(&self, now: Millis, limits: &Limits) -> bool {
+    /// Whether it accepts new runs.
+    pub(crate) fn accepts_runs(&self, now: Millis, limits: &Limits) -> bool {
         self.registered
-            && self.is_fresh(now, limits)
-            && !self.is_leaving()
-            && self.emptying.is_none()
-            && now >= self.shunned_until
+            && self.is_responsive(now, limits)
+            && !self.is_draining()
+            && self.evacuating.is_none()
+            && now >= self.cordoned_until
     }
 
     pub(crate) fn has_label(&self, label: &Name) -> bool {
-        let info = self.info.as_ref();
+        let info = self.registration.as_ref();
         info.is_some_and(|info| info.labels.contains(label))
     }
 }
--- a/crates/owner/src/maintain.rs
+++ b/crates/owner/src/maintain.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use log::{info, warn};
 use primroseroute_cell::{
-    Purpose,
-    row::{self, Given, Order, Wave as Progress},
+    EvacuationReason,
+    row::{self, Order, OrderResult, WaveProgress as Progress},
 };
 use primroseroute_domain::work::Name;
 use primroseroute_platform::{
@@ -88,9 +88,9 @@
         let workers = instances.iter();
         let workers = workers.filter(|known| waiting.contains(&known.name));
         let workers = workers.filter_map(|known| known.worker.clone()).collect();
-        emptying.keep(Purpose::Maintenance, &workers);
+        emptying.keep(EvacuationReason::Maintenance, &workers);
         emptying.clear();
-        let emptied = emptying.of(Purpose::Maintenance);
+        let emptied = emptying.of(EvacuationReason::Maintenance);
         let stays = instances.iter().filter(|known| {
             let worker = known.worker.as_ref();
             active.contains(&known.name) || worker.is_some_and(|worker| emptied.contains(worker))
@@ -108,7 +108,7 @@
         emptying: &Emptying,
     ) -> Vec<Step> {
         let status = emptying.status();
-        let workers = emptying.of(Purpose::Maintenance);
+        let workers = emptying.of(EvacuationReason::Maintenance);
         let over = workers.iter().filter(|worker| emptying.is_over(worker));
         steps(&Situation {
             wave,
@@ -143,7 +143,7 @@
             match step {
                 Step::Empty(worker) => {
                     info!(wave = wave.number, worker = &*worker; "worker is being emptied");
-                    emptying.begin(&worker, Purpose::Maintenance);
+                    emptying.begin(&worker, EvacuationReason::Maintenance);
                 }
                 Step::Begin(instance) | Step::Repeat(instance) => due.push(instance),
                 Step::Finish(name) => {
@@ -204,19 +204,19 @@
         for instance in instances {
             let name = &*instance.name;
             match results.get(&instance.name) {
-                Some(Given::Taken) => self.begun(wave.number, instance),
-                Some(Given::Refused) => {
+                Some(OrderResult::Taken) => self.begun(wave.number, instance),
+                Some(OrderResult::Refused) => {
                     warn!(wave = wave.number, instance = name; "maintenance refused");
                     next.active.remove(&instance.name);
                 }
                 // It may be down by an order whose answer was lost: it stays counted until a list shows it up.
-                Some(Given::Busy) => {
+                Some(OrderResult::Busy) => {
                     warn!(wave = wave.number, instance = name; "maintenance refused for now");
                     let busy = self.busy.entry(wave.number).or_default();
                     busy.insert(Name::clone(&instance.name));
                 }
                 // It stays counted, and is ordered again while it is up as before.
-                Some(Given::Unknown) | None => {
+                Some(OrderResult::Unknown) | None => {
                     info!(wave = wave.number, instance = name; "it isn't known whether maintenance was ordered");
                 }
             }
--- a/crates/owner/src/run.rs
+++ b/crates/owner/src/run.rs
@@ -19,7 +19,7 @@
     watch::{Followed, Workers as Registered},
 };
 use log::{info, warn};
-use primroseroute_cell::{Cell, Millis, Order, Outcome, Tick};
+use primroseroute_cell::{Cell, Millis, Order, Outcome, RoundOutput};
 use primroseroute_domain::work::{End, Name};
 use primroseroute_platform::{rows::Version, site::Configuration};
 use std::{collections::BTreeSet, pin::pin, sync::Arc, time::Duration};
@@ -142,7 +142,7 @@
             let begin = Instant::now();
             if configuration.has_changed().unwrap_or(false) {
                 self.cell
-                    .advised(advised(configuration.borrow_and_update().as_ref()));
+                    .set_advised_queues(advised(configuration.borrow_and_update().as_ref()));
             }
             self.register(registered.borrow_and_update().clone());
             while let Ok(event) = self.events.try_recv() {
@@ -175,7 +175,7 @@
             pool,
             ..
         } = &self.context;
-        let ago = clock.now().saturating_sub(self.cell.heard_at());
+        let ago = clock.now().saturating_sub(self.cell.feed_watermark());
         observer.jobs_read(pool, Duration::from_millis(ago));
         observer.round(pool, round);
     }
@@ -205,7 +205,7 @@
         match event {
             Event::Jobs(jobs, at) => {
                 let read = Read {
-                    before: self.cell.heard_at(),
+                    before: self.cell.feed_watermark(),
                     at,
                 };
                 for (id, accepted) in jobs.accepted {
@@ -215,40 +215,44 @@
                 self.cancels
                     .take(&mut self.cell, &jobs.cancelled, read, times);
             }
-            Event::Heard(at) => self.cell.heard(at),
-            Event::Renewing { worker, lapses_at } => self.cell.renewing(&worker, lapses_at),
+            Event::Heard(at) => self.cell.advance_feed_watermark(at),
+            Event::Renewing { worker, lapses_at } => {
+                self.cell.lease_renewal_sent(&worker, lapses_at);
+            }
             Event::Look {
                 worker,
                 look,
                 sent_at,
                 at,
             } => {
-                for ended in self.cell.news(&worker, &look) {
+                for ended in self.cell.new_ends(&worker, &look) {
                     self.context.observer.ended(ended.how);
                     if ended.how != End::Done {
                         self.digest
                             .ended(&worker, &ended.task, ended.run, ended.how);
                     }
                 }
-                self.cell.look(&worker, &look, sent_at, at, wall_ms);
+                self.cell.apply_status(&worker, &look, sent_at, at, wall_ms);
             }
             Event::Gone {
                 worker,
                 born,
                 asked_at,
             } => {
-                self.over(worker, |cell, worker| cell.gone(worker, born, asked_at));
+                self.over(worker, |cell, worker| {
+                    cell.worker_terminated(worker, born, asked_at)
+                });
             }
             Event::Named {
                 worker,
                 born,
                 asked_at,
             } => {
-                if self.cell.named(&worker, born, asked_at) {
+                if self.cell.worker_listed(&worker, born, asked_at) {
                     info!(pool = &*self.context.pool, worker = &*worker; "a silent worker has outlived runs that were new");
                 }
             }
-            Event::Replaced(worker) => self.over(worker, Cell::replaced),
+            Event::Replaced(worker) => self.over(worker, Cell::worker_replaced),
             Event::Answered {
                 worker,
                 task,
@@ -259,21 +263,22 @@
                 if outcome != Outcome::Started {
                     info!(worker = &*worker, task:% = task, run, outcome:? = outcome; "start not confirmed");
                 }
-                self.cell.answered(&worker, &task, run, outcome, now);
+                self.cell
+                    .record_start_outcome(&worker, &task, run, outcome, now);
             }
             Event::Stopped { worker, task, run } => {
-                if self.cell.stopped(&worker, &task, run, now) {
+                if self.cell.record_stop_accepted(&worker, &task, run, now) {
                     self.reach.glance(&worker);
                 }
             }
-            Event::Forgotten(id) => self.cell.forgotten(id, wall_ms),
+            Event::Forgotten(id) => self.cell.record_rows_deleted(id, wall_ms),
             Event::Advised {
                 question,
                 answer,
                 sent_at,
-            } => self.cell.advice(&question, answer, sent_at, now),
-            Event::Empty { worker, wanted } => self.cell.empty(&worker, wanted),
-            Event::Clear(worker) => self.cell.clear(&worker),
+            } => self.cell.record_advice(&question, answer, sent_at, now),
+            Event::Empty { worker, wanted } => self.cell.set_evacuating(&worker, wanted),
+            Event::Clear(worker) => self.cell.stop_batch_tasks(&worker),
         }
     }
 
@@ -313,20 +318,20 @@
         let clock = self.context.clock;
         self.digest.tell(&self.context.pool);
         let decided = Instant::now();
-        let mut tick = self.cell.tick(clock.now(), clock.wall_ms());
+        let mut tick = self.cell.run_round(clock.now(), clock.wall_ms());
         self.cancels.tell_over(&self.cell, clock.now());
         self.occupied();
         for loss in &tick.losses {
             self.context.observer.lost(loss.cause, loss.runs.len());
         }
         tell::losses(&self.context.pool, &tick.losses);
-        tell::culprits(&self.context.pool, &tick.culprits);
-        tell::acquitted(&self.context.pool, &tick.acquitted);
-        for worker in &tick.glances {
+        tell::culprits(&self.context.pool, &tick.poison_tasks);
+        tell::acquitted(&self.context.pool, &tick.crashes_cleared);
+        for worker in &tick.immediate_polls {
             self.reach.glance(worker);
         }
-        let urgent = std::mem::take(&mut tick.urgent);
-        for question in std::mem::take(&mut tick.questions) {
+        let urgent = std::mem::take(&mut tick.immediate_stops);
+        for question in std::mem::take(&mut tick.advice_requests) {
             self.beside.spawn(ask(
                 Arc::clone(&self.context.advisor),
                 self.context.clock,
@@ -337,7 +342,7 @@
         tell::orders(&self.context.pool, &urgent);
         self.send(urgent, clock.now(), decided);
         let counts = self.counts.is_due(self.cell.queued(), clock.now());
-        let need = tick.need.wanted();
+        let need = tick.scaling.published();
         let publish = self.need.is_due(need, clock.now());
         let sent_at = if !tick.puts.is_empty() || counts || publish {
             let queued = self.cell.queued().clone();
@@ -352,7 +357,7 @@
             let sent_at = self.meanwhile(lane.commit(&tick.puts, notes)).await?;
             self.context.observer.committed(begin.elapsed());
             if publish {
-                tell::need(&self.context.pool, &tick.need, self.registered.len());
+                tell::need(&self.context.pool, &tick.scaling, self.registered.len());
                 self.need.put(need, clock.now());
             }
             self.counts.put(queued, clock.now());
@@ -367,14 +372,14 @@
     }
 
     /// Sends what still holds of a round, once it is committed by a transaction that was sent at `sent_at`.
-    fn carry_out(&mut self, mut tick: Tick, sent_at: Millis, decided: Instant) {
+    fn carry_out(&mut self, mut tick: RoundOutput, sent_at: Millis, decided: Instant) {
         let clock = self.context.clock;
-        self.cell.committed(&tick, sent_at);
+        self.cell.record_commit(&tick, sent_at);
         // The commit may have taken long.
         let workers = self.roster.workers.borrow().clone();
         self.register(workers);
         let orders = std::mem::take(&mut tick.orders);
-        let (orders, withdrawn) = self.cell.standing(orders, clock.now());
+        let (orders, withdrawn) = self.cell.revalidate(orders, clock.now());
         for order in &withdrawn {
             if matches!(order, Order::Start { .. }) {
                 self.context.observer.started(Outcome::Withdrawn);
@@ -383,7 +388,10 @@
         }
         tell::orders(&self.context.pool, &orders);
         tell::ended(&self.context.pool, &tick.ended, clock.now() - sent_at);
-        let seen = tick.seen.iter().map(|(id, seen)| (Name::clone(id), *seen));
+        let seen = tick
+            .ends_committed
+            .iter()
+            .map(|(id, seen)| (Name::clone(id), *seen));
         self.reach.seen.send_replace(Arc::new(seen.collect()));
         for id in &tick.forget {
             let rows = Arc::clone(&self.context.rows);
@@ -398,7 +406,7 @@
         }
         self.send(orders, sent_at, decided);
         self.reach.look_at(self.cell.targets());
-        self.publish(tick.need.kept);
+        self.publish(tick.scaling.scale_down_floor);
     }
 
     /// Waits for a call to the store, and takes in what happens meanwhile.
@@ -423,7 +431,7 @@
             self.digest.tell_held(&self.context.pool);
             let now = self.context.clock.now();
             let decided = Instant::now();
-            let urgent = self.cell.urgent(now);
+            let urgent = self.cell.immediate_stops(now);
             tell::orders(&self.context.pool, &urgent);
             self.send(urgent, now, decided);
         }
@@ -433,7 +441,7 @@
     fn send(&mut self, orders: Vec<Order>, sent_at: Millis, decided: Instant) {
         let times = Times {
             decided,
-            heard_at: self.cell.heard_at(),
+            heard_at: self.cell.feed_watermark(),
             sent_at,
             window: self.cell.start_window(sent_at),
         };
@@ -460,10 +468,10 @@
     /// emptied, let go and given a lasting task counts as emptied until then, and its instance may be ordered away.
     fn occupied(&self) {
         self.status.send_if_modified(|known| {
-            let occupied = known.emptied.iter().any(|id| !self.cell.is_emptied(id));
+            let occupied = known.emptied.iter().any(|id| !self.cell.is_evacuated(id));
             if occupied {
                 let status = Arc::make_mut(known);
-                status.emptied.retain(|id| self.cell.is_emptied(id));
+                status.emptied.retain(|id| self.cell.is_evacuated(id));
             }
             occupied
         });
@@ -473,13 +481,13 @@
     fn publish(&self, kept: u64) {
         let workers = self.cell.workers();
         let lasting = workers.clone().map(|id| {
-            let lasting = self.cell.lasting_on(id);
+            let lasting = self.cell.long_running_on(id);
             (Name::clone(id), lasting)
         });
         let runs = workers
             .clone()
             .map(|id| (Name::clone(id), self.cell.runs_on(id)));
-        let emptied = workers.filter(|id| self.cell.is_emptied(id));
+        let emptied = workers.filter(|id| self.cell.is_evacuated(id));
         let now = self.context.clock.now();
         let status = Status {
             told: true,
@@ -487,9 +495,9 @@
             runs: runs.collect(),
             emptied: emptied.map(Name::clone).collect(),
             registered: self.registered.clone(),
-            silent: self.cell.silent(now),
-            suspected: self.cell.suspected(now),
-            lives: self.cell.lives(now),
+            silent: self.cell.unresponsive(now),
+            suspected: self.cell.possibly_crashed(now),
+            lives: self.cell.incarnations(now),
             kept,
         };
         self.status.send_if_modified(|known| {
--- a/crates/owner/src/tell.rs
+++ b/crates/owner/src/tell.rs
@@ -2,7 +2,7 @@
 
 use crate::digest::first;
 use log::{info, warn};
-use primroseroute_cell::{Culprit, Loss, Need, Order};
+use primroseroute_cell::{Loss, Order, PoisonTask, ScalingEstimate};
 use primroseroute_domain::work::{JobId, State, TaskId};
 
 /// One line for each order to a worker.
@@ -15,7 +15,7 @@
             Order::Stop { worker, task, run } => {
                 info!(pool, worker = &**worker, task:% = task, run; "run is to stop");
             }
-            Order::Pace {
+            Order::Throttle {
                 worker,
                 task,
                 percent,
@@ -34,7 +34,7 @@
         Order::Stop { worker, task, run } => {
             info!(pool, worker = &**worker, task:% = task, run; "stop withdrawn");
         }
-        Order::Pace { .. } => {}
+        Order::Throttle { .. } => {}
     }
 }
 
@@ -44,18 +44,18 @@
         worker,
         cause,
         runs,
-        blamed,
+        attributed_to,
     } in losses
     {
         let tasks = first(runs.iter().map(|(task, run)| format!("{task}/{run}")));
-        let blamed = first(blamed.iter().map(ToString::to_string));
-        info!(pool, worker = &**worker, cause:? = cause, count = runs.len(), tasks = &*tasks, blamed = &*blamed; "runs lost with their worker");
+        let attributed_to = first(attributed_to.iter().map(ToString::to_string));
+        info!(pool, worker = &**worker, cause:? = cause, count = runs.len(), tasks = &*tasks, blamed = &*attributed_to; "runs lost with their worker");
     }
 }
 
 /// One line for each task that is given up since it crashes its workers.
-pub(crate) fn culprits(pool: &str, culprits: &[Culprit]) {
-    for Culprit { task, crashes } in culprits {
+pub(crate) fn culprits(pool: &str, culprits: &[PoisonTask]) {
+    for PoisonTask { task, crashes } in culprits {
         warn!(pool, task:% = task, crashes; "a task that crashes its workers is given up");
     }
 }
@@ -75,17 +75,17 @@
 }
 
 /// What the pool needs, with what it was worked out from.
-pub(crate) fn need(pool: &str, need: &Need, registered: usize) {
-    let Need {
+pub(crate) fn need(pool: &str, need: &ScalingEstimate, registered: usize) {
+    let ScalingEstimate {
         workers,
         now,
         soon,
         late,
-        kept,
-        runs,
-        waits,
+        scale_down_floor: kept,
+        running,
+        waiting,
         expected,
-        unfit,
+        unusable: unfit,
     } = need;
-    info!(pool, workers, now, soon, late, kept, running_cpu = runs.cpu, waiting_cpu = waits.cpu, expected_cpu = expected.cpu, unfit, registered; "need of workers published");
+    info!(pool, workers, now, soon, late, kept, running_cpu = running.cpu, waiting_cpu = waiting.cpu, expected_cpu = expected.cpu, unfit, registered; "need of workers published");
 }
