--- a/crates/backoff/src/backoff.rs
+++ b/crates/backoff/src/backoff.rs
@@ -1,4 +1,4 @@
-//! What an entry learns from refusals.
+//! Adaptive backoff for throttled reads.
 
 use parking_lot::Mutex;
 use primroseroute_domain::work::Name;
@@ -8,22 +8,23 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Pause after the first refusal.
-const FIRST: Duration = Duration::from_millis(100);
+/// Delay after the first throttled read.
+const INITIAL_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest pause, but for reads that few entries make. It bounds how late an entry hears of a configuration and of owners that have gone.
+/// Upper bound of the delay for reads that all entries make. It limits how late an entry learns of a new configuration and of
+/// owners that have left.
 pub const LONGEST: Duration = Duration::from_millis(1_500);
 
-/// Longest pause of reads that few entries make at the same time.
-const LONGEST_OF_FEW: Duration = Duration::from_millis(100);
+/// Upper bound of the delay for reads that few entries make at the same time.
+const PRIORITY_MAX_DELAY: Duration = Duration::from_millis(100);
 
-/// Part of the pause that a read takes back: one in this many.
-const FALL: u32 = 16;
+/// Each successful read shortens the delay by one part in this many.
+const DECAY_DIVISOR: u32 = 16;
 
-/// How long a read is sent again: about as long as a call without an answer is waited for.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// How long a throttled read is retried: about as long as the timeout of a call that gets no answer.
+const RETRY_WINDOW: Duration = Duration::from_secs(1);
 
-/// The backoff of one entry's reads; clones share it.
+/// Backoff state of one entry's reads, shared by clones.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     state: Arc<Mutex<State>>,
@@ -31,66 +32,69 @@
 
 #[derive(Debug)]
 struct State {
-    /// What is read.
+    /// What is read; a key of log lines.
     name: Name,
-    longest: Duration,
-    pause: Duration,
-    /// Whether the pause has reached its length since there was none.
-    pressed: bool,
-    /// When the pause last grew.
-    raised_at: Option<Instant>,
-    /// Feeds that were refused, with the time before which they aren't called again.
-    held: BTreeMap<Name, Instant>,
+    max_delay: Duration,
+    delay: Duration,
+    /// Whether the delay has reached `max_delay` since it was last zero.
+    at_max: bool,
+    /// When the delay last grew.
+    grown_at: Option<Instant>,
+    /// Throttled feeds, with the earliest time of their next call.
+    throttled_feeds: BTreeMap<Name, Instant>,
     rng: ChaCha8Rng,
 }
 
 impl State {
-    /// Takes in a refusal; a random part of the pause.
+    /// Records a throttled call and returns a random delay of up to the current one.
     ///
-    /// The pause grows once in its own length: calls that were under way together are one sign of pressure, not many.
-    fn refused(&mut self) -> Duration {
-        let grown = self.raised_at.is_some_and(|at| at.elapsed() < self.pause);
-        if !grown {
-            self.pause = (self.pause * 2).clamp(FIRST, self.longest);
-            self.raised_at = Some(Instant::now());
+    /// The delay grows at most once within its own length: concurrent calls that are throttled together are one sign of
+    /// overload, not several.
+    fn record_throttled(&mut self) -> Duration {
+        let recently_grown = self.grown_at.is_some_and(|at| at.elapsed() < self.delay);
+        if !recently_grown {
+            self.delay = (self.delay * 2).clamp(INITIAL_DELAY, self.max_delay);
+            self.grown_at = Some(Instant::now());
         }
-        if self.pause == self.longest && !std::mem::replace(&mut self.pressed, true) {
-            log::warn!(reads = &*self.name; "reads are refused for their rate");
+        if self.delay == self.max_delay && !std::mem::replace(&mut self.at_max, true) {
+            log::warn!(reads = &*self.name; "reads are throttled; backoff is at its maximum");
         }
-        self.rng.random_range(Duration::ZERO..=self.pause)
+        self.rng.random_range(Duration::ZERO..=self.delay)
     }
 
-    fn taken(&mut self) {
-        self.pause -= self.pause / FALL;
-        if self.pause < FIRST / 2 {
-            self.pause = Duration::ZERO;
-            if std::mem::take(&mut self.pressed) {
-                log::info!(reads = &*self.name; "reads are taken again");
+    /// Records a successful call.
+    fn record_success(&mut self) {
+        self.delay -= self.delay / DECAY_DIVISOR;
+        if self.delay < INITIAL_DELAY / 2 {
+            self.delay = Duration::ZERO;
+            if std::mem::take(&mut self.at_max) {
+                log::info!(reads = &*self.name; "reads are no longer throttled");
             }
         }
     }
 }
 
 impl Backoff {
-    /// A backoff without a pause, of what is called `name` in the log; `seed` is the source of its jitter, and differs from one entry to
-    /// the next.
+    /// Creates a backoff with no initial delay. `name` identifies the reads in log lines; `seed` seeds the jitter and must differ
+    /// between entries.
     pub fn new(name: &str, seed: u64) -> Self {
-        Self::up_to(LONGEST, name, seed)
+        Self::with_max_delay(LONGEST, name, seed)
     }
 
-    /// The same for reads that few entries make at the same time, and that go before those of all.
+    /// Creates a backoff with a lower maximum delay, for reads that few entries make at the same time and that take precedence
+    /// over reads that every entry makes.
     pub fn of_few(name: &str, seed: u64) -> Self {
-        Self::up_to(LONGEST_OF_FEW, name, seed)
+        Self::with_max_delay(PRIORITY_MAX_DELAY, name, seed)
     }
 
-    fn up_to(longest: Duration, name: &str, seed: u64) -> Self {
+    fn with_max_delay(max_delay: Duration, name: &str, seed: u64) -> Self {
         let state = State {
             name: name.into(),
-            longest,
-            pause: Duration::ZERO,
-            pressed: false,
-            raised_at: None,
-            held: BTreeMap::new(),
+            max_delay,
+            delay: Duration::ZERO,
+            at_max: false,
+            grown_at: None,
+            throttled_feeds: BTreeMap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
         Self {
@@ -98,10 +102,10 @@
         }
     }
 
-    /// Reads by `call`, and again after a pause for as long as the store refuses it.
+    /// Reads by `call` and retries with backoff while the store throttles it.
     ///
     /// # Errors
-    /// Those of the call; [`Error::Throttled`] where the store has refused it for a while, after a pause.
+    /// Those of the call; [`Error::Throttled`] after a final delay if the store still throttles it after `RETRY_WINDOW`.
     pub(crate) async fn read<T, F>(&self, call: impl Fn() -> F) -> Result<T, Error>
     where
         F: Future<Output = Result<T, Error>>,
@@ -109,23 +113,23 @@
         let begin = Instant::now();
         loop {
             let result = call().await;
-            let pause = match &result {
-                Err(Error::Throttled) => self.state.lock().refused(),
+            let delay = match &result {
+                Err(Error::Throttled) => self.state.lock().record_throttled(),
                 Ok(_) => {
-                    self.state.lock().taken();
+                    self.state.lock().record_success();
                     return result;
                 }
                 Err(_) => return result,
             };
-            // Also before the refusal is passed on: whoever reads again right away backs off as well.
-            sleep(pause).await;
-            if begin.elapsed() >= PATIENCE {
+            // Sleeps also before it returns the error, so that a caller that retries immediately backs off as well.
+            sleep(delay).await;
+            if begin.elapsed() >= RETRY_WINDOW {
                 return result;
             }
         }
     }
 
-    /// Calls for a feed by `call`, once the pause after its last refusal is over.
+    /// Polls a feed by `call`, once the delay since it was last throttled has passed.
     ///
     /// # Errors
     /// Those of the call.
@@ -134,17 +138,17 @@
         name: &str,
         call: impl Future<Output = Result<T, Error>>,
     ) -> Result<T, Error> {
-        let held = self.state.lock().held.remove(name);
-        if let Some(until) = held {
+        let not_before = self.state.lock().throttled_feeds.remove(name);
+        if let Some(until) = not_before {
             sleep_until(until).await;
         }
         let result = call.await;
         let mut state = self.state.lock();
         match &result {
-            Ok(_) => state.taken(),
+            Ok(_) => state.record_success(),
             Err(Error::Throttled) => {
-                let until = Instant::now() + state.refused();
-                state.held.insert(name.into(), until);
+                let until = Instant::now() + state.record_throttled();
+                state.throttled_feeds.insert(name.into(), until);
             }
             Err(_) => {}
         }
--- a/crates/backoff/src/retry.rs
+++ b/crates/backoff/src/retry.rs
@@ -1,4 +1,4 @@
-//! Pauses between tries of one caller.
+//! Exponential backoff for the attempts of one caller.
 
 use rand::RngExt;
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng};
@@ -8,12 +8,12 @@
 };
 use tokio::time::sleep;
 
-/// Doublings after which the longest pause always decides.
+/// Number of doublings after which the delay no longer grows.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// The pause after `failures` failed tries in a row: doubling from `first`, at most `longest`, with half jitter.
+/// Returns the delay after `failures` consecutive failures: doubled from `first`, capped at `longest`, with equal jitter.
 ///
-/// `unit` is uniform over 0 to 1.
+/// `unit` is a random number that is uniform over 0 to 1.
 pub fn pause(first: Duration, longest: Duration, failures: u32, unit: f64) -> Duration {
     let doubled = first.saturating_mul(1 << failures.min(MAX_DOUBLINGS));
     doubled
@@ -21,7 +21,7 @@
         .mul_f64(0.5 + unit.clamp(0.0, 1.0) / 2.0)
 }
 
-/// The failed tries in a row of one caller.
+/// Exponential backoff state of one caller.
 #[derive(Clone, Debug)]
 pub struct Retry {
     first: Duration,
@@ -31,8 +31,8 @@
 }
 
 impl Retry {
-    /// A caller that hasn't failed yet, with pauses from `first` to `longest`. `seed` is the source of the jitter, and differs from one
-    /// caller to the next.
+    /// Creates a backoff with delays from `first` to `longest` and no failures so far. `seed` seeds the jitter and must differ between
+    /// callers.
     pub fn new(first: Duration, longest: Duration, seed: impl Hash) -> Self {
         let mut hasher = DefaultHasher::new();
         seed.hash(&mut hasher);
@@ -44,20 +44,20 @@
         }
     }
 
-    /// The pause after one more failure.
+    /// Records a failure and returns the delay before the next attempt.
     pub fn failed(&mut self) -> Duration {
         let pause = pause(self.first, self.longest, self.failures, self.rng.random());
         self.failures = self.failures.saturating_add(1);
         pause
     }
 
-    /// Waits after one more failure.
+    /// Records a failure and sleeps until the next attempt is due.
     pub async fn wait(&mut self) {
         let pause = self.failed();
         sleep(pause).await;
     }
 
-    /// Takes in that a try has succeeded.
+    /// Resets the backoff after a successful attempt.
     pub fn succeeded(&mut self) {
         self.failures = 0;
     }
--- a/crates/backoff/src/rows.rs
+++ b/crates/backoff/src/rows.rs
@@ -1,4 +1,4 @@
-//! The table, with reads that back off.
+//! A [`rows::Rows`] wrapper whose throttled reads back off.
 
 use crate::Backoff;
 use async_trait::async_trait;
@@ -8,7 +8,7 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// A table whose refused reads are sent again after an entry's backoff.
+/// A partitioned table whose throttled reads are retried with the entry's backoff.
 #[derive(Debug)]
 pub struct Rows {
     rows: Arc<dyn rows::Rows>,
@@ -16,7 +16,7 @@
 }
 
 impl Rows {
-    /// Reads `rows` with `backoff`.
+    /// Wraps `rows` with `backoff`.
     pub fn new(rows: Arc<dyn rows::Rows>, backoff: Backoff) -> Self {
         Self { rows, backoff }
     }
--- a/crates/backoff/src/site.rs
+++ b/crates/backoff/src/site.rs
@@ -1,4 +1,4 @@
-//! What the platform tells, with reads that back off.
+//! A [`site::Site`] wrapper whose throttled reads back off.
 
 use crate::Backoff;
 use async_trait::async_trait;
@@ -10,13 +10,13 @@
 };
 use std::{fmt, sync::Arc, time::Duration};
 
-/// Name of the workers' feed.
+/// Name of the feed of worker registrations.
 const WORKERS: &str = "workers";
 
-/// Name of the operators' feed.
+/// Name of the feed of operators' instructions.
 const INSTRUCTIONS: &str = "instructions";
 
-/// A site whose refused reads are sent again after an entry's backoff.
+/// A site whose throttled reads are retried with the entry's backoff.
 pub struct Site {
     inner: Arc<dyn site::Site>,
     store: Backoff,
@@ -30,8 +30,8 @@
 }
 
 impl Site {
-    /// Reads `inner`: what lies in the store with the backoff `store`, and the list of instances, which has a rate of its own, with
-    /// the backoff `instances`.
+    /// Wraps `inner`. Reads from the store back off by `store`; the list of instances has a rate limit of its own and backs off by
+    /// `instances`.
     pub fn new(inner: Arc<dyn site::Site>, store: Backoff, instances: Backoff) -> Self {
         Self {
             inner,
--- a/crates/backoff/tests/all/main.rs
+++ b/crates/backoff/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Reads of a store that refuses them.
+//! Reads of a store that throttles them.
 
 mod retry;
 
@@ -12,7 +12,7 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 use tokio::time::Instant;
 
-/// Names each case.
+/// Generates a test with paused time for each case.
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident => $body:expr;)*) => {$(
         $(#[$doc])*
@@ -24,21 +24,21 @@
 }
 
 cases! {
-    read_is_sent_again_until_it_is_taken => taken_in_the_end();
-    /// Retries at a fixed pause keep a store over its rate for good.
-    refusals_without_end_make_calls_rare => rare();
-    /// Entries that are refused together come back together.
-    entries_come_back_at_different_times => spread();
-    /// A follower that isn't told takes its own silence for that of others.
-    refused_feed_is_told_at_once_and_waits_the_next_time => feed();
-    refused_commit_is_the_callers_matter => commit();
-    /// An owner that starts nothing while it waits for the proof that it owns its pool.
-    refused_read_of_one_row_is_the_callers_matter => one_row();
-    other_failure_is_passed_on_at_once => unavailable();
-    pause_is_over_once_reads_are_taken => recovered();
+    throttled_read_is_retried_until_accepted => retried_until_accepted();
+    /// Retries at a fixed interval would keep a store over its rate limit indefinitely.
+    persistent_throttling_lowers_the_call_rate => persistent_throttling();
+    /// Without jitter, entries that are throttled together would retry together.
+    entries_retry_at_different_times => jitter();
+    /// A follower that isn't told would mistake its own gap for silence of others.
+    throttled_feed_returns_at_once_and_the_next_call_waits => feed();
+    throttled_commit_is_not_retried => commit();
+    /// An owner would start nothing while this waited for the proof that it owns its pool.
+    throttled_read_of_one_row_is_not_retried => one_row();
+    other_errors_are_returned_at_once => unavailable();
+    backoff_decays_after_successful_reads => recovered();
 }
 
-/// A store that refuses its next calls with an error.
+/// A store that fails its next calls with an error.
 #[derive(Debug, Default)]
 struct Store {
     failures: Mutex<Vec<Error>>,
@@ -53,11 +53,11 @@
         })
     }
 
-    fn call<T>(&self, taken: T) -> Result<T, Error> {
+    fn call<T>(&self, success: T) -> Result<T, Error> {
         self.calls.lock().push(Instant::now());
         match self.failures.lock().pop() {
             Some(error) => Err(error),
-            None => Ok(taken),
+            None => Ok(success),
         }
     }
 
@@ -90,7 +90,7 @@
     }
 }
 
-fn backing_off(store: &Arc<Store>, seed: u64) -> Rows {
+fn with_backoff(store: &Arc<Store>, seed: u64) -> Rows {
     Rows::new(Arc::clone(store) as _, Backoff::new("store", seed))
 }
 
@@ -103,44 +103,49 @@
     }
 }
 
-async fn taken_in_the_end() {
+async fn retried_until_accepted() {
     let store = Store::failing(&Error::Throttled, 2);
-    let result = backing_off(&store, 1).read(range()).await;
+    let result = with_backoff(&store, 1).read(range()).await;
     assert!(result.is_ok(), "{result:?}");
     assert_eq!(store.count(), 3);
 }
 
-async fn rare() {
-    /// Time for which the store refuses everything.
-    const REFUSES: Duration = Duration::from_secs(60);
+async fn persistent_throttling() {
+    /// How long the store throttles every call.
+    const THROTTLED_FOR: Duration = Duration::from_secs(60);
     let store = Store::failing(&Error::Throttled, 10_000);
-    let rows = backing_off(&store, 1);
+    let rows = with_backoff(&store, 1);
     let begin = Instant::now();
-    while begin.elapsed() < REFUSES {
+    while begin.elapsed() < THROTTLED_FOR {
         assert_eq!(rows.read(range()).await, Err(Error::Throttled));
     }
-    // A mean of half of the longest pause lies between two calls.
-    let most = 2 * usize::try_from(REFUSES.as_millis() / LONGEST.as_millis()).expect("few");
-    assert!(store.count() < most * 3 / 2, "{} calls", store.count());
+    // The mean delay between two calls is half of the maximum.
+    let expected_calls =
+        2 * usize::try_from(THROTTLED_FOR.as_millis() / LONGEST.as_millis()).expect("few");
+    assert!(
+        store.count() < expected_calls * 3 / 2,
+        "{} calls",
+        store.count()
+    );
 }
 
-async fn spread() {
-    let mut second = BTreeSet::new();
+async fn jitter() {
+    let mut second_calls = BTreeSet::new();
     for seed in 0..50 {
         let store = Store::failing(&Error::Throttled, 4);
         let begin = Instant::now();
-        let result = backing_off(&store, seed).read(range()).await;
+        let result = with_backoff(&store, seed).read(range()).await;
         assert!(result.is_ok() || result == Err(Error::Throttled));
-        second.insert(store.calls.lock()[1] - begin);
+        second_calls.insert(store.calls.lock()[1] - begin);
     }
-    assert!(second.len() > 25, "{second:?}");
+    assert!(second_calls.len() > 25, "{second_calls:?}");
 }
 
 async fn feed() {
     let store = Store::failing(&Error::Throttled, 6);
-    let rows = backing_off(&store, 3);
+    let rows = with_backoff(&store, 3);
     let begin = Instant::now();
-    for _refusal in 0..6 {
+    for _attempt in 0..6 {
         let called = Instant::now();
         let result = rows.feed("table", 0, Duration::ZERO).await;
         assert_eq!(result, Err(Error::Throttled));
@@ -155,7 +160,7 @@
 async fn commit() {
     let store = Store::failing(&Error::Throttled, 1);
     let begin = Instant::now();
-    let result = backing_off(&store, 1).commit(Txn::default()).await;
+    let result = with_backoff(&store, 1).commit(Txn::default()).await;
     assert_eq!(result, Err(Error::Throttled));
     assert_eq!((store.count(), begin.elapsed()), (1, Duration::ZERO));
 }
@@ -164,7 +169,7 @@
     let store = Store::failing(&Error::Throttled, 1);
     let begin = Instant::now();
     let place = Place::new("table", "", "key");
-    let result = read_row(&backing_off(&store, 1), place).await;
+    let result = read_row(&with_backoff(&store, 1), place).await;
     assert_eq!(result, Err(Error::Throttled));
     assert_eq!((store.count(), begin.elapsed()), (1, Duration::ZERO));
 }
@@ -172,13 +177,13 @@
 async fn unavailable() {
     let store = Store::failing(&Error::Unavailable("503".into()), 1);
     let begin = Instant::now();
-    assert!(backing_off(&store, 1).read(range()).await.is_err());
+    assert!(with_backoff(&store, 1).read(range()).await.is_err());
     assert_eq!((store.count(), begin.elapsed()), (1, Duration::ZERO));
 }
 
 async fn recovered() {
     let store = Store::failing(&Error::Throttled, 20);
-    let rows = backing_off(&store, 1);
+    let rows = with_backoff(&store, 1);
     while rows.read(range()).await.is_err() {}
     for _read in 0..100 {
         assert!(rows.read(range()).await.is_ok());
--- a/crates/platform/src/fleet.rs
+++ b/crates/platform/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of instances, and the calls that reboot one.
+//! The platform's eventually consistent list of instances, and the call that reboots one.
 
 use crate::error::Error;
 use async_trait::async_trait;
@@ -6,63 +6,63 @@
 use serde::{Deserialize, Serialize};
 use std::{fmt, net::SocketAddr};
 
-/// What the platform says of an instance.
+/// Lifecycle phase of an instance as the platform reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// It runs.
+    /// The instance runs.
     Live,
-    /// It restarts; `boots` grows when it is back.
+    /// The instance reboots; `boots` increases once it is back.
     Rebooting,
-    /// The platform will take it away.
+    /// The platform is about to remove the instance.
     Leaving,
-    /// It no longer exists and runs nothing.
+    /// The instance no longer exists and runs nothing.
     Gone,
 }
 
-/// One line of the list.
+/// One entry of the instance list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Listed {
-    /// The instance.
+    /// Instance id.
     pub id: id::Instance,
-    /// Where its backend server listens.
+    /// Listen address of its backend server.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: id::Zone,
-    /// Its rack.
+    /// Rack.
     pub rack: id::Rack,
-    /// What it is doing.
+    /// Lifecycle phase.
     pub phase: Phase,
-    /// How often it has booted; a reboot is done when this has grown.
+    /// Number of boots so far; a reboot is complete when this has increased.
     pub boots: u64,
 }
 
-/// The list as of some moment in the past.
+/// Snapshot of the instance list, which may be out of date.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct List {
-    /// When the list was true.
+    /// Time of the snapshot.
     pub as_of: Instant,
-    /// The instances, in the order of their names.
+    /// Instances in order of their names.
     pub instances: Vec<Listed>,
 }
 
-/// The platform's instances.
+/// Access to the platform's instances.
 #[async_trait]
 pub trait Instances: Send + Sync + fmt::Debug {
-    /// Reads the lagging list.
+    /// Reads the instance list, which may be out of date.
     ///
     /// # Errors
-    /// Any [`Error`]; a read has no effect.
+    /// Any [`Error`]; a read has no side effects.
     async fn list(&self) -> Result<List, Error>;
 
-    /// Asks for a reboot of `id`, if it has still booted `boots` times.
+    /// Requests a reboot of `id` on condition that it has booted `boots` times.
     ///
-    /// The condition on `boots` makes the call idempotent: a repeat after a lost answer, or by a
-    /// second controller, never reboots twice.
+    /// The condition on `boots` makes the call idempotent: a retry after a lost response, or a call by a
+    /// second controller, never causes a second reboot.
     ///
     /// # Errors
-    /// Any [`Error`]; after [`Error::Unknown`] the reboot may have begun.
+    /// Any [`Error`]; after [`Error::Unknown`] the reboot may have started.
     async fn reboot(&self, id: &id::Instance, boots: u64) -> Result<(), Error>;
 }
--- a/crates/platform/src/http/client.rs
+++ b/crates/platform/src/http/client.rs
@@ -1,4 +1,4 @@
-//! The client.
+//! HTTP client for the platform.
 
 use super::wire::{self, Call};
 use crate::{
@@ -24,43 +24,43 @@
 use std::{fmt, sync::Arc, time::Duration};
 use tokio::time::timeout;
 
-/// Largest answer in bytes: a scan of 1,200 instance rows is under 1 MiB; the rest is headroom.
-const MAX_ANSWER: usize = 64 << 20;
+/// Maximum response size: a scan of 1,200 instance rows is under 1 MiB; the rest is headroom.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Longest detail of an error that the platform's answer adds, in characters.
-const MAX_DETAIL: usize = 200;
+/// Maximum number of characters of a response body that an error detail includes.
+const MAX_DETAIL_CHARS: usize = 200;
 
-/// Where the platform is and how long to wait for it.
+/// Address and timeout of the platform.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where it listens, such as `http://127.0.0.1:7000`; a path is kept as a prefix.
+    /// Base URL, such as `http://127.0.0.1:7000`; a path is kept as a prefix.
     pub url: String,
-    /// How long one call may take, connection and answer included.
+    /// Time limit for one call, including connection setup and response.
     pub timeout: Duration,
-    /// The name that the platform counts this caller's calls under.
+    /// Name under which the platform accounts for this caller's calls.
     pub caller: Arc<str>,
 }
 
-/// Why a client could not be opened.
+/// Invalid client options.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// The URL cannot be read.
-    #[error("`{url}` is no URL")]
+    /// The URL cannot be parsed.
+    #[error("`{url}` is not a URL")]
     Url {
-        /// As it was given.
+        /// URL as configured.
         url: String,
-        /// What is wrong with it.
+        /// Parse error.
         source: InvalidUri,
     },
-    /// The URL names no HTTP host.
-    #[error("`{0}` is no URL of the form http://HOST:PORT")]
+    /// The URL is not a plain HTTP URL with a host.
+    #[error("`{0}` is not a URL of the form http://HOST:PORT")]
     Host(String),
-    /// The caller's name does not fit into a header.
-    #[error("`{0}` cannot name a caller")]
+    /// The caller's name is not a valid header value.
+    #[error("caller name `{0}` is not a valid header value")]
     Caller(String),
 }
 
-/// The platform over HTTP; clones share one pool of connections.
+/// HTTP client for the platform; clones share one connection pool.
 #[derive(Clone)]
 pub struct Client {
     base: Arc<str>,
@@ -78,8 +78,8 @@
     }
 }
 
-/// The error for a call whose answer is missing or cannot be read.
-fn lost<C: Call>(detail: impl fmt::Display) -> Error {
+/// Error for a call whose response is missing or cannot be decoded: ambiguous if the call mutates.
+fn ambiguous_error<C: Call>(detail: impl fmt::Display) -> Error {
     if C::MUTATES {
         Error::Unknown(detail.to_string())
     } else {
@@ -90,19 +90,19 @@
 fn detail(status: StatusCode, body: &[u8]) -> String {
     let text: String = String::from_utf8_lossy(body)
         .chars()
-        .take(MAX_DETAIL)
+        .take(MAX_DETAIL_CHARS)
         .collect();
     format!("{status} {text}").trim_end().to_owned()
 }
 
-/// What a whole answer means.
-fn conclude<C: Call>(
+/// Interprets a complete response.
+fn interpret_response<C: Call>(
     status: StatusCode,
     headers: &HeaderMap,
     body: &[u8],
 ) -> Result<C::Answer, Error> {
     match status {
-        StatusCode::OK => serde_json::from_slice(body).map_err(lost::<C>),
+        StatusCode::OK => serde_json::from_slice(body).map_err(ambiguous_error::<C>),
         StatusCode::TOO_MANY_REQUESTS => Err(Error::Throttled),
         StatusCode::BAD_REQUEST | StatusCode::UNPROCESSABLE_ENTITY => {
             Err(Error::Invalid(detail(status, body)))
@@ -110,15 +110,15 @@
         StatusCode::SERVICE_UNAVAILABLE if headers.contains_key(wire::NOT_APPLIED) => {
             Err(Error::Unavailable(detail(status, body)))
         }
-        _ => Err(lost::<C>(detail(status, body))),
+        _ => Err(ambiguous_error::<C>(detail(status, body))),
     }
 }
 
 impl Client {
-    /// Opens a client; connections are made when they are needed.
+    /// Creates a client; connections are established on demand.
     ///
     /// # Errors
-    /// [`OpenError`] where the URL or the caller's name cannot be used.
+    /// [`OpenError`] if the URL or the caller's name is invalid.
     pub fn open(options: &Options) -> Result<Self, OpenError> {
         let uri: Uri = options.url.parse().map_err(|source| OpenError::Url {
             url: options.url.clone(),
@@ -129,16 +129,16 @@
         }
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        // A black-holed address must end as "no connection", which proves that nothing was sent,
-        // before the timeout of the whole call ends it as "unknown".
+        // A black-holed address must fail as "no connection", which proves that nothing was sent,
+        // before the timeout of the whole call turns it into "unknown".
         connector.set_connect_timeout(Some(options.timeout / 2));
         Ok(Self {
             base: options.url.trim_end_matches('/').into(),
             timeout: options.timeout,
             caller: HeaderValue::from_str(&options.caller)
                 .map_err(|_invalid| OpenError::Caller(options.caller.to_string()))?,
-            // The library sends a request again only where a reused connection had closed before
-            // it took any of it; everything later ends the call, since a repeat could run it twice.
+            // hyper-util retries a request only if a reused connection was closed before any of the request
+            // was sent; any later failure ends the call, since a retry could execute it twice.
             inner: legacy::Client::builder(TokioExecutor::new())
                 .pool_timer(TokioTimer::new())
                 .build(connector),
@@ -148,7 +148,7 @@
     async fn call<C: Call>(&self, call: &C) -> Result<C::Answer, Error> {
         match timeout(self.timeout, self.exchange(call)).await {
             Ok(result) => result,
-            Err(elapsed) => Err(lost::<C>(elapsed)),
+            Err(elapsed) => Err(ambiguous_error::<C>(elapsed)),
         }
     }
 
@@ -158,18 +158,18 @@
             if error.is_connect() {
                 Error::Unavailable(format!("no connection to {}", self.base))
             } else {
-                lost::<C>(error)
+                ambiguous_error::<C>(error)
             }
         })?;
         let (head, body) = response.into_parts();
-        let body = Limited::new(body, MAX_ANSWER).collect().await;
+        let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
         match body {
-            Ok(body) => conclude::<C>(head.status, &head.headers, &body.to_bytes()),
-            // The status alone already says what a refusal means.
+            Ok(body) => interpret_response::<C>(head.status, &head.headers, &body.to_bytes()),
+            // The status alone determines the error.
             Err(_) if head.status != StatusCode::OK => {
-                conclude::<C>(head.status, &head.headers, b"")
+                interpret_response::<C>(head.status, &head.headers, b"")
             }
-            Err(error) => Err(lost::<C>(error)),
+            Err(error) => Err(ambiguous_error::<C>(error)),
         }
     }
 
--- a/crates/platform/src/http/wire.rs
+++ b/crates/platform/src/http/wire.rs
@@ -1,7 +1,7 @@
-//! The bodies of calls and answers, shared by the client and any server.
+//! Request and response bodies, shared by the client and any server.
 //!
-//! Each call is a type with a path, an answer type, and whether it can change anything. A row's
-//! value travels as text where it is UTF-8, as this system's JSON always is, and else as a list of
+//! Each call is a type with a path, a response type, and a flag for calls that mutate state. A row's
+//! value is encoded as text if it is UTF-8, as this system's JSON always is, and otherwise as a list of
 //! byte values.
 
 use crate::{
@@ -14,29 +14,29 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use std::{sync::Arc, time::Duration};
 
-/// Header of a 503 that proves that the call had no effect.
+/// Header of a 503 response which guarantees that the call had no effect.
 pub const NOT_APPLIED: &str = "x-not-applied";
 
-/// Header that names the caller, for the platform's own accounting.
+/// Header with the caller's name, for the platform's accounting.
 pub const CALLER: &str = "x-caller";
 
-/// One call: its path and its answer.
+/// A call with its path and its response type.
 pub trait Call: Serialize + DeserializeOwned + Send + Sync {
-    /// The path of the `POST`.
+    /// Path of the `POST` request.
     const PATH: &'static str;
-    /// Whether the call can change anything, so that a lost answer leaves its caller unsure.
+    /// Whether the call can mutate state, so that its outcome is unknown if the response is lost.
     const MUTATES: bool;
-    /// The body of the answer.
+    /// Body of the response.
     type Answer: Serialize + DeserializeOwned + Send;
 }
 
-/// A value as text or as bytes.
+/// A value encoded as text or as bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Value {
     /// UTF-8 text.
     Text(String),
-    /// Anything else.
+    /// Any other bytes.
     Bytes(Vec<u8>),
 }
 
@@ -62,11 +62,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
-    /// Its key.
+    /// Key.
     pub key: Key,
-    /// Its value.
+    /// Value.
     pub value: Value,
-    /// The commit that last wrote it.
+    /// Commit that last wrote the row.
     pub revision: Revision,
 }
 
@@ -94,9 +94,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Page {
-    /// The rows in key order.
+    /// Rows in key order.
     pub rows: Vec<Row>,
-    /// Whether the limit cut the scan short.
+    /// Whether the scan was truncated by its limit.
     pub more: bool,
 }
 
@@ -122,9 +122,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Write {
-    /// Create or replace the row.
+    /// Creates or replaces the row.
     Put(Key, Value),
-    /// Delete the row, if it is there.
+    /// Deletes the row if it exists.
     Delete(Key),
 }
 
@@ -132,9 +132,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Txn {
-    /// What must hold.
+    /// Preconditions.
     pub conditions: Vec<Condition>,
-    /// What is then written.
+    /// Writes to apply.
     pub writes: Vec<Write>,
 }
 
@@ -164,7 +164,7 @@
     }
 }
 
-/// Names each call's fields, path, effect and answer.
+/// Defines call types with their fields, paths, effects and response types.
 macro_rules! calls {
     ($(
         $(#[$doc:meta])*
@@ -189,27 +189,27 @@
 calls! {
     /// Reads one row.
     Read {
-        /// Its key.
+        /// Key.
         key: Key
     } at "/table/read", mutates false, answers Option<Row>;
 
     /// Stores an object.
     PutObject {
-        /// Its name.
+        /// Object name.
         name: Arc<str>,
-        /// Its value.
+        /// Value.
         value: Value
     } at "/objects/put", mutates true, answers ();
 
     /// Reads an object.
     GetObject {
-        /// Its name.
+        /// Object name.
         name: Arc<str>
     } at "/objects/get", mutates false, answers Option<Value>;
 
     /// Lists names of objects.
     ListObjects {
-        /// What the names start with.
+        /// Prefix of the names.
         prefix: Arc<str>
     } at "/objects/list", mutates false, answers Vec<Arc<str>>;
 
@@ -218,45 +218,45 @@
 
     /// Reboots an instance.
     Reboot {
-        /// The instance.
+        /// Instance to reboot.
         id: id::Instance,
-        /// How often it must have booted so far.
+        /// Number of boots that the instance must have had so far.
         boots: u64
     } at "/instances/reboot", mutates true, answers ();
 
     /// Extends a lease.
     Renew {
-        /// The job.
+        /// Job.
         job: id::Job,
-        /// The start.
+        /// Fencing token of the start.
         token: Token,
-        /// From now on.
+        /// New duration, counted from now.
         lease: Duration
     } at "/tasks/renew", mutates true, answers ();
 
-    /// Asks for a checkpoint.
+    /// Requests a checkpoint.
     Checkpoint {
-        /// The job.
+        /// Job.
         job: id::Job,
-        /// The start.
+        /// Fencing token of the start.
         token: Token
     } at "/tasks/checkpoint", mutates true, answers ();
 
-    /// Limits a task.
+    /// Limits the processor time of a task.
     Throttle {
-        /// The job.
+        /// Job.
         job: id::Job,
-        /// The start.
+        /// Fencing token of the start.
         token: Token,
-        /// Part of its processor cores, 0 to 1.
+        /// Fraction of its processor cores, 0 to 1.
         fraction: f64
     } at "/tasks/throttle", mutates true, answers ();
 
     /// Stops a task.
     Stop {
-        /// The job.
+        /// Job.
         job: id::Job,
-        /// The start.
+        /// Fencing token of the start.
         token: Token
     } at "/tasks/stop", mutates true, answers ();
 
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,13 +1,13 @@
-//! The platform as this system sees it: a table, an object store, an instance list and tasks.
+//! Interfaces to the platform: a table, an object store, an instance list and tasks.
 //!
-//! Each is a narrow trait, handed in at construction, so that a whole entry runs over in-memory
-//! fakes under paused time as well as over HTTP. The traits promise little, since the platform
-//! has outages and loses answers: every call may fail as [`error::Error::Unavailable`] (proven to
-//! have had no effect), [`error::Error::Throttled`] (the same) or [`error::Error::Unknown`] (it may
-//! have had its effect). Callers must treat `Unknown` as neither success nor failure.
+//! Each is a narrow trait that is injected at construction, so that a whole entry runs over in-memory
+//! fakes under paused time as well as over HTTP. The traits guarantee little, since the platform
+//! has outages and loses responses: every call may fail with [`error::Error::Unavailable`] (it had
+//! no effect), [`error::Error::Throttled`] (likewise) or [`error::Error::Unknown`] (it may have
+//! taken effect). Callers must treat `Unknown` as neither success nor failure.
 //!
-//! [`rows`], [`worker`] and [`site`] are what a fleet of workers under leases offers: a partitioned
-//! table with a feed, the workers' calls, and lists of workers, instances and instructions.
+//! [`rows`], [`worker`] and [`site`] are the interfaces to a fleet of workers under leases: a partitioned
+//! table with a change feed, calls to workers, and lists of workers, instances and instructions.
 //!
 //! With the feature `http`, the module `http` implements every trait over HTTP/1.
 
--- a/crates/platform/src/rows.rs
+++ b/crates/platform/src/rows.rs
@@ -1,4 +1,4 @@
-//! The partitioned table: rows with versions, conditional transactions within a partition, a feed.
+//! The partitioned table: versioned rows, conditional transactions within a partition, and a change feed.
 
 use crate::Error;
 use async_trait::async_trait;
@@ -6,22 +6,22 @@
 use primroseroute_domain::work::Name;
 use std::{fmt, time::Duration};
 
-/// The store-wide number of the transaction that last wrote a row; 0 stands for an absent row.
+/// Store-wide number of the transaction that last wrote a row; 0 denotes an absent row.
 pub type Version = u64;
 
-/// Where a row lies.
+/// Full key of a row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
-    /// Its table.
+    /// Table.
     pub table: Name,
-    /// Its partition; a transaction stays within one.
+    /// Partition; a transaction is confined to one.
     pub part: Name,
-    /// Its key, ordered as bytes.
+    /// Key within the partition, in byte order.
     pub key: Name,
 }
 
 impl Place {
-    /// A place from its three names.
+    /// Creates a place from its three components.
     pub fn new(table: &str, part: &str, key: &str) -> Self {
         Self {
             table: table.into(),
@@ -31,21 +31,21 @@
     }
 }
 
-/// A row as it was read.
+/// A row with its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// Where it lies.
+    /// Full key.
     pub place: Place,
-    /// Its value; `None` for a row that was deleted.
+    /// Value; `None` for a deleted row.
     pub value: Option<Bytes>,
-    /// The transaction that last wrote it.
+    /// Transaction that last wrote the row.
     pub version: Version,
 }
 
-/// A transaction: all writes happen if every condition holds, else none.
+/// A conditional transaction: all writes are applied if every condition holds, else none.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Txn {
-    /// Rows and the version that each must have.
+    /// Rows with the version that each must have.
     pub conditions: Vec<(Place, Version)>,
     /// Rows to write.
     pub puts: Vec<(Place, Bytes)>,
@@ -53,52 +53,52 @@
     pub deletes: Vec<Place>,
 }
 
-/// How a transaction ended.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Commit {
-    /// It stands under this version.
+    /// The transaction was committed with this version.
     Committed(Version),
-    /// A condition didn't hold; nothing was written. The rows of the conditions as they are.
+    /// A condition did not hold and nothing was written. Contains the current rows of the conditions.
     Conflict(Vec<Row>),
 }
 
-/// Rows of one partition, as of one moment.
+/// Rows of one partition, read at one point in time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// In ascending order of keys.
+    /// Rows in ascending order of keys.
     pub rows: Vec<Row>,
-    /// Whether more rows of the range follow.
+    /// Whether the range has more rows after these.
     pub more: bool,
-    /// The newest transaction that the read has seen; a feed goes on from here.
+    /// Newest transaction that the read reflects; a feed continues from here.
     pub version: Version,
 }
 
 /// A range of keys of one partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Range {
-    /// The table.
+    /// Table.
     pub table: Name,
-    /// The partition.
+    /// Partition.
     pub part: Name,
-    /// First key, if the range has one.
+    /// Inclusive lower bound, if any.
     pub from: Option<Name>,
-    /// First key after the range, if it has one.
+    /// Exclusive upper bound, if any.
     pub to: Option<Name>,
 }
 
-/// What a feed has to tell.
+/// Response of a change feed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Feed<T> {
-    /// What changed, in order; possibly nothing.
+    /// Changes in order; possibly none.
     Changes {
-        /// The changes.
+        /// Changed items.
         items: Vec<T>,
-        /// Where the feed goes on.
+        /// Position to continue from.
         next: Version,
-        /// Whether that is all: a long answer may have been cut, with more behind it.
+        /// Whether there are no further changes; false if a long response may have been truncated.
         complete: bool,
     },
-    /// The history that was asked for has been dropped: the table must be read whole.
+    /// The requested history is no longer retained: the whole table must be read again.
     Lost,
 }
 
@@ -108,28 +108,29 @@
     /// Commits a transaction.
     ///
     /// # Errors
-    /// Any [`Error`]; after [`Error::Unknown`] it may stand now, or later if its conditions hold.
+    /// Any [`Error`]; after [`Error::Unknown`] the transaction may have been committed, or may be committed later if its
+    /// conditions hold then.
     async fn commit(&self, txn: Txn) -> Result<Commit, Error>;
 
-    /// Reads a range, up to the limit of one answer.
+    /// Reads a range, up to the size limit of one response.
     ///
     /// # Errors
-    /// Any [`Error`]; a read has no effect.
+    /// Any [`Error`]; a read has no side effects.
     async fn read(&self, range: Range) -> Result<Page, Error>;
 
     /// Waits up to `wait` for changes of `table` after version `after`.
     ///
     /// # Errors
-    /// Any [`Error`]; a read has no effect.
+    /// Any [`Error`]; a read has no side effects.
     async fn feed(&self, table: &str, after: Version, wait: Duration) -> Result<Feed<Row>, Error>;
 }
 
-/// Reads one row; none where there is no such row.
+/// Reads one row; `None` if it does not exist.
 ///
 /// # Errors
 /// Those of the read.
 pub async fn read_row(rows: &dyn Rows, place: Place) -> Result<Option<Row>, Error> {
-    let to = following(&place.key);
+    let to = successor(&place.key);
     let range = Range {
         table: place.table,
         part: place.part,
@@ -140,30 +141,30 @@
     Ok(page.rows.into_iter().next())
 }
 
-/// The least key that sorts after `key`.
-fn following(key: &str) -> Name {
+/// Returns the smallest key that sorts after `key`.
+fn successor(key: &str) -> Name {
     format!("{key}\u{0}").into()
 }
 
-/// Reads a range whole, page after page.
+/// Reads a whole range, page by page.
 ///
 /// # Errors
-/// The first [`Error`] of a page.
+/// The [`Error`] of the first page that fails.
 pub async fn read_all(rows: &dyn Rows, range: Range) -> Result<Page, Error> {
-    let mut whole = Page::default();
+    let mut all = Page::default();
     let mut range = range;
     loop {
         let page = rows.read(range.clone()).await?;
-        // A feed from the first page's version repeats what later pages have shown; none is missed.
-        if whole.rows.is_empty() {
-            whole.version = page.version;
+        // A feed from the first page's version may repeat changes that later pages already include, but misses none.
+        if all.rows.is_empty() {
+            all.version = page.version;
         }
-        whole.rows.extend(page.rows);
-        match whole.rows.last() {
+        all.rows.extend(page.rows);
+        match all.rows.last() {
             Some(last) if page.more => {
-                range.from = Some(following(&last.place.key));
+                range.from = Some(successor(&last.place.key));
             }
-            _ => return Ok(whole),
+            _ => return Ok(all),
         }
     }
 }
--- a/crates/platform/src/site.rs
+++ b/crates/platform/src/site.rs
@@ -1,4 +1,4 @@
-//! What the platform tells of a site: its workers, instances, configuration and requested waves.
+//! Interface to a site: its workers, instances, configuration and requested maintenance waves.
 
 use crate::{
     Error,
@@ -9,110 +9,110 @@
 use primroseroute_domain::work::{Demand, Job, Name, State};
 use std::{collections::BTreeSet, fmt, net::SocketAddr, time::Duration};
 
-/// A worker as it registers itself.
+/// A worker's registration data.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Worker {
-    /// Its id; a later life may have the same.
+    /// Worker id; a later incarnation may have the same.
     pub id: Name,
-    /// When this life of it began, in milliseconds since 1970 by its own clock; 0 where it doesn't say.
+    /// Start time of this incarnation in Unix milliseconds by the worker's own clock; 0 if it reports none.
     pub born: u64,
-    /// The pool it works for.
+    /// Pool that the worker belongs to.
     pub pool: Name,
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: Name,
-    /// Whether it is about to leave and takes nothing new.
+    /// Whether the worker is about to leave and accepts no new tasks.
     pub draining: bool,
-    /// What it has.
+    /// Total resources.
     pub capacity: Demand,
-    /// Its kind and its rack, among others.
+    /// Labels, among them its kind and its rack.
     pub labels: BTreeSet<Name>,
 }
 
-/// A change of the list of workers.
+/// A change to the list of workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Registration {
-    /// The worker's id.
+    /// Worker id.
     pub id: Name,
-    /// What it registered; `None` where the entry has gone.
+    /// Registration data; `None` if the registration was removed.
     pub worker: Option<Worker>,
 }
 
 /// A queue of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Queue {
-    /// Its name.
+    /// Queue name.
     pub name: Name,
-    /// Host that its requests carry.
+    /// Host of the requests that the queue accepts.
     pub host: Name,
-    /// Path that its requests begin with.
+    /// Path prefix of the requests that the queue accepts.
     pub path: Name,
-    /// The pool that runs its jobs.
+    /// Pool that runs the jobs.
     pub pool: Name,
-    /// 0 comes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Failed runs after which a task has failed.
+    /// Number of failed runs after which a task is failed.
     pub max_attempts: u32,
-    /// Factor on a job's longest chain in its objective.
+    /// Factor on the length of a job's critical path in its latency objective.
     pub stretch: f64,
-    /// Time that is added to it, in milliseconds.
+    /// Constant term of the latency objective, in milliseconds.
     pub target_ms: u64,
-    /// Whether starts need a ticket of the advice service.
+    /// Whether starting a task requires a ticket of the advice service.
     pub needs_ticket: bool,
 }
 
 /// A pool of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pool {
-    /// Its name.
+    /// Pool name.
     pub name: Name,
-    /// Whether its workers refuse what doesn't fit.
+    /// Whether its workers reject tasks that exceed their capacity.
     pub guarded: bool,
     /// Whether its instances are switched off.
     pub standby: bool,
 }
 
-/// Bounds on callers' requests.
+/// Limits on callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// Largest head in bytes.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: usize,
-    /// Largest body in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head to arrive.
+    /// Time limit for receiving a request head.
     pub head_timeout: Duration,
-    /// Longest time that a connection may be idle.
+    /// Time limit for an idle connection.
     pub idle_timeout: Duration,
 }
 
-/// A configuration, in full.
+/// A complete configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
-    /// Its number; a higher one replaces a lower one.
+    /// Version number; a higher one replaces a lower one.
     pub number: u64,
-    /// Its queues.
+    /// Queues.
     pub queues: Vec<Queue>,
-    /// Its pools.
+    /// Pools.
     pub pools: Vec<Pool>,
-    /// Bounds on callers' requests.
+    /// Limits on callers' requests.
     pub limits: RequestLimits,
 }
 
 /// A requested maintenance wave.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Wave {
-    /// Its number.
+    /// Wave number.
     pub number: u64,
-    /// The instances to be maintained.
+    /// Instances to maintain.
     pub instances: Vec<Name>,
     /// How long the whole wave may take.
     pub duration: Duration,
-    /// Most instances in maintenance at a time.
+    /// Maximum number of instances in maintenance at the same time.
     pub maximum: usize,
 }
 
-/// What an operator has written.
+/// A row that an operator has written.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Instruction {
     /// A configuration.
@@ -121,110 +121,110 @@
     Wave(Wave),
 }
 
-/// What an instance does.
+/// State of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// It is up.
+    /// Up.
     Up,
-    /// It is moving to another pool.
+    /// Moving to another pool.
     Moving,
-    /// It is in maintenance.
+    /// In maintenance.
     Maintenance,
-    /// It is down.
+    /// Down.
     Down,
 }
 
 /// An instance of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Its name, which stays through moves and maintenance.
+    /// Instance name, which is kept through moves and maintenance.
     pub name: Name,
-    /// Its pool.
+    /// Pool.
     pub pool: Name,
-    /// What it does.
+    /// State.
     pub condition: Condition,
-    /// The worker that it runs, if any.
+    /// Worker that runs on the instance, if any.
     pub worker: Option<Name>,
 }
 
-/// What came of an order to an instance.
+/// Outcome of an order to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ordered {
-    /// It was taken, or had been carried out before.
+    /// The order was accepted, or had already been carried out.
     Taken,
-    /// The instance isn't up, or is leaving.
+    /// The instance is not up, or is leaving.
     Busy,
-    /// The order was refused for good.
+    /// The order was rejected permanently.
     Refused,
 }
 
-/// Who gives an order to an instance.
+/// Sender of an order to an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holder {
-    /// The entry's name.
+    /// Name of the entry.
     pub entry: Name,
-    /// Fencing token: higher for each later order.
+    /// Fencing token, which increases with each order.
     pub token: u64,
 }
 
-/// The site.
+/// Access to the site.
 #[async_trait]
 pub trait Site: Send + Sync + fmt::Debug {
-    /// All registered workers, and where the feed goes on.
+    /// Reads all registered workers, and the position from which the feed continues.
     ///
     /// # Errors
-    /// Any [`Error`]; a read has no effect.
+    /// Any [`Error`]; a read has no side effects.
     async fn workers(&self) -> Result<(Vec<Registration>, Version), Error>;
 
-    /// Changes of the registered workers.
+    /// Waits up to `wait` for changes to the registered workers after version `after`.
     ///
     /// # Errors
-    /// Any [`Error`]; a read has no effect.
+    /// Any [`Error`]; a read has no side effects.
     async fn worker_feed(
         &self,
         after: Version,
         wait: Duration,
     ) -> Result<Feed<Registration>, Error>;
 
-    /// All that operators have written, and where the feed goes on.
+    /// Reads all rows that operators have written, and the position from which the feed continues.
     ///
     /// # Errors
-    /// Any [`Error`]; a read has no effect.
+    /// Any [`Error`]; a read has no side effects.
     async fn instructions(&self) -> Result<(Vec<Instruction>, Version), Error>;
 
-    /// Changes of what operators have written.
+    /// Waits up to `wait` for changes to the rows that operators write after version `after`.
     ///
     /// # Errors
-    /// Any [`Error`]; a read has no effect.
+    /// Any [`Error`]; a read has no side effects.
     async fn instruction_feed(
         &self,
         after: Version,
         wait: Duration,
     ) -> Result<Feed<Instruction>, Error>;
 
-    /// Tells operators whether a wave is complete.
+    /// Reports to operators whether a wave is complete.
     ///
     /// # Errors
     /// Any [`Error`]; the write is idempotent.
     async fn report_wave(&self, number: u64, complete: bool) -> Result<(), Error>;
 
-    /// All instances.
+    /// Reads all instances.
     ///
     /// # Errors
-    /// Any [`Error`]; a read has no effect.
+    /// Any [`Error`]; a read has no side effects.
     async fn instances(&self) -> Result<Vec<Instance>, Error>;
 
-    /// Has an instance maintained at once; all that runs on it ends.
+    /// Starts maintenance of an instance immediately; everything that runs on it is terminated.
     ///
     /// # Errors
-    /// [`Error::Unknown`] where it may have been carried out.
+    /// [`Error::Unknown`] if the order may have been carried out.
     async fn maintain(&self, instance: &Name, wave: u64, holder: &Holder)
     -> Result<Ordered, Error>;
 
-    /// Moves an instance to another pool at once; all that runs on it ends.
+    /// Moves an instance to another pool immediately; everything that runs on it is terminated.
     ///
     /// # Errors
-    /// [`Error::Unknown`] where it may have been carried out.
+    /// [`Error::Unknown`] if the order may have been carried out.
     async fn relocate(
         &self,
         instance: &Name,
@@ -233,20 +233,20 @@
     ) -> Result<Ordered, Error>;
 }
 
-/// How callers' requests and answers are written.
+/// Encoding of callers' requests and responses.
 pub trait Codec: Send + Sync + fmt::Debug {
-    /// Reads the body of a submission.
+    /// Decodes the body of a job submission.
     ///
     /// # Errors
-    /// What is wrong with it, for its caller.
+    /// A description of the fault, which is returned to the caller.
     fn submission(&self, body: &[u8]) -> Result<Job, String>;
 
-    /// How long the caller waits for an answer, if its headers say so.
+    /// Returns how long the caller waits for a response, if its headers specify it.
     fn patience(&self, headers: &http::HeaderMap) -> Option<Duration>;
 
-    /// Writes a job's state.
+    /// Encodes a job's state.
     fn state(&self, state: State) -> Bytes;
 
-    /// Writes the number of jobs of a queue of which no task has started.
+    /// Encodes the number of jobs in a queue that have no started task.
     fn queued(&self, jobs: u64) -> Bytes;
 }
--- a/crates/platform/src/table.rs
+++ b/crates/platform/src/table.rs
@@ -1,4 +1,4 @@
-//! The transactional table: rows under ordered string keys, conditional transactions.
+//! The transactional table: rows with ordered string keys, and conditional transactions.
 
 use crate::error::Error;
 use async_trait::async_trait;
@@ -6,25 +6,25 @@
 use serde::{Deserialize, Serialize};
 use std::{fmt, sync::Arc};
 
-/// A row's key; keys are ordered as bytes and scanned by prefix.
+/// Row key; keys are in byte order and are scanned by prefix.
 pub type Key = Arc<str>;
 
-/// The table-wide commit number of a row's last write; it only grows.
+/// Table-wide commit number of a row's last write; increases monotonically.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Revision(pub u64);
 
-/// A row as it was read.
+/// A row with its revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
-    /// Its key.
+    /// Key.
     pub key: Key,
-    /// Its value; this system stores JSON.
+    /// Value; this system stores JSON.
     pub value: Bytes,
-    /// The commit that last wrote it.
+    /// Commit that last wrote the row.
     pub revision: Revision,
 }
 
@@ -32,25 +32,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scan {
-    /// The prefix of every key.
+    /// Prefix that every key must have.
     pub prefix: Key,
-    /// Only keys greater than this one.
+    /// Exclusive lower bound, if any.
     pub after: Option<Key>,
-    /// Most rows to return.
+    /// Maximum number of rows to return.
     pub limit: u32,
 }
 
-/// The rows of one scan, as of one commit.
+/// Rows of one scan, all as of the same commit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Page {
-    /// The rows in key order.
+    /// Rows in key order.
     pub rows: Vec<Row>,
-    /// Whether `limit` cut the scan short.
+    /// Whether the scan was truncated by `limit`.
     pub more: bool,
 }
 
-/// What must hold for a transaction to commit.
+/// Precondition of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Condition {
@@ -60,33 +60,33 @@
     At(Key, Revision),
 }
 
-/// One write of a transaction.
+/// A write in a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Write {
-    /// Create or replace the row.
+    /// Creates or replaces the row.
     Put(Key, Bytes),
-    /// Delete the row, if it is there.
+    /// Deletes the row if it exists.
     Delete(Key),
 }
 
-/// A transaction: all writes happen together if all conditions hold, else none.
+/// A conditional transaction: all writes are applied atomically if all conditions hold, else none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Txn {
-    /// What must hold.
+    /// Preconditions.
     pub conditions: Vec<Condition>,
-    /// What is then written.
+    /// Writes to apply.
     pub writes: Vec<Write>,
 }
 
-/// How a transaction ended.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Commit {
-    /// It was committed; its writes have this revision.
+    /// The transaction was committed; its writes have this revision.
     Committed(Revision),
-    /// The condition on this key did not hold; nothing was written.
+    /// The condition on this key did not hold and nothing was written.
     Conflict(Key),
 }
 
@@ -96,18 +96,18 @@
     /// Reads one row.
     ///
     /// # Errors
-    /// Any [`Error`]; a read has no effect.
+    /// Any [`Error`]; a read has no side effects.
     async fn read(&self, key: &Key) -> Result<Option<Row>, Error>;
 
-    /// Reads rows by prefix, all as of one commit.
+    /// Reads rows by prefix, all as of the same commit.
     ///
     /// # Errors
-    /// Any [`Error`]; a read has no effect.
+    /// Any [`Error`]; a read has no side effects.
     async fn scan(&self, scan: Scan) -> Result<Page, Error>;
 
     /// Commits a transaction.
     ///
     /// # Errors
-    /// Any [`Error`]; after [`Error::Unknown`] the transaction may stand.
+    /// Any [`Error`]; after [`Error::Unknown`] the transaction may have been committed.
     async fn commit(&self, txn: Txn) -> Result<Commit, Error>;
 }
--- a/crates/platform/src/task.rs
+++ b/crates/platform/src/task.rs
@@ -1,4 +1,4 @@
-//! The platform's tasks: work under leases on workers, with lagging reports of usage.
+//! The platform's tasks: leased work on workers, with delayed usage reports.
 
 use crate::error::Error;
 use async_trait::async_trait;
@@ -18,80 +18,80 @@
     pub accelerators: f64,
 }
 
-/// Orders the starts of one job; the platform refuses a start with a token that is not newer.
+/// Fencing token of one job's starts; the platform rejects a start whose token is not newer.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Token(pub u64);
 
-/// A request to start a task.
+/// Request to start a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Start {
-    /// The job that the task runs.
+    /// Job that the task runs.
     pub job: id::Job,
-    /// Where it runs.
+    /// Instance to run on.
     pub instance: id::Instance,
-    /// The fencing token of this start.
+    /// Fencing token of this start.
     pub token: Token,
-    /// Resources set aside for it.
+    /// Resources reserved for the task.
     pub resources: Resources,
-    /// How long it may run without a renewal.
+    /// How long the task may run without a renewal.
     pub lease: Duration,
 }
 
-/// What a task is doing.
+/// Lifecycle phase of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// It runs.
+    /// The task runs.
     Running,
-    /// It ended well.
+    /// The task completed successfully.
     Done,
-    /// It failed.
+    /// The task failed.
     Failed,
-    /// It was stopped, or its lease lapsed.
+    /// The task was stopped, or its lease expired.
     Stopped,
 }
 
-/// A lagging report on one task.
+/// Report on one task, which may be out of date.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Report {
-    /// The job.
+    /// Job.
     pub job: id::Job,
-    /// Where the task runs or ran.
+    /// Instance that the task runs or ran on.
     pub instance: id::Instance,
-    /// The start that the report is about.
+    /// Fencing token of the start that the report is about.
     pub token: Token,
-    /// What it is doing.
+    /// Lifecycle phase.
     pub phase: Phase,
-    /// What it uses.
+    /// Resource usage.
     pub usage: Resources,
-    /// The part of the work that the last checkpoint holds, 0 to 1.
+    /// Fraction of the work that the last checkpoint covers, 0 to 1.
     pub checkpoint: f64,
-    /// When the report was true.
+    /// Time of the report.
     pub as_of: Instant,
 }
 
-/// The platform's tasks.
+/// Access to the platform's tasks.
 #[async_trait]
 pub trait Tasks: Send + Sync + fmt::Debug {
-    /// Starts a task; a repeat with the same token is one start.
+    /// Starts a task; idempotent for the same token.
     ///
     /// # Errors
-    /// [`Error::Invalid`] where the token is older than one already used for the job; else any
+    /// [`Error::Invalid`] if the token is older than one already used for the job; otherwise any
     /// [`Error`].
     async fn start(&self, start: Start) -> Result<(), Error>;
 
     /// Extends the lease of the start with `token`.
     ///
     /// # Errors
-    /// [`Error::Invalid`] where that start no longer runs; else any [`Error`].
+    /// [`Error::Invalid`] if that start no longer runs; otherwise any [`Error`].
     async fn renew(&self, job: &id::Job, token: Token, lease: Duration) -> Result<(), Error>;
 
-    /// Asks the task to write a checkpoint.
+    /// Requests the task to write a checkpoint.
     ///
     /// # Errors
     /// Any [`Error`].
@@ -103,15 +103,15 @@
     /// Any [`Error`].
     async fn throttle(&self, job: &id::Job, token: Token, fraction: f64) -> Result<(), Error>;
 
-    /// Stops the task; a repeat has no further effect.
+    /// Stops the task; idempotent.
     ///
     /// # Errors
     /// Any [`Error`].
     async fn stop(&self, job: &id::Job, token: Token) -> Result<(), Error>;
 
-    /// Reads the lagging reports of all tasks.
+    /// Reads the reports of all tasks, which may be out of date.
     ///
     /// # Errors
-    /// Any [`Error`]; a read has no effect.
+    /// Any [`Error`]; a read has no side effects.
     async fn reports(&self) -> Result<Vec<Report>, Error>;
 }
--- a/crates/platform/src/worker.rs
+++ b/crates/platform/src/worker.rs
@@ -1,107 +1,108 @@
-//! Calls to the workers that run tasks under leases.
+//! Calls to the workers, which run tasks under leases.
 
 use crate::Error;
 use async_trait::async_trait;
 use primroseroute_domain::work::{End, Name, TaskId};
 use std::{fmt, net::SocketAddr, time::Duration};
 
-/// A worker: one with another id at the same address doesn't answer for it, a later life with the same id does.
+/// The worker that a call is meant for. A worker with another id at the same address rejects the call; a later incarnation with
+/// the same id accepts it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The worker's id.
+    /// Worker id.
     pub id: Name,
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
 }
 
-/// An order to start one run of a task.
+/// Order to start a run of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Start {
-    /// The task.
+    /// Task.
     pub task: TaskId,
-    /// Number of the run.
+    /// Run number.
     pub run: u32,
-    /// The job's payload.
+    /// Payload of the job.
     pub payload: Name,
-    /// Time on the worker's clock, in milliseconds, after which it refuses the order.
+    /// Time on the worker's clock, in milliseconds, after which it rejects the order.
     pub deadline_ms: u64,
     /// Fencing token of the sender.
     pub token: u64,
-    /// Where to resume from.
+    /// Checkpoint to resume from.
     pub checkpoint: Option<Name>,
-    /// Proof that the queue's policy allows the worker.
+    /// Ticket of the advice service: proof that the queue's policy allows the worker.
     pub ticket: Option<Name>,
 }
 
-/// A renewal of the lease on everything that runs on a worker, and a look at it.
+/// Lease renewal for everything that runs on a worker, combined with a status poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hold {
-    /// New end of the lease on the worker's clock, in milliseconds; none to look only.
+    /// New expiry of the lease on the worker's clock, in milliseconds; `None` to poll without a renewal.
     pub deadline_ms: Option<u64>,
     /// Fencing token of the sender.
     pub token: u64,
-    /// Ends up to this number are durable here and may be forgotten there.
+    /// Ended runs up to this number are acknowledged: they are durable here and the worker may discard them.
     pub seen: u64,
-    /// How long the answer may wait for an end.
+    /// How long the worker may delay its response until a run ends.
     pub wait: Duration,
 }
 
-/// A run as its worker reports it.
+/// A run in progress, as reported by its worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Running {
-    /// The task.
+    /// Task.
     pub task: TaskId,
-    /// The run.
+    /// Run number.
     pub run: u32,
-    /// Its newest checkpoint.
+    /// Newest checkpoint.
     pub checkpoint: Option<Name>,
-    /// Share of its work that is done; 100 for a lasting task that is at work.
+    /// Progress in percent; 100 for a long-running task that is working.
     pub percent: u32,
-    /// Tail of the response time in milliseconds for a task that serves, else thousandths of a
-    /// core in use; a rough figure.
+    /// Tail latency in milliseconds for a task that serves requests, otherwise CPU usage in thousandths of a
+    /// core; approximate.
     pub load: u64,
 }
 
-/// An end as its worker reports it.
+/// The end of a run, as reported by its worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ended {
-    /// Number of the end in this life of the worker.
+    /// Sequence number of the end within this incarnation of the worker.
     pub number: u64,
-    /// The task.
+    /// Task.
     pub task: TaskId,
-    /// The run.
+    /// Run number.
     pub run: u32,
-    /// How it ended.
+    /// How the run ended.
     pub how: End,
-    /// Its last checkpoint.
+    /// Last checkpoint.
     pub checkpoint: Option<Name>,
 }
 
-/// What a look shows.
+/// Status of a worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Look {
-    /// When the worker's life began, in milliseconds since 1970 by its own clock; 0 where it doesn't say.
+    /// Start time of this incarnation in Unix milliseconds by the worker's own clock; 0 if it reports none.
     pub born: u64,
     /// The worker's clock in milliseconds.
     pub clock_ms: u64,
-    /// What runs.
+    /// Runs in progress.
     pub running: Vec<Running>,
-    /// What has ended and isn't acknowledged, oldest first.
+    /// Ended runs that are not yet acknowledged, oldest first.
     pub ended: Vec<Ended>,
 }
 
-/// Why a worker refused an order; it has done nothing.
+/// Reason for which a worker rejected an order without carrying it out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It has seen a higher fencing token.
+    /// The worker has seen a higher fencing token.
     Fenced,
-    /// It has stopped or ended this run or a higher one.
+    /// This run or a higher one has already been stopped or has ended.
     Old,
     /// The order's deadline had passed.
     Late,
-    /// The task doesn't fit.
+    /// The worker lacks the capacity for the task.
     Room,
-    /// The ticket isn't valid.
+    /// The ticket is not valid.
     Ticket,
     /// The worker is unhealthy or overloaded.
     Unhealthy,
@@ -109,41 +110,41 @@
     Malformed,
 }
 
-/// What came of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It was carried out.
+    /// The order was carried out.
     Done,
-    /// It was refused.
+    /// The worker rejected the order.
     Refused(Refusal),
-    /// Another life answers at this address: the one that was meant is over.
+    /// Another incarnation answers at this address: the target no longer exists.
     Gone,
 }
 
-/// What came of a look.
+/// Outcome of a lease renewal and status poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Seen {
-    /// What the worker shows.
+    /// The worker's status.
     Look(Look),
-    /// It was refused.
+    /// The worker rejected the call.
     Refused(Refusal),
-    /// Another life answers at this address: the one that was meant is over.
+    /// Another incarnation answers at this address: the target no longer exists.
     Gone,
 }
 
-/// The calls.
+/// Calls to workers.
 #[async_trait]
 pub trait Workers: Send + Sync + fmt::Debug {
     /// Starts a run.
     ///
     /// # Errors
-    /// [`Error::Unknown`] where it may have been carried out, or may be later.
+    /// [`Error::Unknown`] if the call may have been carried out, or may be later.
     async fn start(&self, target: &Target, start: &Start) -> Result<Answer, Error>;
 
-    /// Stops a run; the worker refuses that run and lower ones from then on.
+    /// Stops a run; the worker rejects that run and lower ones from then on.
     ///
     /// # Errors
-    /// [`Error::Unknown`] where it may have been carried out, or may be later.
+    /// [`Error::Unknown`] if the call may have been carried out, or may be later.
     async fn stop(
         &self,
         target: &Target,
@@ -152,16 +153,16 @@
         token: u64,
     ) -> Result<Answer, Error>;
 
-    /// Renews the worker's lease and looks at it.
+    /// Renews the worker's lease and polls its status.
     ///
     /// # Errors
-    /// [`Error::Unknown`] where it may have been carried out, or may be later.
+    /// [`Error::Unknown`] if the call may have been carried out, or may be later.
     async fn hold(&self, target: &Target, hold: Hold) -> Result<Seen, Error>;
 
-    /// Lets a run work at `percent` of its speed.
+    /// Limits a run to `percent` of its full speed.
     ///
     /// # Errors
-    /// [`Error::Unknown`] where it may have been carried out, or may be later.
+    /// [`Error::Unknown`] if the call may have been carried out, or may be later.
     async fn pace(
         &self,
         target: &Target,
