--- a/crates/backoff/src/backoff.rs
+++ b/crates/backoff/src/backoff.rs
@@ -13,7 +13,7 @@
 
 /// Upper bound of the delay for reads that all entries make. It limits how late an entry learns of a new configuration and of
 /// owners that have left.
-pub const LONGEST: Duration = Duration::from_millis(1_500);
+pub const MAX_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Upper bound of the delay for reads that few entries make at the same time.
 const PRIORITY_MAX_DELAY: Duration = Duration::from_millis(100);
@@ -78,12 +78,12 @@
     /// Creates a backoff with no initial delay. `name` identifies the reads in log lines; `seed` seeds the jitter and must differ
     /// between entries.
     pub fn new(name: &str, seed: u64) -> Self {
-        Self::with_max_delay(LONGEST, name, seed)
+        Self::with_max_delay(MAX_DELAY, name, seed)
     }
 
     /// Creates a backoff with a lower maximum delay, for reads that few entries make at the same time and that take precedence
     /// over reads that every entry makes.
-    pub fn of_few(name: &str, seed: u64) -> Self {
+    pub fn high_priority(name: &str, seed: u64) -> Self {
         Self::with_max_delay(PRIORITY_MAX_DELAY, name, seed)
     }
 
--- a/crates/backoff/src/lib.rs
+++ b/crates/backoff/src/lib.rs
@@ -13,7 +13,7 @@
 //! * A throttled read is retried here. A caller that reads many partitions keeps those that it has already read.
 //! * A throttled feed call returns at once, since its follower must not mistake its own gap for silence of others; the next
 //!   call for the same feed waits.
-//! * Reads that few entries make at the same time use [`Backoff::of_few`], so that they take precedence over reads that every entry makes.
+//! * Reads that few entries make at the same time use [`Backoff::high_priority`], so that they take precedence over reads that every entry makes.
 //! * A commit is passed through without retries, and so is a read of less than a whole partition: what throttling means, and how long
 //!   the call may be retried, differs between callers. An owner that waited here for the proof that it still owns its pool
 //!   would start nothing meanwhile.
@@ -28,7 +28,7 @@
 mod rows;
 mod site;
 
-pub use backoff::{Backoff, LONGEST};
-pub use retry::{Retry, pause};
+pub use backoff::{Backoff, MAX_DELAY};
+pub use retry::{Retry, backoff_delay};
 pub use rows::Rows;
 pub use site::Site;
--- a/crates/backoff/tests/all/main.rs
+++ b/crates/backoff/tests/all/main.rs
@@ -4,7 +4,7 @@
 
 use async_trait::async_trait;
 use parking_lot::Mutex;
-use primroseroute_backoff::{Backoff, LONGEST, Rows};
+use primroseroute_backoff::{Backoff, MAX_DELAY, Rows};
 use primroseroute_platform::{
     Error,
     rows::{Commit, Feed, Page, Place, Range, Row, Rows as _, Txn, Version, read_row},
@@ -121,7 +121,7 @@
     }
     // The mean delay between two calls is half of the maximum.
     let expected_calls =
-        2 * usize::try_from(THROTTLED_FOR.as_millis() / LONGEST.as_millis()).expect("few");
+        2 * usize::try_from(THROTTLED_FOR.as_millis() / MAX_DELAY.as_millis()).expect("few");
     assert!(
         store.count() < expected_calls * 3 / 2,
         "{} calls",
@@ -150,7 +150,7 @@
         let result = rows.feed("table", 0, Duration::ZERO).await;
         assert_eq!(result, Err(Error::Throttled));
         assert_eq!(store.calls.lock().last(), Some(&Instant::now()));
-        assert!(called.elapsed() <= LONGEST);
+        assert!(called.elapsed() <= MAX_DELAY);
     }
     assert!(rows.feed("table", 0, Duration::ZERO).await.is_ok());
     let took = begin.elapsed();
--- a/crates/gateway/src/patience.rs
+++ b/crates/gateway/src/patience.rs
@@ -57,7 +57,7 @@
         } else {
             self.usable.min(REFUSE_AFTER)
         };
-        let pause = self.retry.failed();
+        let pause = self.retry.next_delay();
         if self.begin.elapsed() + pause >= limit {
             return false;
         }
--- a/crates/owner/src/commit.rs
+++ b/crates/owner/src/commit.rs
@@ -126,7 +126,7 @@
                 }
                 Err(error) => {
                     self.failed(&error);
-                    self.retry.wait().await;
+                    self.retry.sleep().await;
                 }
             }
         }
@@ -191,7 +191,7 @@
             }
             Err(error) => {
                 self.failed(&error);
-                self.retry.wait().await;
+                self.retry.sleep().await;
                 Ok(None)
             }
         }
@@ -221,7 +221,7 @@
     }
 
     fn good(&mut self) {
-        self.retry.succeeded();
+        self.retry.reset();
         if std::mem::take(&mut self.failing) {
             info!(pool = &*self.pool; "commits work again");
         }
--- a/crates/owner/src/follow.rs
+++ b/crates/owner/src/follow.rs
@@ -98,7 +98,7 @@
             Err(error) => {
                 health.failed(&error);
                 sink.interrupted();
-                health.retry.wait().await;
+                health.retry.sleep().await;
                 continue;
             }
         };
@@ -150,7 +150,7 @@
             Err(error) => {
                 health.failed(&error);
                 sink.interrupted();
-                health.retry.wait().await;
+                health.retry.sleep().await;
                 // What changed meanwhile is behind by that much already.
                 wait = Duration::ZERO;
                 let due = rhythm.read_after;
@@ -224,7 +224,7 @@
     }
 
     fn good(&mut self) {
-        self.retry.succeeded();
+        self.retry.reset();
         if std::mem::take(&mut self.failing) {
             log::info!(feed = self.name; "the feed is back");
         }
--- a/crates/owner/src/lease.rs
+++ b/crates/owner/src/lease.rs
@@ -112,7 +112,7 @@
             answers = answered;
             match answer {
                 Some(Seen::Look(look)) => {
-                    retry.succeeded();
+                    retry.reset();
                     let newest = look.ended.last().map(|ended| ended.number);
                     match newest {
                         Some(newest) => self.until_committed(look.born, newest).await,
@@ -128,9 +128,9 @@
                 }
                 Some(Seen::Refused(refusal)) => {
                     log::debug!(worker = &*self.target.id, refusal:? = refusal; "look refused");
-                    retry.wait().await;
+                    retry.sleep().await;
                 }
-                None => retry.wait().await,
+                None => retry.sleep().await,
             }
         }
     }
--- a/crates/owner/src/own.rs
+++ b/crates/owner/src/own.rs
@@ -142,7 +142,7 @@
             }
             Err(error) => {
                 warn!(pool = &*context.pool, error:% = error; "loading the pool failed");
-                retry.wait().await;
+                retry.sleep().await;
             }
         }
     }
--- a/crates/peer/src/rpc/dial.rs
+++ b/crates/peer/src/rpc/dial.rs
@@ -68,7 +68,7 @@
     }
     loop {
         if name.as_ref().is_some_and(|name| hub.is_served_by(name)) {
-            retry.succeeded();
+            retry.reset();
             time::sleep(limits.longest_pause).await;
             continue;
         }
@@ -76,13 +76,13 @@
             Ok(End::Own) => return,
             Ok(End::Session(peer)) => {
                 name = Some(peer.entry);
-                retry.succeeded();
+                retry.reset();
             }
             Err(error) => {
                 log::debug!(address:% = address.socket, error:%; "peer cannot be reached");
             }
         }
-        retry.wait().await;
+        retry.sleep().await;
     }
 }
 
--- a/crates/serve/src/site.rs
+++ b/crates/serve/src/site.rs
@@ -189,7 +189,7 @@
             rows: Arc::new(backoff::Rows::new(Arc::clone(&rows), store_backoff)),
             loads: Arc::new(backoff::Rows::new(
                 rows,
-                Backoff::of_few("pools", incarnation),
+                Backoff::high_priority("pools", incarnation),
             )),
             site,
             workers,
--- a/tests/site/bed/mod.rs
+++ b/tests/site/bed/mod.rs
@@ -248,7 +248,7 @@
             rows: Arc::new(backoff::Rows::new(Arc::clone(&rows), store)),
             loads: Arc::new(backoff::Rows::new(
                 rows,
-                Backoff::of_few("pools", self.started),
+                Backoff::high_priority("pools", self.started),
             )),
             site,
             workers: Arc::new(caller.clone()),
