--- a/crates/inspect/src/pool.rs
+++ b/crates/inspect/src/pool.rs
@@ -6,7 +6,7 @@
 use primroseroute_platform::{
     Error,
     rows::{Rows, read_row},
-    site::{Condition, Instance, Instruction, Site},
+    site::{Instance, InstanceState, Instruction, Site},
 };
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -73,7 +73,7 @@
     let batch: Option<Batch> = batch.as_ref().map(parsed).transpose()?;
     let own = instances.iter().filter(|instance| instance.pool == *name);
     let (up, away): (Vec<&Instance>, Vec<&Instance>) =
-        own.partition(|instance| instance.condition == Condition::Up);
+        own.partition(|instance| instance.state == InstanceState::Up);
     Ok(Pool {
         name: Name::clone(name),
         standby,
--- a/crates/owner/src/emptying.rs
+++ b/crates/owner/src/emptying.rs
@@ -3,7 +3,7 @@
 use crate::event::Event;
 use primroseroute_cell::{Millis, Purpose};
 use primroseroute_domain::work::Name;
-use primroseroute_platform::site::{Condition, Instance};
+use primroseroute_platform::site::{Instance, InstanceState};
 use std::{
     collections::{BTreeMap, BTreeSet},
     sync::Arc,
@@ -143,7 +143,10 @@
     /// instance in use has any more. Their registrations outlive them by seconds.
     pub(crate) fn settle(&mut self, instances: &[Instance], asked_at: Millis) {
         let away = |known: &&Instance| {
-            matches!(known.condition, Condition::Moving | Condition::Maintenance)
+            matches!(
+                known.state,
+                InstanceState::Moving | InstanceState::Maintenance
+            )
         };
         let in_use = instances.iter().filter(|known| !away(known));
         let lives: BTreeSet<&Name> = in_use.filter_map(|known| known.worker.as_ref()).collect();
--- a/crates/owner/src/share.rs
+++ b/crates/owner/src/share.rs
@@ -7,7 +7,7 @@
 
 use primroseroute_cell::row::Wanted;
 use primroseroute_domain::work::Name;
-use primroseroute_platform::site::{Condition, Instance};
+use primroseroute_platform::site::{Instance, InstanceState};
 use std::{
     cmp::Reverse,
     collections::{BTreeMap, BTreeSet},
@@ -120,7 +120,7 @@
 pub(crate) fn counts(instances: &[Instance]) -> BTreeMap<&Name, u64> {
     let mut counts = BTreeMap::new();
     for instance in instances {
-        if matches!(instance.condition, Condition::Up | Condition::Moving) {
+        if matches!(instance.state, InstanceState::Up | InstanceState::Moving) {
             *counts.entry(&instance.pool).or_default() += 1;
         }
     }
@@ -228,7 +228,7 @@
         let worker = instance.worker.as_ref();
         let lasting = worker.and_then(|worker| situation.lasting.get(worker));
         instance.pool == *situation.pool
-            && instance.condition == Condition::Up
+            && instance.state == InstanceState::Up
             && !situation.blocked.contains(&instance.name)
             && lasting.copied().unwrap_or(0) == 0
     });
--- a/crates/owner/src/wave.rs
+++ b/crates/owner/src/wave.rs
@@ -5,7 +5,7 @@
 
 use primroseroute_cell::row::Wave as Progress;
 use primroseroute_domain::work::Name;
-use primroseroute_platform::site::{Condition, Instance, Wave};
+use primroseroute_platform::site::{Instance, InstanceState, Wave};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What an owner knows when it decides.
@@ -94,7 +94,7 @@
 }
 
 fn is_up(situation: &Situation<'_>, instance: &Instance) -> bool {
-    instance.pool == *situation.pool && instance.condition == Condition::Up
+    instance.pool == *situation.pool && instance.state == InstanceState::Up
 }
 
 /// Whether nothing runs on an instance, nor will.
@@ -163,7 +163,7 @@
     let mut due: Vec<&Instance> = own
         .filter(|instance| {
             instance.pool == *situation.pool
-                && instance.condition == Condition::Up
+                && instance.state == InstanceState::Up
                 && !progress.done.contains(&instance.name)
                 && !progress.active.contains_key(&instance.name)
         })
--- a/crates/owner/tests/all/share.rs
+++ b/crates/owner/tests/all/share.rs
@@ -3,7 +3,7 @@
 use primroseroute_cell::row::Wanted;
 use primroseroute_domain::work::Name;
 use primroseroute_owner::share::{Move, Pool, Situation, moves};
-use primroseroute_platform::site::{Condition, Instance};
+use primroseroute_platform::site::{Instance, InstanceState};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -58,7 +58,7 @@
             self.instances.push(Instance {
                 name: name.into(),
                 pool: pool.into(),
-                condition: Condition::Up,
+                state: InstanceState::Up,
                 worker,
             });
         }
--- a/crates/owner/tests/all/wave.rs
+++ b/crates/owner/tests/all/wave.rs
@@ -3,7 +3,7 @@
 use primroseroute_cell::row::Wave as Progress;
 use primroseroute_domain::work::Name;
 use primroseroute_owner::wave::{Situation, Step, steps};
-use primroseroute_platform::site::{Condition, Instance, Wave};
+use primroseroute_platform::site::{Instance, InstanceState, Wave};
 use std::{
     collections::{BTreeMap, BTreeSet},
     time::Duration,
@@ -26,7 +26,7 @@
     Instance {
         name: format!("i-{number}").into(),
         pool: "pool".into(),
-        condition: Condition::Up,
+        state: InstanceState::Up,
         worker: Some(format!("w-{number}").into()),
     }
 }
@@ -101,7 +101,7 @@
     assert_eq!(bed.begun(), ["i-0", "i-1", "i-2"]);
     bed.progress.active.insert("i-9".into(), None);
     bed.instances.push(Instance {
-        condition: Condition::Maintenance,
+        state: InstanceState::Maintenance,
         ..instance(9)
     });
     assert_eq!(bed.begun(), ["i-0", "i-1"]);
@@ -180,9 +180,9 @@
     let mut bed = Bed::new();
     let first = bed.count(0);
     bed.busy.insert(Name::clone(&first.name));
-    bed.instances[0].condition = Condition::Maintenance;
+    bed.instances[0].state = InstanceState::Maintenance;
     assert_eq!(bed.begun(), ["i-1", "i-2"]);
-    bed.instances[0].condition = Condition::Up;
+    bed.instances[0].state = InstanceState::Up;
     assert_eq!(bed.steps(), [Step::Again(first.name)]);
 }
 
--- a/crates/platform/src/site.rs
+++ b/crates/platform/src/site.rs
@@ -123,7 +123,7 @@
 
 /// State of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Condition {
+pub enum InstanceState {
     /// Up.
     Up,
     /// Moving to another pool.
@@ -142,7 +142,7 @@
     /// Pool.
     pub pool: Name,
     /// State.
-    pub condition: Condition,
+    pub state: InstanceState,
     /// Worker that runs on the instance, if any.
     pub worker: Option<Name>,
 }
--- a/crates/standin/src/site/caller/site.rs
+++ b/crates/standin/src/site/caller/site.rs
@@ -7,7 +7,7 @@
 use primroseroute_platform::{
     Error,
     rows::{Feed, Version},
-    site::{Condition, Holder, Instance, Instruction, Ordered, Registration, Site},
+    site::{Holder, Instance, InstanceState, Instruction, Ordered, Registration, Site},
 };
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 use tokio::time::sleep;
@@ -117,13 +117,13 @@
         }
         let pool = self.shared.change(|state, _now| {
             let known = state.instances.get(instance)?;
-            (known.condition == Condition::Up).then(|| Name::clone(&known.pool))
+            (known.state == InstanceState::Up).then(|| Name::clone(&known.pool))
         });
         let Some(pool) = pool else {
             return Ok(Ordered::Busy);
         };
         self.shared.state.lock().maintained.insert(done);
-        self.take_down(instance, pool, Condition::Maintenance, holder);
+        self.take_down(instance, pool, InstanceState::Maintenance, holder);
         self.back().await;
         Ok(Ordered::Taken)
     }
@@ -137,12 +137,12 @@
         self.to_instances().await;
         let up = self.shared.change(|state, _now| {
             let known = state.instances.get(instance);
-            known.is_some_and(|known| known.condition == Condition::Up)
+            known.is_some_and(|known| known.state == InstanceState::Up)
         });
         if !up {
             return Ok(Ordered::Busy);
         }
-        self.take_down(instance, Name::clone(pool), Condition::Moving, holder);
+        self.take_down(instance, Name::clone(pool), InstanceState::Moving, holder);
         self.back().await;
         Ok(Ordered::Taken)
     }
@@ -169,7 +169,7 @@
     }
 
     /// Ends an instance's life, and begins the next one in `pool` a while later.
-    fn take_down(&self, instance: &Name, pool: Name, meanwhile: Condition, holder: &Holder) {
+    fn take_down(&self, instance: &Name, pool: Name, meanwhile: InstanceState, holder: &Holder) {
         self.shared.change(|state, now| {
             state
                 .journal
@@ -181,7 +181,7 @@
             }
             if let Some(known) = state.instances.get_mut(instance) {
                 known.pool = pool;
-                known.condition = meanwhile;
+                known.state = meanwhile;
             }
         });
         let shared = Arc::clone(&self.shared);
@@ -194,11 +194,17 @@
 }
 
 /// An order as the journal keeps it.
-fn ordered(at: u64, instance: &Name, pool: &Name, meanwhile: Condition, holder: &Holder) -> Event {
+fn ordered(
+    at: u64,
+    instance: &Name,
+    pool: &Name,
+    meanwhile: InstanceState,
+    holder: &Holder,
+) -> Event {
     let instance = Name::clone(instance);
     let entry = Name::clone(&holder.entry);
     let token = holder.token;
-    if meanwhile == Condition::Moving {
+    if meanwhile == InstanceState::Moving {
         let to = Name::clone(pool);
         return Event::Moved {
             at,
--- a/crates/standin/src/site/mod.rs
+++ b/crates/standin/src/site/mod.rs
@@ -25,7 +25,7 @@
 use parking_lot::Mutex;
 use primroseroute_domain::work::{Demand, Name};
 use primroseroute_platform::{
-    site::{Condition, Instance, Instruction},
+    site::{Instance, InstanceState, Instruction},
     worker::Target,
 };
 use rand::RngExt;
@@ -224,7 +224,7 @@
             let instance = Instance {
                 name: Name::clone(&name),
                 pool: pool.into(),
-                condition: Condition::Up,
+                state: InstanceState::Up,
                 worker: None,
             };
             state.instances.insert(Name::clone(&name), instance);
--- a/crates/standin/src/site/state.rs
+++ b/crates/standin/src/site/state.rs
@@ -11,7 +11,7 @@
 use primroseroute_domain::work::{Name, TaskId};
 use primroseroute_platform::{
     rows::Version,
-    site::{Condition, Instance, Instruction, Registration},
+    site::{Instance, InstanceState, Instruction, Registration},
 };
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -132,7 +132,7 @@
     /// Gives an instance that is down its next life.
     fn restart(&mut self, instance: &Name, now: u64) {
         let down = self.instances.get(instance);
-        if down.is_some_and(|known| known.condition == Condition::Down) {
+        if down.is_some_and(|known| known.state == InstanceState::Down) {
             self.revive_after_crash(instance, now);
         }
     }
@@ -184,7 +184,7 @@
         else {
             return;
         };
-        known.condition = Condition::Up;
+        known.state = InstanceState::Up;
         known.worker = Some(Name::clone(id));
         let mut worker = before.reborn(now);
         worker.slow = self.rng.random_range(0..20);
@@ -212,12 +212,12 @@
         };
         let pool = Name::clone(&known.pool);
         if standby.contains(&pool) {
-            known.condition = Condition::Up;
+            known.state = InstanceState::Up;
             return;
         }
         self.born += 1;
         let id: Name = format!("w-{}", self.born).into();
-        known.condition = Condition::Up;
+        known.state = InstanceState::Up;
         known.worker = Some(Name::clone(&id));
         let mut worker = Worker::new(&id, pool, now, self.born);
         worker.slow = self.rng.random_range(0..20);
@@ -232,7 +232,7 @@
         for instance in self.instances.values_mut() {
             if instance.worker.as_ref() == Some(id) {
                 instance.worker = None;
-                instance.condition = Condition::Down;
+                instance.state = InstanceState::Down;
             }
         }
     }
--- a/tests/site/moves.rs
+++ b/tests/site/moves.rs
@@ -6,7 +6,7 @@
 };
 use eyre::{Result, ensure, eyre};
 use primroseroute_domain::work::{Name, State};
-use primroseroute_platform::site::{Condition, Instruction};
+use primroseroute_platform::site::{InstanceState, Instruction};
 use primroseroute_standin::site::Event;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -31,7 +31,7 @@
 /// Instances of a pool that are up.
 fn up(bed: &Bed, pool: &str) -> usize {
     let all = bed.world.instances().into_iter();
-    let own = all.filter(|known| &*known.pool == pool && known.condition == Condition::Up);
+    let own = all.filter(|known| &*known.pool == pool && known.state == InstanceState::Up);
     own.count()
 }
 
