--- a/crates/backoff/src/site.rs
+++ b/crates/backoff/src/site.rs
@@ -6,7 +6,7 @@
 use primroseroute_platform::{
     Error,
     rows::{Feed, Version},
-    site::{self, Holder, Instance, Instruction, Ordered, Registration},
+    site::{self, Instance, Instruction, LeaseHolder, OrderOutcome, Registration},
 };
 use std::{fmt, sync::Arc, time::Duration};
 
@@ -83,8 +83,8 @@
         &self,
         instance: &Name,
         wave: u64,
-        holder: &Holder,
-    ) -> Result<Ordered, Error> {
+        holder: &LeaseHolder,
+    ) -> Result<OrderOutcome, Error> {
         self.inner.maintain(instance, wave, holder).await
     }
 
@@ -92,8 +92,8 @@
         &self,
         instance: &Name,
         pool: &Name,
-        holder: &Holder,
-    ) -> Result<Ordered, Error> {
+        holder: &LeaseHolder,
+    ) -> Result<OrderOutcome, Error> {
         self.inner.relocate(instance, pool, holder).await
     }
 }
--- a/crates/owner/src/holder.rs
+++ b/crates/owner/src/holder.rs
@@ -28,7 +28,7 @@
 use primroseroute_platform::{
     Error,
     rows::{Commit, Rows, Txn, Version, read_row},
-    site::{self, Ordered, Site},
+    site::{self, OrderOutcome, Site},
 };
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 use tokio::{
@@ -240,7 +240,7 @@
     }
 
     async fn give(&self, request: &Request, token: Version) -> BTreeMap<Name, Given> {
-        let holder = site::Holder {
+        let holder = site::LeaseHolder {
             entry: Name::clone(&self.parts.entry),
             token,
         };
@@ -258,9 +258,9 @@
         for (instance, result) in join_all(orders).await {
             let order = &request.orders.orders[&instance];
             let given = match result {
-                Ok(Ordered::Taken) => Given::Taken,
-                Ok(Ordered::Busy) => Given::Busy,
-                Ok(Ordered::Refused) => Given::Refused,
+                Ok(OrderOutcome::Taken) => Given::Taken,
+                Ok(OrderOutcome::Busy) => Given::Busy,
+                Ok(OrderOutcome::Refused) => Given::Refused,
                 Err(error) => {
                     warn!(instance = &*instance, token, error:% = error; "an order to an instance failed");
                     Given::Unknown
--- a/crates/platform/src/site.rs
+++ b/crates/platform/src/site.rs
@@ -149,7 +149,7 @@
 
 /// Outcome of an order to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ordered {
+pub enum OrderOutcome {
     /// The order was accepted, or had already been carried out.
     Taken,
     /// The instance is not up, or is leaving.
@@ -158,9 +158,9 @@
     Refused,
 }
 
-/// Sender of an order to an instance.
+/// Lease holder on whose behalf an order is sent to an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Holder {
+pub struct LeaseHolder {
     /// Name of the entry.
     pub entry: Name,
     /// Fencing token, which increases with each order.
@@ -218,8 +218,12 @@
     ///
     /// # Errors
     /// [`Error::Unknown`] if the order may have been carried out.
-    async fn maintain(&self, instance: &Name, wave: u64, holder: &Holder)
-    -> Result<Ordered, Error>;
+    async fn maintain(
+        &self,
+        instance: &Name,
+        wave: u64,
+        holder: &LeaseHolder,
+    ) -> Result<OrderOutcome, Error>;
 
     /// Moves an instance to another pool immediately; everything that runs on it is terminated.
     ///
@@ -229,8 +233,8 @@
         &self,
         instance: &Name,
         pool: &Name,
-        holder: &Holder,
-    ) -> Result<Ordered, Error>;
+        holder: &LeaseHolder,
+    ) -> Result<OrderOutcome, Error>;
 }
 
 /// Encoding of callers' requests and responses.
--- a/crates/standin/src/site/caller/site.rs
+++ b/crates/standin/src/site/caller/site.rs
@@ -7,7 +7,7 @@
 use primroseroute_platform::{
     Error,
     rows::{Feed, Version},
-    site::{Holder, Instance, InstanceState, Instruction, Ordered, Registration, Site},
+    site::{Instance, InstanceState, Instruction, LeaseHolder, OrderOutcome, Registration, Site},
 };
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 use tokio::time::sleep;
@@ -107,44 +107,44 @@
         &self,
         instance: &Name,
         wave: u64,
-        holder: &Holder,
-    ) -> Result<Ordered, Error> {
+        holder: &LeaseHolder,
+    ) -> Result<OrderOutcome, Error> {
         self.to_instances().await;
         let done = (wave, Name::clone(instance));
         if self.shared.state.lock().maintained.contains(&done) {
             self.back().await;
-            return Ok(Ordered::Taken);
+            return Ok(OrderOutcome::Taken);
         }
         let pool = self.shared.change(|state, _now| {
             let known = state.instances.get(instance)?;
             (known.state == InstanceState::Up).then(|| Name::clone(&known.pool))
         });
         let Some(pool) = pool else {
-            return Ok(Ordered::Busy);
+            return Ok(OrderOutcome::Busy);
         };
         self.shared.state.lock().maintained.insert(done);
         self.take_down(instance, pool, InstanceState::Maintenance, holder);
         self.back().await;
-        Ok(Ordered::Taken)
+        Ok(OrderOutcome::Taken)
     }
 
     async fn relocate(
         &self,
         instance: &Name,
         pool: &Name,
-        holder: &Holder,
-    ) -> Result<Ordered, Error> {
+        holder: &LeaseHolder,
+    ) -> Result<OrderOutcome, Error> {
         self.to_instances().await;
         let up = self.shared.change(|state, _now| {
             let known = state.instances.get(instance);
             known.is_some_and(|known| known.state == InstanceState::Up)
         });
         if !up {
-            return Ok(Ordered::Busy);
+            return Ok(OrderOutcome::Busy);
         }
         self.take_down(instance, Name::clone(pool), InstanceState::Moving, holder);
         self.back().await;
-        Ok(Ordered::Taken)
+        Ok(OrderOutcome::Taken)
     }
 }
 
@@ -169,7 +169,13 @@
     }
 
     /// Ends an instance's life, and begins the next one in `pool` a while later.
-    fn take_down(&self, instance: &Name, pool: Name, meanwhile: InstanceState, holder: &Holder) {
+    fn take_down(
+        &self,
+        instance: &Name,
+        pool: Name,
+        meanwhile: InstanceState,
+        holder: &LeaseHolder,
+    ) {
         self.shared.change(|state, now| {
             state
                 .journal
@@ -199,7 +205,7 @@
     instance: &Name,
     pool: &Name,
     meanwhile: InstanceState,
-    holder: &Holder,
+    holder: &LeaseHolder,
 ) -> Event {
     let instance = Name::clone(instance);
     let entry = Name::clone(&holder.entry);
--- a/tests/site/lives.rs
+++ b/tests/site/lives.rs
@@ -9,7 +9,7 @@
 use primroseroute_domain::work::{Name, State};
 use primroseroute_platform::{
     rows::{Place, Rows, Txn, read_row},
-    site::{Holder, Instruction, Site, Wave},
+    site::{Instruction, LeaseHolder, Site, Wave},
 };
 use primroseroute_standin::site::Reach;
 use serde::de::DeserializeOwned;
@@ -71,7 +71,7 @@
         ..Txn::default()
     };
     caller.commit(txn).await?;
-    let holder = Holder {
+    let holder = LeaseHolder {
         entry: "predecessor".into(),
         token: 1,
     };
