--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -216,7 +216,8 @@
             Err(detail) => return refused(Code::MalformedRequest, detail, head.request),
         };
         let txn = acceptance(queue, &id, job, self.parts.clock.now());
-        let mut patience = Patience::new(self.parts.codec.patience(head.headers), head.request);
+        let mut patience =
+            Patience::new(self.parts.codec.request_timeout(head.headers), head.request);
         let mut last;
         loop {
             match self.parts.rows.commit(txn.clone()).await {
@@ -258,7 +259,8 @@
         if let Some(state) = self.states.get(&id) {
             return json(self.parts.codec.state(state));
         }
-        let mut patience = Patience::new(self.parts.codec.patience(head.headers), head.request);
+        let mut patience =
+            Patience::new(self.parts.codec.request_timeout(head.headers), head.request);
         loop {
             match self.look(queue, &id).await {
                 Ok(Some(state)) => {
@@ -312,7 +314,8 @@
     }
 
     async fn cancel(&self, head: &Head<'_>, id: JobId) -> Response<Body> {
-        let mut patience = Patience::new(self.parts.codec.patience(head.headers), head.request);
+        let mut patience =
+            Patience::new(self.parts.codec.request_timeout(head.headers), head.request);
         loop {
             let result = match self.claim(&id).await {
                 Ok(None) => return refused(Code::JobUnknown, "", head.request),
--- a/crates/platform/src/site.rs
+++ b/crates/platform/src/site.rs
@@ -68,7 +68,7 @@
     /// Pool name.
     pub name: Name,
     /// Whether its workers reject tasks that exceed their capacity.
-    pub guarded: bool,
+    pub rejects_overload: bool,
     /// Whether its instances are switched off.
     pub standby: bool,
 }
@@ -246,7 +246,7 @@
     fn submission(&self, body: &[u8]) -> Result<Job, String>;
 
     /// Returns how long the caller waits for a response, if its headers specify it.
-    fn patience(&self, headers: &http::HeaderMap) -> Option<Duration>;
+    fn request_timeout(&self, headers: &http::HeaderMap) -> Option<Duration>;
 
     /// Encodes a job's state.
     fn state(&self, state: State) -> Bytes;
--- a/tests/site/bed/mod.rs
+++ b/tests/site/bed/mod.rs
@@ -55,7 +55,7 @@
         Ok(job)
     }
 
-    fn patience(&self, _headers: &HeaderMap) -> Option<Duration> {
+    fn request_timeout(&self, _headers: &HeaderMap) -> Option<Duration> {
         None
     }
 
--- a/tests/site/bed/shapes.rs
+++ b/tests/site/bed/shapes.rs
@@ -8,7 +8,7 @@
 pub(crate) fn configuration(number: u64, pool: &str) -> Configuration {
     let pools = [POOL, OTHER].map(|name| Pool {
         name: name.into(),
-        guarded: true,
+        rejects_overload: true,
         standby: false,
     });
     Configuration {
@@ -38,7 +38,7 @@
 pub(crate) fn with_standby(mut configuration: Configuration) -> Configuration {
     configuration.pools.push(Pool {
         name: STANDBY.into(),
-        guarded: true,
+        rejects_overload: true,
         standby: true,
     });
     configuration
