--- a/crates/owner/src/follow.rs
+++ b/crates/owner/src/follow.rs
@@ -143,7 +143,7 @@
                     sleep_until(begin + rhythm.pace).await;
                 }
             }
-            Ok(Feed::Lost) => {
+            Ok(Feed::Compacted) => {
                 log::warn!(feed = health.name, after = next; "history was lost; reading the whole");
                 return next;
             }
--- a/crates/platform/src/rows.rs
+++ b/crates/platform/src/rows.rs
@@ -99,7 +99,7 @@
         complete: bool,
     },
     /// The requested history is no longer retained: the whole table must be read again.
-    Lost,
+    Compacted,
 }
 
 /// The partitioned table.
--- a/crates/standin/src/site/caller/site.rs
+++ b/crates/standin/src/site/caller/site.rs
@@ -231,7 +231,7 @@
 /// Changes after a version; none yet if there are none.
 fn since<T: Clone>(state: &State, all: &[(Version, T)], after: Version) -> Option<Feed<T>> {
     if after < state.store.floor() {
-        return Some(Feed::Lost);
+        return Some(Feed::Compacted);
     }
     let newer = all.iter().filter(|(version, _item)| *version > after);
     let items: Vec<T> = newer.map(|(_version, item)| item.clone()).collect();
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -94,7 +94,7 @@
     /// Changes of `table` after a version; none yet if there are none.
     pub(crate) fn feed(&self, table: &str, after: Version) -> Option<Feed<Row>> {
         if after < self.floor {
-            return Some(Feed::Lost);
+            return Some(Feed::Compacted);
         }
         let changes = self.history.iter();
         let changes = changes.filter(|row| &*row.place.table == table && row.version > after);
