--- a/crates/owner/src/lease.rs
+++ b/crates/owner/src/lease.rs
@@ -5,7 +5,7 @@
 use primroseroute_backoff::Retry;
 use primroseroute_cell::{Limits, Millis, TakenIn};
 use primroseroute_domain::work::Name;
-use primroseroute_platform::worker::{Hold, Look, Seen, Target, Workers};
+use primroseroute_platform::worker::{LeaseRenewal, Look, PollOutcome, Target, Workers};
 use std::{
     collections::{BTreeMap, VecDeque},
     sync::Arc,
@@ -105,13 +105,13 @@
         let mut answers = false;
         loop {
             let (answer, renews) = self.look(answers).await;
-            let answered = matches!(answer, Some(Seen::Look(_)));
+            let answered = matches!(answer, Some(PollOutcome::Status(_)));
             if answers && !answered {
                 self.fence.raise();
             }
             answers = answered;
             match answer {
-                Some(Seen::Look(look)) => {
+                Some(PollOutcome::Status(look)) => {
                     retry.reset();
                     let newest = look.ended.last().map(|ended| ended.number);
                     match newest {
@@ -121,12 +121,12 @@
                         None => {}
                     }
                 }
-                Some(Seen::Gone) => {
+                Some(PollOutcome::Gone) => {
                     let worker = Name::clone(&self.target.id);
                     self.send(Event::Replaced(worker));
                     return;
                 }
-                Some(Seen::Refused(refusal)) => {
+                Some(PollOutcome::Refused(refusal)) => {
                     log::debug!(worker = &*self.target.id, refusal:? = refusal; "look refused");
                     retry.sleep().await;
                 }
@@ -143,7 +143,7 @@
 
     /// Looks once, and renews the lease if `renew` says so and the worker's clock is known; the
     /// answer, and whether it renewed.
-    async fn look(&mut self, renew: bool) -> (Option<Seen>, bool) {
+    async fn look(&mut self, renew: bool) -> (Option<PollOutcome>, bool) {
         let confirmed = *self.confirmed.borrow();
         let lease = self.limits.lease;
         let reading = self.readings.at(confirmed).filter(|_clock| renew);
@@ -155,10 +155,10 @@
                 lapses_at: confirmed + self.limits.stretched(lease),
             });
         }
-        let hold = Hold {
+        let hold = LeaseRenewal {
             deadline_ms: deadline,
             token: self.fence.token(),
-            seen: self.committed(renew),
+            acknowledged: self.committed(renew),
             wait: if deadline.is_some() {
                 WAIT
             } else {
@@ -166,8 +166,8 @@
             },
         };
         let sent_at = self.clock.now();
-        let answer = match self.workers.hold(&self.target, hold).await {
-            Ok(Seen::Look(look)) => {
+        let answer = match self.workers.renew(&self.target, hold).await {
+            Ok(PollOutcome::Status(look)) => {
                 let now = self.clock.now();
                 self.answered(look.born, now);
                 self.readings.add(look.clock_ms, now);
@@ -177,7 +177,7 @@
                     sent_at,
                     at: now,
                 });
-                Some(Seen::Look(look))
+                Some(PollOutcome::Status(look))
             }
             Ok(other) => Some(other),
             Err(error) => {
@@ -248,15 +248,15 @@
         // A look that was sent in the millisecond of the stop's answer may have been sent before it.
         sleep(NEXT).await;
         let sent_at = self.clock.now();
-        let hold = Hold {
+        let hold = LeaseRenewal {
             deadline_ms: None,
             token: self.fence.token(),
-            seen: 0,
+            acknowledged: 0,
             wait: Duration::ZERO,
         };
         let worker = Name::clone(&self.target.id);
-        let look = match self.workers.hold(&self.target, hold).await {
-            Ok(Seen::Look(look)) => look,
+        let look = match self.workers.renew(&self.target, hold).await {
+            Ok(PollOutcome::Status(look)) => look,
             other => {
                 log::debug!(worker = &*worker, answer:? = other; "glance failed");
                 return;
--- a/crates/owner/src/send.rs
+++ b/crates/owner/src/send.rs
@@ -134,7 +134,7 @@
             } => {
                 let answer =
                     self.workers
-                        .pace(&self.target, &task, run, percent, self.fence.token());
+                        .throttle(&self.target, &task, run, percent, self.fence.token());
                 self.note("pace", &task, run, answer.await);
             }
         }
--- a/crates/platform/src/worker.rs
+++ b/crates/platform/src/worker.rs
@@ -36,13 +36,13 @@
 
 /// Lease renewal for everything that runs on a worker, combined with a status poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Hold {
+pub struct LeaseRenewal {
     /// New expiry of the lease on the worker's clock, in milliseconds; `None` to poll without a renewal.
     pub deadline_ms: Option<u64>,
     /// Fencing token of the sender.
     pub token: u64,
     /// Ended runs up to this number are acknowledged: they are durable here and the worker may discard them.
-    pub seen: u64,
+    pub acknowledged: u64,
     /// How long the worker may delay its response until a run ends.
     pub wait: Duration,
 }
@@ -123,9 +123,9 @@
 
 /// Outcome of a lease renewal and status poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum PollOutcome {
     /// The worker's status.
-    Look(Look),
+    Status(Look),
     /// The worker rejected the call.
     Refused(Refusal),
     /// Another incarnation answers at this address: the target no longer exists.
@@ -157,13 +157,13 @@
     ///
     /// # Errors
     /// [`Error::Unknown`] if the call may have been carried out, or may be later.
-    async fn hold(&self, target: &Target, hold: Hold) -> Result<Seen, Error>;
+    async fn renew(&self, target: &Target, renewal: LeaseRenewal) -> Result<PollOutcome, Error>;
 
     /// Limits a run to `percent` of its full speed.
     ///
     /// # Errors
     /// [`Error::Unknown`] if the call may have been carried out, or may be later.
-    async fn pace(
+    async fn throttle(
         &self,
         target: &Target,
         task: &TaskId,
--- a/crates/serve/src/metered.rs
+++ b/crates/serve/src/metered.rs
@@ -7,7 +7,7 @@
 use primroseroute_platform::{
     Error,
     rows::{Commit, Feed, Page, Range, Row, Rows, Txn, Version},
-    worker::{Answer, Hold, Seen, Start, Target, Workers},
+    worker::{Answer, LeaseRenewal, PollOutcome, Start, Target, Workers},
 };
 use primroseroute_telemetry::site::Meter;
 use std::{sync::Arc, time::Duration};
@@ -139,11 +139,11 @@
             .await
     }
 
-    async fn hold(&self, target: &Target, hold: Hold) -> Result<Seen, Error> {
-        self.timed("look", self.inner.hold(target, hold)).await
+    async fn renew(&self, target: &Target, renewal: LeaseRenewal) -> Result<PollOutcome, Error> {
+        self.timed("look", self.inner.renew(target, renewal)).await
     }
 
-    async fn pace(
+    async fn throttle(
         &self,
         target: &Target,
         task: &TaskId,
@@ -151,7 +151,7 @@
         percent: u32,
         token: u64,
     ) -> Result<Answer, Error> {
-        let pace = self.inner.pace(target, task, run, percent, token);
+        let pace = self.inner.throttle(target, task, run, percent, token);
         self.timed("pace", pace).await
     }
 }
--- a/crates/standin/src/site/caller/workers.rs
+++ b/crates/standin/src/site/caller/workers.rs
@@ -11,7 +11,7 @@
 use primroseroute_platform::{
     Error,
     advice::{Advice, Advisor},
-    worker::{Answer, Hold, Refusal, Seen, Start, Target, Workers},
+    worker::{Answer, LeaseRenewal, PollOutcome, Refusal, Start, Target, Workers},
 };
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
@@ -102,7 +102,7 @@
         self.order(target, Conduct::late_stop, order).await
     }
 
-    async fn hold(&self, target: &Target, hold: Hold) -> Result<Seen, Error> {
+    async fn renew(&self, target: &Target, renewal: LeaseRenewal) -> Result<PollOutcome, Error> {
         self.to_worker(target).await?;
         let id = Name::clone(&target.id);
         let longest = millis(self.shared.options.longest_lease);
@@ -112,14 +112,14 @@
             } = state;
             let worker = workers.get_mut(&id)?;
             let born = worker.info.born;
-            Some((worker.renew(&hold, longest, now, journal), born))
+            Some((worker.renew(&renewal, longest, now, journal), born))
         });
         let born = match renewed {
-            None => return Ok(Seen::Gone),
-            Some((false, _born)) => return Ok(Seen::Refused(Refusal::Fenced)),
+            None => return Ok(PollOutcome::Gone),
+            Some((false, _born)) => return Ok(PollOutcome::Refused(Refusal::Fenced)),
             Some((true, born)) => born,
         };
-        let until = Instant::now() + hold.wait;
+        let until = Instant::now() + renewal.wait;
         loop {
             let (news, next) = self.shared.change(|state, _now| {
                 let worker = &state.workers[&id];
@@ -149,10 +149,10 @@
             return Err(Error::Unknown("no answer".into()));
         }
         self.back().await;
-        Ok(Seen::Look(look))
+        Ok(PollOutcome::Status(look))
     }
 
-    async fn pace(
+    async fn throttle(
         &self,
         target: &Target,
         _task: &TaskId,
--- a/crates/standin/src/site/worker.rs
+++ b/crates/standin/src/site/worker.rs
@@ -8,7 +8,7 @@
 use primroseroute_domain::work::{End, Name, TaskId};
 use primroseroute_platform::{
     site,
-    worker::{Answer, Ended, Hold, Look, Refusal, Running, Start},
+    worker::{Answer, Ended, LeaseRenewal, Look, Refusal, Running, Start},
 };
 use std::{collections::BTreeMap, fmt};
 
@@ -341,7 +341,7 @@
     /// Takes in a renewal; whether it was accepted.
     pub(crate) fn renew(
         &mut self,
-        hold: &Hold,
+        hold: &LeaseRenewal,
         longest: u64,
         now: u64,
         journal: &mut Journal,
@@ -360,12 +360,12 @@
             self.extend(deadline, longest, now);
         }
         let before = self.ended.len();
-        self.ended.retain(|ended| ended.number > hold.seen);
+        self.ended.retain(|ended| ended.number > hold.acknowledged);
         if self.ended.len() < before {
             journal.add(Event::Noted {
                 at: now,
                 worker: Name::clone(&self.info.id),
-                number: hold.seen,
+                number: hold.acknowledged,
             });
         }
         true
