--- a/crates/cell/benches/turn.rs
+++ b/crates/cell/benches/turn.rs
@@ -6,7 +6,7 @@
 use fixture::join;
 use primroseroute_cell::{Cell, Limits, Order, Outcome, row::Accepted};
 use primroseroute_domain::work::{Demand, End, Job, JobId, Name, Step, TaskId};
-use primroseroute_platform::worker::{Ended, Look, Running};
+use primroseroute_platform::worker::{Ended, Running, WorkerStatus};
 use std::collections::BTreeMap;
 
 /// Workers of a large pool of today, and of one that its neighbours have lent theirs.
@@ -51,7 +51,7 @@
         }
     }
 
-    fn look(&self, now: u64) -> Look {
+    fn look(&self, now: u64) -> WorkerStatus {
         let running = self.running.iter().map(|(task, (run, _ends))| Running {
             task: task.clone(),
             run: *run,
@@ -59,7 +59,7 @@
             percent: 50,
             load: 0,
         });
-        Look {
+        WorkerStatus {
             born: 1,
             clock_ms: now,
             running: running.collect(),
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -12,7 +12,7 @@
     worker::{Known, Origin, Run, Stop, Worker},
 };
 use primroseroute_domain::work::{JobId, Name, State, Step, StepId, TaskId};
-use primroseroute_platform::worker::{Ended, Look, Refusal};
+use primroseroute_platform::worker::{Ended, Refusal, WorkerStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A pool's jobs and workers, as their owner knows them.
@@ -223,7 +223,11 @@
     }
 
     /// The ends of a look that weren't taken in before.
-    pub fn news<'a>(&self, worker: &Name, look: &'a Look) -> impl Iterator<Item = &'a Ended> {
+    pub fn news<'a>(
+        &self,
+        worker: &Name,
+        look: &'a WorkerStatus,
+    ) -> impl Iterator<Item = &'a Ended> {
         let worker = self.workers.get(worker);
         let of_this_life = worker.filter(|worker| worker.born == look.born);
         let seen = of_this_life.map_or(0, |worker| worker.seen);
@@ -231,7 +235,14 @@
     }
 
     /// Takes in a look that was asked for at `sent_at` and came at `now`.
-    pub fn look(&mut self, worker: &Name, look: &Look, sent_at: Millis, now: Millis, wall_ms: u64) {
+    pub fn look(
+        &mut self,
+        worker: &Name,
+        look: &WorkerStatus,
+        sent_at: Millis,
+        now: Millis,
+        wall_ms: u64,
+    ) {
         crate::look::take(self, worker, look, sent_at, now, wall_ms);
     }
 
--- a/crates/cell/src/life.rs
+++ b/crates/cell/src/life.rs
@@ -13,14 +13,14 @@
     worker::{Gone, Known, Origin, Stop},
 };
 use primroseroute_domain::work::{Name, TaskId};
-use primroseroute_platform::worker::Look;
+use primroseroute_platform::worker::WorkerStatus;
 use std::collections::BTreeSet;
 
 /// Takes in which life of a worker has answered a look; whether the look tells of the life that is known now.
 pub(crate) fn recognise(
     cell: &mut Cell,
     id: &Name,
-    look: &Look,
+    look: &WorkerStatus,
     sent_at: Millis,
     now: Millis,
     wall_ms: u64,
@@ -49,7 +49,7 @@
 /// crashed nothing. That mark comes round after some time, and a life that began after the takeover has nothing of a predecessor's. The
 /// other rows don't say it. What was accepted before this life began, and isn't there, was placed in an earlier one, but for a start that its
 /// predecessor didn't come to send.
-fn lose_found(cell: &mut Cell, id: &Name, look: &Look, now: Millis, wall_ms: u64) {
+fn lose_found(cell: &mut Cell, id: &Name, look: &WorkerStatus, now: Millis, wall_ms: u64) {
     let (jobs, Some(worker)) = (&cell.jobs, cell.workers.get(id)) else {
         return;
     };
@@ -72,7 +72,14 @@
 }
 
 /// Begins the next life of a worker: what ran in the one before is lost.
-fn begin(cell: &mut Cell, id: &Name, look: &Look, sent_at: Millis, now: Millis, wall_ms: u64) {
+fn begin(
+    cell: &mut Cell,
+    id: &Name,
+    look: &WorkerStatus,
+    sent_at: Millis,
+    now: Millis,
+    wall_ms: u64,
+) {
     let limits = cell.limits;
     let Some(worker) = cell.workers.get_mut(id) else {
         return;
@@ -124,7 +131,7 @@
 }
 
 /// The runs that a look tells of.
-fn shown(look: &Look) -> BTreeSet<(&TaskId, u32)> {
+fn shown(look: &WorkerStatus) -> BTreeSet<(&TaskId, u32)> {
     let running = look
         .running
         .iter()
--- a/crates/cell/src/look.rs
+++ b/crates/cell/src/look.rs
@@ -10,7 +10,7 @@
     worker::{Known, Origin, Run, Stop},
 };
 use primroseroute_domain::work::{End, Name, State, Step, TaskId};
-use primroseroute_platform::worker::{Ended, Look, Running};
+use primroseroute_platform::worker::{Ended, Running, WorkerStatus};
 use std::collections::BTreeMap;
 
 /// Most ends that one look lists: with so many, others may be missing from it.
@@ -19,7 +19,7 @@
 pub(crate) fn take(
     cell: &mut Cell,
     id: &Name,
-    look: &Look,
+    look: &WorkerStatus,
     sent_at: Millis,
     now: Millis,
     wall_ms: u64,
--- a/crates/cell/tests/all/bed.rs
+++ b/crates/cell/tests/all/bed.rs
@@ -8,7 +8,7 @@
 use primroseroute_domain::work::{Demand, End, Job, JobId, Name, Step, TaskId};
 use primroseroute_platform::{
     site::Worker,
-    worker::{Ended, Look, Running},
+    worker::{Ended, Running, WorkerStatus},
 };
 use std::collections::BTreeMap;
 
@@ -231,7 +231,7 @@
             percent: *percent,
             load: self.tails.get(task).copied().unwrap_or(0),
         });
-        let look = Look {
+        let look = WorkerStatus {
             born: 1,
             clock_ms: self.now,
             running: running.collect(),
--- a/crates/cell/tests/all/ends.rs
+++ b/crates/cell/tests/all/ends.rs
@@ -6,7 +6,7 @@
 };
 use primroseroute_cell::{Cell, Limits, Order, Outcome, row::Progress};
 use primroseroute_domain::work::{End, Name, State, TaskId};
-use primroseroute_platform::worker::{Ended, Look};
+use primroseroute_platform::worker::{Ended, WorkerStatus};
 
 cases! {
     job_fails_after_its_attempts => fails();
@@ -60,7 +60,7 @@
         objective_ms: 1_000,
     };
     successor.restore(id.clone(), accepted, progress);
-    let look = Look {
+    let look = WorkerStatus {
         born: 1,
         clock_ms: 1,
         running: Vec::new(),
--- a/crates/cell/tests/all/life.rs
+++ b/crates/cell/tests/all/life.rs
@@ -6,7 +6,7 @@
 };
 use primroseroute_cell::{Cause, Order, Outcome, Purpose, TakenIn, Tick, row::Life};
 use primroseroute_domain::work::{End, JobId, Name};
-use primroseroute_platform::worker::{Ended, Look, Running};
+use primroseroute_platform::worker::{Ended, Running, WorkerStatus};
 
 cases! {
     /// Ends of a next life that are taken for old ones.
@@ -53,16 +53,16 @@
 }
 
 /// A look that the life of `born` answers, with nothing in it.
-fn look(born: u64) -> Look {
-    Look {
+fn look(born: u64) -> WorkerStatus {
+    WorkerStatus {
         born,
-        ..Look::default()
+        ..WorkerStatus::default()
     }
 }
 
 /// A look that the next life answers, with the first run of a job's first task.
-fn at_work(id: &JobId, percent: u32) -> Look {
-    Look {
+fn at_work(id: &JobId, percent: u32) -> WorkerStatus {
+    WorkerStatus {
         running: vec![Running {
             task: task(id, 0, 0),
             run: 1,
@@ -74,7 +74,7 @@
     }
 }
 
-fn take(bed: &mut Bed, look: &Look) {
+fn take(bed: &mut Bed, look: &WorkerStatus) {
     let now = bed.now;
     bed.cell.look(&worker(), look, now, now, WALL + now);
 }
@@ -115,7 +115,7 @@
     let id = bed.accept(job(vec![step(1, 1_000)]));
     assert_eq!(starts(&bed.round().orders).len(), 1);
     bed.now += 100;
-    let ended = Look {
+    let ended = WorkerStatus {
         ended: vec![end(&id, 1, 1)],
         ..look(NEXT)
     };
--- a/crates/cell/tests/all/pace.rs
+++ b/crates/cell/tests/all/pace.rs
@@ -6,7 +6,7 @@
 };
 use primroseroute_cell::Order;
 use primroseroute_domain::work::Step;
-use primroseroute_platform::worker::{Look, Running};
+use primroseroute_platform::worker::{Running, WorkerStatus};
 
 cases! {
     filler_is_slowed_before_the_target_and_sped_up_again => slowed();
@@ -37,7 +37,7 @@
             percent: 100,
             load,
         };
-        let look = Look {
+        let look = WorkerStatus {
             born: 1,
             clock_ms: bed.now,
             running: vec![running(&serving, tail), running(&filler, 500)],
--- a/crates/owner/src/event.rs
+++ b/crates/owner/src/event.rs
@@ -3,7 +3,7 @@
 use crate::load::Jobs;
 use primroseroute_cell::{Millis, Outcome, Purpose, Question};
 use primroseroute_domain::work::{JobId, Name, TaskId};
-use primroseroute_platform::worker::Look;
+use primroseroute_platform::worker::WorkerStatus;
 use std::collections::BTreeMap;
 
 /// What a pool's loop is told.
@@ -19,7 +19,7 @@
     },
     Look {
         worker: Name,
-        look: Look,
+        look: WorkerStatus,
         sent_at: Millis,
         at: Millis,
     },
--- a/crates/owner/src/lease.rs
+++ b/crates/owner/src/lease.rs
@@ -5,7 +5,7 @@
 use primroseroute_backoff::Retry;
 use primroseroute_cell::{Limits, Millis, TakenIn};
 use primroseroute_domain::work::Name;
-use primroseroute_platform::worker::{LeaseRenewal, Look, PollOutcome, Target, Workers};
+use primroseroute_platform::worker::{LeaseRenewal, PollOutcome, Target, WorkerStatus, Workers};
 use std::{
     collections::{BTreeMap, VecDeque},
     sync::Arc,
@@ -173,7 +173,7 @@
                 self.readings.add(look.clock_ms, now);
                 self.send(Event::Look {
                     worker: Name::clone(&self.target.id),
-                    look: Look::clone(&look),
+                    look: WorkerStatus::clone(&look),
                     sent_at,
                     at: now,
                 });
--- a/crates/platform/src/worker.rs
+++ b/crates/platform/src/worker.rs
@@ -80,7 +80,7 @@
 
 /// Status of a worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Look {
+pub struct WorkerStatus {
     /// Start time of this incarnation in Unix milliseconds by the worker's own clock; 0 if it reports none.
     pub born: u64,
     /// The worker's clock in milliseconds.
@@ -125,7 +125,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PollOutcome {
     /// The worker's status.
-    Status(Look),
+    Status(WorkerStatus),
     /// The worker rejected the call.
     Refused(Refusal),
     /// Another incarnation answers at this address: the target no longer exists.
--- a/crates/standin/src/site/worker.rs
+++ b/crates/standin/src/site/worker.rs
@@ -8,7 +8,7 @@
 use primroseroute_domain::work::{End, Name, TaskId};
 use primroseroute_platform::{
     site,
-    worker::{Answer, Ended, LeaseRenewal, Look, Refusal, Running, Start},
+    worker::{Answer, Ended, LeaseRenewal, Refusal, Running, Start, WorkerStatus},
 };
 use std::{collections::BTreeMap, fmt};
 
@@ -371,7 +371,7 @@
         true
     }
 
-    pub(crate) fn look(&self, now: u64) -> Look {
+    pub(crate) fn look(&self, now: u64) -> WorkerStatus {
         let running = self.runs.iter().map(|(task, run)| Running {
             task: task.clone(),
             run: run.run,
@@ -379,7 +379,7 @@
             percent: percent(run, now),
             load: 0,
         });
-        Look {
+        WorkerStatus {
             born: self.info.born,
             clock_ms: self.clock(now),
             running: running.collect(),
