--- a/crates/platform/src/advice.rs
+++ b/crates/platform/src/advice.rs
@@ -6,7 +6,7 @@
 use std::{collections::BTreeMap, fmt, time::Duration};
 
 /// Maximum number of workers in one request.
-pub const MOST_WORKERS: usize = 100;
+pub const MAX_WORKERS: usize = 100;
 
 /// A response of the advice service.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
 /// Client of the advice service.
 #[async_trait]
 pub trait Advisor: Send + Sync + fmt::Debug {
-    /// Asks which of `workers`, at most [`MOST_WORKERS`], may run the tasks of `step`.
+    /// Asks which of `workers`, at most [`MAX_WORKERS`], may run the tasks of `step`.
     ///
     /// # Errors
     /// Any [`Error`]; the call has no side effects.
--- a/crates/serve/src/site.rs
+++ b/crates/serve/src/site.rs
@@ -8,7 +8,7 @@
 use eyre::{Result, WrapErr};
 use log::{LevelFilter, info, warn};
 use primroseroute_adapter::{
-    Advisor, Client, Current, Json, Settings, Site, Store, Workers, settings,
+    Advisor, Client, Json, LiveSetting, Settings, Site, Store, Workers, settings,
 };
 use primroseroute_backoff::{self as backoff, Backoff};
 use primroseroute_cell::Limits;
@@ -94,9 +94,9 @@
 /// Settings that are in force while the entry runs.
 #[derive(Clone, Debug)]
 struct Live {
-    store: Current<SocketAddr>,
-    instances: Current<SocketAddr>,
-    advice: Current<Option<SocketAddr>>,
+    store: LiveSetting<SocketAddr>,
+    instances: LiveSetting<SocketAddr>,
+    advice: LiveSetting<Option<SocketAddr>>,
     bounds: watch::Sender<Bounds>,
 }
 
@@ -237,7 +237,7 @@
 
 fn limits(settings: &Settings) -> Limits {
     let millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-    Limits::new(millis(settings.longest_lease), millis(settings.keep_states))
+    Limits::new(millis(settings.max_lease), millis(settings.state_retention))
 }
 
 /// How often the settings file is read for changes that no signal tells of.
