--- a/crates/backoff/src/retry.rs
+++ b/crates/backoff/src/retry.rs
@@ -1,4 +1,4 @@
-//! Pauses between tries of one caller.
+//! Exponential backoff for the attempts of one caller.
 
 use rand::RngExt;
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng};
@@ -8,57 +8,55 @@
 };
 use tokio::time::sleep;
 
-/// Doublings after which the longest pause always decides.
+/// Number of doublings after which the delay no longer grows.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// The pause after `failures` failed tries in a row: doubling from `first`, at most `longest`, with half jitter.
+/// Returns the delay after `failures` consecutive failures: doubled from `initial`, capped at `max`, with equal jitter.
 ///
-/// `unit` is uniform over 0 to 1.
-pub fn pause(first: Duration, longest: Duration, failures: u32, unit: f64) -> Duration {
-    let doubled = first.saturating_mul(1 << failures.min(MAX_DOUBLINGS));
-    doubled
-        .min(longest)
-        .mul_f64(0.5 + unit.clamp(0.0, 1.0) / 2.0)
+/// `unit` is a random number that is uniform over 0 to 1.
+pub fn backoff_delay(initial: Duration, max: Duration, failures: u32, unit: f64) -> Duration {
+    let doubled = initial.saturating_mul(1 << failures.min(MAX_DOUBLINGS));
+    doubled.min(max).mul_f64(0.5 + unit.clamp(0.0, 1.0) / 2.0)
 }
 
-/// The failed tries in a row of one caller.
+/// Exponential backoff state of one caller.
 #[derive(Clone, Debug)]
 pub struct Retry {
-    first: Duration,
-    longest: Duration,
+    initial: Duration,
+    max: Duration,
     failures: u32,
     rng: ChaCha8Rng,
 }
 
 impl Retry {
-    /// A caller that hasn't failed yet, with pauses from `first` to `longest`. `seed` is the source of the jitter, and differs from one
-    /// caller to the next.
-    pub fn new(first: Duration, longest: Duration, seed: impl Hash) -> Self {
+    /// Creates a backoff with delays from `initial` to `max` and no failures so far. `seed` seeds the jitter and must differ between
+    /// callers.
+    pub fn new(initial: Duration, max: Duration, seed: impl Hash) -> Self {
         let mut hasher = DefaultHasher::new();
         seed.hash(&mut hasher);
         Self {
-            first,
-            longest,
+            initial,
+            max,
             failures: 0,
             rng: ChaCha8Rng::seed_from_u64(hasher.finish()),
         }
     }
 
-    /// The pause after one more failure.
-    pub fn failed(&mut self) -> Duration {
-        let pause = pause(self.first, self.longest, self.failures, self.rng.random());
+    /// Records a failure and returns the delay before the next attempt.
+    pub fn next_delay(&mut self) -> Duration {
+        let delay = backoff_delay(self.initial, self.max, self.failures, self.rng.random());
         self.failures = self.failures.saturating_add(1);
-        pause
+        delay
     }
 
-    /// Waits after one more failure.
-    pub async fn wait(&mut self) {
-        let pause = self.failed();
-        sleep(pause).await;
+    /// Records a failure and sleeps until the next attempt is due.
+    pub async fn sleep(&mut self) {
+        let delay = self.next_delay();
+        sleep(delay).await;
     }
 
-    /// Takes in that a try has succeeded.
-    pub fn succeeded(&mut self) {
+    /// Resets the backoff after a successful attempt.
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 }
--- a/crates/owner/src/follow.rs
+++ b/crates/owner/src/follow.rs
@@ -98,7 +98,7 @@
             Err(error) => {
                 health.failed(&error);
                 sink.interrupted();
-                health.retry.wait().await;
+                health.retry.sleep().await;
                 continue;
             }
         };
@@ -143,14 +143,14 @@
                     sleep_until(begin + rhythm.pace).await;
                 }
             }
-            Ok(Feed::Lost) => {
+            Ok(Feed::Compacted) => {
                 log::warn!(feed = health.name, after = next; "history was lost; reading the whole");
                 return next;
             }
             Err(error) => {
                 health.failed(&error);
                 sink.interrupted();
-                health.retry.wait().await;
+                health.retry.sleep().await;
                 // What changed meanwhile is behind by that much already.
                 wait = Duration::ZERO;
                 let due = rhythm.read_after;
@@ -224,7 +224,7 @@
     }
 
     fn good(&mut self) {
-        self.retry.succeeded();
+        self.retry.reset();
         if std::mem::take(&mut self.failing) {
             log::info!(feed = self.name; "the feed is back");
         }
