--- a/crates/flow/src/estimate.rs
+++ b/crates/flow/src/estimate.rs
@@ -1,35 +1,35 @@
-//! How long service takes: moving means and deviations for each service and for the pool.
+//! Service time estimates: moving averages and deviations per service and for the whole pool.
 
 use primroseroute_domain::id;
 use std::{collections::BTreeMap, time::Duration};
 
-/// Weight of a new sample: the mean follows a change within about 20 requests.
-const WEIGHT: f64 = 0.05;
+/// Smoothing factor: the average follows a change within about 20 samples.
+const SMOOTHING: f64 = 0.05;
 
-/// A moving mean in seconds; none before the first sample.
+/// Exponentially weighted moving average in seconds; `None` before the first sample.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Mean(Option<f64>);
 
 impl Mean {
-    /// Takes a sample in.
+    /// Adds a sample.
     pub fn add(&mut self, sample: Duration) {
         let seconds = sample.as_secs_f64();
         let mean = self.0.get_or_insert(seconds);
-        *mean += WEIGHT * (seconds - *mean);
+        *mean += SMOOTHING * (seconds - *mean);
     }
 
-    /// The mean in seconds, or zero before the first sample.
+    /// The average in seconds, or zero before the first sample.
     pub fn seconds(self) -> f64 {
         self.0.unwrap_or(0.0)
     }
 
-    /// Whether there was a sample.
+    /// Whether there is at least one sample.
     pub fn is_known(self) -> bool {
         self.0.is_some()
     }
 }
 
-/// A moving mean and the mean deviation from it.
+/// Moving average of a service time and of its deviation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Spread {
     mean: Mean,
@@ -38,23 +38,23 @@
 
 impl Spread {
     fn add(&mut self, sample: Duration) {
-        let before = self.mean;
+        let previous = self.mean;
         self.mean.add(sample);
-        if before.is_known() {
-            let off = (sample.as_secs_f64() - before.seconds()).abs();
-            self.deviation.add(Duration::from_secs_f64(off));
+        if previous.is_known() {
+            let difference = (sample.as_secs_f64() - previous.seconds()).abs();
+            self.deviation.add(Duration::from_secs_f64(difference));
         }
     }
 
-    /// Seconds in which nearly every request is served.
+    /// Time in seconds within which nearly all requests complete.
     ///
-    /// Mean plus four deviations, as TCP sets its retransmission timer (Jacobson, "Congestion
-    /// Avoidance and Control", 1988): 2% of exponential service times are longer.
+    /// Mean plus four deviations, as in TCP's retransmission timer (Jacobson, "Congestion Avoidance
+    /// and Control", 1988): 2% of exponentially distributed service times are longer.
     pub fn most(self) -> f64 {
         self.mean.seconds() + 4.0 * self.deviation.seconds()
     }
 
-    /// Mean in seconds.
+    /// Average in seconds.
     pub fn mean(self) -> f64 {
         self.mean.seconds()
     }
@@ -68,7 +68,7 @@
 }
 
 impl Times {
-    /// Takes the latency of a good answer in.
+    /// Records the latency of a successful response.
     pub fn add(&mut self, service: &id::Service, latency: Duration) {
         self.pool.add(latency);
         if let Some(spread) = self.services.get_mut(service) {
@@ -80,17 +80,17 @@
         self.services.insert(service.clone(), spread);
     }
 
-    /// Takes in that an answer took longer than `elapsed`.
+    /// Records that a response took longer than `elapsed`.
     ///
-    /// Says something only where that is more than expected. If such answers did not count, a pool
-    /// that has become slower than all deadlines would be taken for as fast as it was.
+    /// Ignored unless `elapsed` exceeds the average. Without these samples, a pool that has become
+    /// slower than all deadlines would keep its earlier, lower estimate.
     pub fn add_longer(&mut self, service: &id::Service, elapsed: Duration) {
         if elapsed.as_secs_f64() > self.service(service).mean() {
             self.add(service, elapsed);
         }
     }
 
-    /// Service time of a service; the pool's for one without samples.
+    /// The service time of a service, or of the whole pool if the service has no samples.
     pub fn service(&self, service: &id::Service) -> Spread {
         self.services.get(service).copied().unwrap_or(self.pool)
     }
--- a/crates/flow/src/fair.rs
+++ b/crates/flow/src/fair.rs
@@ -1,51 +1,53 @@
-//! Fair queueing: whose request goes next.
+//! Fair queueing over accounts, classes and services.
 //!
-//! Over accounts it is start-time fair queueing (Goyal, Vin, Cheng: "Start-time Fair Queueing",
-//! SIGCOMM 1996): a request gets a start tag, the later of the virtual time and its account's last
-//! finish tag; its finish tag is the start tag plus its cost over the account's weight; the smallest
-//! start tag goes first and sets the virtual time. The cost is the expected service time, so that
-//! what is shared is time in slots, not the number of requests. An account that was idle cannot
-//! save up turns, and one that sends too much delays only itself.
+//! Accounts are scheduled by start-time fair queueing (Goyal, Vin, Cheng: "Start-time Fair Queueing",
+//! SIGCOMM 1996): a request's start tag is the later of the virtual time and its account's last
+//! finish tag; its finish tag is the start tag plus its cost divided by the account's weight; the
+//! smallest start tag is served first and sets the virtual time. The cost is the expected service
+//! time, so that slot time is shared, not the number of requests. An idle account accumulates no
+//! credit, and an account that sends too much delays only itself.
 //!
-//! Within an account urgent goes before deferrable, but every [`TURN`]th request is a deferrable
-//! one while any waits. Accounts come first and classes second: an account cannot get more than its
-//! share by calling its work urgent. Within a class services take turns, each first in, first out.
+//! Within an account urgent requests precede deferrable ones, but every [`TURN`]th request is a
+//! deferrable one while any is queued. Accounts come first and classes second, so an account cannot
+//! exceed its share by marking its requests urgent. Within a class, services are served round-robin,
+//! each first in, first out.
 
 use crate::rights::division::{Weights, weight};
 use primroseroute_domain::{account::Class, id};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// One request in so many is deferrable while both classes wait: reminders finish, slowly.
+/// One in this many requests is deferrable while both classes are queued, so that deferrable
+/// requests such as reminders still make progress.
 pub const TURN: u32 = 8;
 
-/// Smallest cost of a request in seconds, so that unmeasured requests take turns as well.
+/// Minimum cost of a request in seconds, so that accounts also alternate when nothing is measured.
 const MIN_COST: f64 = 1e-4;
 
-/// A request as the queue sees it.
+/// A queued request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Item {
-    /// The request.
+    /// Request number.
     pub request: u64,
-    /// The account that it is charged to.
+    /// Account that is charged.
     pub account: id::Account,
-    /// The service that it is for.
+    /// Requested service.
     pub service: id::Service,
-    /// How urgent it is.
+    /// Scheduling class.
     pub class: Class,
     /// Expected service time in seconds.
     pub cost: f64,
 }
 
-/// Requests of one class of one account.
+/// Queued requests of one class of one account.
 #[derive(Clone, Debug, Default)]
-struct Line {
+struct ClassQueue {
     services: BTreeMap<id::Service, VecDeque<Item>>,
-    last: Option<id::Service>,
+    last_service: Option<id::Service>,
     cost: f64,
     len: usize,
 }
 
-impl Line {
+impl ClassQueue {
     fn push(&mut self, item: Item, front: bool) {
         self.cost += item.cost;
         self.len += 1;
@@ -57,19 +59,21 @@
         }
     }
 
-    /// The first request of the service whose turn it is.
+    /// Removes the first request of the next service in round-robin order.
     fn pop(&mut self) -> Option<Item> {
         let next = self.next_service()?;
         let item = self.services.get_mut(&next)?.pop_front()?;
-        self.forget(&item);
-        self.last = Some(next);
+        self.update_totals(&item);
+        self.last_service = Some(next);
         Some(item)
     }
 
     fn next_service(&self) -> Option<id::Service> {
         use std::ops::Bound::{Excluded, Unbounded};
-        let after = self.last.as_ref().and_then(|last| {
-            let mut rest = self.services.range((Excluded(last.clone()), Unbounded));
+        let after = self.last_service.as_ref().and_then(|last_service| {
+            let mut rest = self
+                .services
+                .range((Excluded(last_service.clone()), Unbounded));
             rest.next().map(|(service, _)| service)
         });
         after.or_else(|| self.services.keys().next()).cloned()
@@ -79,13 +83,13 @@
         let queue = self.services.get_mut(service)?;
         let at = queue.iter().position(|item| item.request == request)?;
         let item = queue.remove(at)?;
-        self.forget(&item);
+        self.update_totals(&item);
         Some(item)
     }
 
-    fn forget(&mut self, item: &Item) {
+    fn update_totals(&mut self, item: &Item) {
         self.len -= 1;
-        // Sums of fractions drift; an empty line is exactly zero.
+        // Resets the rounding error of the floating-point sum.
         self.cost = if self.len == 0 {
             0.0
         } else {
@@ -105,21 +109,21 @@
     }
 }
 
-/// The requests of one account.
+/// Queued requests of one account.
 #[derive(Clone, Debug, Default)]
-struct Flow {
-    urgent: Line,
-    deferrable: Line,
-    /// Urgent requests that went ahead of a waiting deferrable one, in a row.
-    passed: u32,
-    /// Start tag of the next request, while any waits.
-    start: f64,
-    /// Finish tag of the last request that went.
-    finish: f64,
+struct AccountQueue {
+    urgent: ClassQueue,
+    deferrable: ClassQueue,
+    /// Consecutive urgent requests served while a deferrable one was queued.
+    urgent_streak: u32,
+    /// Start tag of the next request, while any is queued.
+    start_tag: f64,
+    /// Finish tag of the last request served.
+    finish_tag: f64,
 }
 
-impl Flow {
-    fn line(&mut self, class: Class) -> &mut Line {
+impl AccountQueue {
+    fn class_queue(&mut self, class: Class) -> &mut ClassQueue {
         match class {
             Class::Urgent => &mut self.urgent,
             Class::Deferrable => &mut self.deferrable,
@@ -131,13 +135,13 @@
     }
 
     fn pop(&mut self) -> Option<Item> {
-        let deferred_long = self.passed + 1 >= TURN && self.deferrable.len > 0;
-        if self.urgent.len == 0 || deferred_long {
-            self.passed = 0;
+        let is_deferrable_turn = self.urgent_streak + 1 >= TURN && self.deferrable.len > 0;
+        if self.urgent.len == 0 || is_deferrable_turn {
+            self.urgent_streak = 0;
             return self.deferrable.pop();
         }
-        self.passed = if self.deferrable.len > 0 {
-            self.passed + 1
+        self.urgent_streak = if self.deferrable.len > 0 {
+            self.urgent_streak + 1
         } else {
             0
         };
@@ -145,20 +149,20 @@
     }
 }
 
-/// The waiting requests of one pool.
+/// The queued requests of one pool.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    flows: BTreeMap<id::Account, Flow>,
+    accounts: BTreeMap<id::Account, AccountQueue>,
     weights: Weights,
-    /// Accounts with waiting requests by start tag; tags are not negative, so bits keep the order.
-    order: BTreeSet<(u64, id::Account)>,
-    time: f64,
+    /// Accounts with queued requests by start tag; tags are non-negative, so their bits sort alike.
+    by_start_tag: BTreeSet<(u64, id::Account)>,
+    virtual_time: f64,
     len: usize,
     cost: f64,
 }
 
 impl Queue {
-    /// Sets the weights of the accounts; an account that is missing has weight 1.
+    /// Sets the weights of the accounts; an absent account has weight 1.
     pub fn set_weights(&mut self, weights: Weights) {
         self.weights = weights;
     }
@@ -168,34 +172,34 @@
         weight(&self.weights, account)
     }
 
-    /// Number of waiting requests.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether no request waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Expected service time of all waiting requests in seconds.
+    /// Expected service time of all queued requests in seconds.
     pub fn cost(&self) -> f64 {
         self.cost
     }
 
-    /// Requests that `account` has waiting for `service`.
+    /// Number of requests of `account` queued for `service`.
     pub fn waiting(&self, account: &id::Account, service: &id::Service) -> usize {
-        self.flows.get(account).map_or(0, |flow| {
-            flow.urgent.waiting(service) + flow.deferrable.waiting(service)
+        self.accounts.get(account).map_or(0, |account_queue| {
+            account_queue.urgent.waiting(service) + account_queue.deferrable.waiting(service)
         })
     }
 
-    /// Adds a request at the end of its line.
+    /// Adds a request at the end of its queue.
     pub fn push(&mut self, item: Item) {
         self.insert(item, false);
     }
 
-    /// Puts a request that has waited before at the front of its line.
+    /// Returns a request that was queued before to the front of its queue.
     pub fn push_front(&mut self, item: Item) {
         self.insert(item, true);
     }
@@ -204,32 +208,33 @@
         item.cost = item.cost.max(MIN_COST);
         self.len += 1;
         self.cost += item.cost;
-        let flow = self.flows.entry(item.account.clone()).or_default();
-        if flow.is_empty() {
-            flow.start = self.time.max(flow.finish);
-            self.order
-                .insert((flow.start.to_bits(), item.account.clone()));
+        let account_queue = self.accounts.entry(item.account.clone()).or_default();
+        if account_queue.is_empty() {
+            account_queue.start_tag = self.virtual_time.max(account_queue.finish_tag);
+            self.by_start_tag
+                .insert((account_queue.start_tag.to_bits(), item.account.clone()));
         }
-        flow.line(item.class).push(item, front);
+        account_queue.class_queue(item.class).push(item, front);
     }
 
-    /// Takes the request whose turn it is.
+    /// Removes the next request in fair order.
     pub fn pop(&mut self) -> Option<Item> {
-        let (_, account) = self.order.pop_first()?;
+        let (_, account) = self.by_start_tag.pop_first()?;
         let weight = self.weight(&account);
-        let flow = self.flows.get_mut(&account)?;
-        let item = flow.pop()?;
-        self.time = flow.start;
-        flow.finish = flow.start + item.cost / weight;
-        flow.start = flow.finish;
-        if !flow.is_empty() {
-            self.order.insert((flow.start.to_bits(), account));
+        let account_queue = self.accounts.get_mut(&account)?;
+        let item = account_queue.pop()?;
+        self.virtual_time = account_queue.start_tag;
+        account_queue.finish_tag = account_queue.start_tag + item.cost / weight;
+        account_queue.start_tag = account_queue.finish_tag;
+        if !account_queue.is_empty() {
+            self.by_start_tag
+                .insert((account_queue.start_tag.to_bits(), account));
         }
-        self.forget(&item);
+        self.update_totals(&item);
         Some(item)
     }
 
-    /// Takes out a request that is not to be sent; its account is not charged.
+    /// Removes a request that will not be sent; its account is not charged.
     pub fn remove(
         &mut self,
         account: &id::Account,
@@ -237,38 +242,39 @@
         class: Class,
         request: u64,
     ) -> Option<Item> {
-        let flow = self.flows.get_mut(account)?;
-        let item = flow.line(class).remove(service, request)?;
-        if flow.is_empty() {
-            self.order.remove(&(flow.start.to_bits(), account.clone()));
+        let account_queue = self.accounts.get_mut(account)?;
+        let item = account_queue.class_queue(class).remove(service, request)?;
+        if account_queue.is_empty() {
+            self.by_start_tag
+                .remove(&(account_queue.start_tag.to_bits(), account.clone()));
         }
-        self.forget(&item);
+        self.update_totals(&item);
         Some(item)
     }
 
-    fn forget(&mut self, item: &Item) {
+    fn update_totals(&mut self, item: &Item) {
         self.len -= 1;
         self.cost = (self.cost - item.cost).max(0.0);
         if self.len == 0 {
-            self.settle();
+            self.start_busy_period();
         }
     }
 
-    /// Starts a new busy period: with nothing waiting, virtual time passes every finish tag.
-    fn settle(&mut self) {
-        let finish = |time: f64, flow: &Flow| time.max(flow.finish);
-        self.time = self.flows.values().fold(self.time, finish);
+    /// Starts a new busy period: with an empty queue, virtual time advances to the last finish tag.
+    fn start_busy_period(&mut self) {
+        let latest = |tag: f64, account: &AccountQueue| tag.max(account.finish_tag);
+        self.virtual_time = self.accounts.values().fold(self.virtual_time, latest);
         self.cost = 0.0;
-        self.flows.clear();
+        self.accounts.clear();
     }
 
-    /// Seconds that a new request would wait while its account has `rate` slots at work.
+    /// Expected wait of a new request in seconds while `rate` slots serve its account.
     pub fn wait(&self, account: &id::Account, class: Class, rate: f64) -> f64 {
-        let Some(flow) = self.flows.get(account) else {
+        let Some(account_queue) = self.accounts.get(account) else {
             return 0.0;
         };
-        let urgent = flow.urgent.cost * f64::from(TURN) / f64::from(TURN - 1);
-        let all = flow.urgent.cost + flow.deferrable.cost;
+        let urgent = account_queue.urgent.cost * f64::from(TURN) / f64::from(TURN - 1);
+        let all = account_queue.urgent.cost + account_queue.deferrable.cost;
         let ahead = match class {
             Class::Urgent => urgent.min(all),
             Class::Deferrable => all,
@@ -276,10 +282,10 @@
         ahead / rate
     }
 
-    /// The account's part of the weights of all accounts that have requests waiting.
+    /// The account's fraction of the total weight of all accounts with queued requests.
     pub fn part(&self, account: &id::Account) -> f64 {
         let own = self.weight(account);
-        let others = self.order.iter().map(|(_, other)| other);
+        let others = self.by_start_tag.iter().map(|(_, other)| other);
         let others = others.filter(|other| *other != account);
         own / (own + others.map(|other| self.weight(other)).sum::<f64>())
     }
--- a/crates/flow/src/health.rs
+++ b/crates/flow/src/health.rs
@@ -1,111 +1,114 @@
-//! Whether a worker is fit to get requests.
+//! Outlier detection: ejects failing or slow workers and readmits them after a probe.
 //!
-//! Three signs of a failing worker, as in Envoy's outlier detection: failures in a row, a failure
-//! ratio above the pool's, and a mean latency of several times the pool's. An ejected worker gets
-//! nothing for a while, which doubles each time; then one probe request decides. The caller caps
-//! how many may be out at once: when much of a pool fails together, the fault is likely elsewhere,
-//! and ejecting more would press the load onto the few that are left.
+//! As in Envoy's outlier detection, a worker fails by consecutive failures, by a failure ratio above
+//! the pool's, or by a mean latency several times the pool's. An ejected worker receives no requests
+//! for a time that doubles with each ejection; then one probe request decides. The pool limits how
+//! many workers are ejected at once: when much of a pool fails together, the cause is likely
+//! elsewhere, and further ejections would overload the remaining workers.
 
 use crate::{estimate::Mean, limits::Limits};
 use std::time::Duration;
 
-/// Samples before a ratio or a mean says anything.
+/// Minimum samples before a ratio or an average is used.
 const MIN_SAMPLES: f64 = 20.0;
 
-/// Good answers that make up for one ejection; without it a worker that failed now and then over
-/// weeks would be out for the longest time at the next small fault.
-const FORGIVENESS: u32 = 100;
+/// Successes that offset one earlier ejection; otherwise a worker with occasional failures over
+/// weeks would be ejected for the maximum time at the next small fault.
+const SUCCESSES_PER_FORGIVEN_EJECTION: u32 = 100;
 
-/// What each new sample leaves of the weight of the old ones: half is left after 34.
+/// Factor by which each new sample reduces the weight of the earlier ones: half after 34 samples.
 const DECAY: f64 = 0.98;
 
-/// Whether requests may go to a worker.
+/// Whether a worker may receive requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Gate {
-    /// They may.
+    /// Any number of requests.
     #[default]
     Open,
-    /// One may, to see whether the worker has recovered.
+    /// A single request, to test whether the worker has recovered.
     Probe,
-    /// None may until then.
+    /// None until this time.
     Shut(Duration),
 }
 
-/// How one attempt went.
+/// Outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sample {
-    /// A good answer after this time.
+    /// A successful response with this latency.
     Good(Duration),
-    /// The worker's failure.
+    /// A failure of the worker.
     Bad,
 }
 
-/// Failures and attempts, older ones counting less.
+/// Exponentially decayed failure ratio.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ratio {
-    bad: f64,
-    all: f64,
+    failures: f64,
+    total: f64,
 }
 
 impl Ratio {
-    /// Takes an attempt in.
-    pub fn add(&mut self, is_bad: bool) {
-        self.bad = self.bad * DECAY + f64::from(u8::from(is_bad));
-        self.all = self.all * DECAY + 1.0;
+    /// Records an attempt.
+    pub fn add(&mut self, is_failure: bool) {
+        self.failures = self.failures * DECAY + f64::from(u8::from(is_failure));
+        self.total = self.total * DECAY + 1.0;
     }
 
-    /// The failure ratio, where there are enough attempts.
+    /// The failure ratio, if there are enough samples.
     pub fn value(&self) -> Option<f64> {
-        (self.all >= MIN_SAMPLES).then(|| self.bad / self.all)
+        (self.total >= MIN_SAMPLES).then(|| self.failures / self.total)
     }
 }
 
-/// What all workers of the pool do, to compare one with.
+/// Statistics over all workers of the pool, as the baseline for each worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Norm {
-    /// Failure ratio of the pool.
+    /// Failure ratio over all workers.
     pub ratio: Ratio,
-    /// Mean latency of the pool's good answers.
+    /// Average latency of successful responses.
     pub latency: Mean,
 }
 
-/// The record of one worker.
+/// Health record of one worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     gate: Gate,
     consecutive: u32,
     ratio: Ratio,
     latency: Mean,
-    answers: u32,
-    /// Ejections that good service has not made up for yet.
+    successes: u32,
+    /// Ejections not yet offset by successes.
     ejections: u32,
 }
 
 impl Health {
-    /// Whether requests may go to the worker.
+    /// Whether the worker may receive requests.
     pub fn gate(&self) -> Gate {
         self.gate
     }
 
-    /// Takes the end of an attempt in; true where the worker should be ejected.
+    /// Records an attempt; returns whether the worker should be ejected.
     pub fn add(&mut self, sample: Sample, norm: &Norm, limits: &Limits) -> bool {
         match sample {
-            Sample::Good(latency) => self.add_good(latency),
+            Sample::Good(latency) => self.record_success(latency),
             Sample::Bad => self.consecutive += 1,
         }
         self.ratio.add(sample == Sample::Bad);
         match self.gate {
             Gate::Shut(_) => false,
-            Gate::Probe => !self.passes(sample, norm, limits),
+            Gate::Probe => !self.probe_succeeded(sample, norm, limits),
             Gate::Open => self.is_failing(norm, limits),
         }
     }
 
-    fn add_good(&mut self, latency: Duration) {
+    fn record_success(&mut self, latency: Duration) {
         self.consecutive = 0;
         self.latency.add(latency);
-        self.answers = self.answers.saturating_add(1);
-        if self.answers.is_multiple_of(FORGIVENESS) {
+        self.successes = self.successes.saturating_add(1);
+        if self
+            .successes
+            .is_multiple_of(SUCCESSES_PER_FORGIVEN_EJECTION)
+        {
             self.ejections = self.ejections.saturating_sub(1);
         }
     }
@@ -115,12 +118,12 @@
         let exceeds = |own: f64| own > pool + limits.excess;
         self.consecutive >= limits.consecutive
             || self.ratio.value().is_some_and(exceeds)
-            || (f64::from(self.answers) >= MIN_SAMPLES
+            || (f64::from(self.successes) >= MIN_SAMPLES
                 && is_slow(self.latency.seconds(), norm, limits))
     }
 
-    /// Judges a probe and opens the gate where it went well.
-    fn passes(&mut self, sample: Sample, norm: &Norm, limits: &Limits) -> bool {
+    /// Evaluates a probe and returns the worker to service if it succeeded.
+    fn probe_succeeded(&mut self, sample: Sample, norm: &Norm, limits: &Limits) -> bool {
         let Sample::Good(latency) = sample else {
             return false;
         };
@@ -134,17 +137,17 @@
         true
     }
 
-    /// Shuts the gate from `now` on, for longer each time.
+    /// Ejects the worker for longer each time; returns the end of the ejection.
     pub fn eject(&mut self, now: Duration, limits: &Limits) -> Duration {
         let doublings = self.ejections.min(16);
-        let time = limits.ejection.saturating_mul(1 << doublings);
-        let until = now + time.min(limits.ejection_cap);
+        let duration = limits.ejection.saturating_mul(1 << doublings);
+        let until = now + duration.min(limits.ejection_cap);
         self.ejections += 1;
         self.gate = Gate::Shut(until);
         until
     }
 
-    /// Lets one probe in where the gate is shut until `at`; a timer of an earlier worker is not.
+    /// Allows one probe if the ejection ends at `at`; ignores a timer set for an earlier worker.
     pub fn half_open(&mut self, at: Duration) {
         if self.gate == Gate::Shut(at) {
             self.gate = Gate::Probe;
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -1,23 +1,24 @@
-//! The request path's decisions: admission, fair queueing, worker choice, retries, ejection, drain.
+//! Request path decisions: admission control, fair queueing, load balancing, retries, outlier
+//! ejection and draining.
 //!
-//! One [`pool::Pool`] stands for one pool at one entry. It is a pure state machine: the caller
-//! passes `now` (time since its start) and what happened, and carries out the [`request::Action`]s
-//! that come back. There is no I/O, no clock and no randomness beyond the seed, so a test drives
-//! seven entries at any size and any load with the same verdict every time.
+//! A [`pool::Pool`] holds the state of one pool at one entry. It is a pure state machine: the I/O
+//! layer passes in events with the current time (since its start) and carries out the
+//! [`request::Action`]s that are returned. There is no I/O, no clock and no randomness beyond the
+//! seed, so tests can drive seven entries at any size and load with deterministic results.
 //!
-//! A request goes through these modules in turn:
+//! A request passes through these modules in turn:
 //!
-//! 1. [`fair`] holds it in a bounded queue per account and service, and picks the next one by
+//! 1. [`fair`] holds it in a bounded queue per account and service, and picks the next request by
 //!    start-time fair queueing over accounts, urgent before deferrable within an account.
-//! 2. [`estimate`] says how long service takes, so that a request whose deadline cannot be met is
-//!    refused when it arrives, not when it has waited in vain.
-//! 3. [`rights`] says how many of a worker's slots this entry may use. Slots are shared by all
-//!    entries; each slot belongs to one entry, which lends it to peers with more [`demand`].
-//! 4. [`worker`] finds a worker with a free slot in constant time.
-//! 5. [`health`] takes failing or slow workers out for a while and lets one probe back in.
-//! 6. [`retry`] decides whether a failed attempt is made again, and when.
+//! 2. [`estimate`] predicts service times, so that a request whose deadline cannot be met is
+//!    refused on arrival instead of after a wait.
+//! 3. [`rights`] determines how many of a worker's request slots this entry may use. Each slot is
+//!    owned by one entry, which lends it to peers with more [`demand`].
+//! 4. [`worker`] finds a worker (an instance of the pool) with a free slot in constant time.
+//! 5. [`health`] ejects failing or slow workers for a while and readmits them after a probe.
+//! 6. [`retry`] decides whether and when a failed attempt is retried.
 //!
-//! `docs/design/request-path.md` has the ways that were weighed and their figures.
+//! `docs/design/request-path.md` compares the alternatives, with measurements.
 
 pub mod demand;
 pub mod estimate;
--- a/crates/flow/src/limits.rs
+++ b/crates/flow/src/limits.rs
@@ -2,36 +2,36 @@
 
 use std::time::Duration;
 
-/// Limits; the defaults suit the brief's workers and are measured in `docs/design/request-path.md`.
+/// Limits; measurements of the defaults are in `docs/design/request-path.md`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Requests that one account may have waiting for one service.
+    /// Maximum queued requests of one account for one service.
     pub queue: usize,
-    /// Attempts for one request, the first included.
+    /// Maximum attempts per request, including the first.
     pub attempts: u32,
-    /// Retries that each first attempt pays for; Envoy's retry budget has the same 20%.
+    /// Retry tokens that each first attempt deposits; 20% as in Envoy's retry budget.
     pub retry_ratio: f64,
-    /// Retries that may be saved up, so that a quiet pool can retry too.
+    /// Maximum accumulated retry tokens, so that a pool with little traffic can retry too.
     pub retry_burst: f64,
-    /// Longest back-off before the first retry; it doubles with each further one.
+    /// Upper bound of the backoff before the first retry; doubled for each further retry.
     pub backoff: Duration,
-    /// Longest back-off of all.
+    /// Maximum of the doubled upper bound.
     pub backoff_cap: Duration,
-    /// Failures in a row that eject a worker; Envoy's default.
+    /// Consecutive failures that eject a worker; Envoy's default.
     pub consecutive: u32,
-    /// How far a worker's failure ratio may be above the pool's.
+    /// How far a worker's failure ratio may exceed the pool's before it is ejected.
     pub excess: f64,
-    /// Times the pool's mean latency that make a worker slow.
+    /// Multiple of the pool's mean latency above which a worker counts as slow.
     pub slow: f64,
-    /// How long a first ejection lasts; it doubles with each further one.
+    /// Duration of the first ejection; doubled for each further ejection.
     pub ejection: Duration,
-    /// Longest ejection.
+    /// Maximum duration of an ejection.
     pub ejection_cap: Duration,
-    /// Largest part of the pool that may be ejected, as Envoy's panic threshold of half.
+    /// Maximum fraction of the pool that may be ejected; half, as Envoy's panic threshold.
     pub ejected: f64,
-    /// Shortest retry-after of a refusal.
+    /// Minimum retry-after of a refusal.
     pub retry_after: Duration,
-    /// Shortest retry-after where no instance serves: a view takes about so long to change.
+    /// Minimum retry-after when no instance is serving: a view takes about this long to change.
     pub absence: Duration,
 }
 
--- a/crates/flow/src/pool/admit.rs
+++ b/crates/flow/src/pool/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: which requests are taken in.
+//! Admission control.
 
 use super::{Phase, Pool, Request};
 use crate::{
@@ -10,38 +10,38 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Part of the time to its deadline that a request may be expected to wait.
+/// Maximum expected wait of an admitted request, as a fraction of the time to its deadline.
 ///
-/// With queues as long as deadlines allow, whatever takes longer than usual is late: it has used a
-/// slot for nothing, and the long ones hold most of the work.
-const MAX_WAIT: f64 = 0.5;
+/// If queues were as long as deadlines allow, every request of more than average duration would be
+/// late and waste its slot, and long requests account for most of the work.
+const MAX_WAIT_FRACTION: f64 = 0.5;
 
-/// Least number of slots that an account is taken to have, so that an estimate stays finite.
-const MIN_RATE: f64 = 0.1;
+/// Lower bound of the slots assumed to serve an account, so that wait estimates stay finite.
+const MIN_SERVICE_SLOTS: f64 = 0.1;
 
 impl Pool {
-    /// Takes a request in or refuses it.
+    /// Admits or refuses a request.
     ///
     /// # Panics
-    /// Where the number of the request is in use: two callers would get each other's answers.
+    /// If the request number is in use: two callers could receive each other's responses.
     pub fn arrive(&mut self, now: Duration, arrival: Arrival) -> Vec<Action> {
         assert!(
             !self.requests.contains_key(&arrival.request),
             "request numbers are used once"
         );
-        self.expire(now);
-        let service = self.times.service(&arrival.service);
+        self.run_timers(now);
+        let service = self.service_times.service(&arrival.service);
         self.meter.add(now, &arrival.account, service.mean());
-        if let Some(code) = self.objection(now, &arrival, service) {
+        if let Some(code) = self.refusal_reason(now, &arrival, service) {
             self.refuse(arrival.request, code);
-            return self.settle(now);
+            return self.advance(now);
         }
         self.enqueue(now, arrival, service);
-        self.settle(now)
+        self.advance(now)
     }
 
-    /// Why a request cannot be taken in.
-    fn objection(&self, now: Duration, arrival: &Arrival, service: Spread) -> Option<Code> {
+    /// The reason to refuse a request, or `None` to admit it.
+    fn refusal_reason(&self, now: Duration, arrival: &Arrival, service: Spread) -> Option<Code> {
         if self.workers.totals().serving == 0 {
             return Some(Code::NoInstance);
         }
@@ -49,8 +49,8 @@
             return Some(Code::DeadlineUnreachable);
         }
         if self.queue.is_empty() && self.workers.has_free() {
-            // It starts at once, whatever the estimate says: without this, an estimate that is too
-            // high would refuse everything and never be measured again.
+            // Start it regardless of the estimate. Otherwise an estimate that is too high would
+            // cause all requests to be refused and would never be corrected.
             return None;
         }
         let waiting = self.queue.waiting(&arrival.account, &arrival.service);
@@ -59,9 +59,9 @@
         }
         let rate = self.rate(&arrival.account);
         let wait = self.queue.wait(&arrival.account, arrival.class, rate);
-        let left = arrival.deadline.saturating_sub(now).as_secs_f64();
-        let longest = (left - service.most()).min(left * MAX_WAIT);
-        (wait > longest).then_some(Code::DeadlineUnreachable)
+        let remaining = arrival.deadline.saturating_sub(now).as_secs_f64();
+        let max_wait = (remaining - service.most()).min(remaining * MAX_WAIT_FRACTION);
+        (wait > max_wait).then_some(Code::DeadlineUnreachable)
     }
 
     fn enqueue(&mut self, now: Duration, arrival: Arrival, service: Spread) {
@@ -73,7 +73,7 @@
             class: arrival.class,
             cost: service.mean(),
         });
-        self.timers.insert((until, arrival.request));
+        self.request_timers.insert((until, arrival.request));
         let request = Request {
             account: arrival.account,
             service: arrival.service,
@@ -88,39 +88,39 @@
         self.requests.insert(arrival.request, request);
     }
 
-    /// Slots that are at work for an account while it has requests waiting.
+    /// Number of slots that serve an account while it has requests queued.
     fn rate(&self, account: &id::Account) -> f64 {
         let slots = self.slots();
         let measured = self.rates.get(account).copied();
         let part = measured.unwrap_or_else(|| self.queue.part(account));
-        (slots * part).max(MIN_RATE)
+        (slots * part).max(MIN_SERVICE_SLOTS)
     }
 
-    /// Slots that this entry may use, at least one: waiting times are divided by it.
+    /// Number of slots that this entry may use, at least one because it is used as a divisor.
     fn slots(&self) -> f64 {
         f64::from(self.workers.totals().slots.max(1))
     }
 
-    /// Decides a final refusal.
+    /// Adds a refusal to the actions.
     ///
-    /// The retry-after grows with the backlog and is drawn from a range, so that callers who were
-    /// refused together do not come back together.
+    /// The retry-after grows with the backlog and has jitter, so that callers that were refused
+    /// together do not retry together.
     pub(super) fn refuse(&mut self, request: u64, code: Code) {
         let backlog = Duration::from_secs_f64(self.queue.cost() / self.slots());
-        let least = match code {
+        let min_retry_after = match code {
             Code::NoInstance => self.limits.absence,
             _ => self.limits.retry_after,
         };
-        let jitter = 1.0 + self.random.random::<f64>() / 2.0;
+        let jitter = 1.0 + self.rng.random::<f64>() / 2.0;
         self.actions.push(Action::Refuse {
             request,
             code,
-            retry_after: least.max(backlog).mul_f64(jitter),
+            retry_after: min_retry_after.max(backlog).mul_f64(jitter),
         });
     }
 }
 
-/// When a request that waits can no longer meet its deadline.
+/// The time after which a queued request can no longer meet its deadline.
 pub(super) fn latest_start(now: Duration, deadline: Duration, service: Spread) -> Duration {
     let latest = deadline.saturating_sub(Duration::from_secs_f64(service.most()));
     latest.max(now)
--- a/crates/flow/src/pool/dispatch.rs
+++ b/crates/flow/src/pool/dispatch.rs
@@ -1,4 +1,4 @@
-//! Timers and sending.
+//! Timers and dispatch of queued requests.
 
 use super::{Phase, Pool, admit::latest_start};
 use crate::{fair, request::Action, worker::Wish};
@@ -6,68 +6,70 @@
 use std::time::Duration;
 
 impl Pool {
-    /// Does what is due, sends what can be sent, and hands the actions out.
-    pub(super) fn settle(&mut self, now: Duration) -> Vec<Action> {
-        self.expire(now);
+    /// Runs due timers, sends what can be sent, and returns the pending actions.
+    pub(super) fn advance(&mut self, now: Duration) -> Vec<Action> {
+        self.run_timers(now);
         self.dispatch(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// Runs the timers that are due.
-    pub(super) fn expire(&mut self, now: Duration) {
-        while let Some(&(at, worker)) = self.shut.first().filter(|(at, _)| *at <= now) {
-            self.shut.remove(&(at, worker));
+    /// Runs due timers.
+    pub(super) fn run_timers(&mut self, now: Duration) {
+        while let Some(&(at, worker)) = self.probe_timers.first().filter(|(at, _)| *at <= now) {
+            self.probe_timers.remove(&(at, worker));
             self.workers
                 .change(worker, |worker| worker.health.half_open(at));
         }
-        while let Some(&(at, worker, number)) = self.held.first().filter(|(at, ..)| *at <= now) {
-            self.held.remove(&(at, worker, number));
+        while let Some(&(at, worker, number)) =
+            self.held_slots.first().filter(|(at, ..)| *at <= now)
+        {
+            self.held_slots.remove(&(at, worker, number));
             self.release(worker);
         }
-        while let Some(&(at, request)) = self.timers.first().filter(|(at, _)| *at <= now) {
-            self.timers.remove(&(at, request));
-            self.fire(now, request);
+        while let Some(&(at, request)) = self.request_timers.first().filter(|(at, _)| *at <= now) {
+            self.request_timers.remove(&(at, request));
+            self.on_request_timer(now, request);
         }
     }
 
-    fn fire(&mut self, now: Duration, number: u64) {
+    fn on_request_timer(&mut self, now: Duration, number: u64) {
         match self.requests.get(&number).map(|request| request.phase) {
-            Some(Phase::Waiting { .. }) => self.last_chance(now, number),
-            Some(Phase::BackingOff { .. }) => self.resume(now, number),
+            Some(Phase::Waiting { .. }) => self.dispatch_or_refuse(now, number),
+            Some(Phase::BackingOff { .. }) => self.requeue(now, number),
             Some(Phase::Sent { .. }) | None => {}
         }
     }
 
     /// Refuses a request that is unlikely to meet its deadline, unless a slot is free for it now.
     ///
-    /// The estimate may be wrong. Were such requests refused beside a free slot, no answer would ever
-    /// correct it, and callers with deadlines below it would be refused for ever.
-    fn last_chance(&mut self, now: Duration, number: u64) {
+    /// The estimate may be too high. If such requests were refused while slots are free, no response
+    /// would ever correct it, and callers with shorter deadlines would be refused forever.
+    fn dispatch_or_refuse(&mut self, now: Duration, number: u64) {
         self.dispatch(now);
         let request = self.requests.get(&number);
         if request.is_some_and(|request| matches!(request.phase, Phase::Waiting { .. })) {
-            self.give_up(number);
+            self.refuse_waiting(number);
         }
     }
 
-    /// Refuses a waiting request.
-    fn give_up(&mut self, number: u64) {
+    /// Refuses a queued request.
+    fn refuse_waiting(&mut self, number: u64) {
         if let Some(request) = self.requests.remove(&number) {
             if let Phase::Waiting { until } = request.phase {
-                self.timers.remove(&(until, number));
+                self.request_timers.remove(&(until, number));
             }
             self.queue
                 .remove(&request.account, &request.service, request.class, number);
-            self.refuse(number, request.verdict(Code::DeadlineUnreachable));
+            self.refuse(number, request.final_code(Code::DeadlineUnreachable));
         }
     }
 
-    /// Puts a request whose back-off is over at the front of its line.
-    fn resume(&mut self, now: Duration, number: u64) {
+    /// Returns a request whose backoff has ended to the front of its queue.
+    fn requeue(&mut self, now: Duration, number: u64) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        let service = self.times.service(&request.service);
+        let service = self.service_times.service(&request.service);
         let until = latest_start(now, request.deadline, service);
         let item = fair::Item {
             request: number,
@@ -77,13 +79,13 @@
             cost: service.mean(),
         };
         self.queue.push_front(item);
-        self.timers.insert((until, number));
+        self.request_timers.insert((until, number));
         if let Some(request) = self.requests.get_mut(&number) {
             request.phase = Phase::Waiting { until };
         }
     }
 
-    /// Sends waiting requests in fair order while a worker has a slot for them.
+    /// Sends queued requests in fair order while any worker has a free slot.
     fn dispatch(&mut self, now: Duration) {
         while self.workers.has_free() {
             let Some(item) = self.queue.pop() else {
@@ -91,7 +93,7 @@
             };
             let request = self.requests.get(&item.request);
             if request.is_some_and(|request| request.deadline <= now) {
-                self.give_up(item.request);
+                self.refuse_waiting(item.request);
             } else {
                 self.send(now, item.request);
             }
@@ -106,11 +108,11 @@
             idempotent: request.idempotent,
             tried: &request.tried,
         };
-        let Some(index) = self.workers.choose(wish, &mut self.random) else {
+        let Some(index) = self.workers.choose(wish, &mut self.rng) else {
             return;
         };
         if let Phase::Waiting { until } = request.phase {
-            self.timers.remove(&(until, number));
+            self.request_timers.remove(&(until, number));
         }
         request.attempt += 1;
         request.phase = Phase::Sent {
--- a/crates/flow/src/pool/finish.rs
+++ b/crates/flow/src/pool/finish.rs
@@ -1,4 +1,4 @@
-//! The end of an attempt: what the worker's record learns, and whether there is another attempt.
+//! Completion of an attempt: releases the slot, updates health statistics, and retries or refuses.
 
 use super::{Phase, Pool, Request};
 use crate::{
@@ -9,45 +9,45 @@
 use primroseroute_domain::outcome::Code;
 use std::time::Duration;
 
-/// Mean service times for which the slot of an attempt without an answer is held: a worker with
-/// exponential service times is done by then in 86 of 100 cases.
-const HOLD: f64 = 2.0;
+/// Time for which the slot of an attempt without a response is held, as a multiple of the mean
+/// service time: with exponential service times, 86% of such requests have completed by then.
+const SLOT_HOLD_FACTOR: f64 = 2.0;
 
 impl Pool {
-    /// Takes the end of an attempt in, or the caller's cancellation of a request in any phase.
+    /// Records the end of an attempt, or the caller's cancellation of a request in any phase.
     ///
-    /// A request that the pool has refused meanwhile is unknown to it, which changes nothing.
+    /// Ignores a request that the pool has refused in the meantime.
     pub fn finish(&mut self, now: Duration, number: u64, ending: Ending) -> Vec<Action> {
         if let Some(request) = self.requests.remove(&number) {
             self.end(now, number, request, ending);
         }
-        self.settle(now)
+        self.advance(now)
     }
 
     fn end(&mut self, now: Duration, number: u64, request: Request, ending: Ending) {
         match request.phase {
             Phase::Sent { worker, at } => {
-                self.free(now, number, &request, worker, ending);
-                self.learn(now, &request, worker, at, ending);
-                self.conclude(now, number, request, worker, ending);
+                self.release_slot(now, number, &request, worker, ending);
+                self.record_outcome(now, &request, worker, at, ending);
+                self.retry_or_refuse(now, number, request, worker, ending);
             }
             Phase::Waiting { until } => {
-                self.timers.remove(&(until, number));
+                self.request_timers.remove(&(until, number));
                 self.queue
                     .remove(&request.account, &request.service, request.class, number);
             }
             Phase::BackingOff { until } => {
-                self.timers.remove(&(until, number));
+                self.request_timers.remove(&(until, number));
             }
         }
     }
 
-    /// Frees the slot, at once or when the worker is likely to be done.
+    /// Releases the slot, immediately or when the worker has probably completed the request.
     ///
-    /// A worker that is not asked any more goes on with what it has begun. A slot that were free
-    /// at once would be sent a second request while the first still runs, which makes that one late
-    /// too: under overload nearly every worker ran more than its slots and goodput fell by a sixth.
-    fn free(
+    /// A worker continues to process an abandoned request. If its slot were released immediately, a
+    /// second request would be sent while the first still runs and would be late too: under overload
+    /// nearly every worker ran more requests than it has slots, and goodput fell by a sixth.
+    fn release_slot(
         &mut self,
         now: Duration,
         number: u64,
@@ -59,17 +59,17 @@
             self.release(worker);
             return;
         }
-        let rest = HOLD * self.times.service(&request.service).mean();
-        let until = now + Duration::from_secs_f64(rest);
-        self.held.insert((until, worker, number));
+        let hold = SLOT_HOLD_FACTOR * self.service_times.service(&request.service).mean();
+        let until = now + Duration::from_secs_f64(hold);
+        self.held_slots.insert((until, worker, number));
     }
 
     pub(super) fn release(&mut self, worker: worker::Index) {
         self.workers.change(worker, |worker| worker.in_flight -= 1);
     }
 
-    /// Takes the ending into the service times and the worker's record.
-    fn learn(
+    /// Updates service times and the worker's health record.
+    fn record_outcome(
         &mut self,
         now: Duration,
         request: &Request,
@@ -82,14 +82,14 @@
                 latency,
                 failure: false,
             } => {
-                self.times.add(&request.service, latency);
+                self.service_times.add(&request.service, latency);
                 Sample::Good(latency)
             }
             Ending::Late => {
-                let was_patient = self.was_patient(request, at);
-                self.times
+                let had_enough_time = self.had_enough_time(request, at);
+                self.service_times
                     .add_longer(&request.service, now.saturating_sub(at));
-                if !was_patient {
+                if !had_enough_time {
                     return;
                 }
                 Sample::Bad
@@ -97,48 +97,48 @@
             Ending::Cancelled => return,
             _ => Sample::Bad,
         };
-        let norm = self.norm;
-        self.norm.ratio.add(sample == Sample::Bad);
+        let pool_stats = self.pool_stats;
+        self.pool_stats.ratio.add(sample == Sample::Bad);
         if let Sample::Good(latency) = sample {
-            self.norm.latency.add(latency);
+            self.pool_stats.latency.add(latency);
         }
         let limits = &self.limits;
-        let change = |worker: &mut worker::Worker| worker.health.add(sample, &norm, limits);
+        let change = |worker: &mut worker::Worker| worker.health.add(sample, &pool_stats, limits);
         let is_failing = self.workers.change(worker, change);
         if is_failing == Some(true) {
             self.eject(now, worker);
         }
     }
 
-    /// Whether an attempt that was late had time enough.
+    /// Whether an attempt that timed out had enough time.
     ///
-    /// A caller that sets deadlines too short for any worker would otherwise have one worker after
-    /// the other ejected.
-    fn was_patient(&self, request: &Request, at: Duration) -> bool {
-        let given = request.deadline.saturating_sub(at).as_secs_f64();
-        given > self.limits.slow * self.times.service(&request.service).mean()
+    /// Otherwise a caller whose deadlines are too short for any worker would cause one worker after
+    /// the other to be ejected.
+    fn had_enough_time(&self, request: &Request, at: Duration) -> bool {
+        let allowed = request.deadline.saturating_sub(at).as_secs_f64();
+        allowed > self.limits.slow * self.service_times.service(&request.service).mean()
     }
 
-    /// Ejects a worker, unless too many are out already.
+    /// Ejects a worker, unless too many are ejected already.
     fn eject(&mut self, now: Duration, index: worker::Index) {
         let totals = self.workers.totals();
-        let is_out = self
+        let is_ejected_already = self
             .workers
             .get(index)
             .is_some_and(worker::Worker::is_ejected);
-        let out = totals.ejected as f64 + 1.0;
-        if !is_out && out > self.limits.ejected * totals.serving as f64 {
+        let ejected_after = totals.ejected as f64 + 1.0;
+        if !is_ejected_already && ejected_after > self.limits.ejected * totals.serving as f64 {
             return;
         }
         let limits = &self.limits;
         let until = self
             .workers
             .change(index, |worker| worker.health.eject(now, limits));
-        self.shut.extend(until.map(|until| (until, index)));
+        self.probe_timers.extend(until.map(|until| (until, index)));
     }
 
-    /// Ends the request, or sets it up for another attempt.
-    fn conclude(
+    /// Schedules a retry, or refuses the request.
+    fn retry_or_refuse(
         &mut self,
         now: Duration,
         number: u64,
@@ -153,17 +153,17 @@
             Ending::Late => Code::AnswerTimeout,
         };
         let Some(until) = self.next_attempt(now, &request, ending) else {
-            self.refuse(number, request.verdict(code));
+            self.refuse(number, request.final_code(code));
             return;
         };
         request.may_have_run |= ending == Ending::Lost;
         request.tried.push(worker);
         request.phase = Phase::BackingOff { until };
         self.requests.insert(number, request);
-        self.timers.insert((until, number));
+        self.request_timers.insert((until, number));
     }
 
-    /// When the next attempt is, if there is one.
+    /// The time of the next attempt, if there is one.
     fn next_attempt(
         &mut self,
         now: Duration,
@@ -173,8 +173,8 @@
         if !retry::is_safe(ending, request.idempotent) || request.attempt >= self.limits.attempts {
             return None;
         }
-        let until = now + retry::backoff(&self.limits, request.attempt, &mut self.random);
-        let service = self.times.service(&request.service).mean();
+        let until = now + retry::backoff(&self.limits, request.attempt, &mut self.rng);
+        let service = self.service_times.service(&request.service).mean();
         let end = until + Duration::from_secs_f64(service);
         (end < request.deadline && self.budget.withdraw()).then_some(until)
     }
--- a/crates/flow/src/pool/share.rs
+++ b/crates/flow/src/pool/share.rs
@@ -1,4 +1,4 @@
-//! Dividing the pool's slots with the other entries.
+//! Sharing of the pool's slots with the other entries.
 
 use super::Pool;
 use crate::{
@@ -9,47 +9,47 @@
 use primroseroute_domain::id;
 use std::{collections::BTreeMap, time::Duration};
 
-/// Smallest part of an account's share that counts at one entry, as part of an equal division:
-/// callers that have just moved to an entry are not measured there yet.
-const MIN_PART: f64 = 0.25;
+/// Minimum fraction of an account's share that counts at one entry, relative to an equal split:
+/// callers that have just moved to an entry are not yet measured there.
+const MIN_SHARE_FRACTION: f64 = 0.25;
 
-/// A report goes out at least so often, so that one that was lost is made good.
+/// Maximum time between reports, so that a lost report is made up for.
 pub const KEEP_ALIVE: Duration = Duration::from_secs(5);
 
-/// Demand that has changed by less than this part, or less than [`MIN_CHANGE`], is no news.
-const CHANGE: f64 = 0.15;
+/// Relative change of demand that causes a report, if it also exceeds [`MIN_CHANGE`].
+const MIN_RELATIVE_CHANGE: f64 = 0.15;
 
-/// Slots of demand whose change is no news.
-const MIN_CHANGE: f64 = 0.5;
+/// Changes of demand up to this number of slots cause no report.
+const MIN_CHANGE_SLOTS: f64 = 0.5;
 
-/// What the peers were told last.
+/// The last report to the peers.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Reported {
+pub(super) struct LastReport {
     at: Duration,
     demand: BTreeMap<id::Account, f64>,
 }
 
-fn moved(before: &BTreeMap<id::Account, f64>, now: &BTreeMap<id::Account, f64>) -> bool {
+fn demand_changed(before: &BTreeMap<id::Account, f64>, now: &BTreeMap<id::Account, f64>) -> bool {
     let accounts = before.keys().chain(now.keys());
     let of = |demand: &BTreeMap<_, f64>, account| demand.get(account).copied().unwrap_or(0.0);
     accounts.into_iter().any(|account| {
         let (before, now) = (of(before, account), of(now, account));
-        (now - before).abs() > MIN_CHANGE.max(before * CHANGE)
+        (now - before).abs() > MIN_CHANGE_SLOTS.max(before * MIN_RELATIVE_CHANGE)
     })
 }
 
 impl Pool {
-    /// Takes the reports of other entries in; older ones than are known change nothing.
+    /// Applies reports of other entries; outdated ones are ignored.
     pub fn peers(&mut self, now: Duration, reports: &[Report]) -> Vec<Action> {
         let taken = reports.iter().map(|report| self.rights.take(report));
         let has_changed = taken.fold(false, |any, changed| any | changed);
         if has_changed {
             self.refresh_rights();
         }
-        self.settle(now)
+        self.advance(now)
     }
 
-    /// Slots of an instance that this entry may use now.
+    /// Number of slots of an instance that this entry may use now.
     pub fn rights(&self, instance: &id::Instance) -> u32 {
         let worker = self
             .workers
@@ -58,32 +58,33 @@
         worker.map_or(0, |worker| worker.rights)
     }
 
-    /// Decides what to lend, and makes the report for the other entries.
+    /// Updates loans and creates a report for the other entries.
     ///
-    /// Called a few times a second. Each report must be sent: a peer gives a slot back only once it
-    /// has seen a report that calls for it. A lost one is made good by the next.
+    /// Called a few times per second. Each report must be sent: a peer returns a slot only after it
+    /// has received a report that recalls it. A lost report is made up for by the next.
     pub fn report(&mut self, now: Duration) -> Report {
         let demand = self.meter.read(now);
-        self.decide(&demand);
-        self.make_report(now, demand)
+        self.update_loans(&demand);
+        self.create_report(now, demand)
     }
 
-    /// As [`Pool::report`], but none where peers would do nothing else for it.
+    /// As [`Pool::report`], but `None` if the report would not change what peers do.
     ///
-    /// In a steady state that leaves one report in [`KEEP_ALIVE`], whatever the rate of calls. A peer
-    /// that has just been connected has missed some, so it is sent a [`Pool::report`] at once.
+    /// In a steady state one report per [`KEEP_ALIVE`] remains, at any call rate. A newly connected
+    /// peer has missed earlier reports, so it is sent a [`Pool::report`] immediately.
     pub fn news(&mut self, now: Duration) -> Option<Report> {
         let demand = self.meter.read(now);
-        let has_lent = self.decide(&demand);
-        let is_old = now >= self.reported.at + KEEP_ALIVE;
-        let has_moved = moved(&self.reported.demand, &demand);
-        let has_news = has_lent || is_old || has_moved || self.rights.is_pending();
-        has_news.then(|| self.make_report(now, demand))
+        let has_lent = self.update_loans(&demand);
+        let is_keep_alive_due = now >= self.last_report.at + KEEP_ALIVE;
+        let has_demand_changed = demand_changed(&self.last_report.demand, &demand);
+        let must_report =
+            has_lent || is_keep_alive_due || has_demand_changed || self.rights.is_pending();
+        must_report.then(|| self.create_report(now, demand))
     }
 
-    /// Sets weights and loans by what is known; true where loans have changed.
-    fn decide(&mut self, demand: &BTreeMap<id::Account, f64>) -> bool {
-        self.weigh(demand);
+    /// Updates weights and loans; returns whether loans changed.
+    fn update_loans(&mut self, demand: &BTreeMap<id::Account, f64>) -> bool {
+        self.update_weights(demand);
         let has_lent = self.rights.lend(&self.shares, demand);
         if has_lent {
             self.refresh_rights();
@@ -91,8 +92,8 @@
         has_lent
     }
 
-    fn make_report(&mut self, now: Duration, demand: BTreeMap<id::Account, f64>) -> Report {
-        self.reported = Reported {
+    fn create_report(&mut self, now: Duration, demand: BTreeMap<id::Account, f64>) -> Report {
+        self.last_report = LastReport {
             at: now,
             demand: demand.clone(),
         };
@@ -102,18 +103,18 @@
             .report(demand, busy.flat_map(|worker| &worker.slots))
     }
 
-    /// Gives each account the weight of its share, by the part of its callers that are here.
+    /// Sets each account's weight to its share, scaled by the fraction of its demand at this entry.
     ///
-    /// With its whole share as weight at each entry, an account that calls at all entries would get
-    /// more of the pool than one that calls at a single one.
-    pub(super) fn weigh(&mut self, own: &BTreeMap<id::Account, f64>) {
+    /// If the full share were the weight at each entry, an account that calls at all entries would
+    /// receive more of the pool than one that calls at a single entry.
+    pub(super) fn update_weights(&mut self, own: &BTreeMap<id::Account, f64>) {
         let total = self.rights.demand(own);
-        let min = MIN_PART / self.rights.entries().len().max(1) as f64;
-        let weight = |(account, asked): (&id::Account, &f64)| {
+        let min = MIN_SHARE_FRACTION / self.rights.entries().len().max(1) as f64;
+        let weight = |(account, demanded): (&id::Account, &f64)| {
             let total = total.get(account).copied().unwrap_or(0.0);
-            let part = if total > 0.0 { asked / total } else { 1.0 };
+            let fraction = if total > 0.0 { demanded / total } else { 1.0 };
             let share = division::weight(&self.shares, account);
-            (account.clone(), share * part.max(min))
+            (account.clone(), share * fraction.max(min))
         };
         let mut weights: BTreeMap<_, _> = own.iter().map(weight).collect();
         for (account, share) in &self.shares {
@@ -127,7 +128,7 @@
         self.queue.set_weights(weights);
     }
 
-    /// Works the slots of every worker out anew, after the entries or the workers have changed.
+    /// Recomputes the slots of every worker after the entries or the workers have changed.
     pub(super) fn refresh_slots(&mut self, entries_changed: bool) {
         for index in self.workers.indices() {
             let entries = self.rights.entries();
--- a/crates/flow/src/pool/sync.rs
+++ b/crates/flow/src/pool/sync.rs
@@ -1,4 +1,4 @@
-//! A new view: workers and entries come and go.
+//! Application of a new view: workers and entries join and leave.
 
 use super::{Phase, Pool};
 use crate::{request::Action, view::View};
@@ -6,16 +6,16 @@
 use std::time::Duration;
 
 impl Pool {
-    /// Takes a new view in; what has left `Serving` gets nothing new from here on.
+    /// Applies a new view; instances that have left `Serving` receive no more requests.
     ///
-    /// What is in flight there goes on. Where no serving instance is left, every waiting request is
-    /// refused at once.
+    /// Requests in flight there continue. If no serving instance is left, every queued request is
+    /// refused immediately.
     pub fn sync(&mut self, now: Duration, view: &View) -> Vec<Action> {
         self.view = view.clone();
         let shares = view.shares.iter();
         let shares = shares.map(|(account, share)| (account.clone(), f64::from(*share)));
         self.shares = shares.collect();
-        self.drop_absent();
+        self.remove_absent_workers();
         for (id, member) in &view.members {
             self.workers.put(id, member.clone());
         }
@@ -24,14 +24,14 @@
         let entries_changed = self.rights.set_entries(&entries);
         self.refresh_slots(entries_changed);
         let demand = self.meter.read(now);
-        self.weigh(&demand);
+        self.update_weights(&demand);
         if self.workers.totals().serving == 0 {
-            self.refuse_all();
+            self.refuse_unsent();
         }
-        self.settle(now)
+        self.advance(now)
     }
 
-    fn drop_absent(&mut self) {
+    fn remove_absent_workers(&mut self) {
         let is_absent = |id: &&id::Instance| !self.view.members.contains_key(*id);
         let known = self.workers.iter().map(|worker| &worker.id);
         let absent: Vec<_> = known.filter(is_absent).cloned().collect();
@@ -45,11 +45,11 @@
         }
     }
 
-    fn refuse_all(&mut self) {
+    fn refuse_unsent(&mut self) {
         let is_sent = |phase| matches!(phase, Phase::Sent { .. });
         let requests = self.requests.iter();
-        let idle = requests.filter(|(_, request)| !is_sent(request.phase));
-        let numbers: Vec<_> = idle.map(|(number, _)| *number).collect();
+        let unsent = requests.filter(|(_, request)| !is_sent(request.phase));
+        let numbers: Vec<_> = unsent.map(|(number, _)| *number).collect();
         for number in numbers {
             let Some(request) = self.requests.remove(&number) else {
                 continue;
@@ -57,9 +57,9 @@
             self.queue
                 .remove(&request.account, &request.service, request.class, number);
             if let Phase::Waiting { until } | Phase::BackingOff { until } = request.phase {
-                self.timers.remove(&(until, number));
+                self.request_timers.remove(&(until, number));
             }
-            self.refuse(number, request.verdict(Code::NoInstance));
+            self.refuse(number, request.final_code(Code::NoInstance));
         }
     }
 }
--- a/crates/flow/src/report.rs
+++ b/crates/flow/src/report.rs
@@ -1,7 +1,7 @@
-//! What entries tell each other about one pool.
+//! Reports that entries exchange about one pool.
 //!
-//! A report does not grow with the number of workers: demand is one number per account, and lending
-//! is by [`STRIPES`](crate::rights::owner::STRIPES) stripes of a lender's slots.
+//! The size of a report does not depend on the number of workers: demand is one number per account,
+//! and slots are lent in [`STRIPES`](crate::rights::owner::STRIPES) stripes per lender.
 
 use primroseroute_domain::id;
 use serde::{Deserialize, Serialize};
@@ -11,28 +11,28 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Report {
-    /// The entry that reports.
+    /// The reporting entry.
     pub entry: id::Entry,
-    /// Number of the entry's start, larger for a later one; a restarted entry has lent nothing.
+    /// Increases with each start of the entry; a restarted entry has lent nothing.
     pub incarnation: u64,
-    /// Orders the reports of one incarnation; an older one is ignored.
+    /// Sequence number within the incarnation; older reports are ignored.
     pub seq: u64,
     /// Slots that each account's callers at this entry would keep busy.
     pub demand: BTreeMap<id::Account, f64>,
-    /// Stripes that the entry lends, to whom.
+    /// Stripes that the entry lends, with the borrower.
     pub lent: BTreeMap<u8, id::Entry>,
-    /// What the entry has seen of each peer as a borrower.
+    /// Acknowledgement of each peer's reports, as a borrower of its stripes.
     pub seen: BTreeMap<id::Entry, Seen>,
 }
 
-/// The newest report that a borrower has acted on, and what it has not given back yet.
+/// Acknowledges the newest applied report of a lender, and lists stripes not yet returned.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Seen {
     /// Incarnation of the lender.
     pub incarnation: u64,
-    /// Newest report of the lender that was acted on.
+    /// Sequence number of the lender's newest report that was applied.
     pub seq: u64,
-    /// Stripes that were called back and still have requests in flight.
+    /// Recalled stripes that still have requests in flight.
     pub returning: Vec<u8>,
 }
--- a/crates/flow/src/request.rs
+++ b/crates/flow/src/request.rs
@@ -1,66 +1,66 @@
-//! What the shell tells the pool about a request, and what it is told to do.
+//! Requests as the I/O layer reports them to the pool, and the actions that the pool returns.
 
 use primroseroute_domain::{account::Class, id, outcome::Code};
 use std::time::Duration;
 
-/// A request that has come in.
+/// A request that has arrived at the entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// The shell's number for it, never used twice.
+    /// Identifier assigned by the I/O layer, never reused.
     pub request: u64,
-    /// The account that sent it.
+    /// Calling account.
     pub account: id::Account,
-    /// The service that it asks for.
+    /// Requested service.
     pub service: id::Service,
-    /// How urgent it is.
+    /// Scheduling class.
     pub class: Class,
-    /// When the caller stops waiting, as time since the shell's start.
+    /// When the caller stops waiting, as time since the I/O layer started.
     pub deadline: Duration,
-    /// Whether running it twice is the same as running it once.
+    /// Whether executing it twice has the same effect as executing it once.
     pub idempotent: bool,
 }
 
 /// How an attempt, or the wait for one, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// The whole answer came.
+    /// The complete response was received.
     Answered {
-        /// Time from the start of the attempt to the end of the answer.
+        /// Time from the start of the attempt to the end of the response.
         latency: Duration,
-        /// Whether the answer tells of the worker's failure, such as a 5xx status.
+        /// Whether the response indicates a failure of the worker, such as a 5xx status.
         failure: bool,
     },
-    /// Proven not run: no byte of the request went out, as when no connection could be made.
+    /// Not executed: no byte of the request was sent, for example because the connection failed.
     NotSent,
-    /// The connection broke after the first byte of the request went out.
+    /// The connection broke after the first byte of the request was sent.
     Lost,
-    /// `not_after` passed before the whole answer came.
+    /// `not_after` passed before the complete response was received.
     Late,
-    /// The caller went away, before or after the request was sent.
+    /// The caller disconnected, before or after the request was sent.
     Cancelled,
 }
 
-/// What the shell is to do.
+/// An action for the I/O layer to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send the request to an instance, then report with `finish`.
+    /// Send the request to an instance, then report the outcome with `finish`.
     Send {
-        /// The request.
+        /// Request number.
         request: u64,
-        /// Where to send it.
+        /// Instance to send it to.
         instance: id::Instance,
         /// 1 for the first attempt.
         attempt: u32,
-        /// When to give the attempt up.
+        /// Deadline of the attempt.
         not_after: Duration,
     },
-    /// Answer the caller with a refusal; the pool has forgotten the request.
+    /// Refuse the request; the pool holds no more state for it.
     Refuse {
-        /// The request.
+        /// Request number.
         request: u64,
-        /// Why.
+        /// Reason for the refusal.
         code: Code,
-        /// When another try is likely to fare better.
+        /// Suggested delay before the caller tries again.
         retry_after: Duration,
     },
 }
--- a/crates/flow/src/retry.rs
+++ b/crates/flow/src/retry.rs
@@ -1,44 +1,44 @@
-//! Whether and when a failed attempt is made again.
+//! Retry policy: whether and when a failed attempt is retried.
 //!
-//! A retry needs three things: proof that it is safe (the attempt did not run, or the request is
-//! idempotent), a token of the budget, and time before the deadline. The budget is the ratio kind
-//! of Envoy (`retry_budget`) and Finagle (`RetryBudget`): each first attempt pays in a fraction of a
-//! token, each retry takes a whole one, so retries never multiply the load of a failing pool.
+//! A retry requires that it is safe (the attempt was not executed, or the request is idempotent), a
+//! token from the retry budget, and enough time before the deadline. The budget is ratio-based as in
+//! Envoy (`retry_budget`) and Finagle (`RetryBudget`): each first attempt deposits a fraction of a
+//! token and each retry withdraws a whole one, so retries never multiply the load of a failing pool.
 
 use crate::{limits::Limits, request::Ending};
 use rand::RngExt;
 use std::time::Duration;
 
-/// Parts of a token that are counted: sums of fractions drift, and a token that is due is denied.
-const PARTS: f64 = 1_000.0;
+/// Resolution of the token count: with floating-point sums, rounding errors could deny a due token.
+const MILLITOKENS_PER_TOKEN: f64 = 1_000.0;
 
-/// A token bucket that first attempts fill and retries empty.
+/// A token bucket that first attempts fill and retries drain.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    parts: u64,
+    millitokens: u64,
     ratio: u64,
     burst: u64,
 }
 
 impl Budget {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(limits: &Limits) -> Self {
         Self {
-            parts: parts(limits.retry_burst),
-            ratio: parts(limits.retry_ratio),
-            burst: parts(limits.retry_burst),
+            millitokens: millitokens(limits.retry_burst),
+            ratio: millitokens(limits.retry_ratio),
+            burst: millitokens(limits.retry_burst),
         }
     }
 
-    /// Pays for a first attempt.
+    /// Adds the token fraction of a first attempt.
     pub fn deposit(&mut self) {
-        self.parts = (self.parts + self.ratio).min(self.burst);
+        self.millitokens = (self.millitokens + self.ratio).min(self.burst);
     }
 
-    /// Takes a token for a retry; false where there is none.
+    /// Takes a token for a retry; returns false if there is none.
     pub fn withdraw(&mut self) -> bool {
-        let left = self.parts.checked_sub(parts(1.0));
-        self.parts = left.unwrap_or(self.parts);
+        let left = self.millitokens.checked_sub(millitokens(1.0));
+        self.millitokens = left.unwrap_or(self.millitokens);
         left.is_some()
     }
 }
@@ -46,13 +46,13 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "limits are small and not negative, and a cast saturates"
+    reason = "limits are small and non-negative, and the cast saturates"
 )]
-fn parts(tokens: f64) -> u64 {
-    (tokens * PARTS).round() as u64
+fn millitokens(tokens: f64) -> u64 {
+    (tokens * MILLITOKENS_PER_TOKEN).round() as u64
 }
 
-/// Whether another attempt is safe after `ending`: never for what may have run and must not twice.
+/// Whether a retry is safe after `ending`: never if a non-idempotent request may have been executed.
 pub fn is_safe(ending: Ending, idempotent: bool) -> bool {
     match ending {
         Ending::NotSent => true,
@@ -61,11 +61,11 @@
     }
 }
 
-/// A back-off with full jitter before the attempt that follows attempt number `attempt`.
-pub fn backoff(limits: &Limits, attempt: u32, random: &mut impl RngExt) -> Duration {
+/// Backoff with full jitter before the attempt that follows attempt number `attempt`.
+pub fn backoff(limits: &Limits, attempt: u32, rng: &mut impl RngExt) -> Duration {
     let doublings = attempt.saturating_sub(1).min(16);
-    let longest = limits.backoff.saturating_mul(1 << doublings);
-    longest
+    let upper_bound = limits.backoff.saturating_mul(1 << doublings);
+    upper_bound
         .min(limits.backoff_cap)
-        .mul_f64(random.random::<f64>())
+        .mul_f64(rng.random::<f64>())
 }
--- a/crates/flow/src/rights/mod.rs
+++ b/crates/flow/src/rights/mod.rs
@@ -1,17 +1,18 @@
-//! How many slots of each worker this entry may use.
+//! The number of request slots of each worker that this entry may use.
 //!
-//! A worker has 8 slots and every entry sends to it, so entries that choose alone overrun it. Here
-//! each slot of each worker belongs to one live entry, by a rule that all entries work out alike
-//! ([`owner::slots`]). The sum over entries is 8 without any message.
+//! A worker has 8 slots and receives requests from every entry, so entries that decide independently
+//! would overload it. Instead, each slot of each worker is owned by one live entry, by a
+//! deterministic rule that every entry computes alike ([`owner::slots`]). The total over all entries
+//! is 8 without any communication.
 //!
-//! Callers are not spread evenly over entries, so an entry lends what it does not need
-//! ([`table::Table`]). How much that is, all entries work out from the same reports
+//! Callers are not spread evenly over entries, so an entry lends the slots that it does not need
+//! ([`table::Table`]). All entries compute that number from the same reports
 //! ([`division::divide`]). A slot is used by its owner or by its borrower, never by both: the owner
-//! stops using it, waits until nothing of its own is in flight there, and only then grants it; a
-//! slot that is called back is used again only when the borrower's report shows that it has seen
-//! the call and has nothing in flight there. Late, lost or reordered reports delay lending and never
-//! bring the sum over 8. What can is a change of the set of entries, which entries learn of at
-//! different moments; it lasts as long as they differ and what is in flight then.
+//! stops using it, waits until it has no requests in flight there, and only then grants it. A
+//! recalled slot is used again only after the borrower's report acknowledges the recall and shows
+//! nothing in flight there. Late, lost or reordered reports delay lending but never raise the total
+//! above 8. A change of the set of entries can, because entries learn of it at different times; the
+//! excess lasts until they agree and the requests then in flight have finished.
 
 pub mod division;
 pub mod owner;
--- a/crates/flow/src/rights/table.rs
+++ b/crates/flow/src/rights/table.rs
@@ -1,4 +1,4 @@
-//! Who may use this entry's stripes, and which of its peers' stripes it may use.
+//! Stripes that this entry lends to peers, and stripes that peers lend to it.
 
 use super::{
     division::{Claim, Demand, Weights, divide},
@@ -8,96 +8,96 @@
 use primroseroute_domain::id;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Part of what should be lent that the loans may be off by: reports are noisy, and a stripe on its
-/// way between entries serves nobody.
-const SLACK: f64 = 0.1;
+/// Tolerated deviation of the loans from their target, as a fraction of the target: reports are
+/// noisy, and neither entry can use a stripe while it changes hands.
+const TOLERANCE: f64 = 0.1;
 
-/// A set of stripes, one bit each.
+/// A bit set of stripes.
 type Stripes = u64;
 
-fn bit(stripe: u8) -> Stripes {
+fn mask(stripe: u8) -> Stripes {
     1 << (stripe % STRIPES)
 }
 
-fn has(stripes: Stripes, stripe: u8) -> bool {
-    stripes & bit(stripe) != 0
+fn contains_stripe(stripes: Stripes, stripe: u8) -> bool {
+    stripes & mask(stripe) != 0
 }
 
-fn list(stripes: Stripes) -> Vec<u8> {
+fn to_vec(stripes: Stripes) -> Vec<u8> {
     (0..STRIPES)
-        .filter(|stripe| has(stripes, *stripe))
+        .filter(|stripe| contains_stripe(stripes, *stripe))
         .collect()
 }
 
-/// Where a loan of one stripe is.
+/// State of the loan of one stripe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Phase {
-    /// The owner has stopped using it and waits for its own requests there.
-    Clearing,
-    /// Reports grant it.
+enum LoanState {
+    /// The owner no longer uses it and waits for its own requests there to finish.
+    Draining,
+    /// Reports list it as lent.
     Granted,
-    /// Reports from this number on no longer grant it.
+    /// Reports no longer list it as lent from this sequence number on.
     Recalled(u64),
 }
 
 #[derive(Clone, Debug)]
 struct Loan {
     to: id::Entry,
-    phase: Phase,
+    state: LoanState,
 }
 
-/// What is known of a peer.
+/// Newest applied report of a peer.
 #[derive(Clone, Debug)]
 struct Peer {
     incarnation: u64,
     seq: u64,
     demand: Demand,
-    /// Its stripes that this entry may use.
+    /// Stripes of the peer that this entry may use.
     granted: Stripes,
-    /// Its stripes that this entry must give back and still uses.
+    /// Recalled stripes of the peer that this entry still uses.
     returning: Stripes,
-    /// What it says it has seen of this entry.
+    /// The peer's acknowledgement of this entry's reports.
     seen: Option<Seen>,
 }
 
-/// The rights of one entry to the slots of one pool.
+/// The slots of one pool that one entry may use.
 #[derive(Clone, Debug)]
 pub struct Table {
     entry: id::Entry,
     incarnation: u64,
     seq: u64,
     entries: Vec<id::Entry>,
-    /// Slots in each stripe of each entry, by position of the entry.
-    sizes: Vec<[u32; STRIPES as usize]>,
+    /// Number of slots in each stripe, by index of the owning entry.
+    stripe_sizes: Vec<[u32; STRIPES as usize]>,
     loans: BTreeMap<u8, Loan>,
     peers: BTreeMap<id::Entry, Peer>,
-    /// Whether a peer's grants have changed since the last report.
-    has_taken: bool,
+    /// Whether grants by peers have changed since the last report.
+    grants_changed: bool,
 }
 
 impl Table {
-    /// The rights of an entry that knows no other.
+    /// Creates the table of an entry that knows no peers.
     pub fn new(entry: id::Entry, incarnation: u64) -> Self {
         Self {
             entry,
             incarnation,
             seq: 0,
             entries: Vec::new(),
-            sizes: Vec::new(),
+            stripe_sizes: Vec::new(),
             loans: BTreeMap::new(),
             peers: BTreeMap::new(),
-            has_taken: false,
+            grants_changed: false,
         }
     }
 
-    /// The live entries in the order of their names.
+    /// The live entries, sorted by name.
     pub fn entries(&self) -> &[id::Entry] {
         &self.entries
     }
 
-    /// Takes the set of live entries in; true where it has changed.
+    /// Sets the live entries; returns whether they changed.
     ///
-    /// Loans to entries that are gone come home, and their stripes are gone with them.
+    /// Loans to entries that are gone end, and so do loans from them.
     pub fn set_entries(&mut self, entries: &BTreeSet<id::Entry>) -> bool {
         if self.entries.iter().eq(entries) {
             return false;
@@ -108,11 +108,11 @@
         true
     }
 
-    /// Counts the slots in each stripe over the serving workers.
+    /// Counts the slots of the serving workers in each stripe.
     pub fn set_slots<'a>(&mut self, slots: impl Iterator<Item = &'a Slot>) {
-        self.sizes = vec![[0; STRIPES as usize]; self.entries.len()];
+        self.stripe_sizes = vec![[0; STRIPES as usize]; self.entries.len()];
         for slot in slots {
-            self.sizes[slot.owner][usize::from(slot.stripe)] += 1;
+            self.stripe_sizes[slot.owner][usize::from(slot.stripe)] += 1;
         }
     }
 
@@ -124,12 +124,12 @@
         }
         self.peers
             .get(owner)
-            .is_some_and(|peer| has(peer.granted, slot.stripe))
+            .is_some_and(|peer| contains_stripe(peer.granted, slot.stripe))
     }
 
-    /// Takes the report of a peer in; true where rights have changed.
+    /// Applies a peer's report; returns whether the usable slots changed.
     ///
-    /// Reports that come late, twice or from an entry that is not live change nothing.
+    /// Outdated and duplicate reports, and reports from entries that are not live, are ignored.
     pub fn take(&mut self, report: &Report) -> bool {
         if report.entry == self.entry || self.entries.binary_search(&report.entry).is_err() {
             return false;
@@ -139,8 +139,8 @@
         if known.is_some_and(|peer| version <= (peer.incarnation, peer.seq)) {
             return false;
         }
-        let mine = report.lent.iter().filter(|(_, to)| **to == self.entry);
-        let granted = mine.fold(0, |all, (stripe, _)| all | bit(*stripe));
+        let lent_to_self = report.lent.iter().filter(|(_, to)| **to == self.entry);
+        let granted = lent_to_self.fold(0, |all, (stripe, _)| all | mask(*stripe));
         let (before, returning) = known.map_or((0, 0), |peer| (peer.granted, peer.returning));
         let peer = Peer {
             incarnation: report.incarnation,
@@ -151,163 +151,165 @@
             seen: report.seen.get(&self.entry).cloned(),
         };
         self.peers.insert(report.entry.clone(), peer);
-        self.has_taken |= granted != before;
+        self.grants_changed |= granted != before;
         self.reclaim() || granted != before
     }
 
-    /// Takes home the stripes that their borrowers have given back; true where there were any.
+    /// Ends the loans that their borrowers have returned; returns whether there were any.
     fn reclaim(&mut self) -> bool {
         let before = self.loans.len();
         let (peers, incarnation) = (&self.peers, self.incarnation);
         self.loans.retain(|stripe, loan| {
             let seen = peers.get(&loan.to).and_then(|peer| peer.seen.as_ref());
             let seen = seen.filter(|seen| seen.incarnation == incarnation);
-            let (Phase::Recalled(since), Some(seen)) = (loan.phase, seen) else {
+            let (LoanState::Recalled(from_seq), Some(seen)) = (loan.state, seen) else {
                 return true;
             };
-            seen.seq < since || seen.returning.contains(stripe)
+            seen.seq < from_seq || seen.returning.contains(stripe)
         });
         self.loans.len() < before
     }
 
-    /// Decides what to lend and to call back; true where this entry's own rights have changed.
+    /// Lends and recalls stripes by demand; returns whether the usable slots changed.
     pub fn lend(&mut self, shares: &Weights, demand: &Demand) -> bool {
         let before: Vec<_> = self.loans.keys().copied().collect();
         for (to, slots) in self.targets(shares, demand) {
-            self.adjust(&to, slots);
+            self.adjust_loans(&to, slots);
         }
         !self.loans.keys().eq(&before)
     }
 
-    /// The demand of all entries that are known, this one's given.
+    /// The total demand of this entry and all known peers.
     pub fn demand(&self, own: &Demand) -> Demand {
         let peers = self.peers.values().map(|peer| &peer.demand);
         super::division::total(peers.chain([own]))
     }
 
-    /// Slots that this entry should lend to each peer that reports.
+    /// Number of slots that this entry should lend to each known peer.
     fn targets(&self, shares: &Weights, demand: &Demand) -> Vec<(id::Entry, f64)> {
         let mut known = Vec::new();
         let mut claims = Vec::new();
-        for (entry, sizes) in self.entries.iter().zip(&self.sizes) {
+        for (entry, stripe_sizes) in self.entries.iter().zip(&self.stripe_sizes) {
             let peer = self.peers.get(entry).map(|peer| &peer.demand);
             let own = (*entry == self.entry).then_some(demand);
             let Some(demand) = own.or(peer) else {
                 continue;
             };
-            let owned = f64::from(sizes.iter().sum::<u32>());
+            let owned = f64::from(stripe_sizes.iter().sum::<u32>());
             known.push(entry);
             claims.push(Claim { owned, demand });
         }
         let targets = divide(shares, &claims);
-        let lacks = claims
+        let deficits = claims
             .iter()
             .zip(&targets)
             .map(|(claim, target)| target - claim.owned);
-        let lacks: Vec<_> = known.into_iter().zip(lacks).collect();
-        let missing: f64 = lacks.iter().map(|(_, lack)| lack.max(0.0)).sum();
-        let own = lacks.iter().find(|(entry, _)| **entry == self.entry);
-        let excess = own.map_or(0.0, |(_, lack)| (-lack).max(0.0));
-        let peers = lacks.into_iter().filter(|(entry, _)| **entry != self.entry);
-        let part = |lack: f64| {
-            if missing > 0.0 {
-                excess * lack.max(0.0) / missing
+        let deficits: Vec<_> = known.into_iter().zip(deficits).collect();
+        let total_deficit: f64 = deficits.iter().map(|(_, deficit)| deficit.max(0.0)).sum();
+        let own = deficits.iter().find(|(entry, _)| **entry == self.entry);
+        let excess = own.map_or(0.0, |(_, deficit)| (-deficit).max(0.0));
+        let peers = deficits
+            .into_iter()
+            .filter(|(entry, _)| **entry != self.entry);
+        let part = |deficit: f64| {
+            if total_deficit > 0.0 {
+                excess * deficit.max(0.0) / total_deficit
             } else {
                 0.0
             }
         };
         peers
-            .map(|(entry, lack)| (entry.clone(), part(lack)))
+            .map(|(entry, deficit)| (entry.clone(), part(deficit)))
             .collect()
     }
 
-    /// Lends or calls back until about `slots` slots are lent to `to`.
-    fn adjust(&mut self, to: &id::Entry, slots: f64) {
+    /// Lends or recalls stripes until about `slots` slots are lent to `to`.
+    fn adjust_loans(&mut self, to: &id::Entry, slots: f64) {
         let lent = f64::from(self.lent(to));
-        let sizes = self.own_sizes();
-        let mean = f64::from(sizes.iter().sum::<u32>()) / f64::from(STRIPES);
+        let stripe_sizes = self.own_stripe_sizes();
+        let mean = f64::from(stripe_sizes.iter().sum::<u32>()) / f64::from(STRIPES);
         let stripe = mean.max(1.0);
-        let slack = stripe.max(slots * SLACK);
-        if lent > slots + slack || (slots == 0.0 && lent > 0.0) {
-            self.recall(to, lent - slots, &sizes);
+        let tolerance = stripe.max(slots * TOLERANCE);
+        if lent > slots + tolerance || (slots == 0.0 && lent > 0.0) {
+            self.recall(to, lent - slots, &stripe_sizes);
         } else if lent < slots - stripe {
-            self.offer(to, slots - lent, &sizes);
+            self.grant(to, slots - lent, &stripe_sizes);
         }
     }
 
-    /// Slots that are lent to `to` and not called back.
+    /// Number of slots lent to `to` and not recalled.
     fn lent(&self, to: &id::Entry) -> u32 {
-        let sizes = self.own_sizes();
+        let stripe_sizes = self.own_stripe_sizes();
         let loans = self.loans.iter();
-        let standing = loans.filter(|(_, loan)| loan.to == *to && !is_recalled(loan));
-        standing
-            .map(|(stripe, _)| sizes[usize::from(*stripe)])
+        let active = loans.filter(|(_, loan)| loan.to == *to && !is_recalled(loan));
+        active
+            .map(|(stripe, _)| stripe_sizes[usize::from(*stripe)])
             .sum()
     }
 
-    fn own_sizes(&self) -> [u32; STRIPES as usize] {
+    fn own_stripe_sizes(&self) -> [u32; STRIPES as usize] {
         let own = self.entries.binary_search(&self.entry).ok();
-        own.and_then(|own| self.sizes.get(own))
+        own.and_then(|own| self.stripe_sizes.get(own))
             .copied()
             .unwrap_or([0; STRIPES as usize])
     }
 
-    fn recall(&mut self, to: &id::Entry, mut slots: f64, sizes: &[u32; STRIPES as usize]) {
-        let since = self.seq + 1;
-        let mut unused = Vec::new();
+    fn recall(&mut self, to: &id::Entry, mut slots: f64, stripe_sizes: &[u32; STRIPES as usize]) {
+        let from_seq = self.seq + 1;
+        let mut never_granted = Vec::new();
         let loans = self.loans.iter_mut();
         for (stripe, loan) in loans.filter(|(_, loan)| loan.to == *to && !is_recalled(loan)) {
-            let size = f64::from(sizes[usize::from(*stripe)]);
+            let size = f64::from(stripe_sizes[usize::from(*stripe)]);
             if size > slots + 0.5 {
                 continue;
             }
             slots -= size;
-            if loan.phase == Phase::Clearing {
-                unused.push(*stripe);
+            if loan.state == LoanState::Draining {
+                never_granted.push(*stripe);
             }
-            loan.phase = Phase::Recalled(since);
+            loan.state = LoanState::Recalled(from_seq);
         }
-        for stripe in unused {
+        for stripe in never_granted {
             self.loans.remove(&stripe);
         }
     }
 
-    fn offer(&mut self, to: &id::Entry, mut slots: f64, sizes: &[u32; STRIPES as usize]) {
+    fn grant(&mut self, to: &id::Entry, mut slots: f64, stripe_sizes: &[u32; STRIPES as usize]) {
         for stripe in 0..STRIPES {
-            let size = f64::from(sizes[usize::from(stripe)]);
+            let size = f64::from(stripe_sizes[usize::from(stripe)]);
             if size == 0.0 || size > slots + 0.5 || self.loans.contains_key(&stripe) {
                 continue;
             }
             slots -= size;
             let loan = Loan {
                 to: to.clone(),
-                phase: Phase::Clearing,
+                state: LoanState::Draining,
             };
             self.loans.insert(stripe, loan);
         }
     }
 
-    /// Whether a peer waits for the next report: for a grant, or for a slot to come back.
+    /// Whether a peer waits for the next report, for a grant or the return of a stripe.
     pub fn is_pending(&self) -> bool {
-        let is_clearing = |loan: &Loan| loan.phase == Phase::Clearing;
+        let is_draining = |loan: &Loan| loan.state == LoanState::Draining;
         let is_returning = |peer: &Peer| peer.returning != 0;
-        let is_lending = self.loans.values().any(is_clearing);
-        self.has_taken || is_lending || self.peers.values().any(is_returning)
+        let is_lending = self.loans.values().any(is_draining);
+        self.grants_changed || is_lending || self.peers.values().any(is_returning)
     }
 
-    /// Makes the next report; `busy` are the slots at workers where this entry uses more than it may.
+    /// Creates the next report; `busy` are the slots of workers where this entry exceeds its quota.
     pub fn report<'a>(&mut self, demand: Demand, busy: impl Iterator<Item = &'a Slot>) -> Report {
         let mut in_use = vec![0; self.entries.len()];
         for slot in busy {
-            in_use[slot.owner] |= bit(slot.stripe);
+            in_use[slot.owner] |= mask(slot.stripe);
         }
-        self.clear(&in_use);
-        self.has_taken = false;
+        self.finish_draining(&in_use);
+        self.grants_changed = false;
         self.seq += 1;
         let granted = self
             .loans
             .iter()
-            .filter(|(_, loan)| loan.phase == Phase::Granted);
+            .filter(|(_, loan)| loan.state == LoanState::Granted);
         Report {
             entry: self.entry.clone(),
             incarnation: self.incarnation,
@@ -324,8 +326,8 @@
         }
     }
 
-    /// Grants and gives back the stripes in which nothing of this entry is in flight any more.
-    fn clear(&mut self, in_use: &[Stripes]) {
+    /// Grants and returns the stripes in which this entry has no more requests in flight.
+    fn finish_draining(&mut self, in_use: &[Stripes]) {
         for (entry, in_use) in self.entries.iter().zip(in_use) {
             if let Some(peer) = self.peers.get_mut(entry) {
                 peer.returning &= in_use;
@@ -333,10 +335,10 @@
             if *entry != self.entry {
                 continue;
             }
-            let clearing = self.loans.iter_mut();
-            let clearing = clearing.filter(|(_, loan)| loan.phase == Phase::Clearing);
-            for (_, loan) in clearing.filter(|(stripe, _)| !has(*in_use, **stripe)) {
-                loan.phase = Phase::Granted;
+            let draining = self.loans.iter_mut();
+            let draining = draining.filter(|(_, loan)| loan.state == LoanState::Draining);
+            for (_, loan) in draining.filter(|(stripe, _)| !contains_stripe(*in_use, **stripe)) {
+                loan.state = LoanState::Granted;
             }
         }
     }
@@ -347,11 +349,11 @@
         Seen {
             incarnation: self.incarnation,
             seq: self.seq,
-            returning: list(self.returning),
+            returning: to_vec(self.returning),
         }
     }
 }
 
 fn is_recalled(loan: &Loan) -> bool {
-    matches!(loan.phase, Phase::Recalled(_))
+    matches!(loan.state, LoanState::Recalled(_))
 }
--- a/crates/flow/src/view.rs
+++ b/crates/flow/src/view.rs
@@ -1,16 +1,16 @@
-//! What the pool needs of the entry's view: its instances, the live entries, the fair shares.
+//! The pool's part of the entry's view: its instances, the live entries and the fair shares.
 
 use primroseroute_domain::{account::Template, id, instance};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One instance of the pool.
+/// An instance of the pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// What it is doing; only a serving one gets requests.
+    /// Lifecycle state; only a serving instance receives requests.
     pub state: instance::State,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: id::Zone,
-    /// Its rack.
+    /// Rack.
     pub rack: id::Rack,
 }
 
@@ -24,19 +24,19 @@
     }
 }
 
-/// The part of a view that concerns one pool.
+/// The part of an entry's view that concerns one pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    /// The pool's instances, in whatever state.
+    /// The pool's instances in any state.
     pub members: BTreeMap<id::Instance, Member>,
-    /// The live entries, this one among them; they divide each worker's slots.
+    /// The live entries including this one; each worker's slots are divided among them.
     pub entries: BTreeSet<id::Entry>,
-    /// Fair shares of the accounts; an account that is missing counts 1.
+    /// Fair shares of the accounts; an absent account has share 1.
     pub shares: BTreeMap<id::Account, u32>,
 }
 
 impl View {
-    /// Sets the shares from the accounts' templates.
+    /// Sets the shares from the account templates.
     #[must_use]
     pub fn with_templates<'a>(mut self, templates: impl IntoIterator<Item = &'a Template>) -> Self {
         let share = |template: &Template| (template.account.clone(), template.share);
--- a/crates/flow/src/worker.rs
+++ b/crates/flow/src/worker.rs
@@ -1,9 +1,9 @@
-//! The workers of a pool and the choice among them.
+//! The workers of a pool and the selection among them.
 //!
-//! Workers are kept in buckets by the number of slots that this entry may still use there, so the
-//! choice looks at the fullest non-empty bucket and draws one worker from it: constant time at any
-//! size. Spreading to the most free worker keeps each worker's other slots with their owners, and
-//! the draw keeps entries and requests from going to the same worker in step.
+//! Workers are kept in buckets by the number of free slots that this entry may use there. Selection
+//! picks a random worker from the non-empty bucket with the most free slots, in constant time for
+//! any pool size. Preferring workers with the most free slots leaves each worker's other slots to
+//! their owners, and the random choice keeps entries from sending to the same worker in lockstep.
 
 use crate::{
     health::{Gate, Health},
@@ -14,44 +14,44 @@
 use rand::RngExt;
 use std::collections::BTreeMap;
 
-/// Workers of a bucket that are looked at for one that a retry prefers; more than a request has
-/// tries, so one that has not failed it yet is found wherever there is one.
-const DRAWS: usize = 8;
+/// Workers examined per bucket for one that suits a retry; more than the attempts of a request, so
+/// that a worker that has not failed it yet is found if there is one.
+const MAX_CANDIDATES: usize = 8;
 
-/// Bucket of workers that let one probe in; the others hold workers by free slots.
-const PROBE: usize = SLOTS as usize + 1;
+/// Bucket of workers that await a probe; the other buckets are indexed by free slots.
+const PROBE_BUCKET: usize = SLOTS as usize + 1;
 
-/// A worker's position in the [`Set`]; it stays the same while the worker is known.
+/// Index of a worker in the [`Set`]; stable as long as the worker is in the set.
 pub type Index = usize;
 
-/// One worker as this entry sees it.
+/// State of one worker at this entry.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// Its name.
+    /// Name of the instance.
     pub id: id::Instance,
-    /// Its place and state.
+    /// Lifecycle state and location.
     pub member: Member,
     /// Requests that this entry has in flight there.
     pub in_flight: u32,
-    /// Slots that this entry may use there.
+    /// Number of slots that this entry may use there.
     pub rights: u32,
-    /// Its slots, with their owners.
+    /// All slots of the worker, with their owners.
     pub slots: Vec<Slot>,
-    /// Its record.
+    /// Health record.
     pub health: Health,
-    /// Whether it is in the view; one that has left stays until nothing is in flight.
+    /// Whether it is in the view; a removed worker stays until it has no requests in flight.
     pub is_member: bool,
-    place: Option<Place>,
+    position: Option<BucketPosition>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct BucketPosition {
     bucket: usize,
-    at: usize,
+    offset: usize,
 }
 
 impl Worker {
-    /// Whether new requests may go to it, as far as the view says.
+    /// Whether the view allows new requests.
     pub fn is_serving(&self) -> bool {
         self.is_member && self.member.state.takes_requests()
     }
@@ -61,7 +61,7 @@
         self.health.gate() != Gate::Open
     }
 
-    fn count(&self) -> Totals {
+    fn contribution(&self) -> Totals {
         if !self.is_serving() {
             return Totals::default();
         }
@@ -80,29 +80,29 @@
         let free = self.rights.saturating_sub(self.in_flight) as usize;
         match self.health.gate() {
             Gate::Open if free > 0 => Some(free.min(SLOTS as usize)),
-            Gate::Probe if free > 0 && self.in_flight == 0 => Some(PROBE),
+            Gate::Probe if free > 0 && self.in_flight == 0 => Some(PROBE_BUCKET),
             _ => None,
         }
     }
 }
 
-/// Sums over the workers that the view lets get requests.
+/// Totals over the serving workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// Number of them.
+    /// Number of serving workers.
     pub serving: usize,
-    /// Slots that this entry may use at those of them that are not ejected.
+    /// Slots that this entry may use at serving workers that are not ejected.
     pub slots: u32,
-    /// Those of them that are ejected or probing.
+    /// Number of serving workers that are ejected or being probed.
     pub ejected: usize,
 }
 
-/// What a choice is for.
+/// Request properties that affect the selection.
 #[derive(Clone, Copy, Debug)]
 pub struct Wish<'a> {
-    /// Whether the request may serve as a probe of a worker that has failed.
+    /// Whether the request is idempotent, and so preferred as a probe.
     pub idempotent: bool,
-    /// Workers that have failed this request, the last one at the end.
+    /// Workers that have failed this request, the most recent last.
     pub tried: &'a [Index],
 }
 
@@ -111,50 +111,50 @@
 pub struct Set {
     workers: Vec<Option<Worker>>,
     index: BTreeMap<id::Instance, Index>,
-    vacant: Vec<Index>,
-    buckets: [Vec<Index>; PROBE + 1],
+    free_indices: Vec<Index>,
+    buckets: [Vec<Index>; PROBE_BUCKET + 1],
     totals: Totals,
 }
 
 impl Set {
-    /// Position of a worker.
+    /// Index of a worker by name.
     pub fn find(&self, id: &id::Instance) -> Option<Index> {
         self.index.get(id).copied()
     }
 
-    /// The worker at `index`, if it is still known.
+    /// The worker at `index`, if it is still in the set.
     pub fn get(&self, index: Index) -> Option<&Worker> {
         self.workers.get(index)?.as_ref()
     }
 
-    /// All known workers, in order of their names.
+    /// All workers, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = &Worker> {
         self.index.values().filter_map(|&index| self.get(index))
     }
 
-    /// The positions of all known workers, in order of their names.
+    /// The indices of all workers, sorted by name.
     pub fn indices(&self) -> Vec<Index> {
         self.index.values().copied().collect()
     }
 
-    /// Changes a worker and files it anew.
+    /// Changes a worker and updates totals and buckets.
     pub fn change<T>(&mut self, index: Index, change: impl FnOnce(&mut Worker) -> T) -> Option<T> {
         let worker = self.workers.get_mut(index)?.as_mut()?;
-        let before = worker.count();
+        let before = worker.contribution();
         let result = change(worker);
-        let after = worker.count();
+        let after = worker.contribution();
         let is_gone = !worker.is_member && worker.in_flight == 0;
         self.totals.serving = self.totals.serving + after.serving - before.serving;
         self.totals.slots = self.totals.slots + after.slots - before.slots;
         self.totals.ejected = self.totals.ejected + after.ejected - before.ejected;
-        self.file(index);
+        self.update_bucket(index);
         if is_gone {
             self.remove(index);
         }
         Some(result)
     }
 
-    /// Takes a worker in, or its new state.
+    /// Adds a worker, or updates its state.
     pub fn put(&mut self, id: &id::Instance, member: Member) -> Index {
         let index = self
             .find(id)
@@ -164,7 +164,7 @@
             worker.member = member;
             worker.is_member = true;
             if worker.is_serving() && !was_serving {
-                // It comes back from a reboot or a check: what it did before says nothing.
+                // It was rebooted or checked, so its earlier record no longer applies.
                 worker.health = Health::default();
             }
         });
@@ -180,9 +180,9 @@
             slots: Vec::new(),
             health: Health::default(),
             is_member: false,
-            place: None,
+            position: None,
         };
-        let index = self.vacant.pop().unwrap_or_else(|| {
+        let index = self.free_indices.pop().unwrap_or_else(|| {
             self.workers.push(None);
             self.workers.len() - 1
         });
@@ -194,95 +194,95 @@
     fn remove(&mut self, index: Index) {
         if let Some(worker) = self.workers[index].take() {
             self.index.remove(&worker.id);
-            self.vacant.push(index);
+            self.free_indices.push(index);
         }
     }
 
-    /// Moves a worker to the bucket where it belongs now.
-    fn file(&mut self, index: Index) {
+    /// Moves a worker to the bucket for its current state.
+    fn update_bucket(&mut self, index: Index) {
         let Some(worker) = self.workers[index].as_mut() else {
             return;
         };
         let target = worker.bucket();
-        let place = worker.place;
-        if place.map(|place| place.bucket) == target {
+        let position = worker.position;
+        if position.map(|position| position.bucket) == target {
             return;
         }
-        if let Some(place) = place {
-            self.take_out(place);
+        if let Some(position) = position {
+            self.remove_from_bucket(position);
         }
-        let target = target.map(|bucket| self.put_in(bucket, index));
+        let target = target.map(|bucket| self.add_to_bucket(bucket, index));
         if let Some(worker) = self.workers[index].as_mut() {
-            worker.place = target;
+            worker.position = target;
         }
     }
 
-    fn put_in(&mut self, bucket: usize, index: Index) -> Place {
+    fn add_to_bucket(&mut self, bucket: usize, index: Index) -> BucketPosition {
         self.buckets[bucket].push(index);
-        let at = self.buckets[bucket].len() - 1;
-        Place { bucket, at }
+        let offset = self.buckets[bucket].len() - 1;
+        BucketPosition { bucket, offset }
     }
 
-    fn take_out(&mut self, place: Place) {
-        self.buckets[place.bucket].swap_remove(place.at);
-        let Some(&moved) = self.buckets[place.bucket].get(place.at) else {
+    fn remove_from_bucket(&mut self, position: BucketPosition) {
+        self.buckets[position.bucket].swap_remove(position.offset);
+        let Some(&moved) = self.buckets[position.bucket].get(position.offset) else {
             return;
         };
         if let Some(worker) = self.workers[moved].as_mut() {
-            worker.place = Some(place);
+            worker.position = Some(position);
         }
     }
 
-    /// Sums over the serving workers.
+    /// Totals over the serving workers.
     pub fn totals(&self) -> Totals {
         self.totals
     }
 
-    /// Whether any worker can take a request now.
+    /// Whether any worker can accept a request now.
     pub fn has_free(&self) -> bool {
         self.buckets.iter().any(|bucket| !bucket.is_empty())
     }
 
-    /// A worker with a free slot that suits the wish.
+    /// Selects a worker with a free slot.
     ///
-    /// A probe goes first to an idempotent request, since the worker may fail it; a request that is
-    /// not idempotent probes only where no other worker is free. A retry avoids the workers that
-    /// have failed it and prefers another rack and zone than the last one's.
-    pub fn choose(&self, wish: Wish<'_>, random: &mut impl RngExt) -> Option<Index> {
-        let open = self.buckets[1..PROBE].iter().rev();
-        let probe = std::iter::once(&self.buckets[PROBE]);
+    /// An idempotent request prefers a worker that awaits a probe, since the worker may fail it;
+    /// other requests probe only if no other worker has a free slot. A retry avoids the workers that
+    /// have failed it and prefers a different rack and zone from the last one's.
+    pub fn choose(&self, wish: Wish<'_>, rng: &mut impl RngExt) -> Option<Index> {
+        let open = self.buckets[1..PROBE_BUCKET].iter().rev();
+        let probe = std::iter::once(&self.buckets[PROBE_BUCKET]);
         let found = if wish.idempotent {
-            self.search(probe.chain(open), wish, random)
+            self.search(probe.chain(open), wish, rng)
         } else {
-            self.search(open.chain(probe), wish, random)
+            self.search(open.chain(probe), wish, rng)
         };
-        found.or_else(|| self.any(random))
+        found.or_else(|| self.choose_any(rng))
     }
 
-    fn any(&self, random: &mut impl RngExt) -> Option<Index> {
+    fn choose_any(&self, rng: &mut impl RngExt) -> Option<Index> {
         let bucket = self
             .buckets
             .iter()
             .rev()
             .find(|bucket| !bucket.is_empty())?;
-        Some(bucket[random.random_range(0..bucket.len())])
+        Some(bucket[rng.random_range(0..bucket.len())])
     }
 
     fn search<'a>(
         &self,
         buckets: impl Iterator<Item = &'a Vec<Index>>,
         wish: Wish<'_>,
-        random: &mut impl RngExt,
+        rng: &mut impl RngExt,
     ) -> Option<Index> {
         let mut fallback = None;
         for bucket in buckets.filter(|bucket| !bucket.is_empty()) {
-            let from = random.random_range(0..bucket.len());
-            for step in 0..DRAWS.min(bucket.len()) {
-                let index = bucket[(from + step) % bucket.len()];
+            let first = rng.random_range(0..bucket.len());
+            for step in 0..MAX_CANDIDATES.min(bucket.len()) {
+                let index = bucket[(first + step) % bucket.len()];
                 if wish.tried.contains(&index) {
                     continue;
                 }
-                if self.is_elsewhere(index, wish.tried.last().copied()) {
+                if self.is_in_other_rack_and_zone(index, wish.tried.last().copied()) {
                     return Some(index);
                 }
                 fallback = fallback.or(Some(index));
@@ -291,12 +291,12 @@
         fallback
     }
 
-    /// Whether the worker is in another rack and zone than the one that failed last.
-    fn is_elsewhere(&self, index: Index, last: Option<Index>) -> bool {
-        let place = |index| self.get(index).map(|worker| &worker.member);
-        let (Some(here), Some(there)) = (place(index), last.and_then(place)) else {
+    /// Whether the worker is in a different rack and zone from the one that failed last.
+    fn is_in_other_rack_and_zone(&self, index: Index, last: Option<Index>) -> bool {
+        let location = |index| self.get(index).map(|worker| &worker.member);
+        let (Some(candidate), Some(failed)) = (location(index), last.and_then(location)) else {
             return true;
         };
-        here.zone != there.zone && here.rack != there.rack
+        candidate.zone != failed.zone && candidate.rack != failed.rack
     }
 }
--- a/crates/flow/tests/all/basics.rs
+++ b/crates/flow/tests/all/basics.rs
@@ -1,4 +1,4 @@
-//! The way of a request through the pool, case by case.
+//! The path of a request through the pool, by example.
 
 use crate::bed::{arrival, bad, cases, good, ms, pool, refused, sent, view, worker};
 use primroseroute_domain::instance::State;
@@ -93,8 +93,8 @@
     assert_eq!(pool.next_tick(), None);
 }
 
-/// What the caller sees: a pool that fails is sent three times its load, and fails more. Every
-/// attempt is lost; each of a thousand callers would have two more attempts.
+/// Guards against retries that multiply the load of a failing pool by three. Every attempt is lost;
+/// without a budget, each of a thousand callers would have two more attempts.
 #[test]
 fn retries_stay_within_the_budget() {
     let mut pool = pool(8, 1, Limits::default());
@@ -110,13 +110,13 @@
             actions = pool.tick(now + ms(500));
         }
     }
-    // A full bucket of 10, and a fifth of a token from each first attempt after the one that finds
-    // it full.
+    // A full bucket of 10, plus a fifth of a token from each first attempt except the first, which
+    // finds the bucket full.
     assert_eq!(attempts, 1_000 + 10 + 999 / 5);
 }
 
-/// What the caller sees: 503 for ever, from workers that are fast again. Answers took longer than
-/// the deadlines for a while, so all would be refused by the estimate, and none would correct it.
+/// Guards against permanent 503 responses after workers have recovered. While responses take longer
+/// than the deadlines, the estimate would refuse all requests, and no response would correct it.
 #[test]
 fn a_request_that_starts_at_once_is_not_refused_by_an_estimate() {
     let mut pool = pool(1, 8, Limits::default());
@@ -132,8 +132,8 @@
     );
 }
 
-/// What the caller sees: a wait up to the deadline and then a refusal, where one at once was due. The
-/// workers have become slower than all deadlines, so no answer ever tells how slow they are.
+/// Guards against refusals at the deadline instead of on arrival. The workers have become slower than
+/// all deadlines, so no response ever shows how slow they are.
 #[test]
 fn answers_that_never_come_count_as_slow() {
     let mut pool = pool(1, 8, Limits::default());
@@ -155,8 +155,8 @@
     );
 }
 
-/// What the caller sees: nothing, it has gone; the worker runs a request for nobody. A slot comes
-/// free after the deadline and before the shell's timer has fired.
+/// Guards against a worker executing a request that its caller has abandoned. A slot becomes free
+/// after the deadline but before the I/O layer's timer has fired.
 #[test]
 fn nothing_is_sent_after_its_deadline_however_late_the_tick() {
     let mut pool = pool(1, 8, Limits::default());
@@ -167,9 +167,9 @@
     assert!(sent(&actions).is_empty());
 }
 
-/// What the caller sees: "not run", sends the request again, and it has run twice. The first answer
-/// of an idempotent request is lost after it was sent; the retry finds no connection, no time or no
-/// worker, each of which alone would prove that nothing ran.
+/// Guards against a "not run" refusal of a request that may have been executed, after which the caller
+/// would send it again and it would run twice. The response to the first attempt is lost; the retry
+/// finds no connection, no time or no worker, each of which alone would prove that nothing was run.
 fn a_retry_that_fails_does_not_unsay_the_first_attempt(end: impl Fn(&mut Pool) -> Vec<Action>) {
     let mut pool = pool(
         8,
@@ -194,7 +194,7 @@
     });
     a_lost_answer_then_no_instance(|pool| pool.sync(ms(2), &View::default()));
     a_lost_answer_then_no_time(|pool| {
-        // Sixty-four others take every slot for longer than the request can wait.
+        // 64 other requests occupy every slot for longer than the request can wait.
         (2..66).for_each(|at| assert_eq!(sent(&pool.arrive(ms(1), arrival(at, ms(9_000)))).len(), 1));
         assert!(pool.tick(ms(999)).is_empty());
         pool.tick(ms(1_000))
--- a/crates/flow/tests/all/bed.rs
+++ b/crates/flow/tests/all/bed.rs
@@ -1,4 +1,4 @@
-//! What the tests share: names, views, arrivals.
+//! Shared test fixtures: names, views, arrivals.
 
 use primroseroute_domain::{account::Class, id, instance::State};
 use primroseroute_flow::{
@@ -13,7 +13,7 @@
 };
 use std::{fmt::Debug, str::FromStr, time::Duration};
 
-/// Names each case of one check.
+/// Generates a named test for each case of a check function.
 macro_rules! cases {
     ($check:ident: $($name:ident($($argument:expr),*);)+) => {
         $(#[test]
@@ -32,7 +32,7 @@
     Duration::from_millis(millis)
 }
 
-/// `workers` serving instances, four to a rack, racks in turn over three zones.
+/// A view of `workers` serving instances, four per rack, with racks spread over three zones.
 pub fn view(workers: usize, entries: usize) -> View {
     let member = |at: usize| Member {
         state: State::Serving,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Where each `Send` goes, in order.
+/// The request and instance of each `Send`, in order.
 pub fn sent(actions: &[Action]) -> Vec<(u64, id::Instance)> {
     let send = |action: &Action| match action {
         Action::Send {
@@ -97,7 +97,7 @@
     actions.iter().filter_map(send).collect()
 }
 
-/// Each refusal's request and number, in order.
+/// The request and code number of each refusal, in order.
 pub fn refused(actions: &[Action]) -> Vec<(u64, u16)> {
     let refuse = |action: &Action| match action {
         Action::Refuse { request, code, .. } => Some((*request, code.number())),
@@ -106,7 +106,7 @@
     actions.iter().filter_map(refuse).collect()
 }
 
-/// Runs a property over `cases` cases, the same ones each time.
+/// Checks a property on `cases` deterministic inputs.
 pub fn check<S: Strategy>(cases: u32, strategy: &S, test: impl Fn(S::Value)) {
     let config = Config {
         failure_persistence: None,
--- a/crates/flow/tests/all/checker.rs
+++ b/crates/flow/tests/all/checker.rs
@@ -1,4 +1,4 @@
-//! A checker that watches one pool from outside through random histories.
+//! Checks invariants of one pool over random histories, through its public interface.
 
 use crate::bed::{bad, check, entry, good, ms, name, view, worker};
 use primroseroute_domain::{account::Class, id, instance::State};
@@ -17,13 +17,13 @@
 enum Step {
     Arrive {
         account: u8,
-        patience: u16,
+        timeout_ms: u16,
         idempotent: bool,
         urgent: bool,
     },
     Finish {
         which: prop::sample::Index,
-        how: u8,
+        ending_kind: u8,
     },
     Cancel(prop::sample::Index),
     State {
@@ -37,18 +37,18 @@
     let arrive = (0..3u8, 1..400u16, any::<bool>(), any::<bool>());
     let which = any::<prop::sample::Index>();
     prop_oneof![
-        6 => arrive.prop_map(|(account, patience, idempotent, urgent)| Step::Arrive {
-            account, patience, idempotent, urgent
+        6 => arrive.prop_map(|(account, timeout_ms, idempotent, urgent)| Step::Arrive {
+            account, timeout_ms, idempotent, urgent
         }),
-        5 => (which.clone(), 0..6u8).prop_map(|(which, how)| Step::Finish { which, how }),
+        5 => (which.clone(), 0..6u8).prop_map(|(which, ending_kind)| Step::Finish { which, ending_kind }),
         1 => which.prop_map(Step::Cancel),
         1 => (0..WORKERS, 0..3u8).prop_map(|(at, state)| Step::State { at, state }),
         3 => (1..60u8).prop_map(Step::Wait),
     ]
 }
 
-/// What the checker knows of an open request.
-struct Open {
+/// The checker's record of an open request.
+struct OpenRequest {
     arrival: Arrival,
     at: Option<id::Instance>,
     attempts: u32,
@@ -60,8 +60,8 @@
     view: View,
     now: Duration,
     next: u64,
-    open: BTreeMap<u64, Open>,
-    firsts: u32,
+    open: BTreeMap<u64, OpenRequest>,
+    first_attempts: u32,
     retries: u32,
 }
 
@@ -70,13 +70,13 @@
         match *step {
             Step::Arrive {
                 account,
-                patience,
+                timeout_ms,
                 idempotent,
                 urgent,
             } => {
-                self.arrive(account, patience, idempotent, urgent);
+                self.arrive(account, timeout_ms, idempotent, urgent);
             }
-            Step::Finish { which, how } => self.finish(which, how),
+            Step::Finish { which, ending_kind } => self.finish(which, ending_kind),
             Step::Cancel(which) => self.cancel(which),
             Step::State { at, state } => self.change_state(at, state),
             Step::Wait(millis) => self.wait(ms(u64::from(millis))),
@@ -84,7 +84,7 @@
         self.check();
     }
 
-    fn arrive(&mut self, account: u8, patience: u16, idempotent: bool, urgent: bool) {
+    fn arrive(&mut self, account: u8, timeout_ms: u16, idempotent: bool, urgent: bool) {
         self.next += 1;
         let arrival = Arrival {
             request: self.next,
@@ -95,10 +95,10 @@
             } else {
                 Class::Deferrable
             },
-            deadline: self.now + ms(u64::from(patience)),
+            deadline: self.now + ms(u64::from(timeout_ms)),
             idempotent,
         };
-        let open = Open {
+        let open = OpenRequest {
             arrival: arrival.clone(),
             at: None,
             attempts: 0,
@@ -106,10 +106,10 @@
         };
         self.open.insert(self.next, open);
         let actions = self.pool.arrive(self.now, arrival);
-        self.watch(actions);
+        self.check_actions(actions);
     }
 
-    fn finish(&mut self, which: prop::sample::Index, how: u8) {
+    fn finish(&mut self, which: prop::sample::Index, ending_kind: u8) {
         let sent: Vec<_> = self
             .open
             .iter()
@@ -119,7 +119,7 @@
             return;
         }
         let number = *which.get(&sent).0;
-        let ending = match how {
+        let ending = match ending_kind {
             0 => bad(),
             1 => Ending::NotSent,
             2 => Ending::Lost,
@@ -133,7 +133,7 @@
             self.open.remove(&number);
         }
         let actions = self.pool.finish(self.now, number, ending);
-        self.watch(actions);
+        self.check_actions(actions);
     }
 
     fn cancel(&mut self, which: prop::sample::Index) {
@@ -144,15 +144,15 @@
         let number = *which.get(&numbers);
         self.open.remove(&number);
         let actions = self.pool.finish(self.now, number, Ending::Cancelled);
-        self.watch(actions);
+        self.check_actions(actions);
     }
 
     fn change_state(&mut self, at: usize, state: u8) {
-        let fresh = view(WORKERS, 1)
+        let initial = view(WORKERS, 1)
             .members
             .remove(&worker(at))
             .expect("a member");
-        let member = self.view.members.entry(worker(at)).or_insert(fresh);
+        let member = self.view.members.entry(worker(at)).or_insert(initial);
         match state {
             0 => member.state = State::Serving,
             1 => member.state = State::Draining,
@@ -161,25 +161,25 @@
             }
         }
         let actions = self.pool.sync(self.now, &self.view.clone());
-        self.watch(actions);
+        self.check_actions(actions);
     }
 
-    /// Lets time pass, with a tick whenever one is due.
+    /// Advances the time, with a tick whenever one is due.
     fn wait(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(due) = self.pool.next_tick().filter(|due| *due <= end) {
             self.now = self.now.max(due);
             let actions = self.pool.tick(self.now);
-            self.watch(actions);
+            self.check_actions(actions);
             assert!(
                 self.pool.next_tick().is_none_or(|next| next > self.now),
-                "a tick does nothing"
+                "a tick has left its timer due"
             );
         }
         self.now = end;
     }
 
-    fn watch(&mut self, actions: Vec<Action>) {
+    fn check_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send {
@@ -188,7 +188,7 @@
                     attempt,
                     not_after,
                 } => {
-                    self.watch_send(request, instance, attempt, not_after);
+                    self.check_send(request, instance, attempt, not_after);
                 }
                 Action::Refuse {
                     request,
@@ -204,37 +204,37 @@
                     let not_run = code.verdict() == primroseroute_domain::outcome::Verdict::NotRun;
                     assert!(
                         !(not_run && open.may_have_run),
-                        "{code} of what may have run"
+                        "refused with {code} although it may have run"
                     );
                 }
             }
         }
     }
 
-    fn watch_send(&mut self, number: u64, at: id::Instance, attempt: u32, not_after: Duration) {
+    fn check_send(&mut self, number: u64, at: id::Instance, attempt: u32, not_after: Duration) {
         let open = self.open.get_mut(&number).expect("sent while open");
         assert!(open.at.is_none(), "sent while it is at a worker");
         assert!(
             !open.may_have_run || open.arrival.idempotent,
-            "it might run twice"
+            "a non-idempotent request is sent twice"
         );
         assert!(self.now < open.arrival.deadline, "sent after its deadline");
         assert_eq!(not_after, open.arrival.deadline);
         let member = self.view.members.get(&at);
         assert!(
             member.is_some_and(|member| member.state == State::Serving),
-            "{at} gets no more"
+            "sent to {at}, which is not serving"
         );
         open.attempts += 1;
         assert_eq!(open.attempts, attempt);
         assert!(attempt <= 3);
-        self.firsts += u32::from(attempt == 1);
+        self.first_attempts += u32::from(attempt == 1);
         self.retries += u32::from(attempt > 1);
         open.at = Some(at);
     }
 
     fn check(&self) {
-        let budget = 10.0 + 0.2 * f64::from(self.firsts);
+        let budget = 10.0 + 0.2 * f64::from(self.first_attempts);
         assert!(
             f64::from(self.retries) <= budget + 1e-6,
             "{} retries",
@@ -249,12 +249,12 @@
             let counted = self.pool.in_flight(&at) as usize;
             assert!(
                 (sent..=8).contains(&counted),
-                "{sent} at {at}, {counted} counted"
+                "{sent} requests at {at}, {counted} counted"
             );
         }
     }
 
-    /// Ends what is at workers and waits: nothing may be left.
+    /// Ends the requests at workers and waits; no request may be left.
     fn close(mut self) {
         let sent: Vec<_> = self
             .open
@@ -265,7 +265,7 @@
         for number in numbers {
             self.open.remove(&number);
             let actions = self.pool.finish(self.now, number, Ending::Cancelled);
-            self.watch(actions);
+            self.check_actions(actions);
         }
         while self.open.values().any(|open| open.at.is_none()) {
             let before = self.open.len();
@@ -273,9 +273,9 @@
             for number in self.open.keys().copied().collect::<Vec<_>>() {
                 self.open.remove(&number);
                 let actions = self.pool.finish(self.now, number, good(5));
-                self.watch(actions);
+                self.check_actions(actions);
             }
-            assert!(self.open.len() < before, "requests that nobody ends");
+            assert!(self.open.len() < before, "requests never end");
         }
         self.wait(ms(60_000));
         assert_eq!(self.pool.waiting(), 0);
@@ -295,7 +295,7 @@
             now: ms(0),
             next: 0,
             open: BTreeMap::new(),
-            firsts: 0,
+            first_attempts: 0,
             retries: 0,
         };
         for step in &steps {
--- a/crates/flow/tests/all/ejection.rs
+++ b/crates/flow/tests/all/ejection.rs
@@ -1,11 +1,11 @@
-//! Workers that fail, and what the pool does about them.
+//! Ejection of failing workers.
 
 use crate::bed::{arrival, bad, good, ms, pool, sent, view, worker};
 use primroseroute_domain::{id, instance::State};
 use primroseroute_flow::{limits::Limits, pool::Pool, request::Ending};
 use std::{collections::BTreeSet, time::Duration};
 
-/// Sends a request and ends it by `ending`; gives where it went.
+/// Sends a request, ends it with `ending`, and returns the instance that it was sent to.
 fn serve(
     pool: &mut Pool,
     now: Duration,
@@ -19,8 +19,8 @@
     instance
 }
 
-/// What the caller sees: every request fails at once. One worker answers all with 500 in no time,
-/// so it is always free and would draw ever more of the load.
+/// Guards against a worker that attracts most of the load by failing fast, so that most requests
+/// fail: it responds immediately with 500 and therefore always has free slots.
 #[test]
 fn a_worker_that_fails_everything_draws_next_to_nothing() {
     let mut pool = pool(10, 1, Limits::default());
@@ -32,12 +32,12 @@
     hits(&mut pool, 0, 500);
     assert_eq!(pool.ejected(), [worker(3)]);
     assert_eq!((pool.totals().serving, pool.totals().ejected), (10, 1));
-    // Ten seconds after the first five: a probe at each doubling of two seconds at most.
+    // From 5 s to 15 s: at most one probe after each ejection, which double from 2 s.
     assert!(hits(&mut pool, 500, 1_500) <= 2);
 }
 
-/// What the caller sees: the whole service fails because a fault that strikes everywhere, such as
-/// a bad release, has all workers ejected, and the last ones are crushed.
+/// Guards against the failure of a whole service when a common fault, such as a bad release, ejects
+/// all workers one after the other and overloads the last ones.
 #[test]
 fn a_bad_wave_never_ejects_more_than_half() {
     let mut pool = pool(10, 1, Limits::default());
@@ -50,8 +50,8 @@
     assert_eq!(late.len(), 5);
 }
 
-/// What the caller sees: callers with a timeout header of a millisecond get their timeouts, and then
-/// everybody gets 503, because each timeout counted against a healthy worker.
+/// Guards against ejection of healthy workers by callers with a timeout header of 1 ms, which would
+/// lead to 503 responses for all callers.
 #[test]
 fn impatient_callers_eject_nobody() {
     let mut pool = pool(4, 1, Limits::default());
@@ -133,9 +133,9 @@
     assert_eq!(used.len(), 2);
 }
 
-/// What the caller sees: requests take longer and longer and then time out. A caller gives up, the
-/// worker goes on with its request; the slot is taken for free and a second request starts beside
-/// the first. Under overload that happens everywhere at once.
+/// Guards against workers that run more requests than they have slots. When a caller cancels, the
+/// worker continues; if its slot counted as free, a second request would run beside the first, and
+/// under overload latencies would rise at all workers until requests time out.
 #[test]
 fn a_slot_whose_request_was_given_up_is_not_used_at_once() {
     let mut pool = pool(1, 8, Limits::default());
--- a/crates/flow/tests/all/goals.rs
+++ b/crates/flow/tests/all/goals.rs
@@ -1,4 +1,4 @@
-//! The goals for overload and faults, in a simulation of seven entries and twenty workers.
+//! Targets under overload and faults, in a simulation of seven entries and twenty workers.
 
 use crate::{
     bed::cases,
@@ -12,8 +12,8 @@
     }
 }
 
-/// Goodput of 95% of capacity, no account under 90% of its fair part of what can be reached, under
-/// 1% overruns, and never more rights than slots.
+/// Goodput of at least 95% of capacity, at least 90% of its reachable fair part for each account,
+/// less than 1% overruns, and never more rights than slots.
 fn meets_the_goals(case: &Case) {
     let outcome = run(case);
     let Outcome {
@@ -53,8 +53,8 @@
     assert!(outcome.drawn < 0.02, "{outcome:?}");
 }
 
-/// The ways that were not taken, so that the figures of the design note can be trusted: lending keeps
-/// slots from overruns that least load has, and serves callers that subsets and fixed slots refuse.
+/// Confirms the design note's comparison with the rejected alternatives: lending avoids the overruns
+/// of least load, and serves callers that subsets and fixed slots refuse.
 #[test]
 fn the_other_ways_do_worse_where_one_entry_has_most_callers() {
     let of = |way| {
--- a/crates/flow/tests/all/lending.rs
+++ b/crates/flow/tests/all/lending.rs
@@ -1,4 +1,4 @@
-//! Slots that entries lend each other, over reports that come late, twice, out of order or never.
+//! Lending of slots between entries with late, duplicated, reordered or lost reports.
 
 use crate::bed::{arrival, check, entry, good, ms, name, sent, view, worker};
 use primroseroute_domain::{id, instance::SLOTS};
@@ -8,15 +8,15 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// So many requests arrive at an entry.
+    /// This many requests arrive at an entry.
     Arrive(usize, u8),
-    /// The oldest requests of an entry end.
+    /// This many of an entry's oldest requests end.
     Finish(usize, u8),
-    /// An entry makes a report.
+    /// An entry creates a report.
     Report(usize),
-    /// Some report that was ever made reaches an entry.
+    /// Any of the reports created so far reaches an entry.
     Deliver(usize, prop::sample::Index),
-    /// The newest reports reach everybody.
+    /// Every entry creates a report that reaches all entries.
     Exchange,
 }
 
@@ -33,7 +33,7 @@
 
 struct Entries {
     pools: Vec<Pool>,
-    flying: Vec<Vec<u64>>,
+    sent_requests: Vec<Vec<u64>>,
     reports: Vec<Report>,
     workers: usize,
     now: Duration,
@@ -41,15 +41,15 @@
 }
 
 impl Entries {
-    fn open(entries: usize, workers: usize) -> Self {
-        let open = |at| {
+    fn with_entries(entries: usize, workers: usize) -> Self {
+        let new_pool = |at| {
             let mut pool = Pool::new(entry(at), 1, Limits::default(), at as u64);
             pool.sync(ms(0), &view(workers, entries));
             pool
         };
         Self {
-            pools: (0..entries).map(open).collect(),
-            flying: vec![Vec::new(); entries],
+            pools: (0..entries).map(new_pool).collect(),
+            sent_requests: vec![Vec::new(); entries],
             reports: Vec::new(),
             workers,
             now: ms(0),
@@ -76,15 +76,15 @@
         self.next += 1;
         let deadline = self.now + ms(60_000);
         let actions = self.pools[at].arrive(self.now, arrival(self.next, deadline));
-        self.flying[at].extend(sent(&actions).iter().map(|(request, _)| request));
+        self.sent_requests[at].extend(sent(&actions).iter().map(|(request, _)| request));
     }
 
     fn finish(&mut self, at: usize, count: usize) {
-        let count = count.min(self.flying[at].len());
-        let done: Vec<_> = self.flying[at].drain(..count).collect();
+        let count = count.min(self.sent_requests[at].len());
+        let done: Vec<_> = self.sent_requests[at].drain(..count).collect();
         for request in done {
             let actions = self.pools[at].finish(self.now, request, good(100));
-            self.flying[at].extend(sent(&actions).iter().map(|(request, _)| request));
+            self.sent_requests[at].extend(sent(&actions).iter().map(|(request, _)| request));
         }
     }
 
@@ -95,20 +95,20 @@
 
     fn deliver(&mut self, at: usize, report: &Report) {
         let actions = self.pools[at].peers(self.now, std::slice::from_ref(report));
-        self.flying[at].extend(sent(&actions).iter().map(|(request, _)| request));
+        self.sent_requests[at].extend(sent(&actions).iter().map(|(request, _)| request));
     }
 
     fn exchange(&mut self) {
-        let from = self.reports.len();
+        let first = self.reports.len();
         (0..self.pools.len()).for_each(|at| self.report(at));
-        let made = self.reports[from..].to_vec();
-        for report in made {
+        let created = self.reports[first..].to_vec();
+        for report in created {
             (0..self.pools.len()).for_each(|at| self.deliver(at, &report));
         }
     }
 
-    /// Most requests that a worker may have, now or by rights that are not used yet.
-    fn most(&self) -> u32 {
+    /// Maximum requests at any worker, counting unused rights as well.
+    fn max_load(&self) -> u32 {
         let at_most = |pool: &Pool, id: &id::Instance| pool.rights(id).max(pool.in_flight(id));
         let sum = |id| self.pools.iter().map(|pool| at_most(pool, &id)).sum();
         (0..self.workers).map(worker).map(sum).max().unwrap_or(0)
@@ -121,46 +121,46 @@
     }
 }
 
-/// What the caller sees: a request that is sent to a worker with eight others waits there, out of
-/// any queue's order. Entries act on reports that are stale in every way. A borrower goes on with
-/// what its owner has called back, or an owner with what it has granted, and both use one slot.
+/// Guards against a ninth request at a worker, which would wait there outside the fair order. With
+/// stale reports, a borrower could keep using a recalled slot or an owner a granted one, so that both
+/// use the same slot.
 #[test]
 fn no_worker_gets_more_than_its_slots_whatever_becomes_of_reports() {
     let steps = prop::collection::vec(step(3), 50..250);
     check(150, &steps, |steps| {
-        let mut entries = Entries::open(3, 4);
+        let mut entries = Entries::with_entries(3, 4);
         for step in &steps {
             entries.step(step);
-            assert!(entries.most() <= SLOTS, "after {step:?}");
+            assert!(entries.max_load() <= SLOTS, "after {step:?}");
         }
     });
 }
 
-/// What the caller sees: a request waits at a busy entry while slots of quiet ones stand empty.
-/// All callers are at the first entry, so the others lend; then all move to the last, so slots are
-/// called back and lent to it.
+/// Guards against requests queued at a busy entry while slots of idle entries are unused. All callers
+/// are at the first entry, so the others lend; then all move to the last, so slots are recalled and
+/// lent to it.
 #[test]
 fn slots_follow_the_callers() {
-    let mut entries = Entries::open(7, 14);
+    let mut entries = Entries::with_entries(7, 14);
     let before = entries.slots(0);
-    run(&mut entries, 0);
+    overload(&mut entries, 0);
     assert!(
         entries.slots(0) > 4 * before,
         "{} of {before}",
         entries.slots(0)
     );
-    run(&mut entries, 6);
+    overload(&mut entries, 6);
     assert!(
         entries.slots(6) > 4 * before,
         "{} of {before}",
         entries.slots(6)
     );
     let all: u32 = (0..7).map(|at| entries.slots(at)).sum();
-    assert!(all > 100, "{all} of 112 are in use");
+    assert!(all > 100, "only {all} of 112 slots are usable");
 }
 
-/// Three hundred rounds of 50 ms in which callers at one entry ask for more than there is.
-fn run(entries: &mut Entries, at: usize) {
+/// Runs 300 rounds of 50 ms in which the demand at one entry exceeds the capacity.
+fn overload(entries: &mut Entries, at: usize) {
     for _ in 0..300 {
         entries.now += ms(50);
         (0..80).for_each(|_| entries.arrive(at));
@@ -169,11 +169,11 @@
     }
 }
 
-/// What the caller sees: refusals while workers stand idle, because a peer that was killed still
-/// counts as the borrower of slots. Once the view is without it, they come home.
+/// Guards against refusals while workers are idle because a crashed peer still counts as the borrower
+/// of slots. The loans end when the peer leaves the view.
 #[test]
 fn slots_lent_to_an_entry_that_is_gone_come_home() {
-    let mut entries = Entries::open(2, 4);
+    let mut entries = Entries::with_entries(2, 4);
     for _ in 0..50 {
         entries.now += ms(50);
         (0..40).for_each(|_| entries.arrive(1));
@@ -188,8 +188,8 @@
 
 #[test]
 fn a_steady_state_needs_few_reports() {
-    let mut entries = Entries::open(3, 6);
-    let mut made = 0;
+    let mut entries = Entries::with_entries(3, 6);
+    let mut created = 0;
     for round in 0..400 {
         entries.now += ms(50);
         (0..3).for_each(|at| (0..8).for_each(|_| entries.arrive(at)));
@@ -198,17 +198,17 @@
             let Some(report) = entries.pools[at].news(entries.now) else {
                 continue;
             };
-            made += u32::from(round >= 200);
+            created += u32::from(round >= 200);
             (0..3).for_each(|at| entries.deliver(at, &report));
         }
     }
-    // Ten seconds, three entries, one keep-alive in five seconds.
-    assert_eq!(made, 6);
+    // Three entries over ten seconds, one keep-alive report per five seconds each.
+    assert_eq!(created, 6);
 }
 
 #[test]
 fn reports_of_an_earlier_start_are_ignored() {
-    let mut entries = Entries::open(2, 4);
+    let mut entries = Entries::with_entries(2, 4);
     let lent: BTreeMap<u8, id::Entry> = (0..64).map(|stripe| (stripe, entry(1))).collect();
     let report = |incarnation, seq, lent: &BTreeMap<_, _>| Report {
         entry: entry(0),
--- a/crates/flow/tests/all/main.rs
+++ b/crates/flow/tests/all/main.rs
@@ -1,7 +1,7 @@
-//! Tests of the request path's decisions.
+//! Tests of the request path decisions.
 //!
-//! The modules that start with `twin` compare a decision with a naive version of it that keeps the
-//! whole history and works everything out anew; `checker` watches a whole pool from outside.
+//! Modules whose names start with `twin` compare an implementation with a naive reference that keeps
+//! the whole history and recomputes everything; `checker` checks invariants of a whole pool.
 
 mod basics;
 mod bed;
--- a/crates/flow/tests/all/twin_choice.rs
+++ b/crates/flow/tests/all/twin_choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a worker against a scan of all workers.
+//! Compares worker selection with a scan of all workers.
 
 use crate::bed::{check, view, worker};
 use primroseroute_domain::instance::State;
@@ -40,7 +40,7 @@
 
 fn replay(steps: Vec<Step>, workers: usize) {
     let members = view(workers, 1).members;
-    let mut random = ChaCha8Rng::seed_from_u64(1);
+    let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut set = Set::default();
     for at in 0..workers {
         set.put(&worker(at), members[&worker(at)].clone());
@@ -53,7 +53,7 @@
             Step::Leave(at) => change(&mut set, at, |worker| worker.is_member = false),
             Step::HalfOpen(at) => change(&mut set, at, |worker| worker.health.half_open(UNTIL)),
             Step::Eject(at) => change(&mut set, at, |worker| {
-                // Two seconds is the first ejection's time, so the gate shuts until then.
+                // The first ejection lasts 2 s, so it ends at `UNTIL`.
                 if worker.health.gate() == Gate::Open {
                     worker.health = Health::default();
                     worker.health.eject(Duration::ZERO, &Limits::default());
@@ -74,7 +74,7 @@
                     idempotent,
                     tried: &tried,
                 };
-                compare(&set, wish, set.choose(wish, &mut random), workers);
+                compare(&set, wish, set.choose(wish, &mut rng), workers);
             }
         }
         let free = set.iter().any(|worker| free(worker) > 0);
@@ -95,7 +95,7 @@
     }
 }
 
-/// Requests that a worker could be sent now.
+/// Number of requests that a worker could accept now.
 fn free(worker: &Worker) -> u32 {
     let free = worker.rights.saturating_sub(worker.in_flight);
     match worker.health.gate() {
@@ -109,13 +109,13 @@
 fn compare(set: &Set, wish: Wish<'_>, chosen: Option<Index>, workers: usize) {
     let known = (0..workers).filter_map(|at| set.find(&worker(at)));
     let free_at = |index: &Index| set.get(*index).map_or(0, free);
-    let able: Vec<Index> = known.filter(|index| free_at(index) > 0).collect();
+    let available: Vec<Index> = known.filter(|index| free_at(index) > 0).collect();
     let Some(chosen) = chosen else {
-        assert!(able.is_empty());
+        assert!(available.is_empty());
         return;
     };
-    assert!(able.contains(&chosen));
-    let untried: Vec<Index> = able
+    assert!(available.contains(&chosen));
+    let untried: Vec<Index> = available
         .into_iter()
         .filter(|at| !wish.tried.contains(at))
         .collect();
@@ -124,7 +124,7 @@
     }
     assert!(
         untried.contains(&chosen),
-        "a worker that had failed the request was chosen"
+        "chose a worker that has failed the request"
     );
     let is_probe = |index: &Index| set.get(*index).is_some_and(Worker::is_ejected);
     let has_probe = untried.iter().any(is_probe);
@@ -135,13 +135,13 @@
     if has_probe && (wish.idempotent || only_probes) {
         assert!(
             is_probe(&chosen),
-            "the probe comes first for an idempotent request"
+            "an idempotent request must go to the probe first"
         );
         return;
     }
-    let most = untried.iter().filter(|at| !is_probe(at)).map(free_at).max();
+    let max_free = untried.iter().filter(|at| !is_probe(at)).map(free_at).max();
     assert!(!is_probe(&chosen));
-    assert_eq!(Some(free_at(&chosen)), most);
+    assert_eq!(Some(free_at(&chosen)), max_free);
 }
 
 #[test]
@@ -158,7 +158,7 @@
         let index = set.put(id, member.clone());
         set.change(index, |worker| worker.rights = 1);
     }
-    let mut random = ChaCha8Rng::seed_from_u64(1);
+    let mut rng = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..200 {
         let failed = set
             .choose(
@@ -166,7 +166,7 @@
                     idempotent: true,
                     tried: &[],
                 },
-                &mut random,
+                &mut rng,
             )
             .expect("free");
         let tried = [failed];
@@ -175,9 +175,9 @@
                 idempotent: true,
                 tried: &tried,
             },
-            &mut random,
+            &mut rng,
         );
-        let place = |index| &set.get(index).expect("known").member;
-        assert_ne!(place(failed).zone, place(next.expect("free")).zone);
+        let location = |index| &set.get(index).expect("known").member;
+        assert_ne!(location(failed).zone, location(next.expect("free")).zone);
     }
 }
--- a/crates/flow/tests/all/twin_division.rs
+++ b/crates/flow/tests/all/twin_division.rs
@@ -1,4 +1,4 @@
-//! Divisions against progressive filling, and the ownership of slots.
+//! Compares slot allocation with progressive filling, and checks slot ownership.
 
 use crate::bed::{cases, check, entry, name, worker};
 use primroseroute_domain::instance::SLOTS;
@@ -9,29 +9,29 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// Gives everybody a little by weight, again and again, until they are content or nothing is left.
+/// Raises all unsatisfied accounts in small steps by weight until capacity or demand is exhausted.
 fn fill(capacity: f64, weights: &Weights, demand: &Demand) -> Demand {
     let mut parts: Demand = demand
         .keys()
         .map(|account| (account.clone(), 0.0))
         .collect();
-    let mut left = capacity;
-    let drop = capacity / 20_000.0;
-    while left > 1e-9 {
-        let hungry = parts
+    let mut remaining = capacity;
+    let max_step = capacity / 20_000.0;
+    while remaining > 1e-9 {
+        let unsatisfied = parts
             .iter()
             .filter(|(account, part)| **part < demand[*account] - 1e-12);
-        let hungry: Vec<_> = hungry.map(|(account, _)| account.clone()).collect();
-        let sum: f64 = hungry.iter().map(|account| weights[account]).sum();
-        if hungry.is_empty() {
+        let unsatisfied: Vec<_> = unsatisfied.map(|(account, _)| account.clone()).collect();
+        let sum: f64 = unsatisfied.iter().map(|account| weights[account]).sum();
+        if unsatisfied.is_empty() {
             break;
         }
-        let pour = drop.min(left);
-        for account in hungry {
+        let step = max_step.min(remaining);
+        for account in unsatisfied {
             let part = parts.get_mut(&account).expect("known");
-            let more = (pour * weights[&account] / sum).min(demand[&account] - *part);
-            *part += more;
-            left -= more;
+            let increment = (step * weights[&account] / sum).min(demand[&account] - *part);
+            *part += increment;
+            remaining -= increment;
         }
     }
     parts
@@ -41,19 +41,19 @@
     prop::collection::vec((1..9u8, 0..40u8), 1..6)
 }
 
-fn tables(accounts: &[(u8, u8)]) -> (Weights, Demand) {
+fn weights_and_demand(accounts: &[(u8, u8)]) -> (Weights, Demand) {
     let named = |at: usize| name(&format!("a{at}"));
     let weights = accounts.iter().enumerate();
     let weights = weights.map(|(at, (weight, _))| (named(at), f64::from(*weight)));
     let demand = accounts.iter().enumerate();
-    let demand = demand.map(|(at, (_, asked))| (named(at), f64::from(*asked)));
+    let demand = demand.map(|(at, (_, demanded))| (named(at), f64::from(*demanded)));
     (weights.collect(), demand.collect())
 }
 
 #[test]
 fn parts_are_those_of_progressive_filling() {
     check(100, &(accounts(), 1..60u8), |(accounts, capacity)| {
-        let (weights, demand) = tables(&accounts);
+        let (weights, demand) = weights_and_demand(&accounts);
         let capacity = f64::from(capacity);
         let parts = max_min(capacity, &weights, &demand);
         for (account, part) in fill(capacity, &weights, &demand) {
@@ -65,13 +65,13 @@
 #[test]
 fn a_rate_is_the_part_of_an_account_that_asks_for_everything() {
     check(200, &(accounts(), 1..60u8), |(accounts, capacity)| {
-        let (weights, demand) = tables(&accounts);
+        let (weights, demand) = weights_and_demand(&accounts);
         let capacity = f64::from(capacity);
         for (account, rate) in rates(capacity, &weights, &demand) {
-            let mut greedy = demand.clone();
-            greedy.insert(account.clone(), capacity);
-            let part = max_min(capacity, &weights, &greedy)[&account];
-            // The rate is worked out once for all accounts, so it may be too high, never too low.
+            let mut unbounded = demand.clone();
+            unbounded.insert(account.clone(), capacity);
+            let part = max_min(capacity, &weights, &unbounded)[&account];
+            // The rate is computed for all accounts at once, so it may be too high but never too low.
             assert!(rate > part - 1e-9, "{rate} {part}");
         }
     });
@@ -83,7 +83,7 @@
     check(200, &entries, |entries| {
         let demands: Vec<_> = entries
             .iter()
-            .map(|(accounts, _)| tables(accounts).1)
+            .map(|(accounts, _)| weights_and_demand(accounts).1)
             .collect();
         let owned: Vec<_> = entries
             .iter()
--- a/crates/flow/tests/all/twin_fair.rs
+++ b/crates/flow/tests/all/twin_fair.rs
@@ -1,4 +1,4 @@
-//! Fair queueing against a version that keeps one list and searches it.
+//! Compares fair queueing with a reference that searches a single list.
 
 use crate::bed::{check, name};
 use primroseroute_domain::{account::Class, id};
@@ -26,22 +26,22 @@
 
 #[derive(Default)]
 struct Tags {
-    start: f64,
-    finish: f64,
-    passed: u32,
-    last: BTreeMap<Class, id::Service>,
+    start_tag: f64,
+    finish_tag: f64,
+    urgent_streak: u32,
+    last_service: BTreeMap<Class, id::Service>,
 }
 
-/// Waiting requests in one list, each with its place in its line.
+/// Reference queue: one list of requests, each with its position in its queue.
 #[derive(Default)]
-struct Naive {
+struct ReferenceQueue {
     items: Vec<(i64, Item)>,
     tags: BTreeMap<id::Account, Tags>,
-    time: f64,
+    virtual_time: f64,
     next: i64,
 }
 
-impl Naive {
+impl ReferenceQueue {
     fn push(&mut self, item: Item, is_front: bool) {
         let is_idle = !self
             .items
@@ -49,8 +49,8 @@
             .any(|(_, other)| other.account == item.account);
         let tags = self.tags.entry(item.account.clone()).or_default();
         if is_idle {
-            tags.start = self.time.max(tags.finish);
-            tags.passed = tags.passed.min(TURN);
+            tags.start_tag = self.virtual_time.max(tags.finish_tag);
+            tags.urgent_streak = tags.urgent_streak.min(TURN);
         }
         self.next += 1;
         self.items
@@ -61,23 +61,23 @@
         let waiting = self.items.iter().map(|(_, item)| &item.account);
         let order = |a: &&id::Account, b: &&id::Account| {
             self.tags[*a]
-                .start
-                .total_cmp(&self.tags[*b].start)
+                .start_tag
+                .total_cmp(&self.tags[*b].start_tag)
                 .then(a.cmp(b))
         };
         let account = waiting.min_by(order)?.clone();
         let class = self.class(&account);
         let service = self.service(&account, class);
-        let line = self.items.iter().enumerate().filter(|(_, (_, item))| {
+        let candidates = self.items.iter().enumerate().filter(|(_, (_, item))| {
             item.account == account && item.class == class && item.service == service
         });
-        let at = line.min_by_key(|(_, (place, _))| *place)?.0;
+        let at = candidates.min_by_key(|(_, (position, _))| *position)?.0;
         let item = self.items.remove(at).1;
         let tags = self.tags.get_mut(&account)?;
-        self.time = tags.start;
-        tags.finish = tags.start + item.cost / weight(&account);
-        tags.start = tags.finish;
-        self.rest();
+        self.virtual_time = tags.start_tag;
+        tags.finish_tag = tags.start_tag + item.cost / weight(&account);
+        tags.start_tag = tags.finish_tag;
+        self.reset_if_empty();
         Some(item)
     }
 
@@ -89,11 +89,15 @@
         let deferrable = own.clone().any(|(_, item)| item.class == Class::Deferrable);
         let urgent = own.clone().any(|(_, item)| item.class == Class::Urgent);
         let tags = self.tags.get_mut(account).expect("it waits");
-        if !urgent || (deferrable && tags.passed == TURN - 1) {
-            tags.passed = 0;
+        if !urgent || (deferrable && tags.urgent_streak == TURN - 1) {
+            tags.urgent_streak = 0;
             return Class::Deferrable;
         }
-        tags.passed = if deferrable { tags.passed + 1 } else { 0 };
+        tags.urgent_streak = if deferrable {
+            tags.urgent_streak + 1
+        } else {
+            0
+        };
         Class::Urgent
     }
 
@@ -102,25 +106,25 @@
         let own = own.filter(|item| item.account == *account && item.class == class);
         let services: Vec<_> = own.map(|item| item.service.clone()).collect();
         let tags = self.tags.get_mut(account).expect("it waits");
-        let last = tags.last.get(&class);
+        let last_service = tags.last_service.get(&class);
         let after = services
             .iter()
-            .filter(|service| Some(*service) > last)
+            .filter(|service| Some(*service) > last_service)
             .min();
         let next = after.or(services.iter().min()).expect("it waits").clone();
-        tags.last.insert(class, next.clone());
+        tags.last_service.insert(class, next.clone());
         next
     }
 
     fn remove(&mut self, request: u64) {
         self.items.retain(|(_, item)| item.request != request);
-        self.rest();
+        self.reset_if_empty();
     }
 
-    fn rest(&mut self) {
+    fn reset_if_empty(&mut self) {
         if self.items.is_empty() {
-            let finish = self.tags.values().map(|tags| tags.finish);
-            self.time = finish.fold(self.time, f64::max);
+            let finish_tag = self.tags.values().map(|tags| tags.finish_tag);
+            self.virtual_time = finish_tag.fold(self.virtual_time, f64::max);
             self.tags.clear();
         }
     }
@@ -134,23 +138,25 @@
     };
     let mut queue = Queue::default();
     queue.set_weights([(name("a0"), 4.0), (name("a1"), 2.0)].into());
-    let mut naive = Naive::default();
+    let mut reference = ReferenceQueue::default();
     for (request, step) in (0..).zip(steps) {
         match step {
             Step::Push(account, service, urgent, cost) => {
                 let item = item(request, account, service, urgent, cost);
                 queue.push(item.clone());
-                naive.push(item, false);
+                reference.push(item, false);
             }
             Step::PushFront(account, service, urgent, cost) => {
                 let item = item(request, account, service, urgent, cost);
                 queue.push_front(item.clone());
-                naive.push(item, true);
+                reference.push(item, true);
             }
-            Step::Pop => assert_eq!(queue.pop(), naive.pop(weight)),
-            Step::Remove(at) if !naive.items.is_empty() => {
-                let item = naive.items[usize::from(at) % naive.items.len()].1.clone();
-                naive.remove(item.request);
+            Step::Pop => assert_eq!(queue.pop(), reference.pop(weight)),
+            Step::Remove(at) if !reference.items.is_empty() => {
+                let item = reference.items[usize::from(at) % reference.items.len()]
+                    .1
+                    .clone();
+                reference.remove(item.request);
                 let Item {
                     account,
                     service,
@@ -165,8 +171,8 @@
             }
             Step::Remove(_) => {}
         }
-        assert_eq!(queue.len(), naive.items.len());
-        let cost: f64 = naive.items.iter().map(|(_, item)| item.cost).sum();
+        assert_eq!(queue.len(), reference.items.len());
+        let cost: f64 = reference.items.iter().map(|(_, item)| item.cost).sum();
         assert!((queue.cost() - cost).abs() < 1e-9);
     }
 }
@@ -196,7 +202,7 @@
     queue.set_weights([(name("a0"), 3.0), (name("a1"), 1.0)].into());
     let mut served = [0.0, 0.0];
     for round in 0..4_000 {
-        // The second account's requests are five times as long.
+        // The second account's requests cost five times as much.
         queue.push(item(2 * round, 0, 0, true, 1));
         queue.push(item(2 * round + 1, 1, 0, true, 5));
     }
--- a/crates/flow/tests/all/twin_measures.rs
+++ b/crates/flow/tests/all/twin_measures.rs
@@ -1,4 +1,4 @@
-//! Running measures against the same worked out from the whole history.
+//! Compares incremental statistics with values computed from the whole history.
 
 use crate::bed::{check, ms, name};
 use primroseroute_flow::{
@@ -20,7 +20,7 @@
         |attempts| {
             let limits = Limits::default();
             let mut budget = Budget::new(&limits);
-            // In fifths of a token, so that sums are exact.
+            // Counted in fifths of a token, so that sums are exact.
             let mut fifths: u32 = 50;
             for is_first in attempts {
                 if is_first {
@@ -38,18 +38,18 @@
 #[test]
 fn back_offs_stay_below_a_doubling_limit() {
     let limits = Limits::default();
-    let mut random = ChaCha8Rng::seed_from_u64(1);
-    for (attempt, longest) in [(1, 10), (2, 20), (3, 40), (6, 250), (40, 250)] {
+    let mut rng = ChaCha8Rng::seed_from_u64(1);
+    for (attempt, upper_bound) in [(1, 10), (2, 20), (3, 40), (6, 250), (40, 250)] {
         let draws: Vec<_> = (0..100)
-            .map(|_| retry::backoff(&limits, attempt, &mut random))
+            .map(|_| retry::backoff(&limits, attempt, &mut rng))
             .collect();
-        assert!(draws.iter().all(|draw| *draw <= ms(longest)));
+        assert!(draws.iter().all(|draw| *draw <= ms(upper_bound)));
         assert!(
-            draws.iter().any(|draw| *draw > ms(longest) / 2),
+            draws.iter().any(|draw| *draw > ms(upper_bound) / 2),
             "no jitter"
         );
         assert!(
-            draws.iter().any(|draw| *draw < ms(longest) / 2),
+            draws.iter().any(|draw| *draw < ms(upper_bound) / 2),
             "no jitter"
         );
     }
@@ -86,26 +86,26 @@
             meter.add(now, &name(&format!("a{account}")), cost);
             history.push((account, now, cost));
         }
-        for (account, asked) in meter.read(now) {
+        for (account, measured) in meter.read(now) {
             let own = history
                 .iter()
                 .filter(|(of, ..)| account.as_str() == format!("a{of}"));
-            let weighed = own
+            let decayed = own
                 .map(|(_, at, cost)| cost * (-now.saturating_sub(*at).as_secs_f64() / 2.0).exp());
-            let sum: f64 = weighed.sum();
-            assert!((asked - sum / 2.0).abs() < 1e-9);
+            let sum: f64 = decayed.sum();
+            assert!((measured - sum / 2.0).abs() < 1e-9);
         }
     });
 }
 
-/// Judges the newest sample by the whole history since the gate opened.
+/// Evaluates the newest sample from the whole history since the worker was last readmitted.
 fn is_failing(history: &[Sample], norm: &Norm, limits: &Limits) -> bool {
     let is_bad = |sample: &&Sample| **sample == Sample::Bad;
     let consecutive = history.iter().rev().take_while(is_bad).count();
     let weight = |age: usize| 0.98_f64.powi(i32::try_from(age).expect("short"));
-    let aged = || history.iter().rev().enumerate();
-    let all: f64 = aged().map(|(age, _)| weight(age)).sum();
-    let bad: f64 = aged()
+    let by_age = || history.iter().rev().enumerate();
+    let all: f64 = by_age().map(|(age, _)| weight(age)).sum();
+    let bad: f64 = by_age()
         .filter(|(_, s)| is_bad(s))
         .map(|(age, _)| weight(age))
         .sum();
