--- a/crates/flow/benches/flow.rs
+++ b/crates/flow/benches/flow.rs
@@ -5,7 +5,7 @@
 use primroseroute_flow::{
     limits::Limits,
     pool::Pool,
-    request::{Arrival, Ending},
+    request::{Arrival, AttemptOutcome},
     view::{Member, View},
     worker::{Set, Wish},
 };
@@ -76,7 +76,7 @@
     }
 }
 
-const GOOD: Ending = Ending::Answered {
+const GOOD: AttemptOutcome = AttemptOutcome::Responded {
     latency: Duration::from_millis(5),
     failure: false,
 };
--- a/crates/flow/benches/sim/run.rs
+++ b/crates/flow/benches/sim/run.rs
@@ -6,7 +6,7 @@
     worker,
 };
 use primroseroute_domain::{id, instance::SLOTS};
-use primroseroute_flow::request::{Action, Arrival, Ending};
+use primroseroute_flow::request::{Action, Arrival, AttemptOutcome};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::{
@@ -293,7 +293,7 @@
             let account = self.case.accounts[request.account].name;
             *self.outcome.good.entry(account).or_default() += 1;
         }
-        let ending = Ending::Answered { latency, failure };
+        let ending = AttemptOutcome::Responded { latency, failure };
         let actions = self.nodes[request.entry].finish(self.now, number, ending);
         self.carry_out(request.entry, actions);
     }
@@ -309,7 +309,7 @@
         };
         request.at_entry = false;
         let entry = request.entry;
-        let mut actions = self.nodes[entry].finish(self.now, number, Ending::Late);
+        let mut actions = self.nodes[entry].finish(self.now, number, AttemptOutcome::TimedOut);
         actions.retain(
             |action| !matches!(action, Action::Refuse { request, .. } if *request == number),
         );
--- a/crates/flow/benches/sim/way.rs
+++ b/crates/flow/benches/sim/way.rs
@@ -8,7 +8,7 @@
     limits::Limits,
     pool::Pool,
     report::Report,
-    request::{Action, Arrival, Ending},
+    request::{Action, Arrival, AttemptOutcome},
     worker::{Set, Wish},
 };
 use rand::SeedableRng;
@@ -27,7 +27,7 @@
 
 pub trait Node {
     fn arrive(&mut self, now: Duration, arrival: Arrival) -> Vec<Action>;
-    fn finish(&mut self, now: Duration, request: u64, ending: Ending) -> Vec<Action>;
+    fn finish(&mut self, now: Duration, request: u64, ending: AttemptOutcome) -> Vec<Action>;
     fn tick(&mut self, now: Duration) -> Vec<Action>;
     fn next_tick(&self) -> Option<Duration>;
     fn note(&mut self, now: Duration) -> Option<Note>;
@@ -52,7 +52,7 @@
         Pool::arrive(self, now, arrival)
     }
 
-    fn finish(&mut self, now: Duration, request: u64, ending: Ending) -> Vec<Action> {
+    fn finish(&mut self, now: Duration, request: u64, ending: AttemptOutcome) -> Vec<Action> {
         Pool::finish(self, now, request, ending)
     }
 
@@ -202,10 +202,10 @@
         self.dispatch()
     }
 
-    fn finish(&mut self, _now: Duration, request: u64, ending: Ending) -> Vec<Action> {
+    fn finish(&mut self, _now: Duration, request: u64, ending: AttemptOutcome) -> Vec<Action> {
         if let Some((arrival, Some(index))) = self.requests.remove(&request) {
             self.workers.change(index, |worker| worker.in_flight -= 1);
-            if let Ending::Answered {
+            if let AttemptOutcome::Responded {
                 latency,
                 failure: false,
             } = ending
--- a/crates/flow/src/pool/finish.rs
+++ b/crates/flow/src/pool/finish.rs
@@ -3,7 +3,7 @@
 use super::{Phase, Pool, Request};
 use crate::{
     health::Sample,
-    request::{Action, Ending},
+    request::{Action, AttemptOutcome},
     retry, worker,
 };
 use primroseroute_domain::outcome::Code;
@@ -17,19 +17,19 @@
     /// Records the end of an attempt, or the caller's cancellation of a request in any phase.
     ///
     /// Ignores a request that the pool has refused in the meantime.
-    pub fn finish(&mut self, now: Duration, number: u64, ending: Ending) -> Vec<Action> {
+    pub fn finish(&mut self, now: Duration, number: u64, outcome: AttemptOutcome) -> Vec<Action> {
         if let Some(request) = self.requests.remove(&number) {
-            self.end(now, number, request, ending);
+            self.end(now, number, request, outcome);
         }
         self.advance(now)
     }
 
-    fn end(&mut self, now: Duration, number: u64, request: Request, ending: Ending) {
+    fn end(&mut self, now: Duration, number: u64, request: Request, outcome: AttemptOutcome) {
         match request.phase {
             Phase::Sent { worker, at } => {
-                self.release_slot(now, number, &request, worker, ending);
-                self.record_outcome(now, &request, worker, at, ending);
-                self.retry_or_refuse(now, number, request, worker, ending);
+                self.release_slot(now, number, &request, worker, outcome);
+                self.record_outcome(now, &request, worker, at, outcome);
+                self.retry_or_refuse(now, number, request, worker, outcome);
             }
             Phase::Waiting { until } => {
                 self.request_timers.remove(&(until, number));
@@ -53,9 +53,12 @@
         number: u64,
         request: &Request,
         worker: worker::Index,
-        ending: Ending,
+        outcome: AttemptOutcome,
     ) {
-        if matches!(ending, Ending::Answered { .. } | Ending::NotSent) {
+        if matches!(
+            outcome,
+            AttemptOutcome::Responded { .. } | AttemptOutcome::NotSent
+        ) {
             self.release(worker);
             return;
         }
@@ -75,17 +78,17 @@
         request: &Request,
         worker: worker::Index,
         at: Duration,
-        ending: Ending,
+        outcome: AttemptOutcome,
     ) {
-        let sample = match ending {
-            Ending::Answered {
+        let sample = match outcome {
+            AttemptOutcome::Responded {
                 latency,
                 failure: false,
             } => {
                 self.service_times.add(&request.service, latency);
                 Sample::Good(latency)
             }
-            Ending::Late => {
+            AttemptOutcome::TimedOut => {
                 let had_enough_time = self.had_enough_time(request, at);
                 self.service_times
                     .add_longer(&request.service, now.saturating_sub(at));
@@ -94,7 +97,7 @@
                 }
                 Sample::Bad
             }
-            Ending::Cancelled => return,
+            AttemptOutcome::Cancelled => return,
             _ => Sample::Bad,
         };
         let pool_stats = self.pool_stats;
@@ -144,19 +147,19 @@
         number: u64,
         mut request: Request,
         worker: worker::Index,
-        ending: Ending,
+        outcome: AttemptOutcome,
     ) {
-        let code = match ending {
-            Ending::Answered { .. } | Ending::Cancelled => return,
-            Ending::NotSent => Code::ConnectFailed,
-            Ending::Lost => Code::AnswerLost,
-            Ending::Late => Code::AnswerTimeout,
+        let code = match outcome {
+            AttemptOutcome::Responded { .. } | AttemptOutcome::Cancelled => return,
+            AttemptOutcome::NotSent => Code::ConnectFailed,
+            AttemptOutcome::ConnectionLost => Code::AnswerLost,
+            AttemptOutcome::TimedOut => Code::AnswerTimeout,
         };
-        let Some(until) = self.next_attempt(now, &request, ending) else {
+        let Some(until) = self.next_attempt(now, &request, outcome) else {
             self.refuse(number, request.final_code(code));
             return;
         };
-        request.may_have_run |= ending == Ending::Lost;
+        request.may_have_run |= outcome == AttemptOutcome::ConnectionLost;
         request.tried.push(worker);
         request.phase = Phase::BackingOff { until };
         self.requests.insert(number, request);
@@ -168,9 +171,9 @@
         &mut self,
         now: Duration,
         request: &Request,
-        ending: Ending,
+        outcome: AttemptOutcome,
     ) -> Option<Duration> {
-        if !retry::is_safe(ending, request.idempotent) || request.attempt >= self.limits.attempts {
+        if !retry::is_safe(outcome, request.idempotent) || request.attempt >= self.limits.attempts {
             return None;
         }
         let until = now + retry::backoff(&self.limits, request.attempt, &mut self.rng);
--- a/crates/flow/src/request.rs
+++ b/crates/flow/src/request.rs
@@ -22,9 +22,9 @@
 
 /// How an attempt, or the wait for one, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// The complete response was received.
-    Answered {
+    Responded {
         /// Time from the start of the attempt to the end of the response.
         latency: Duration,
         /// Whether the response indicates a failure of the worker, such as a 5xx status.
@@ -33,9 +33,9 @@
     /// Not executed: no byte of the request was sent, for example because the connection failed.
     NotSent,
     /// The connection broke after the first byte of the request was sent.
-    Lost,
+    ConnectionLost,
     /// `not_after` passed before the complete response was received.
-    Late,
+    TimedOut,
     /// The caller disconnected, before or after the request was sent.
     Cancelled,
 }
--- a/crates/flow/src/retry.rs
+++ b/crates/flow/src/retry.rs
@@ -5,7 +5,7 @@
 //! Envoy (`retry_budget`) and Finagle (`RetryBudget`): each first attempt deposits a fraction of a
 //! token and each retry withdraws a whole one, so retries never multiply the load of a failing pool.
 
-use crate::{limits::Limits, request::Ending};
+use crate::{limits::Limits, request::AttemptOutcome};
 use rand::RngExt;
 use std::time::Duration;
 
@@ -52,12 +52,14 @@
     (tokens * MILLITOKENS_PER_TOKEN).round() as u64
 }
 
-/// Whether a retry is safe after `ending`: never if a non-idempotent request may have been executed.
-pub fn is_safe(ending: Ending, idempotent: bool) -> bool {
-    match ending {
-        Ending::NotSent => true,
-        Ending::Lost => idempotent,
-        Ending::Answered { .. } | Ending::Late | Ending::Cancelled => false,
+/// Whether a retry is safe after `outcome`: never if a non-idempotent request may have been executed.
+pub fn is_safe(outcome: AttemptOutcome, idempotent: bool) -> bool {
+    match outcome {
+        AttemptOutcome::NotSent => true,
+        AttemptOutcome::ConnectionLost => idempotent,
+        AttemptOutcome::Responded { .. } | AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => {
+            false
+        }
     }
 }
 
--- a/crates/flow/tests/all/basics.rs
+++ b/crates/flow/tests/all/basics.rs
@@ -5,7 +5,7 @@
 use primroseroute_flow::{
     limits::Limits,
     pool::Pool,
-    request::{Action, Ending},
+    request::{Action, AttemptOutcome},
     view::View,
 };
 
@@ -74,11 +74,17 @@
 fn a_lost_answer_is_retried_only_where_the_request_is_idempotent() {
     let mut pool = pool(8, 8, Limits::default());
     pool.arrive(ms(0), arrival(1, ms(1_000)));
-    assert_eq!(refused(&pool.finish(ms(1), 1, Ending::Lost)), [(1, 302)]);
+    assert_eq!(
+        refused(&pool.finish(ms(1), 1, AttemptOutcome::ConnectionLost)),
+        [(1, 302)]
+    );
     let mut idempotent = arrival(2, ms(1_000));
     idempotent.idempotent = true;
     let first = sent(&pool.arrive(ms(2), idempotent));
-    assert!(pool.finish(ms(3), 2, Ending::Lost).is_empty());
+    assert!(
+        pool.finish(ms(3), 2, AttemptOutcome::ConnectionLost)
+            .is_empty()
+    );
     let due = pool.next_tick().expect("a back-off");
     let second = sent(&pool.tick(due));
     assert_eq!(second.len(), 1);
@@ -106,7 +112,7 @@
         let mut actions = pool.arrive(now, idempotent);
         while !sent(&actions).is_empty() {
             attempts += 1;
-            pool.finish(now, request, Ending::Lost);
+            pool.finish(now, request, AttemptOutcome::ConnectionLost);
             actions = pool.tick(now + ms(500));
         }
     }
@@ -145,7 +151,7 @@
             sent(&pool.arrive(now, arrival(request, now + ms(1_000)))).len(),
             1
         );
-        pool.finish(now + ms(1_000), request, Ending::Late);
+        pool.finish(now + ms(1_000), request, AttemptOutcome::TimedOut);
     }
     let now = ms(2_000_000);
     pool.arrive(now, arrival(100, now + ms(1_000)));
@@ -182,7 +188,10 @@
     let mut idempotent = arrival(1, ms(1_000));
     idempotent.idempotent = true;
     pool.arrive(ms(0), idempotent);
-    assert!(pool.finish(ms(1), 1, Ending::Lost).is_empty());
+    assert!(
+        pool.finish(ms(1), 1, AttemptOutcome::ConnectionLost)
+            .is_empty()
+    );
     assert_eq!(refused(&end(&mut pool)), [(1, 302)]);
 }
 
@@ -190,7 +199,7 @@
     a_retry_that_fails_does_not_unsay_the_first_attempt:
     a_lost_answer_then_no_connection(|pool| {
         assert_eq!(sent(&pool.tick(ms(500))).len(), 1);
-        pool.finish(ms(501), 1, Ending::NotSent)
+        pool.finish(ms(501), 1, AttemptOutcome::NotSent)
     });
     a_lost_answer_then_no_instance(|pool| pool.sync(ms(2), &View::default()));
     a_lost_answer_then_no_time(|pool| {
--- a/crates/flow/tests/all/bed.rs
+++ b/crates/flow/tests/all/bed.rs
@@ -4,7 +4,7 @@
 use primroseroute_flow::{
     limits::Limits,
     pool::Pool,
-    request::{Action, Arrival, Ending},
+    request::{Action, Arrival, AttemptOutcome},
     view::{Member, View},
 };
 use proptest::{
@@ -72,15 +72,15 @@
     }
 }
 
-pub fn good(millis: u64) -> Ending {
-    Ending::Answered {
+pub fn good(millis: u64) -> AttemptOutcome {
+    AttemptOutcome::Responded {
         latency: ms(millis),
         failure: false,
     }
 }
 
-pub fn bad() -> Ending {
-    Ending::Answered {
+pub fn bad() -> AttemptOutcome {
+    AttemptOutcome::Responded {
         latency: ms(0),
         failure: true,
     }
--- a/crates/flow/tests/all/checker.rs
+++ b/crates/flow/tests/all/checker.rs
@@ -5,7 +5,7 @@
 use primroseroute_flow::{
     limits::Limits,
     pool::Pool,
-    request::{Action, Arrival, Ending},
+    request::{Action, Arrival, AttemptOutcome},
     view::View,
 };
 use proptest::prelude::*;
@@ -121,15 +121,18 @@
         let number = *which.get(&sent).0;
         let ending = match ending_kind {
             0 => bad(),
-            1 => Ending::NotSent,
-            2 => Ending::Lost,
-            3 => Ending::Late,
+            1 => AttemptOutcome::NotSent,
+            2 => AttemptOutcome::ConnectionLost,
+            3 => AttemptOutcome::TimedOut,
             _ => good(7),
         };
         let open = self.open.get_mut(&number).expect("it is open");
         open.at = None;
-        open.may_have_run |= matches!(ending, Ending::Lost | Ending::Late);
-        if matches!(ending, Ending::Answered { .. }) {
+        open.may_have_run |= matches!(
+            ending,
+            AttemptOutcome::ConnectionLost | AttemptOutcome::TimedOut
+        );
+        if matches!(ending, AttemptOutcome::Responded { .. }) {
             self.open.remove(&number);
         }
         let actions = self.pool.finish(self.now, number, ending);
@@ -143,7 +146,9 @@
         }
         let number = *which.get(&numbers);
         self.open.remove(&number);
-        let actions = self.pool.finish(self.now, number, Ending::Cancelled);
+        let actions = self
+            .pool
+            .finish(self.now, number, AttemptOutcome::Cancelled);
         self.check_actions(actions);
     }
 
@@ -264,7 +269,9 @@
         let numbers: Vec<_> = sent.iter().map(|(number, _)| **number).collect();
         for number in numbers {
             self.open.remove(&number);
-            let actions = self.pool.finish(self.now, number, Ending::Cancelled);
+            let actions = self
+                .pool
+                .finish(self.now, number, AttemptOutcome::Cancelled);
             self.check_actions(actions);
         }
         while self.open.values().any(|open| open.at.is_none()) {
--- a/crates/flow/tests/all/ejection.rs
+++ b/crates/flow/tests/all/ejection.rs
@@ -2,7 +2,7 @@
 
 use crate::bed::{arrival, bad, good, ms, pool, sent, view, worker};
 use primroseroute_domain::{id, instance::State};
-use primroseroute_flow::{limits::Limits, pool::Pool, request::Ending};
+use primroseroute_flow::{limits::Limits, pool::Pool, request::AttemptOutcome};
 use std::{collections::BTreeSet, time::Duration};
 
 /// Sends a request, ends it with `ending`, and returns the instance that it was sent to.
@@ -10,7 +10,7 @@
     pool: &mut Pool,
     now: Duration,
     request: u64,
-    ending: impl Fn(&id::Instance) -> Ending,
+    ending: impl Fn(&id::Instance) -> AttemptOutcome,
 ) -> id::Instance {
     let mut idempotent = arrival(request, now + ms(1_000));
     idempotent.idempotent = true;
@@ -64,7 +64,7 @@
             sent(&pool.arrive(now, arrival(request, now + ms(1)))).len(),
             1
         );
-        pool.finish(now + ms(1), request, Ending::Late);
+        pool.finish(now + ms(1), request, AttemptOutcome::TimedOut);
     }
     let used: BTreeSet<_> = (200..300)
         .map(|at| serve(&mut pool, ms(2_200), at, |_| good(50)))
@@ -143,7 +143,10 @@
     pool.finish(ms(100), 1, good(100));
     pool.arrive(ms(100), arrival(2, ms(1_000)));
     pool.arrive(ms(100), arrival(3, ms(5_000)));
-    assert!(pool.finish(ms(200), 2, Ending::Cancelled).is_empty());
+    assert!(
+        pool.finish(ms(200), 2, AttemptOutcome::Cancelled)
+            .is_empty()
+    );
     assert_eq!(pool.in_flight(&worker(0)), 1);
     assert!(sent(&pool.tick(ms(399))).is_empty());
     assert_eq!(sent(&pool.tick(ms(400))), [(3, worker(0))]);
--- a/crates/flow/tests/all/twin_measures.rs
+++ b/crates/flow/tests/all/twin_measures.rs
@@ -5,7 +5,7 @@
     demand::Meter,
     health::{Gate, Health, Norm, Sample},
     limits::Limits,
-    request::Ending,
+    request::AttemptOutcome,
     retry::{self, Budget},
 };
 use proptest::prelude::*;
@@ -57,16 +57,16 @@
 
 #[test]
 fn only_what_cannot_run_twice_wrongly_is_retried() {
-    let answered = Ending::Answered {
+    let answered = AttemptOutcome::Responded {
         latency: ms(1),
         failure: true,
     };
     let endings = [
         answered,
-        Ending::NotSent,
-        Ending::Lost,
-        Ending::Late,
-        Ending::Cancelled,
+        AttemptOutcome::NotSent,
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::Cancelled,
     ];
     let safe = |idempotent| endings.map(|ending| retry::is_safe(ending, idempotent));
     assert_eq!(safe(false), [false, true, false, false, false]);
--- a/crates/route/src/gate/ticket.rs
+++ b/crates/route/src/gate/ticket.rs
@@ -2,7 +2,7 @@
 
 use super::{Step, one::Gate};
 use primroseroute_domain::outcome::Code;
-use primroseroute_flow::request::Ending;
+use primroseroute_flow::request::AttemptOutcome;
 use std::{sync::Arc, time::Duration};
 use tokio::sync::oneshot;
 
@@ -45,8 +45,11 @@
     }
 
     /// Tells the gate how an attempt ended.
-    pub(crate) fn finish(&mut self, ending: Ending) {
-        self.over |= matches!(ending, Ending::Answered { .. } | Ending::Cancelled);
+    pub(crate) fn finish(&mut self, ending: AttemptOutcome) {
+        self.over |= matches!(
+            ending,
+            AttemptOutcome::Responded { .. } | AttemptOutcome::Cancelled
+        );
         let mut state = self.gate.state.lock();
         if self.over {
             state.waiting.remove(&self.number);
@@ -64,7 +67,7 @@
 impl Drop for Ticket {
     fn drop(&mut self) {
         if !self.over {
-            self.finish(Ending::Cancelled);
+            self.finish(AttemptOutcome::Cancelled);
         }
     }
 }
--- a/crates/route/src/path/attempt.rs
+++ b/crates/route/src/path/attempt.rs
@@ -14,7 +14,7 @@
     id,
     outcome::{Code, Refusal},
 };
-use primroseroute_flow::request::Ending;
+use primroseroute_flow::request::AttemptOutcome;
 use std::net::SocketAddr;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
@@ -101,7 +101,7 @@
                 return reply;
             }
             let Some(address) = self.address(&instance) else {
-                self.ticket.finish(Ending::NotSent);
+                self.ticket.finish(AttemptOutcome::NotSent);
                 continue;
             };
             *self.made += 1;
@@ -131,7 +131,7 @@
     }
 
     fn abandon(&mut self) -> Reply {
-        self.ticket.finish(Ending::Cancelled);
+        self.ticket.finish(AttemptOutcome::Cancelled);
         self.take_back(Refusal::new(
             Code::DeadlineUnreachable,
             "the caller has gone",
@@ -161,7 +161,7 @@
             }
         };
         // Nothing was sent, and the slot is free again.
-        self.ticket.finish(Ending::Cancelled);
+        self.ticket.finish(AttemptOutcome::Cancelled);
         Err(reply)
     }
 
@@ -179,7 +179,7 @@
     async fn send(&mut self, to: SocketAddr, not_after: Instant) -> After {
         let Some(body) = self.body() else {
             // The body streamed into an earlier attempt and is gone.
-            self.ticket.finish(Ending::Cancelled);
+            self.ticket.finish(AttemptOutcome::Cancelled);
             let refusal = Refusal::new(Code::ConnectFailed, "a streamed body cannot be sent again");
             return After::Reply(self.take_back(refusal));
         };
@@ -239,7 +239,7 @@
         match answer {
             Answer::Whole(parts, body) => {
                 let failure = parts.status.is_server_error();
-                self.ticket.finish(Ending::Answered {
+                self.ticket.finish(AttemptOutcome::Responded {
                     latency: since.elapsed(),
                     failure,
                 });
@@ -263,10 +263,10 @@
 
     fn failed(&mut self, failure: &Failure) -> After {
         let (code, ending) = match failure {
-            Failure::NotSent(_) => (Code::ConnectFailed, Ending::NotSent),
-            Failure::Lost(_) => (Code::AnswerLost, Ending::Lost),
-            Failure::Late => (Code::AnswerTimeout, Ending::Late),
-            Failure::Invalid(_) => (Code::AnswerInvalid, Ending::Lost),
+            Failure::NotSent(_) => (Code::ConnectFailed, AttemptOutcome::NotSent),
+            Failure::Lost(_) => (Code::AnswerLost, AttemptOutcome::ConnectionLost),
+            Failure::Late => (Code::AnswerTimeout, AttemptOutcome::TimedOut),
+            Failure::Invalid(_) => (Code::AnswerInvalid, AttemptOutcome::ConnectionLost),
         };
         if !matches!(failure, Failure::NotSent(_)) {
             self.may_have_run = Some(Refusal::new(code, failure.to_string()));
--- a/crates/route/src/path/stream.rs
+++ b/crates/route/src/path/stream.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use http_body::{Body as HttpBody, Frame, SizeHint};
 use http_body_util::{BodyExt, Limited};
-use primroseroute_flow::request::Ending;
+use primroseroute_flow::request::AttemptOutcome;
 use std::{
     io,
     pin::Pin,
@@ -43,7 +43,7 @@
     /// one, which the gate might try again: its head has already gone to the caller.
     fn end(&mut self, failure: bool) {
         if let Some(mut ticket) = self.ticket.take() {
-            ticket.finish(Ending::Answered {
+            ticket.finish(AttemptOutcome::Responded {
                 latency: self.since.elapsed(),
                 failure,
             });
