--- a/crates/flow/src/health.rs
+++ b/crates/flow/src/health.rs
@@ -21,33 +21,33 @@
 
 /// Whether a worker may receive requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Gate {
+pub enum Status {
     /// Any number of requests.
     #[default]
-    Open,
+    Healthy,
     /// A single request, to test whether the worker has recovered.
-    Probe,
+    Probing,
     /// None until this time.
-    Shut(Duration),
+    Ejected(Duration),
 }
 
 /// Outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sample {
     /// A successful response with this latency.
-    Good(Duration),
+    Success(Duration),
     /// A failure of the worker.
-    Bad,
+    Failure,
 }
 
 /// Exponentially decayed failure ratio.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ratio {
+pub struct FailureRatio {
     failures: f64,
     total: f64,
 }
 
-impl Ratio {
+impl FailureRatio {
     /// Records an attempt.
     pub fn add(&mut self, is_failure: bool) {
         self.failures = self.failures * DECAY + f64::from(u8::from(is_failure));
@@ -62,9 +62,9 @@
 
 /// Statistics over all workers of the pool, as the baseline for each worker.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Norm {
+pub struct PoolStats {
     /// Failure ratio over all workers.
-    pub ratio: Ratio,
+    pub failure_ratio: FailureRatio,
     /// Average latency of successful responses.
     pub latency: Mean,
 }
@@ -72,9 +72,9 @@
 /// Health record of one worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    gate: Gate,
+    status: Status,
     consecutive: u32,
-    ratio: Ratio,
+    failure_ratio: FailureRatio,
     latency: Mean,
     successes: u32,
     /// Ejections not yet offset by successes.
@@ -83,21 +83,21 @@
 
 impl Health {
     /// Whether the worker may receive requests.
-    pub fn gate(&self) -> Gate {
-        self.gate
+    pub fn status(&self) -> Status {
+        self.status
     }
 
     /// Records an attempt; returns whether the worker should be ejected.
-    pub fn add(&mut self, sample: Sample, norm: &Norm, limits: &Limits) -> bool {
+    pub fn record(&mut self, sample: Sample, pool_stats: &PoolStats, limits: &Limits) -> bool {
         match sample {
-            Sample::Good(latency) => self.record_success(latency),
-            Sample::Bad => self.consecutive += 1,
+            Sample::Success(latency) => self.record_success(latency),
+            Sample::Failure => self.consecutive += 1,
         }
-        self.ratio.add(sample == Sample::Bad);
-        match self.gate {
-            Gate::Shut(_) => false,
-            Gate::Probe => !self.probe_succeeded(sample, norm, limits),
-            Gate::Open => self.is_failing(norm, limits),
+        self.failure_ratio.add(sample == Sample::Failure);
+        match self.status {
+            Status::Ejected(_) => false,
+            Status::Probing => !self.probe_succeeded(sample, pool_stats, limits),
+            Status::Healthy => self.is_failing(pool_stats, limits),
         }
     }
 
@@ -113,21 +113,21 @@
         }
     }
 
-    fn is_failing(&self, norm: &Norm, limits: &Limits) -> bool {
-        let pool = norm.ratio.value().unwrap_or(0.0);
+    fn is_failing(&self, pool_stats: &PoolStats, limits: &Limits) -> bool {
+        let pool = pool_stats.failure_ratio.value().unwrap_or(0.0);
         let exceeds = |own: f64| own > pool + limits.excess;
         self.consecutive >= limits.consecutive
-            || self.ratio.value().is_some_and(exceeds)
+            || self.failure_ratio.value().is_some_and(exceeds)
             || (f64::from(self.successes) >= MIN_SAMPLES
-                && is_slow(self.latency.seconds(), norm, limits))
+                && is_slow(self.latency.seconds(), pool_stats, limits))
     }
 
     /// Evaluates a probe and returns the worker to service if it succeeded.
-    fn probe_succeeded(&mut self, sample: Sample, norm: &Norm, limits: &Limits) -> bool {
-        let Sample::Good(latency) = sample else {
+    fn probe_succeeded(&mut self, sample: Sample, pool_stats: &PoolStats, limits: &Limits) -> bool {
+        let Sample::Success(latency) = sample else {
             return false;
         };
-        if is_slow(latency.as_secs_f64(), norm, limits) {
+        if is_slow(latency.as_secs_f64(), pool_stats, limits) {
             return false;
         }
         *self = Self {
@@ -143,18 +143,18 @@
         let duration = limits.ejection.saturating_mul(1 << doublings);
         let until = now + duration.min(limits.ejection_cap);
         self.ejections += 1;
-        self.gate = Gate::Shut(until);
+        self.status = Status::Ejected(until);
         until
     }
 
     /// Allows one probe if the ejection ends at `at`; ignores a timer set for an earlier worker.
-    pub fn half_open(&mut self, at: Duration) {
-        if self.gate == Gate::Shut(at) {
-            self.gate = Gate::Probe;
+    pub fn allow_probe(&mut self, at: Duration) {
+        if self.status == Status::Ejected(at) {
+            self.status = Status::Probing;
         }
     }
 }
 
-fn is_slow(seconds: f64, norm: &Norm, limits: &Limits) -> bool {
-    norm.latency.is_known() && seconds > limits.slow * norm.latency.seconds()
+fn is_slow(seconds: f64, pool_stats: &PoolStats, limits: &Limits) -> bool {
+    pool_stats.latency.is_known() && seconds > limits.slow * pool_stats.latency.seconds()
 }
--- a/crates/flow/src/pool/dispatch.rs
+++ b/crates/flow/src/pool/dispatch.rs
@@ -18,7 +18,7 @@
         while let Some(&(at, worker)) = self.probe_timers.first().filter(|(at, _)| *at <= now) {
             self.probe_timers.remove(&(at, worker));
             self.workers
-                .change(worker, |worker| worker.health.half_open(at));
+                .change(worker, |worker| worker.health.allow_probe(at));
         }
         while let Some(&(at, worker, number)) =
             self.held_slots.first().filter(|(at, ..)| *at <= now)
--- a/crates/flow/src/pool/finish.rs
+++ b/crates/flow/src/pool/finish.rs
@@ -86,7 +86,7 @@
                 failure: false,
             } => {
                 self.service_times.add(&request.service, latency);
-                Sample::Good(latency)
+                Sample::Success(latency)
             }
             AttemptOutcome::TimedOut => {
                 let had_enough_time = self.had_enough_time(request, at);
@@ -95,18 +95,19 @@
                 if !had_enough_time {
                     return;
                 }
-                Sample::Bad
+                Sample::Failure
             }
             AttemptOutcome::Cancelled => return,
-            _ => Sample::Bad,
+            _ => Sample::Failure,
         };
         let pool_stats = self.pool_stats;
-        self.pool_stats.ratio.add(sample == Sample::Bad);
-        if let Sample::Good(latency) = sample {
+        self.pool_stats.failure_ratio.add(sample == Sample::Failure);
+        if let Sample::Success(latency) = sample {
             self.pool_stats.latency.add(latency);
         }
         let limits = &self.limits;
-        let change = |worker: &mut worker::Worker| worker.health.add(sample, &pool_stats, limits);
+        let change =
+            |worker: &mut worker::Worker| worker.health.record(sample, &pool_stats, limits);
         let is_failing = self.workers.change(worker, change);
         if is_failing == Some(true) {
             self.eject(now, worker);
--- a/crates/flow/src/worker.rs
+++ b/crates/flow/src/worker.rs
@@ -6,7 +6,7 @@
 //! their owners, and the random choice keeps entries from sending to the same worker in lockstep.
 
 use crate::{
-    health::{Gate, Health},
+    health::{Health, Status},
     rights::owner::Slot,
     view::Member,
 };
@@ -58,7 +58,7 @@
 
     /// Whether it was ejected and has not yet passed a probe.
     pub fn is_ejected(&self) -> bool {
-        self.health.gate() != Gate::Open
+        self.health.status() != Status::Healthy
     }
 
     fn contribution(&self) -> Totals {
@@ -78,9 +78,9 @@
             return None;
         }
         let free = self.rights.saturating_sub(self.in_flight) as usize;
-        match self.health.gate() {
-            Gate::Open if free > 0 => Some(free.min(SLOTS as usize)),
-            Gate::Probe if free > 0 && self.in_flight == 0 => Some(PROBE_BUCKET),
+        match self.health.status() {
+            Status::Healthy if free > 0 => Some(free.min(SLOTS as usize)),
+            Status::Probing if free > 0 && self.in_flight == 0 => Some(PROBE_BUCKET),
             _ => None,
         }
     }
--- a/crates/flow/tests/all/twin_choice.rs
+++ b/crates/flow/tests/all/twin_choice.rs
@@ -3,7 +3,7 @@
 use crate::bed::{check, view, worker};
 use primroseroute_domain::instance::State;
 use primroseroute_flow::{
-    health::{Gate, Health},
+    health::{Health, Status},
     limits::Limits,
     worker::{Index, Set, Wish, Worker},
 };
@@ -51,10 +51,10 @@
             Step::Rights(at, rights) => change(&mut set, at, |worker| worker.rights = rights),
             Step::InFlight(at, count) => change(&mut set, at, |worker| worker.in_flight = count),
             Step::Leave(at) => change(&mut set, at, |worker| worker.is_member = false),
-            Step::HalfOpen(at) => change(&mut set, at, |worker| worker.health.half_open(UNTIL)),
+            Step::HalfOpen(at) => change(&mut set, at, |worker| worker.health.allow_probe(UNTIL)),
             Step::Eject(at) => change(&mut set, at, |worker| {
                 // The first ejection lasts 2 s, so it ends at `UNTIL`.
-                if worker.health.gate() == Gate::Open {
+                if worker.health.status() == Status::Healthy {
                     worker.health = Health::default();
                     worker.health.eject(Duration::ZERO, &Limits::default());
                 }
@@ -98,11 +98,11 @@
 /// Number of requests that a worker could accept now.
 fn free(worker: &Worker) -> u32 {
     let free = worker.rights.saturating_sub(worker.in_flight);
-    match worker.health.gate() {
+    match worker.health.status() {
         _ if !worker.is_member || worker.member.state != State::Serving => 0,
-        Gate::Open => free,
-        Gate::Probe if worker.in_flight == 0 => free.min(1),
-        Gate::Probe | Gate::Shut(_) => 0,
+        Status::Healthy => free,
+        Status::Probing if worker.in_flight == 0 => free.min(1),
+        Status::Probing | Status::Ejected(_) => 0,
     }
 }
 
--- a/crates/flow/tests/all/twin_measures.rs
+++ b/crates/flow/tests/all/twin_measures.rs
@@ -3,7 +3,7 @@
 use crate::bed::{check, ms, name};
 use primroseroute_flow::{
     demand::Meter,
-    health::{Gate, Health, Norm, Sample},
+    health::{Health, PoolStats, Sample, Status},
     limits::Limits,
     request::AttemptOutcome,
     retry::{self, Budget},
@@ -99,8 +99,8 @@
 }
 
 /// Evaluates the newest sample from the whole history since the worker was last readmitted.
-fn is_failing(history: &[Sample], norm: &Norm, limits: &Limits) -> bool {
-    let is_bad = |sample: &&Sample| **sample == Sample::Bad;
+fn is_failing(history: &[Sample], pool_stats: &PoolStats, limits: &Limits) -> bool {
+    let is_bad = |sample: &&Sample| **sample == Sample::Failure;
     let consecutive = history.iter().rev().take_while(is_bad).count();
     let weight = |age: usize| 0.98_f64.powi(i32::try_from(age).expect("short"));
     let by_age = || history.iter().rev().enumerate();
@@ -109,10 +109,10 @@
         .filter(|(_, s)| is_bad(s))
         .map(|(age, _)| weight(age))
         .sum();
-    let pool = norm.ratio.value().unwrap_or(0.0);
+    let pool = pool_stats.failure_ratio.value().unwrap_or(0.0);
     let good = history.iter().filter_map(|sample| match sample {
-        Sample::Good(latency) => Some(latency.as_secs_f64()),
-        Sample::Bad => None,
+        Sample::Success(latency) => Some(latency.as_secs_f64()),
+        Sample::Failure => None,
     });
     let good: Vec<_> = good.collect();
     let mean = good
@@ -120,29 +120,33 @@
         .copied()
         .reduce(|mean, next| mean + 0.05 * (next - mean));
     let is_slow = good.len() >= 20
-        && norm.latency.is_known()
-        && mean.is_some_and(|mean| mean > limits.slow * norm.latency.seconds());
+        && pool_stats.latency.is_known()
+        && mean.is_some_and(|mean| mean > limits.slow * pool_stats.latency.seconds());
     consecutive >= 5 || (all >= 20.0 && bad / all > pool + 0.3) || is_slow
 }
 
 #[test]
 fn a_worker_is_judged_as_by_its_whole_history() {
     let sample = prop_oneof![
-        3 => (1..90u64).prop_map(|latency| Sample::Good(ms(latency))),
-        2 => Just(Sample::Bad),
+        3 => (1..90u64).prop_map(|latency| Sample::Success(ms(latency))),
+        2 => Just(Sample::Failure),
     ];
     let samples = prop::collection::vec(sample, 1..80);
     check(300, &(samples, 5..40u64), |(samples, latency)| {
         let limits = Limits::default();
-        let mut norm = Norm::default();
-        (0..100).for_each(|at| norm.ratio.add(at % 10 == 0));
-        norm.latency.add(ms(latency));
+        let mut pool_stats = PoolStats::default();
+        (0..100).for_each(|at| pool_stats.failure_ratio.add(at % 10 == 0));
+        pool_stats.latency.add(ms(latency));
         let mut health = Health::default();
         let mut history = Vec::new();
         for sample in samples {
             history.push(sample);
-            let failing = is_failing(&history, &norm, &limits);
-            assert_eq!(health.add(sample, &norm, &limits), failing, "{history:?}");
+            let failing = is_failing(&history, &pool_stats, &limits);
+            assert_eq!(
+                health.record(sample, &pool_stats, &limits),
+                failing,
+                "{history:?}"
+            );
         }
     });
 }
@@ -155,30 +159,30 @@
     for seconds in [2, 4, 8, 16, 30, 30] {
         let until = health.eject(now, &limits);
         assert_eq!(until.saturating_sub(now).as_secs(), seconds);
-        health.half_open(until.saturating_sub(ms(1)));
-        assert_eq!(health.gate(), Gate::Shut(until));
-        health.half_open(until);
-        assert_eq!(health.gate(), Gate::Probe);
-        assert!(health.add(Sample::Bad, &Norm::default(), &limits));
+        health.allow_probe(until.saturating_sub(ms(1)));
+        assert_eq!(health.status(), Status::Ejected(until));
+        health.allow_probe(until);
+        assert_eq!(health.status(), Status::Probing);
+        assert!(health.record(Sample::Failure, &PoolStats::default(), &limits));
         now = until;
     }
     health.eject(now, &limits);
-    health.half_open(now + ms(30_000));
-    assert!(!health.add(Sample::Good(ms(5)), &Norm::default(), &limits));
-    assert_eq!(health.gate(), Gate::Open);
+    health.allow_probe(now + ms(30_000));
+    assert!(!health.record(Sample::Success(ms(5)), &PoolStats::default(), &limits));
+    assert_eq!(health.status(), Status::Healthy);
 }
 
 #[test]
 fn good_service_makes_up_for_ejections() {
     let limits = Limits::default();
-    let norm = Norm::default();
+    let pool_stats = PoolStats::default();
     let mut health = Health::default();
     for seconds in [2, 4, 8] {
         assert_eq!(health.eject(ms(0), &limits), ms(1_000 * seconds));
     }
-    health.half_open(ms(8_000));
+    health.allow_probe(ms(8_000));
     for _ in 0..=200 {
-        assert!(!health.add(Sample::Good(ms(5)), &norm, &limits));
+        assert!(!health.record(Sample::Success(ms(5)), &pool_stats, &limits));
     }
     assert_eq!(health.eject(ms(0), &limits), ms(4_000));
 }
