--- a/crates/flow/benches/sim/way.rs
+++ b/crates/flow/benches/sim/way.rs
@@ -3,7 +3,7 @@
 use super::{Case, Way, entry, view, worker};
 use primroseroute_domain::{id, instance::SLOTS, outcome::Code};
 use primroseroute_flow::{
-    estimate::Times,
+    estimate::ServiceTimes,
     fair,
     limits::Limits,
     pool::Pool,
@@ -86,7 +86,7 @@
     at: usize,
     entries: usize,
     queue: fair::Queue,
-    times: Times,
+    times: ServiceTimes,
     workers: Set,
     random: ChaCha8Rng,
     requests: BTreeMap<u64, (Arrival, Option<usize>)>,
@@ -118,7 +118,7 @@
             at,
             entries: case.entries,
             queue,
-            times: Times::default(),
+            times: ServiceTimes::default(),
             workers,
             random: ChaCha8Rng::seed_from_u64(seed),
             requests: BTreeMap::new(),
@@ -183,7 +183,7 @@
         let wait = self.queue.wait(&arrival.account, arrival.class, rate);
         let left = arrival.deadline.saturating_sub(now).as_secs_f64();
         let waits = !self.queue.is_empty() || !self.workers.has_free();
-        let longest = (left - service.most()).min(left / 2.0);
+        let longest = (left - service.upper_bound()).min(left / 2.0);
         if waits && wait > longest {
             return vec![Self::refuse(arrival.request, Code::DeadlineUnreachable)];
         }
@@ -196,7 +196,7 @@
         });
         let until = arrival
             .deadline
-            .saturating_sub(Duration::from_secs_f64(service.most()));
+            .saturating_sub(Duration::from_secs_f64(service.upper_bound()));
         self.timers.insert((until.max(now), arrival.request));
         self.requests.insert(arrival.request, (arrival, None));
         self.dispatch()
--- a/crates/flow/src/estimate.rs
+++ b/crates/flow/src/estimate.rs
@@ -8,9 +8,9 @@
 
 /// Exponentially weighted moving average in seconds; `None` before the first sample.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Mean(Option<f64>);
+pub struct MovingAverage(Option<f64>);
 
-impl Mean {
+impl MovingAverage {
     /// Adds a sample.
     pub fn add(&mut self, sample: Duration) {
         let seconds = sample.as_secs_f64();
@@ -31,12 +31,12 @@
 
 /// Moving average of a service time and of its deviation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Spread {
-    mean: Mean,
-    deviation: Mean,
+pub struct ServiceTime {
+    mean: MovingAverage,
+    deviation: MovingAverage,
 }
 
-impl Spread {
+impl ServiceTime {
     fn add(&mut self, sample: Duration) {
         let previous = self.mean;
         self.mean.add(sample);
@@ -48,9 +48,9 @@
 
     /// Time in seconds within which nearly all requests complete.
     ///
-    /// Mean plus four deviations, as in TCP's retransmission timer (Jacobson, "Congestion Avoidance
+    /// MovingAverage plus four deviations, as in TCP's retransmission timer (Jacobson, "Congestion Avoidance
     /// and Control", 1988): 2% of exponentially distributed service times are longer.
-    pub fn most(self) -> f64 {
+    pub fn upper_bound(self) -> f64 {
         self.mean.seconds() + 4.0 * self.deviation.seconds()
     }
 
@@ -62,12 +62,12 @@
 
 /// Measured service times of one pool.
 #[derive(Clone, Debug, Default)]
-pub struct Times {
-    services: BTreeMap<id::Service, Spread>,
-    pool: Spread,
+pub struct ServiceTimes {
+    services: BTreeMap<id::Service, ServiceTime>,
+    pool: ServiceTime,
 }
 
-impl Times {
+impl ServiceTimes {
     /// Records the latency of a successful response.
     pub fn add(&mut self, service: &id::Service, latency: Duration) {
         self.pool.add(latency);
@@ -75,7 +75,7 @@
             spread.add(latency);
             return;
         }
-        let mut spread = Spread::default();
+        let mut spread = ServiceTime::default();
         spread.add(latency);
         self.services.insert(service.clone(), spread);
     }
@@ -84,14 +84,14 @@
     ///
     /// Ignored unless `elapsed` exceeds the average. Without these samples, a pool that has become
     /// slower than all deadlines would keep its earlier, lower estimate.
-    pub fn add_longer(&mut self, service: &id::Service, elapsed: Duration) {
+    pub fn add_lower_bound(&mut self, service: &id::Service, elapsed: Duration) {
         if elapsed.as_secs_f64() > self.service(service).mean() {
             self.add(service, elapsed);
         }
     }
 
     /// The service time of a service, or of the whole pool if the service has no samples.
-    pub fn service(&self, service: &id::Service) -> Spread {
+    pub fn service(&self, service: &id::Service) -> ServiceTime {
         self.services.get(service).copied().unwrap_or(self.pool)
     }
 }
--- a/crates/flow/src/health.rs
+++ b/crates/flow/src/health.rs
@@ -6,7 +6,7 @@
 //! many workers are ejected at once: when much of a pool fails together, the cause is likely
 //! elsewhere, and further ejections would overload the remaining workers.
 
-use crate::{estimate::Mean, limits::Limits};
+use crate::{estimate::MovingAverage, limits::Limits};
 use std::time::Duration;
 
 /// Minimum samples before a ratio or an average is used.
@@ -66,7 +66,7 @@
     /// Failure ratio over all workers.
     pub failure_ratio: FailureRatio,
     /// Average latency of successful responses.
-    pub latency: Mean,
+    pub latency: MovingAverage,
 }
 
 /// Health record of one worker.
@@ -75,7 +75,7 @@
     status: Status,
     consecutive: u32,
     failure_ratio: FailureRatio,
-    latency: Mean,
+    latency: MovingAverage,
     successes: u32,
     /// Ejections not yet offset by successes.
     ejections: u32,
--- a/crates/flow/src/pool/admit.rs
+++ b/crates/flow/src/pool/admit.rs
@@ -2,7 +2,7 @@
 
 use super::{Phase, Pool, Request};
 use crate::{
-    estimate::Spread,
+    estimate::ServiceTime,
     fair,
     request::{Action, Arrival},
 };
@@ -41,7 +41,12 @@
     }
 
     /// The reason to refuse a request, or `None` to admit it.
-    fn refusal_reason(&self, now: Duration, arrival: &Arrival, service: Spread) -> Option<Code> {
+    fn refusal_reason(
+        &self,
+        now: Duration,
+        arrival: &Arrival,
+        service: ServiceTime,
+    ) -> Option<Code> {
         if self.workers.totals().serving == 0 {
             return Some(Code::NoInstance);
         }
@@ -60,11 +65,11 @@
         let rate = self.rate(&arrival.account);
         let wait = self.queue.wait(&arrival.account, arrival.class, rate);
         let remaining = arrival.deadline.saturating_sub(now).as_secs_f64();
-        let max_wait = (remaining - service.most()).min(remaining * MAX_WAIT_FRACTION);
+        let max_wait = (remaining - service.upper_bound()).min(remaining * MAX_WAIT_FRACTION);
         (wait > max_wait).then_some(Code::DeadlineUnreachable)
     }
 
-    fn enqueue(&mut self, now: Duration, arrival: Arrival, service: Spread) {
+    fn enqueue(&mut self, now: Duration, arrival: Arrival, service: ServiceTime) {
         let until = latest_start(now, arrival.deadline, service);
         self.queue.push(fair::Item {
             request: arrival.request,
@@ -121,7 +126,7 @@
 }
 
 /// The time after which a queued request can no longer meet its deadline.
-pub(super) fn latest_start(now: Duration, deadline: Duration, service: Spread) -> Duration {
-    let latest = deadline.saturating_sub(Duration::from_secs_f64(service.most()));
+pub(super) fn latest_start(now: Duration, deadline: Duration, service: ServiceTime) -> Duration {
+    let latest = deadline.saturating_sub(Duration::from_secs_f64(service.upper_bound()));
     latest.max(now)
 }
--- a/crates/flow/src/pool/finish.rs
+++ b/crates/flow/src/pool/finish.rs
@@ -91,7 +91,7 @@
             AttemptOutcome::TimedOut => {
                 let had_enough_time = self.had_enough_time(request, at);
                 self.service_times
-                    .add_longer(&request.service, now.saturating_sub(at));
+                    .add_lower_bound(&request.service, now.saturating_sub(at));
                 if !had_enough_time {
                     return;
                 }
--- a/crates/flow/src/pool/mod.rs
+++ b/crates/flow/src/pool/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     demand,
-    estimate::Times,
+    estimate::ServiceTimes,
     fair,
     health::PoolStats,
     limits::Limits,
@@ -98,7 +98,7 @@
     requests: BTreeMap<u64, Request>,
     queue: fair::Queue,
     workers: worker::Set,
-    service_times: Times,
+    service_times: ServiceTimes,
     budget: retry::Budget,
     pool_stats: PoolStats,
     /// When queued requests expire and backoffs end, by time and request.
@@ -129,7 +129,7 @@
             requests: BTreeMap::new(),
             queue: fair::Queue::default(),
             workers: worker::Set::default(),
-            service_times: Times::default(),
+            service_times: ServiceTimes::default(),
             pool_stats: PoolStats::default(),
             request_timers: BTreeSet::new(),
             held_slots: BTreeSet::new(),
