--- a/crates/flow/benches/sim/way.rs
+++ b/crates/flow/benches/sim/way.rs
@@ -179,15 +179,17 @@
 impl Node for Rival {
     fn arrive(&mut self, now: Duration, arrival: Arrival) -> Vec<Action> {
         let service = self.times.service(&arrival.service);
-        let rate = self.slots() * self.queue.part(&arrival.account);
-        let wait = self.queue.wait(&arrival.account, arrival.class, rate);
+        let rate = self.slots() * self.queue.weight_fraction(&arrival.account);
+        let wait = self
+            .queue
+            .expected_wait(&arrival.account, arrival.class, rate);
         let left = arrival.deadline.saturating_sub(now).as_secs_f64();
         let waits = !self.queue.is_empty() || !self.workers.has_free();
         let longest = (left - service.upper_bound()).min(left / 2.0);
         if waits && wait > longest {
             return vec![Self::refuse(arrival.request, Code::DeadlineUnreachable)];
         }
-        self.queue.push(fair::Item {
+        self.queue.push(fair::QueuedRequest {
             request: arrival.request,
             account: arrival.account.clone(),
             service: arrival.service.clone(),
--- a/crates/flow/src/fair.rs
+++ b/crates/flow/src/fair.rs
@@ -7,7 +7,7 @@
 //! time, so that slot time is shared, not the number of requests. An idle account accumulates no
 //! credit, and an account that sends too much delays only itself.
 //!
-//! Within an account urgent requests precede deferrable ones, but every [`TURN`]th request is a
+//! Within an account urgent requests precede deferrable ones, but every [`DEFERRABLE_INTERVAL`]th request is a
 //! deferrable one while any is queued. Accounts come first and classes second, so an account cannot
 //! exceed its share by marking its requests urgent. Within a class, services are served round-robin,
 //! each first in, first out.
@@ -18,14 +18,14 @@
 
 /// One in this many requests is deferrable while both classes are queued, so that deferrable
 /// requests such as reminders still make progress.
-pub const TURN: u32 = 8;
+pub const DEFERRABLE_INTERVAL: u32 = 8;
 
 /// Minimum cost of a request in seconds, so that accounts also alternate when nothing is measured.
 const MIN_COST: f64 = 1e-4;
 
 /// A queued request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Item {
+pub struct QueuedRequest {
     /// Request number.
     pub request: u64,
     /// Account that is charged.
@@ -41,14 +41,14 @@
 /// Queued requests of one class of one account.
 #[derive(Clone, Debug, Default)]
 struct ClassQueue {
-    services: BTreeMap<id::Service, VecDeque<Item>>,
+    services: BTreeMap<id::Service, VecDeque<QueuedRequest>>,
     last_service: Option<id::Service>,
     cost: f64,
     len: usize,
 }
 
 impl ClassQueue {
-    fn push(&mut self, item: Item, front: bool) {
+    fn push(&mut self, item: QueuedRequest, front: bool) {
         self.cost += item.cost;
         self.len += 1;
         let service = self.services.entry(item.service.clone()).or_default();
@@ -60,7 +60,7 @@
     }
 
     /// Removes the first request of the next service in round-robin order.
-    fn pop(&mut self) -> Option<Item> {
+    fn pop(&mut self) -> Option<QueuedRequest> {
         let next = self.next_service()?;
         let item = self.services.get_mut(&next)?.pop_front()?;
         self.update_totals(&item);
@@ -79,7 +79,7 @@
         after.or_else(|| self.services.keys().next()).cloned()
     }
 
-    fn remove(&mut self, service: &id::Service, request: u64) -> Option<Item> {
+    fn remove(&mut self, service: &id::Service, request: u64) -> Option<QueuedRequest> {
         let queue = self.services.get_mut(service)?;
         let at = queue.iter().position(|item| item.request == request)?;
         let item = queue.remove(at)?;
@@ -87,7 +87,7 @@
         Some(item)
     }
 
-    fn update_totals(&mut self, item: &Item) {
+    fn update_totals(&mut self, item: &QueuedRequest) {
         self.len -= 1;
         // Resets the rounding error of the floating-point sum.
         self.cost = if self.len == 0 {
@@ -134,8 +134,9 @@
         self.urgent.len + self.deferrable.len == 0
     }
 
-    fn pop(&mut self) -> Option<Item> {
-        let is_deferrable_turn = self.urgent_streak + 1 >= TURN && self.deferrable.len > 0;
+    fn pop(&mut self) -> Option<QueuedRequest> {
+        let is_deferrable_turn =
+            self.urgent_streak + 1 >= DEFERRABLE_INTERVAL && self.deferrable.len > 0;
         if self.urgent.len == 0 || is_deferrable_turn {
             self.urgent_streak = 0;
             return self.deferrable.pop();
@@ -195,16 +196,16 @@
     }
 
     /// Adds a request at the end of its queue.
-    pub fn push(&mut self, item: Item) {
+    pub fn push(&mut self, item: QueuedRequest) {
         self.insert(item, false);
     }
 
     /// Returns a request that was queued before to the front of its queue.
-    pub fn push_front(&mut self, item: Item) {
+    pub fn push_front(&mut self, item: QueuedRequest) {
         self.insert(item, true);
     }
 
-    fn insert(&mut self, mut item: Item, front: bool) {
+    fn insert(&mut self, mut item: QueuedRequest, front: bool) {
         item.cost = item.cost.max(MIN_COST);
         self.len += 1;
         self.cost += item.cost;
@@ -218,7 +219,7 @@
     }
 
     /// Removes the next request in fair order.
-    pub fn pop(&mut self) -> Option<Item> {
+    pub fn pop(&mut self) -> Option<QueuedRequest> {
         let (_, account) = self.by_start_tag.pop_first()?;
         let weight = self.weight(&account);
         let account_queue = self.accounts.get_mut(&account)?;
@@ -241,7 +242,7 @@
         service: &id::Service,
         class: Class,
         request: u64,
-    ) -> Option<Item> {
+    ) -> Option<QueuedRequest> {
         let account_queue = self.accounts.get_mut(account)?;
         let item = account_queue.class_queue(class).remove(service, request)?;
         if account_queue.is_empty() {
@@ -252,7 +253,7 @@
         Some(item)
     }
 
-    fn update_totals(&mut self, item: &Item) {
+    fn update_totals(&mut self, item: &QueuedRequest) {
         self.len -= 1;
         self.cost = (self.cost - item.cost).max(0.0);
         if self.len == 0 {
@@ -269,11 +270,12 @@
     }
 
     /// Expected wait of a new request in seconds while `rate` slots serve its account.
-    pub fn wait(&self, account: &id::Account, class: Class, rate: f64) -> f64 {
+    pub fn expected_wait(&self, account: &id::Account, class: Class, rate: f64) -> f64 {
         let Some(account_queue) = self.accounts.get(account) else {
             return 0.0;
         };
-        let urgent = account_queue.urgent.cost * f64::from(TURN) / f64::from(TURN - 1);
+        let urgent = account_queue.urgent.cost * f64::from(DEFERRABLE_INTERVAL)
+            / f64::from(DEFERRABLE_INTERVAL - 1);
         let all = account_queue.urgent.cost + account_queue.deferrable.cost;
         let ahead = match class {
             Class::Urgent => urgent.min(all),
@@ -283,7 +285,7 @@
     }
 
     /// The account's fraction of the total weight of all accounts with queued requests.
-    pub fn part(&self, account: &id::Account) -> f64 {
+    pub fn weight_fraction(&self, account: &id::Account) -> f64 {
         let own = self.weight(account);
         let others = self.by_start_tag.iter().map(|(_, other)| other);
         let others = others.filter(|other| *other != account);
--- a/crates/flow/src/pool/admit.rs
+++ b/crates/flow/src/pool/admit.rs
@@ -63,7 +63,9 @@
             return Some(Code::QueueFull);
         }
         let rate = self.rate(&arrival.account);
-        let wait = self.queue.wait(&arrival.account, arrival.class, rate);
+        let wait = self
+            .queue
+            .expected_wait(&arrival.account, arrival.class, rate);
         let remaining = arrival.deadline.saturating_sub(now).as_secs_f64();
         let max_wait = (remaining - service.upper_bound()).min(remaining * MAX_WAIT_FRACTION);
         (wait > max_wait).then_some(Code::DeadlineUnreachable)
@@ -71,7 +73,7 @@
 
     fn enqueue(&mut self, now: Duration, arrival: Arrival, service: ServiceTime) {
         let until = latest_start(now, arrival.deadline, service);
-        self.queue.push(fair::Item {
+        self.queue.push(fair::QueuedRequest {
             request: arrival.request,
             account: arrival.account.clone(),
             service: arrival.service.clone(),
@@ -97,7 +99,7 @@
     fn rate(&self, account: &id::Account) -> f64 {
         let slots = self.slots();
         let measured = self.rates.get(account).copied();
-        let part = measured.unwrap_or_else(|| self.queue.part(account));
+        let part = measured.unwrap_or_else(|| self.queue.weight_fraction(account));
         (slots * part).max(MIN_SERVICE_SLOTS)
     }
 
--- a/crates/flow/src/pool/dispatch.rs
+++ b/crates/flow/src/pool/dispatch.rs
@@ -71,7 +71,7 @@
         };
         let service = self.service_times.service(&request.service);
         let until = latest_start(now, request.deadline, service);
-        let item = fair::Item {
+        let item = fair::QueuedRequest {
             request: number,
             account: request.account.clone(),
             service: request.service.clone(),
--- a/crates/flow/tests/all/twin_fair.rs
+++ b/crates/flow/tests/all/twin_fair.rs
@@ -2,7 +2,7 @@
 
 use crate::bed::{check, name};
 use primroseroute_domain::{account::Class, id};
-use primroseroute_flow::fair::{Item, Queue, TURN};
+use primroseroute_flow::fair::{DEFERRABLE_INTERVAL, Queue, QueuedRequest};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -35,14 +35,14 @@
 /// Reference queue: one list of requests, each with its position in its queue.
 #[derive(Default)]
 struct ReferenceQueue {
-    items: Vec<(i64, Item)>,
+    items: Vec<(i64, QueuedRequest)>,
     tags: BTreeMap<id::Account, Tags>,
     virtual_time: f64,
     next: i64,
 }
 
 impl ReferenceQueue {
-    fn push(&mut self, item: Item, is_front: bool) {
+    fn push(&mut self, item: QueuedRequest, is_front: bool) {
         let is_idle = !self
             .items
             .iter()
@@ -50,14 +50,14 @@
         let tags = self.tags.entry(item.account.clone()).or_default();
         if is_idle {
             tags.start_tag = self.virtual_time.max(tags.finish_tag);
-            tags.urgent_streak = tags.urgent_streak.min(TURN);
+            tags.urgent_streak = tags.urgent_streak.min(DEFERRABLE_INTERVAL);
         }
         self.next += 1;
         self.items
             .push((if is_front { -self.next } else { self.next }, item));
     }
 
-    fn pop(&mut self, weight: impl Fn(&id::Account) -> f64) -> Option<Item> {
+    fn pop(&mut self, weight: impl Fn(&id::Account) -> f64) -> Option<QueuedRequest> {
         let waiting = self.items.iter().map(|(_, item)| &item.account);
         let order = |a: &&id::Account, b: &&id::Account| {
             self.tags[*a]
@@ -89,7 +89,7 @@
         let deferrable = own.clone().any(|(_, item)| item.class == Class::Deferrable);
         let urgent = own.clone().any(|(_, item)| item.class == Class::Urgent);
         let tags = self.tags.get_mut(account).expect("it waits");
-        if !urgent || (deferrable && tags.urgent_streak == TURN - 1) {
+        if !urgent || (deferrable && tags.urgent_streak == DEFERRABLE_INTERVAL - 1) {
             tags.urgent_streak = 0;
             return Class::Deferrable;
         }
@@ -157,7 +157,7 @@
                     .1
                     .clone();
                 reference.remove(item.request);
-                let Item {
+                let QueuedRequest {
                     account,
                     service,
                     class,
@@ -177,8 +177,8 @@
     }
 }
 
-fn item(request: u64, account: u8, service: u8, urgent: bool, cost: u8) -> Item {
-    Item {
+fn item(request: u64, account: u8, service: u8, urgent: bool, cost: u8) -> QueuedRequest {
+    QueuedRequest {
         request,
         account: name(&format!("a{account}")),
         service: name(&format!("s{service}")),
