--- a/crates/flow/benches/flow.rs
+++ b/crates/flow/benches/flow.rs
@@ -7,7 +7,7 @@
     pool::Pool,
     request::{Arrival, AttemptOutcome},
     view::{Member, View},
-    worker::{Set, Wish},
+    worker::{Preferences, Set},
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -40,17 +40,17 @@
     for workers in WORKERS {
         let mut set = Set::default();
         for (id, member) in view(workers, 7).members {
-            let index = set.put(&id, member);
+            let index = set.upsert(&id, member);
             set.change(index, |worker| worker.rights = 2);
         }
         let mut random = ChaCha8Rng::seed_from_u64(7);
         group.bench_function(workers.to_string(), |b| {
             b.iter(|| {
-                let wish = Wish {
+                let preferences = Preferences {
                     idempotent: true,
                     tried: &[],
                 };
-                let index = set.choose(wish, &mut random).expect("one is free");
+                let index = set.choose(preferences, &mut random).expect("one is free");
                 set.change(index, |worker| worker.in_flight += 1);
                 set.change(index, |worker| worker.in_flight -= 1);
                 black_box(index)
--- a/crates/flow/benches/sim/way.rs
+++ b/crates/flow/benches/sim/way.rs
@@ -9,7 +9,7 @@
     pool::Pool,
     report::Report,
     request::{Action, Arrival, AttemptOutcome},
-    worker::{Set, Wish},
+    worker::{Preferences, Set},
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -100,7 +100,7 @@
         let view = view(case);
         for number in 0..case.workers {
             let name = worker(number);
-            let index = workers.put(&name, view.members[&name].clone());
+            let index = workers.upsert(&name, view.members[&name].clone());
             let is_own = case.way == Way::LeastLoad || number % case.entries == at;
             workers.change(index, |worker| {
                 worker.rights = if is_own { SLOTS } else { 0 }
@@ -146,15 +146,15 @@
 
     fn dispatch(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
-        while self.workers.has_free() {
+        while self.workers.has_free_slot() {
             let Some(item) = self.queue.pop() else { break };
-            let wish = Wish {
+            let preferences = Preferences {
                 idempotent: false,
                 tried: &[],
             };
             let index = self
                 .workers
-                .choose(wish, &mut self.random)
+                .choose(preferences, &mut self.random)
                 .expect("one is free");
             let request = self.requests.get_mut(&item.request).expect("it waits");
             request.1 = Some(index);
@@ -184,7 +184,7 @@
             .queue
             .expected_wait(&arrival.account, arrival.class, rate);
         let left = arrival.deadline.saturating_sub(now).as_secs_f64();
-        let waits = !self.queue.is_empty() || !self.workers.has_free();
+        let waits = !self.queue.is_empty() || !self.workers.has_free_slot();
         let longest = (left - service.upper_bound()).min(left / 2.0);
         if waits && wait > longest {
             return vec![Self::refuse(arrival.request, Code::DeadlineUnreachable)];
--- a/crates/flow/src/pool/admit.rs
+++ b/crates/flow/src/pool/admit.rs
@@ -53,7 +53,7 @@
         if arrival.deadline <= now {
             return Some(Code::DeadlineUnreachable);
         }
-        if self.queue.is_empty() && self.workers.has_free() {
+        if self.queue.is_empty() && self.workers.has_free_slot() {
             // Start it regardless of the estimate. Otherwise an estimate that is too high would
             // cause all requests to be refused and would never be corrected.
             return None;
--- a/crates/flow/src/pool/dispatch.rs
+++ b/crates/flow/src/pool/dispatch.rs
@@ -1,7 +1,7 @@
 //! Timers and dispatch of queued requests.
 
 use super::{Phase, Pool, admit::latest_start};
-use crate::{fair, request::Action, worker::Wish};
+use crate::{fair, request::Action, worker::Preferences};
 use primroseroute_domain::outcome::Code;
 use std::time::Duration;
 
@@ -87,7 +87,7 @@
 
     /// Sends queued requests in fair order while any worker has a free slot.
     fn dispatch(&mut self, now: Duration) {
-        while self.workers.has_free() {
+        while self.workers.has_free_slot() {
             let Some(item) = self.queue.pop() else {
                 return;
             };
@@ -104,11 +104,11 @@
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        let wish = Wish {
+        let preferences = Preferences {
             idempotent: request.idempotent,
             tried: &request.tried,
         };
-        let Some(index) = self.workers.choose(wish, &mut self.rng) else {
+        let Some(index) = self.workers.choose(preferences, &mut self.rng) else {
             return;
         };
         if let Phase::Waiting { until } = request.phase {
--- a/crates/flow/src/pool/sync.rs
+++ b/crates/flow/src/pool/sync.rs
@@ -17,7 +17,7 @@
         self.shares = shares.collect();
         self.remove_absent_workers();
         for (id, member) in &view.members {
-            self.workers.put(id, member.clone());
+            self.workers.upsert(id, member.clone());
         }
         let mut entries = view.entries.clone();
         entries.insert(self.entry.clone());
@@ -41,7 +41,7 @@
             .collect::<Vec<_>>()
         {
             self.workers
-                .change(index, |worker| worker.is_member = false);
+                .change(index, |worker| worker.is_in_view = false);
         }
     }
 
--- a/crates/flow/src/worker.rs
+++ b/crates/flow/src/worker.rs
@@ -40,7 +40,7 @@
     /// Health record.
     pub health: Health,
     /// Whether it is in the view; a removed worker stays until it has no requests in flight.
-    pub is_member: bool,
+    pub is_in_view: bool,
     position: Option<BucketPosition>,
 }
 
@@ -53,7 +53,7 @@
 impl Worker {
     /// Whether the view allows new requests.
     pub fn is_serving(&self) -> bool {
-        self.is_member && self.member.state.takes_requests()
+        self.is_in_view && self.member.state.takes_requests()
     }
 
     /// Whether it was ejected and has not yet passed a probe.
@@ -99,7 +99,7 @@
 
 /// Request properties that affect the selection.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish<'a> {
+pub struct Preferences<'a> {
     /// Whether the request is idempotent, and so preferred as a probe.
     pub idempotent: bool,
     /// Workers that have failed this request, the most recent last.
@@ -143,7 +143,7 @@
         let before = worker.contribution();
         let result = change(worker);
         let after = worker.contribution();
-        let is_gone = !worker.is_member && worker.in_flight == 0;
+        let is_gone = !worker.is_in_view && worker.in_flight == 0;
         self.totals.serving = self.totals.serving + after.serving - before.serving;
         self.totals.slots = self.totals.slots + after.slots - before.slots;
         self.totals.ejected = self.totals.ejected + after.ejected - before.ejected;
@@ -155,14 +155,14 @@
     }
 
     /// Adds a worker, or updates its state.
-    pub fn put(&mut self, id: &id::Instance, member: Member) -> Index {
+    pub fn upsert(&mut self, id: &id::Instance, member: Member) -> Index {
         let index = self
             .find(id)
             .unwrap_or_else(|| self.insert(id, member.clone()));
         self.change(index, |worker| {
             let was_serving = worker.is_serving();
             worker.member = member;
-            worker.is_member = true;
+            worker.is_in_view = true;
             if worker.is_serving() && !was_serving {
                 // It was rebooted or checked, so its earlier record no longer applies.
                 worker.health = Health::default();
@@ -179,7 +179,7 @@
             rights: 0,
             slots: Vec::new(),
             health: Health::default(),
-            is_member: false,
+            is_in_view: false,
             position: None,
         };
         let index = self.free_indices.pop().unwrap_or_else(|| {
@@ -239,7 +239,7 @@
     }
 
     /// Whether any worker can accept a request now.
-    pub fn has_free(&self) -> bool {
+    pub fn has_free_slot(&self) -> bool {
         self.buckets.iter().any(|bucket| !bucket.is_empty())
     }
 
@@ -248,13 +248,13 @@
     /// An idempotent request prefers a worker that awaits a probe, since the worker may fail it;
     /// other requests probe only if no other worker has a free slot. A retry avoids the workers that
     /// have failed it and prefers a different rack and zone from the last one's.
-    pub fn choose(&self, wish: Wish<'_>, rng: &mut impl RngExt) -> Option<Index> {
+    pub fn choose(&self, preferences: Preferences<'_>, rng: &mut impl RngExt) -> Option<Index> {
         let open = self.buckets[1..PROBE_BUCKET].iter().rev();
         let probe = std::iter::once(&self.buckets[PROBE_BUCKET]);
-        let found = if wish.idempotent {
-            self.search(probe.chain(open), wish, rng)
+        let found = if preferences.idempotent {
+            self.search(probe.chain(open), preferences, rng)
         } else {
-            self.search(open.chain(probe), wish, rng)
+            self.search(open.chain(probe), preferences, rng)
         };
         found.or_else(|| self.choose_any(rng))
     }
@@ -271,7 +271,7 @@
     fn search<'a>(
         &self,
         buckets: impl Iterator<Item = &'a Vec<Index>>,
-        wish: Wish<'_>,
+        preferences: Preferences<'_>,
         rng: &mut impl RngExt,
     ) -> Option<Index> {
         let mut fallback = None;
@@ -279,10 +279,10 @@
             let first = rng.random_range(0..bucket.len());
             for step in 0..MAX_CANDIDATES.min(bucket.len()) {
                 let index = bucket[(first + step) % bucket.len()];
-                if wish.tried.contains(&index) {
+                if preferences.tried.contains(&index) {
                     continue;
                 }
-                if self.is_in_other_rack_and_zone(index, wish.tried.last().copied()) {
+                if self.is_in_other_rack_and_zone(index, preferences.tried.last().copied()) {
                     return Some(index);
                 }
                 fallback = fallback.or(Some(index));
--- a/crates/flow/tests/all/twin_choice.rs
+++ b/crates/flow/tests/all/twin_choice.rs
@@ -5,7 +5,7 @@
 use primroseroute_flow::{
     health::{Health, Status},
     limits::Limits,
-    worker::{Index, Set, Wish, Worker},
+    worker::{Index, Preferences, Set, Worker},
 };
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -43,14 +43,14 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut set = Set::default();
     for at in 0..workers {
-        set.put(&worker(at), members[&worker(at)].clone());
+        set.upsert(&worker(at), members[&worker(at)].clone());
     }
     for step in steps {
         let index = |set: &Set, at| set.find(&worker(at)).unwrap_or(usize::MAX);
         match step {
             Step::Rights(at, rights) => change(&mut set, at, |worker| worker.rights = rights),
             Step::InFlight(at, count) => change(&mut set, at, |worker| worker.in_flight = count),
-            Step::Leave(at) => change(&mut set, at, |worker| worker.is_member = false),
+            Step::Leave(at) => change(&mut set, at, |worker| worker.is_in_view = false),
             Step::HalfOpen(at) => change(&mut set, at, |worker| worker.health.allow_probe(UNTIL)),
             Step::Eject(at) => change(&mut set, at, |worker| {
                 // The first ejection lasts 2 s, so it ends at `UNTIL`.
@@ -66,19 +66,24 @@
                 } else {
                     State::Draining
                 };
-                set.put(&worker(at), member);
+                set.upsert(&worker(at), member);
             }
             Step::Choose(idempotent, tried) => {
                 let tried: Vec<_> = tried.into_iter().map(|at| index(&set, at)).collect();
-                let wish = Wish {
+                let preferences = Preferences {
                     idempotent,
                     tried: &tried,
                 };
-                compare(&set, wish, set.choose(wish, &mut rng), workers);
+                compare(
+                    &set,
+                    preferences,
+                    set.choose(preferences, &mut rng),
+                    workers,
+                );
             }
         }
         let free = set.iter().any(|worker| free(worker) > 0);
-        assert_eq!(set.has_free(), free);
+        assert_eq!(set.has_free_slot(), free);
         let open = set
             .iter()
             .filter(|worker| worker.is_serving() && !worker.is_ejected());
@@ -99,14 +104,14 @@
 fn free(worker: &Worker) -> u32 {
     let free = worker.rights.saturating_sub(worker.in_flight);
     match worker.health.status() {
-        _ if !worker.is_member || worker.member.state != State::Serving => 0,
+        _ if !worker.is_in_view || worker.member.state != State::Serving => 0,
         Status::Healthy => free,
         Status::Probing if worker.in_flight == 0 => free.min(1),
         Status::Probing | Status::Ejected(_) => 0,
     }
 }
 
-fn compare(set: &Set, wish: Wish<'_>, chosen: Option<Index>, workers: usize) {
+fn compare(set: &Set, preferences: Preferences<'_>, chosen: Option<Index>, workers: usize) {
     let known = (0..workers).filter_map(|at| set.find(&worker(at)));
     let free_at = |index: &Index| set.get(*index).map_or(0, free);
     let available: Vec<Index> = known.filter(|index| free_at(index) > 0).collect();
@@ -117,7 +122,7 @@
     assert!(available.contains(&chosen));
     let untried: Vec<Index> = available
         .into_iter()
-        .filter(|at| !wish.tried.contains(at))
+        .filter(|at| !preferences.tried.contains(at))
         .collect();
     if untried.is_empty() {
         return;
@@ -129,10 +134,10 @@
     let is_probe = |index: &Index| set.get(*index).is_some_and(Worker::is_ejected);
     let has_probe = untried.iter().any(is_probe);
     let only_probes = untried.iter().all(is_probe);
-    if !wish.tried.is_empty() {
+    if !preferences.tried.is_empty() {
         return;
     }
-    if has_probe && (wish.idempotent || only_probes) {
+    if has_probe && (preferences.idempotent || only_probes) {
         assert!(
             is_probe(&chosen),
             "an idempotent request must go to the probe first"
@@ -155,14 +160,14 @@
     let members = view(24, 1).members;
     let mut set = Set::default();
     for (id, member) in &members {
-        let index = set.put(id, member.clone());
+        let index = set.upsert(id, member.clone());
         set.change(index, |worker| worker.rights = 1);
     }
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..200 {
         let failed = set
             .choose(
-                Wish {
+                Preferences {
                     idempotent: true,
                     tried: &[],
                 },
@@ -171,7 +176,7 @@
             .expect("free");
         let tried = [failed];
         let next = set.choose(
-            Wish {
+            Preferences {
                 idempotent: true,
                 tried: &tried,
             },
