--- a/crates/flow/benches/flow.rs
+++ b/crates/flow/benches/flow.rs
@@ -41,7 +41,7 @@
         let mut set = Set::default();
         for (id, member) in view(workers, 7).members {
             let index = set.upsert(&id, member);
-            set.change(index, |worker| worker.rights = 2);
+            set.change(index, |worker| worker.quota = 2);
         }
         let mut random = ChaCha8Rng::seed_from_u64(7);
         group.bench_function(workers.to_string(), |b| {
--- a/crates/flow/benches/sim/run.rs
+++ b/crates/flow/benches/sim/run.rs
@@ -339,8 +339,8 @@
 
     fn check_rights(&mut self) {
         for instance in self.names.keys() {
-            let rights = self.nodes.iter().map(|node| node.rights(instance)).sum();
-            self.outcome.most_rights = self.outcome.most_rights.max(rights);
+            let quota = self.nodes.iter().map(|node| node.quota(instance)).sum();
+            self.outcome.most_rights = self.outcome.most_rights.max(quota);
         }
     }
 
--- a/crates/flow/benches/sim/score.rs
+++ b/crates/flow/benches/sim/score.rs
@@ -2,7 +2,7 @@
 
 use super::{Account, Case, name};
 use primroseroute_domain::instance::SLOTS;
-use primroseroute_flow::rights::division::{Demand, max_min};
+use primroseroute_flow::quota::allocation::{Demand, max_min};
 use std::collections::BTreeMap;
 
 /// Times as long as the others that the slow worker takes.
--- a/crates/flow/benches/sim/way.rs
+++ b/crates/flow/benches/sim/way.rs
@@ -32,7 +32,7 @@
     fn next_tick(&self) -> Option<Duration>;
     fn note(&mut self, now: Duration) -> Option<Note>;
     fn take(&mut self, now: Duration, note: &Note) -> Vec<Action>;
-    fn rights(&self, instance: &id::Instance) -> u32;
+    fn quota(&self, instance: &id::Instance) -> u32;
 }
 
 pub fn open(case: &Case, at: usize) -> Box<dyn Node> {
@@ -75,8 +75,8 @@
         }
     }
 
-    fn rights(&self, instance: &id::Instance) -> u32 {
-        Pool::rights(self, instance)
+    fn quota(&self, instance: &id::Instance) -> u32 {
+        Pool::quota(self, instance)
     }
 }
 
@@ -103,7 +103,7 @@
             let index = workers.upsert(&name, view.members[&name].clone());
             let is_own = case.way == Way::LeastLoad || number % case.entries == at;
             workers.change(index, |worker| {
-                worker.rights = if is_own { SLOTS } else { 0 }
+                worker.quota = if is_own { SLOTS } else { 0 }
             });
         }
         let mut queue = fair::Queue::default();
@@ -251,17 +251,17 @@
             self.workers.change(index, |worker| {
                 let load = |peer: &BTreeMap<_, _>| peer.get(&worker.id).copied().unwrap_or(0);
                 let others: u32 = peers.values().map(load).sum();
-                worker.rights = SLOTS.saturating_sub(others);
+                worker.quota = SLOTS.saturating_sub(others);
             });
         }
         self.dispatch()
     }
 
-    fn rights(&self, instance: &id::Instance) -> u32 {
+    fn quota(&self, instance: &id::Instance) -> u32 {
         let worker = self
             .workers
             .find(instance)
             .and_then(|index| self.workers.get(index));
-        worker.map_or(0, |worker| worker.rights)
+        worker.map_or(0, |worker| worker.quota)
     }
 }
--- a/crates/flow/src/fair.rs
+++ b/crates/flow/src/fair.rs
@@ -12,7 +12,7 @@
 //! exceed its share by marking its requests urgent. Within a class, services are served round-robin,
 //! each first in, first out.
 
-use crate::rights::division::{Weights, weight};
+use crate::quota::allocation::{Weights, weight};
 use primroseroute_domain::{account::Class, id};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -12,7 +12,7 @@
 //!    start-time fair queueing over accounts, urgent before deferrable within an account.
 //! 2. [`estimate`] predicts service times, so that a request whose deadline cannot be met is
 //!    refused on arrival instead of after a wait.
-//! 3. [`rights`] determines how many of a worker's request slots this entry may use. Each slot is
+//! 3. [`quota`] determines how many of a worker's request slots this entry may use. Each slot is
 //!    owned by one entry, which lends it to peers with more [`demand`].
 //! 4. [`worker`] finds a worker (an instance of the pool) with a free slot in constant time.
 //! 5. [`health`] ejects failing or slow workers for a while and readmits them after a probe.
@@ -26,9 +26,9 @@
 pub mod health;
 pub mod limits;
 pub mod pool;
+pub mod quota;
 pub mod report;
 pub mod request;
 pub mod retry;
-pub mod rights;
 pub mod view;
 pub mod worker;
--- a/crates/flow/src/pool/mod.rs
+++ b/crates/flow/src/pool/mod.rs
@@ -19,9 +19,9 @@
     fair,
     health::PoolStats,
     limits::Limits,
+    quota::{allocation::Weights, loans::LoanTable},
     request::Action,
     retry,
-    rights::{division::Weights, table::Table},
     view::View,
     worker,
 };
@@ -107,7 +107,7 @@
     held_slots: BTreeSet<(Duration, worker::Index, u64)>,
     /// When ejected workers receive a probe.
     probe_timers: BTreeSet<(Duration, worker::Index)>,
-    rights: Table,
+    loans: LoanTable,
     shares: Weights,
     /// The fraction of this entry's slots that serves each account while it has requests queued.
     rates: BTreeMap<id::Account, f64>,
@@ -119,7 +119,7 @@
 impl Pool {
     /// Creates a pool without workers; `incarnation` increases with each start of the entry.
     pub fn new(entry: id::Entry, incarnation: u64, limits: Limits, seed: u64) -> Self {
-        let rights = Table::new(entry.clone(), incarnation);
+        let loans = LoanTable::new(entry.clone(), incarnation);
         Self {
             entry,
             budget: retry::Budget::new(&limits),
@@ -134,7 +134,7 @@
             request_timers: BTreeSet::new(),
             held_slots: BTreeSet::new(),
             probe_timers: BTreeSet::new(),
-            rights,
+            loans,
             shares: Weights::new(),
             rates: BTreeMap::new(),
             meter: demand::Meter::default(),
@@ -159,7 +159,7 @@
     /// Requests in flight use at most as many connections as there are slots, so the connections of
     /// all entries together stay within the limit of a worker.
     pub fn idle_connections(&self) -> u32 {
-        let entries = u32::try_from(self.rights.entries().len()).unwrap_or(u32::MAX);
+        let entries = u32::try_from(self.loans.entries().len()).unwrap_or(u32::MAX);
         (CONNECTIONS - SLOTS) / entries.max(1)
     }
 
--- a/crates/flow/src/pool/share.rs
+++ b/crates/flow/src/pool/share.rs
@@ -2,9 +2,9 @@
 
 use super::Pool;
 use crate::{
+    quota::{allocation, ownership},
     report::Report,
     request::Action,
-    rights::{division, owner},
 };
 use primroseroute_domain::id;
 use std::{collections::BTreeMap, time::Duration};
@@ -41,21 +41,21 @@
 impl Pool {
     /// Applies reports of other entries; outdated ones are ignored.
     pub fn peers(&mut self, now: Duration, reports: &[Report]) -> Vec<Action> {
-        let taken = reports.iter().map(|report| self.rights.take(report));
+        let taken = reports.iter().map(|report| self.loans.apply_report(report));
         let has_changed = taken.fold(false, |any, changed| any | changed);
         if has_changed {
-            self.refresh_rights();
+            self.refresh_quotas();
         }
         self.advance(now)
     }
 
     /// Number of slots of an instance that this entry may use now.
-    pub fn rights(&self, instance: &id::Instance) -> u32 {
+    pub fn quota(&self, instance: &id::Instance) -> u32 {
         let worker = self
             .workers
             .find(instance)
             .and_then(|index| self.workers.get(index));
-        worker.map_or(0, |worker| worker.rights)
+        worker.map_or(0, |worker| worker.quota)
     }
 
     /// Updates loans and creates a report for the other entries.
@@ -78,16 +78,16 @@
         let is_keep_alive_due = now >= self.last_report.at + KEEP_ALIVE;
         let has_demand_changed = demand_changed(&self.last_report.demand, &demand);
         let must_report =
-            has_lent || is_keep_alive_due || has_demand_changed || self.rights.is_pending();
+            has_lent || is_keep_alive_due || has_demand_changed || self.loans.is_pending();
         must_report.then(|| self.create_report(now, demand))
     }
 
     /// Updates weights and loans; returns whether loans changed.
     fn update_loans(&mut self, demand: &BTreeMap<id::Account, f64>) -> bool {
         self.update_weights(demand);
-        let has_lent = self.rights.lend(&self.shares, demand);
+        let has_lent = self.loans.lend(&self.shares, demand);
         if has_lent {
-            self.refresh_rights();
+            self.refresh_quotas();
         }
         has_lent
     }
@@ -98,8 +98,8 @@
             demand: demand.clone(),
         };
         let workers = self.workers.iter();
-        let busy = workers.filter(|worker| worker.in_flight > worker.rights);
-        self.rights
+        let busy = workers.filter(|worker| worker.in_flight > worker.quota);
+        self.loans
             .report(demand, busy.flat_map(|worker| &worker.slots))
     }
 
@@ -108,12 +108,12 @@
     /// If the full share were the weight at each entry, an account that calls at all entries would
     /// receive more of the pool than one that calls at a single entry.
     pub(super) fn update_weights(&mut self, own: &BTreeMap<id::Account, f64>) {
-        let total = self.rights.demand(own);
-        let min = MIN_SHARE_FRACTION / self.rights.entries().len().max(1) as f64;
+        let total = self.loans.total_demand(own);
+        let min = MIN_SHARE_FRACTION / self.loans.entries().len().max(1) as f64;
         let weight = |(account, demanded): (&id::Account, &f64)| {
             let total = total.get(account).copied().unwrap_or(0.0);
             let fraction = if total > 0.0 { demanded / total } else { 1.0 };
-            let share = division::weight(&self.shares, account);
+            let share = allocation::weight(&self.shares, account);
             (account.clone(), share * fraction.max(min))
         };
         let mut weights: BTreeMap<_, _> = own.iter().map(weight).collect();
@@ -121,7 +121,7 @@
             weights.entry(account.clone()).or_insert(share * min);
         }
         let slots = f64::from(self.workers.totals().slots.max(1));
-        let rates = division::rates(slots, &weights, own).into_iter();
+        let rates = allocation::rates(slots, &weights, own).into_iter();
         self.rates = rates
             .map(|(account, rate)| (account, rate / slots))
             .collect();
@@ -131,25 +131,25 @@
     /// Recomputes the slots of every worker after the entries or the workers have changed.
     pub(super) fn refresh_slots(&mut self, entries_changed: bool) {
         for index in self.workers.indices() {
-            let entries = self.rights.entries();
+            let entries = self.loans.entries();
             self.workers.change(index, |worker| {
                 if entries_changed || worker.slots.is_empty() {
-                    worker.slots = owner::slots(&worker.id, entries);
+                    worker.slots = ownership::slots(&worker.id, entries);
                 }
             });
         }
         let serving = self.workers.iter().filter(|worker| worker.is_serving());
-        self.rights
-            .set_slots(serving.flat_map(|worker| &worker.slots));
-        self.refresh_rights();
+        self.loans
+            .count_slots(serving.flat_map(|worker| &worker.slots));
+        self.refresh_quotas();
     }
 
-    fn refresh_rights(&mut self) {
+    fn refresh_quotas(&mut self) {
         for index in self.workers.indices() {
-            let table = &self.rights;
+            let table = &self.loans;
             self.workers.change(index, |worker| {
                 let usable = worker.slots.iter().filter(|slot| table.may_use(**slot));
-                worker.rights = u32::try_from(usable.count()).unwrap_or(u32::MAX);
+                worker.quota = u32::try_from(usable.count()).unwrap_or(u32::MAX);
             });
         }
     }
--- a/crates/flow/src/pool/sync.rs
+++ b/crates/flow/src/pool/sync.rs
@@ -21,7 +21,7 @@
         }
         let mut entries = view.entries.clone();
         entries.insert(self.entry.clone());
-        let entries_changed = self.rights.set_entries(&entries);
+        let entries_changed = self.loans.set_entries(&entries);
         self.refresh_slots(entries_changed);
         let demand = self.meter.read(now);
         self.update_weights(&demand);
--- a/crates/flow/src/rights/division.rs
+++ b/crates/flow/src/quota/allocation.rs
@@ -16,7 +16,7 @@
 
 /// An entry's input to the allocation.
 #[derive(Clone, Copy, Debug)]
-pub struct Claim<'a> {
+pub struct EntryDemand<'a> {
     /// Slots that the entry owns.
     pub owned: f64,
     /// Demand of its callers.
@@ -81,7 +81,7 @@
 }
 
 /// The target number of slots of each entry; the sum equals the number of owned slots.
-pub fn divide(shares: &Weights, claims: &[Claim<'_>]) -> Vec<f64> {
+pub fn allocate(shares: &Weights, claims: &[EntryDemand<'_>]) -> Vec<f64> {
     let capacity: f64 = claims.iter().map(|claim| claim.owned).sum();
     let total = total(claims.iter().map(|claim| claim.demand));
     let parts = max_min(capacity, shares, &total);
--- a/crates/flow/src/rights/table.rs
+++ b/crates/flow/src/quota/loans.rs
@@ -1,8 +1,8 @@
 //! Stripes that this entry lends to peers, and stripes that peers lend to it.
 
 use super::{
-    division::{Claim, Demand, Weights, divide},
-    owner::{STRIPES, Slot},
+    allocation::{Demand, EntryDemand, Weights, allocate},
+    ownership::{STRIPES, Slot},
 };
 use crate::report::{Report, Seen};
 use primroseroute_domain::id;
@@ -62,7 +62,7 @@
 
 /// The slots of one pool that one entry may use.
 #[derive(Clone, Debug)]
-pub struct Table {
+pub struct LoanTable {
     entry: id::Entry,
     incarnation: u64,
     seq: u64,
@@ -75,7 +75,7 @@
     grants_changed: bool,
 }
 
-impl Table {
+impl LoanTable {
     /// Creates the table of an entry that knows no peers.
     pub fn new(entry: id::Entry, incarnation: u64) -> Self {
         Self {
@@ -109,7 +109,7 @@
     }
 
     /// Counts the slots of the serving workers in each stripe.
-    pub fn set_slots<'a>(&mut self, slots: impl Iterator<Item = &'a Slot>) {
+    pub fn count_slots<'a>(&mut self, slots: impl Iterator<Item = &'a Slot>) {
         self.stripe_sizes = vec![[0; STRIPES as usize]; self.entries.len()];
         for slot in slots {
             self.stripe_sizes[slot.owner][usize::from(slot.stripe)] += 1;
@@ -130,7 +130,7 @@
     /// Applies a peer's report; returns whether the usable slots changed.
     ///
     /// Outdated and duplicate reports, and reports from entries that are not live, are ignored.
-    pub fn take(&mut self, report: &Report) -> bool {
+    pub fn apply_report(&mut self, report: &Report) -> bool {
         if report.entry == self.entry || self.entries.binary_search(&report.entry).is_err() {
             return false;
         }
@@ -180,9 +180,9 @@
     }
 
     /// The total demand of this entry and all known peers.
-    pub fn demand(&self, own: &Demand) -> Demand {
+    pub fn total_demand(&self, own: &Demand) -> Demand {
         let peers = self.peers.values().map(|peer| &peer.demand);
-        super::division::total(peers.chain([own]))
+        super::allocation::total(peers.chain([own]))
     }
 
     /// Number of slots that this entry should lend to each known peer.
@@ -197,9 +197,9 @@
             };
             let owned = f64::from(stripe_sizes.iter().sum::<u32>());
             known.push(entry);
-            claims.push(Claim { owned, demand });
+            claims.push(EntryDemand { owned, demand });
         }
-        let targets = divide(shares, &claims);
+        let targets = allocate(shares, &claims);
         let deficits = claims
             .iter()
             .zip(&targets)
--- a/crates/flow/src/report.rs
+++ b/crates/flow/src/report.rs
@@ -1,7 +1,7 @@
 //! Reports that entries exchange about one pool.
 //!
 //! The size of a report does not depend on the number of workers: demand is one number per account,
-//! and slots are lent in [`STRIPES`](crate::rights::owner::STRIPES) stripes per lender.
+//! and slots are lent in [`STRIPES`](crate::quota::ownership::STRIPES) stripes per lender.
 
 use primroseroute_domain::id;
 use serde::{Deserialize, Serialize};
--- a/crates/flow/src/worker.rs
+++ b/crates/flow/src/worker.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     health::{Health, Status},
-    rights::owner::Slot,
+    quota::ownership::Slot,
     view::Member,
 };
 use primroseroute_domain::{id, instance::SLOTS};
@@ -34,7 +34,7 @@
     /// Requests that this entry has in flight there.
     pub in_flight: u32,
     /// Number of slots that this entry may use there.
-    pub rights: u32,
+    pub quota: u32,
     /// All slots of the worker, with their owners.
     pub slots: Vec<Slot>,
     /// Health record.
@@ -68,7 +68,7 @@
         let is_ejected = self.is_ejected();
         Totals {
             serving: 1,
-            slots: if is_ejected { 0 } else { self.rights },
+            slots: if is_ejected { 0 } else { self.quota },
             ejected: usize::from(is_ejected),
         }
     }
@@ -77,7 +77,7 @@
         if !self.is_serving() {
             return None;
         }
-        let free = self.rights.saturating_sub(self.in_flight) as usize;
+        let free = self.quota.saturating_sub(self.in_flight) as usize;
         match self.health.status() {
             Status::Healthy if free > 0 => Some(free.min(SLOTS as usize)),
             Status::Probing if free > 0 && self.in_flight == 0 => Some(PROBE_BUCKET),
@@ -176,7 +176,7 @@
             id: id.clone(),
             member,
             in_flight: 0,
-            rights: 0,
+            quota: 0,
             slots: Vec::new(),
             health: Health::default(),
             is_in_view: false,
--- a/crates/flow/tests/all/lending.rs
+++ b/crates/flow/tests/all/lending.rs
@@ -107,16 +107,16 @@
         }
     }
 
-    /// Maximum requests at any worker, counting unused rights as well.
+    /// Maximum requests at any worker, counting unused quota as well.
     fn max_load(&self) -> u32 {
-        let at_most = |pool: &Pool, id: &id::Instance| pool.rights(id).max(pool.in_flight(id));
+        let at_most = |pool: &Pool, id: &id::Instance| pool.quota(id).max(pool.in_flight(id));
         let sum = |id| self.pools.iter().map(|pool| at_most(pool, &id)).sum();
         (0..self.workers).map(worker).map(sum).max().unwrap_or(0)
     }
 
     fn slots(&self, at: usize) -> u32 {
         (0..self.workers)
-            .map(|number| self.pools[at].rights(&worker(number)))
+            .map(|number| self.pools[at].quota(&worker(number)))
             .sum()
     }
 }
--- a/crates/flow/tests/all/twin_choice.rs
+++ b/crates/flow/tests/all/twin_choice.rs
@@ -14,7 +14,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Rights(usize, u32),
+    Quota(usize, u32),
     InFlight(usize, u32),
     State(usize, bool),
     Leave(usize),
@@ -26,7 +26,7 @@
 fn step(workers: usize) -> impl Strategy<Value = Step> {
     let at = 0..workers;
     prop_oneof![
-        (at.clone(), 0..9u32).prop_map(|(at, rights)| Step::Rights(at, rights)),
+        (at.clone(), 0..9u32).prop_map(|(at, quota)| Step::Quota(at, quota)),
         (at.clone(), 0..4u32).prop_map(|(at, count)| Step::InFlight(at, count)),
         (at.clone(), any::<bool>()).prop_map(|(at, serves)| Step::State(at, serves)),
         at.clone().prop_map(Step::Leave),
@@ -48,7 +48,7 @@
     for step in steps {
         let index = |set: &Set, at| set.find(&worker(at)).unwrap_or(usize::MAX);
         match step {
-            Step::Rights(at, rights) => change(&mut set, at, |worker| worker.rights = rights),
+            Step::Quota(at, quota) => change(&mut set, at, |worker| worker.quota = quota),
             Step::InFlight(at, count) => change(&mut set, at, |worker| worker.in_flight = count),
             Step::Leave(at) => change(&mut set, at, |worker| worker.is_in_view = false),
             Step::HalfOpen(at) => change(&mut set, at, |worker| worker.health.allow_probe(UNTIL)),
@@ -89,7 +89,7 @@
             .filter(|worker| worker.is_serving() && !worker.is_ejected());
         assert_eq!(
             set.totals().slots,
-            open.map(|worker| worker.rights).sum::<u32>()
+            open.map(|worker| worker.quota).sum::<u32>()
         );
     }
 }
@@ -102,7 +102,7 @@
 
 /// Number of requests that a worker could accept now.
 fn free(worker: &Worker) -> u32 {
-    let free = worker.rights.saturating_sub(worker.in_flight);
+    let free = worker.quota.saturating_sub(worker.in_flight);
     match worker.health.status() {
         _ if !worker.is_in_view || worker.member.state != State::Serving => 0,
         Status::Healthy => free,
@@ -161,7 +161,7 @@
     let mut set = Set::default();
     for (id, member) in &members {
         let index = set.upsert(id, member.clone());
-        set.change(index, |worker| worker.rights = 1);
+        set.change(index, |worker| worker.quota = 1);
     }
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..200 {
--- a/crates/flow/tests/all/twin_division.rs
+++ b/crates/flow/tests/all/twin_division.rs
@@ -2,9 +2,9 @@
 
 use crate::bed::{cases, check, entry, name, worker};
 use primroseroute_domain::instance::SLOTS;
-use primroseroute_flow::rights::{
-    division::{Claim, Demand, Weights, divide, max_min, rates},
-    owner::slots,
+use primroseroute_flow::quota::{
+    allocation::{Demand, EntryDemand, Weights, allocate, max_min, rates},
+    ownership::slots,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -89,9 +89,9 @@
             .iter()
             .map(|(_, owned)| f64::from(*owned) + 1.0)
             .collect();
-        let claim = |(owned, demand)| Claim { owned, demand };
+        let claim = |(owned, demand)| EntryDemand { owned, demand };
         let claims: Vec<_> = owned.iter().copied().zip(&demands).map(claim).collect();
-        let targets = divide(&BTreeMap::new(), &claims);
+        let targets = allocate(&BTreeMap::new(), &claims);
         let sum: f64 = targets.iter().sum();
         assert!((sum - owned.iter().sum::<f64>()).abs() < 1e-6);
         assert!(targets.iter().all(|target| *target > 0.0));
