--- a/crates/entry/src/local.rs
+++ b/crates/entry/src/local.rs
@@ -11,7 +11,7 @@
     id,
     outcome::Refusal,
 };
-use primroseroute_flow::pool::Depth;
+use primroseroute_flow::pool::QueueDepth;
 use primroseroute_ledger::key;
 use primroseroute_peer::{
     Local as PeerLocal, Row, Slots, Snapshot as Rows, membership::Registration, report::Report,
@@ -112,7 +112,7 @@
         for queue in std::mem::take(&mut *deep) {
             self.meter.queue_depth(&queue.account, &queue.service, 0);
         }
-        for Depth {
+        for QueueDepth {
             account,
             service,
             waiting,
--- a/crates/flow/benches/flow.rs
+++ b/crates/flow/benches/flow.rs
@@ -61,7 +61,7 @@
 
 fn open(workers: usize) -> Pool {
     let mut pool = Pool::new(name("e0"), 1, Limits::default(), 7);
-    pool.sync(Duration::ZERO, &view(workers, 7));
+    pool.apply_view(Duration::ZERO, &view(workers, 7));
     pool
 }
 
@@ -131,11 +131,11 @@
     for workers in WORKERS {
         let mut pool = open(workers);
         let mut peer = Pool::new(name("e1"), 1, Limits::default(), 7);
-        peer.sync(Duration::ZERO, &view(workers, 7));
+        peer.apply_view(Duration::ZERO, &view(workers, 7));
         group.bench_function(workers.to_string(), |b| {
             b.iter(|| {
                 let report = peer.report(Duration::ZERO);
-                black_box(pool.peers(Duration::ZERO, &[report]));
+                black_box(pool.apply_reports(Duration::ZERO, &[report]));
                 black_box(pool.report(Duration::ZERO))
             });
         });
@@ -153,8 +153,8 @@
         first.state = State::Draining;
         group.bench_function(workers.to_string(), |b| {
             b.iter(|| {
-                pool.sync(Duration::ZERO, &draining);
-                pool.sync(Duration::ZERO, &serving);
+                pool.apply_view(Duration::ZERO, &draining);
+                pool.apply_view(Duration::ZERO, &serving);
             });
         });
     }
--- a/crates/flow/benches/sim/way.rs
+++ b/crates/flow/benches/sim/way.rs
@@ -40,7 +40,7 @@
     match case.way {
         Way::Lend | Way::Own => {
             let mut pool = Pool::new(entry(at), 1, Limits::default(), seed);
-            pool.sync(Duration::ZERO, &view(case));
+            pool.apply_view(Duration::ZERO, &view(case));
             Box::new(pool)
         }
         Way::LeastLoad | Way::Subset => Box::new(Rival::open(case, at, seed)),
@@ -65,12 +65,12 @@
     }
 
     fn note(&mut self, now: Duration) -> Option<Note> {
-        self.news(now).map(Note::Report)
+        self.report_if_changed(now).map(Note::Report)
     }
 
     fn take(&mut self, now: Duration, note: &Note) -> Vec<Action> {
         match note {
-            Note::Report(report) => self.peers(now, std::slice::from_ref(report)),
+            Note::Report(report) => self.apply_reports(now, std::slice::from_ref(report)),
             Note::Load(..) => Vec::new(),
         }
     }
--- a/crates/flow/src/pool/mod.rs
+++ b/crates/flow/src/pool/mod.rs
@@ -11,7 +11,7 @@
 mod share;
 mod sync;
 
-pub use share::KEEP_ALIVE;
+pub use share::KEEP_ALIVE_INTERVAL;
 
 use crate::{
     demand,
@@ -79,7 +79,7 @@
 
 /// Number of queued requests of one account for one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Depth {
+pub struct QueueDepth {
     /// Calling account.
     pub account: id::Account,
     /// Requested service.
@@ -182,19 +182,19 @@
     }
 
     /// Requests that wait for a slot, by account and service, omitting empty queues.
-    pub fn depths(&self) -> Vec<Depth> {
-        let mut depths = BTreeMap::new();
+    pub fn queue_depths(&self) -> Vec<QueueDepth> {
+        let mut queue_depths = BTreeMap::new();
         let is_waiting = |request: &&Request| matches!(request.phase, Phase::Waiting { .. });
         for request in self.requests.values().filter(is_waiting) {
             let key = (request.account.clone(), request.service.clone());
-            *depths.entry(key).or_insert(0) += 1;
+            *queue_depths.entry(key).or_insert(0) += 1;
         }
-        let depth = |((account, service), waiting)| Depth {
+        let depth = |((account, service), waiting)| QueueDepth {
             account,
             service,
             waiting,
         };
-        depths.into_iter().map(depth).collect()
+        queue_depths.into_iter().map(depth).collect()
     }
 
     /// Number of requests that wait for a slot at this entry.
--- a/crates/flow/src/pool/share.rs
+++ b/crates/flow/src/pool/share.rs
@@ -14,7 +14,7 @@
 const MIN_SHARE_FRACTION: f64 = 0.25;
 
 /// Maximum time between reports, so that a lost report is made up for.
-pub const KEEP_ALIVE: Duration = Duration::from_secs(5);
+pub const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Relative change of demand that causes a report, if it also exceeds [`MIN_CHANGE`].
 const MIN_RELATIVE_CHANGE: f64 = 0.15;
@@ -40,7 +40,7 @@
 
 impl Pool {
     /// Applies reports of other entries; outdated ones are ignored.
-    pub fn peers(&mut self, now: Duration, reports: &[Report]) -> Vec<Action> {
+    pub fn apply_reports(&mut self, now: Duration, reports: &[Report]) -> Vec<Action> {
         let taken = reports.iter().map(|report| self.loans.apply_report(report));
         let has_changed = taken.fold(false, |any, changed| any | changed);
         if has_changed {
@@ -70,12 +70,12 @@
 
     /// As [`Pool::report`], but `None` if the report would not change what peers do.
     ///
-    /// In a steady state one report per [`KEEP_ALIVE`] remains, at any call rate. A newly connected
+    /// In a steady state one report per [`KEEP_ALIVE_INTERVAL`] remains, at any call rate. A newly connected
     /// peer has missed earlier reports, so it is sent a [`Pool::report`] immediately.
-    pub fn news(&mut self, now: Duration) -> Option<Report> {
+    pub fn report_if_changed(&mut self, now: Duration) -> Option<Report> {
         let demand = self.meter.read(now);
         let has_lent = self.update_loans(&demand);
-        let is_keep_alive_due = now >= self.last_report.at + KEEP_ALIVE;
+        let is_keep_alive_due = now >= self.last_report.at + KEEP_ALIVE_INTERVAL;
         let has_demand_changed = demand_changed(&self.last_report.demand, &demand);
         let must_report =
             has_lent || is_keep_alive_due || has_demand_changed || self.loans.is_pending();
--- a/crates/flow/src/pool/sync.rs
+++ b/crates/flow/src/pool/sync.rs
@@ -10,7 +10,7 @@
     ///
     /// Requests in flight there continue. If no serving instance is left, every queued request is
     /// refused immediately.
-    pub fn sync(&mut self, now: Duration, view: &View) -> Vec<Action> {
+    pub fn apply_view(&mut self, now: Duration, view: &View) -> Vec<Action> {
         self.view = view.clone();
         let shares = view.shares.iter();
         let shares = shares.map(|(account, share)| (account.clone(), f64::from(*share)));
--- a/crates/flow/tests/all/basics.rs
+++ b/crates/flow/tests/all/basics.rs
@@ -31,7 +31,7 @@
         .get_mut(&worker(0))
         .expect("a member")
         .state = State::Draining;
-    assert_eq!(refused(&pool.sync(ms(1), &draining)), [(2, 203)]);
+    assert_eq!(refused(&pool.apply_view(ms(1), &draining)), [(2, 203)]);
     assert_eq!(
         refused(&pool.arrive(ms(2), arrival(3, ms(1_000)))),
         [(3, 203)]
@@ -201,7 +201,7 @@
         assert_eq!(sent(&pool.tick(ms(500))).len(), 1);
         pool.finish(ms(501), 1, AttemptOutcome::NotSent)
     });
-    a_lost_answer_then_no_instance(|pool| pool.sync(ms(2), &View::default()));
+    a_lost_answer_then_no_instance(|pool| pool.apply_view(ms(2), &View::default()));
     a_lost_answer_then_no_time(|pool| {
         // 64 other requests occupy every slot for longer than the request can wait.
         (2..66).for_each(|at| assert_eq!(sent(&pool.arrive(ms(1), arrival(at, ms(9_000)))).len(), 1));
--- a/crates/flow/tests/all/bed.rs
+++ b/crates/flow/tests/all/bed.rs
@@ -57,7 +57,7 @@
 /// A pool at the first of `entries` entries.
 pub fn pool(workers: usize, entries: usize, limits: Limits) -> Pool {
     let mut pool = Pool::new(entry(0), 1, limits, 7);
-    pool.sync(Duration::ZERO, &view(workers, entries));
+    pool.apply_view(Duration::ZERO, &view(workers, entries));
     pool
 }
 
--- a/crates/flow/tests/all/checker.rs
+++ b/crates/flow/tests/all/checker.rs
@@ -165,7 +165,7 @@
                 self.view.members.remove(&worker(at));
             }
         }
-        let actions = self.pool.sync(self.now, &self.view.clone());
+        let actions = self.pool.apply_view(self.now, &self.view.clone());
         self.check_actions(actions);
     }
 
@@ -295,7 +295,7 @@
     check(300, &prop::collection::vec(step(), 1..250), |steps| {
         let mut pool = Pool::new(entry(0), 1, Limits::default(), 3);
         let view = view(WORKERS, 1);
-        pool.sync(ms(0), &view);
+        pool.apply_view(ms(0), &view);
         let mut checker = Checker {
             pool,
             view,
--- a/crates/flow/tests/all/ejection.rs
+++ b/crates/flow/tests/all/ejection.rs
@@ -125,8 +125,8 @@
         .get_mut(&worker(0))
         .expect("a member")
         .state = State::Maintenance;
-    pool.sync(ms(100), &rebooting);
-    pool.sync(ms(200), &view(2, 1));
+    pool.apply_view(ms(100), &rebooting);
+    pool.apply_view(ms(200), &view(2, 1));
     let used: BTreeSet<_> = (100..140)
         .map(|at| serve(&mut pool, ms(300), at, |_| good(5)))
         .collect();
--- a/crates/flow/tests/all/lending.rs
+++ b/crates/flow/tests/all/lending.rs
@@ -44,7 +44,7 @@
     fn with_entries(entries: usize, workers: usize) -> Self {
         let new_pool = |at| {
             let mut pool = Pool::new(entry(at), 1, Limits::default(), at as u64);
-            pool.sync(ms(0), &view(workers, entries));
+            pool.apply_view(ms(0), &view(workers, entries));
             pool
         };
         Self {
@@ -94,7 +94,7 @@
     }
 
     fn deliver(&mut self, at: usize, report: &Report) {
-        let actions = self.pools[at].peers(self.now, std::slice::from_ref(report));
+        let actions = self.pools[at].apply_reports(self.now, std::slice::from_ref(report));
         self.sent_requests[at].extend(sent(&actions).iter().map(|(request, _)| request));
     }
 
@@ -182,7 +182,7 @@
     }
     assert!(entries.slots(0) < 8);
     let now = entries.now;
-    entries.pools[0].sync(now, &view(4, 1));
+    entries.pools[0].apply_view(now, &view(4, 1));
     assert_eq!(entries.slots(0), 32);
 }
 
@@ -195,7 +195,7 @@
         (0..3).for_each(|at| (0..8).for_each(|_| entries.arrive(at)));
         (0..3).for_each(|at| entries.finish(at, usize::MAX));
         for at in 0..3 {
-            let Some(report) = entries.pools[at].news(entries.now) else {
+            let Some(report) = entries.pools[at].report_if_changed(entries.now) else {
                 continue;
             };
             created += u32::from(round >= 200);
--- a/crates/route/src/gate/all.rs
+++ b/crates/route/src/gate/all.rs
@@ -5,7 +5,7 @@
 use primroseroute_domain::{change::Seq, id};
 use primroseroute_flow::{
     limits::Limits,
-    pool::{Depth, Pool},
+    pool::{Pool, QueueDepth},
     report::Report,
     request::Arrival,
     view::{Member, View},
@@ -175,11 +175,11 @@
     }
 
     /// Requests that wait, by account and service; those without any are left out.
-    pub fn depths(&self) -> Vec<Depth> {
+    pub fn depths(&self) -> Vec<QueueDepth> {
         let gates = self.open.read();
         let depths = gates
             .values()
-            .flat_map(|opened| opened.gate.state.lock().decisions.depths());
+            .flat_map(|opened| opened.gate.state.lock().decisions.queue_depths());
         depths.collect()
     }
 
@@ -216,7 +216,7 @@
     /// Takes in what a peer tells about one pool.
     pub fn peer(&self, pool: &id::Pool, report: &Report) {
         if let Some(gate) = self.find(pool) {
-            gate.decide(|pool, now| pool.peers(now, std::slice::from_ref(report)));
+            gate.decide(|pool, now| pool.apply_reports(now, std::slice::from_ref(report)));
         }
     }
 }
--- a/crates/route/src/gate/one.rs
+++ b/crates/route/src/gate/one.rs
@@ -75,7 +75,7 @@
         if state.view.as_ref() == Some(&view) {
             return;
         }
-        self.decide_in(&mut state, |pool, now| pool.sync(now, &view));
+        self.decide_in(&mut state, |pool, now| pool.apply_view(now, &view));
         state.view = Some(view);
     }
 
@@ -114,7 +114,7 @@
     /// second to each peer at 270 pools. The report that it fell quiet is sent once.
     pub(super) fn news(&self) -> Option<Report> {
         let mut state = self.state.lock();
-        let report = state.decisions.news(self.now())?;
+        let report = state.decisions.report_if_changed(self.now())?;
         let is_quiet = report.demand.is_empty() && report.lent.is_empty() && report.seen.is_empty();
         let was_quiet = std::mem::replace(&mut state.was_quiet, is_quiet);
         (!is_quiet || !was_quiet).then_some(report)
