--- a/crates/flow/src/health.rs
+++ b/crates/flow/src/health.rs
@@ -115,8 +115,8 @@
 
     fn is_failing(&self, pool_stats: &PoolStats, limits: &Limits) -> bool {
         let pool = pool_stats.failure_ratio.value().unwrap_or(0.0);
-        let exceeds = |own: f64| own > pool + limits.excess;
-        self.consecutive >= limits.consecutive
+        let exceeds = |own: f64| own > pool + limits.failure_ratio_excess;
+        self.consecutive >= limits.consecutive_failures
             || self.failure_ratio.value().is_some_and(exceeds)
             || (f64::from(self.successes) >= MIN_SAMPLES
                 && is_slow(self.latency.seconds(), pool_stats, limits))
@@ -140,8 +140,8 @@
     /// Ejects the worker for longer each time; returns the end of the ejection.
     pub fn eject(&mut self, now: Duration, limits: &Limits) -> Duration {
         let doublings = self.ejections.min(16);
-        let duration = limits.ejection.saturating_mul(1 << doublings);
-        let until = now + duration.min(limits.ejection_cap);
+        let duration = limits.base_ejection.saturating_mul(1 << doublings);
+        let until = now + duration.min(limits.max_ejection);
         self.ejections += 1;
         self.status = Status::Ejected(until);
         until
@@ -156,5 +156,5 @@
 }
 
 fn is_slow(seconds: f64, pool_stats: &PoolStats, limits: &Limits) -> bool {
-    pool_stats.latency.is_known() && seconds > limits.slow * pool_stats.latency.seconds()
+    pool_stats.latency.is_known() && seconds > limits.slow_factor * pool_stats.latency.seconds()
 }
--- a/crates/flow/src/limits.rs
+++ b/crates/flow/src/limits.rs
@@ -6,52 +6,52 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Maximum queued requests of one account for one service.
-    pub queue: usize,
+    pub max_queued: usize,
     /// Maximum attempts per request, including the first.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Retry tokens that each first attempt deposits; 20% as in Envoy's retry budget.
     pub retry_ratio: f64,
     /// Maximum accumulated retry tokens, so that a pool with little traffic can retry too.
     pub retry_burst: f64,
     /// Upper bound of the backoff before the first retry; doubled for each further retry.
-    pub backoff: Duration,
+    pub base_backoff: Duration,
     /// Maximum of the doubled upper bound.
-    pub backoff_cap: Duration,
+    pub max_backoff: Duration,
     /// Consecutive failures that eject a worker; Envoy's default.
-    pub consecutive: u32,
+    pub consecutive_failures: u32,
     /// How far a worker's failure ratio may exceed the pool's before it is ejected.
-    pub excess: f64,
+    pub failure_ratio_excess: f64,
     /// Multiple of the pool's mean latency above which a worker counts as slow.
-    pub slow: f64,
+    pub slow_factor: f64,
     /// Duration of the first ejection; doubled for each further ejection.
-    pub ejection: Duration,
+    pub base_ejection: Duration,
     /// Maximum duration of an ejection.
-    pub ejection_cap: Duration,
+    pub max_ejection: Duration,
     /// Maximum fraction of the pool that may be ejected; half, as Envoy's panic threshold.
-    pub ejected: f64,
+    pub max_ejected_fraction: f64,
     /// Minimum retry-after of a refusal.
-    pub retry_after: Duration,
+    pub min_retry_after: Duration,
     /// Minimum retry-after when no instance is serving: a view takes about this long to change.
-    pub absence: Duration,
+    pub min_retry_after_no_instance: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            queue: 256,
-            attempts: 3,
+            max_queued: 256,
+            max_attempts: 3,
             retry_ratio: 0.2,
             retry_burst: 10.0,
-            backoff: Duration::from_millis(10),
-            backoff_cap: Duration::from_millis(250),
-            consecutive: 5,
-            excess: 0.3,
-            slow: 3.0,
-            ejection: Duration::from_secs(2),
-            ejection_cap: Duration::from_secs(30),
-            ejected: 0.5,
-            retry_after: Duration::from_millis(100),
-            absence: Duration::from_secs(1),
+            base_backoff: Duration::from_millis(10),
+            max_backoff: Duration::from_millis(250),
+            consecutive_failures: 5,
+            failure_ratio_excess: 0.3,
+            slow_factor: 3.0,
+            base_ejection: Duration::from_secs(2),
+            max_ejection: Duration::from_secs(30),
+            max_ejected_fraction: 0.5,
+            min_retry_after: Duration::from_millis(100),
+            min_retry_after_no_instance: Duration::from_secs(1),
         }
     }
 }
--- a/crates/flow/src/pool/admit.rs
+++ b/crates/flow/src/pool/admit.rs
@@ -59,7 +59,7 @@
             return None;
         }
         let waiting = self.queue.waiting(&arrival.account, &arrival.service);
-        if waiting >= self.limits.queue {
+        if waiting >= self.limits.max_queued {
             return Some(Code::QueueFull);
         }
         let rate = self.rate(&arrival.account);
@@ -115,8 +115,8 @@
     pub(super) fn refuse(&mut self, request: u64, code: Code) {
         let backlog = Duration::from_secs_f64(self.queue.cost() / self.slots());
         let min_retry_after = match code {
-            Code::NoInstance => self.limits.absence,
-            _ => self.limits.retry_after,
+            Code::NoInstance => self.limits.min_retry_after_no_instance,
+            _ => self.limits.min_retry_after,
         };
         let jitter = 1.0 + self.rng.random::<f64>() / 2.0;
         self.actions.push(Action::Refuse {
--- a/crates/flow/src/pool/finish.rs
+++ b/crates/flow/src/pool/finish.rs
@@ -120,7 +120,7 @@
     /// the other to be ejected.
     fn had_enough_time(&self, request: &Request, at: Duration) -> bool {
         let allowed = request.deadline.saturating_sub(at).as_secs_f64();
-        allowed > self.limits.slow * self.service_times.service(&request.service).mean()
+        allowed > self.limits.slow_factor * self.service_times.service(&request.service).mean()
     }
 
     /// Ejects a worker, unless too many are ejected already.
@@ -131,7 +131,9 @@
             .get(index)
             .is_some_and(worker::Worker::is_ejected);
         let ejected_after = totals.ejected as f64 + 1.0;
-        if !is_ejected_already && ejected_after > self.limits.ejected * totals.serving as f64 {
+        if !is_ejected_already
+            && ejected_after > self.limits.max_ejected_fraction * totals.serving as f64
+        {
             return;
         }
         let limits = &self.limits;
@@ -174,7 +176,9 @@
         request: &Request,
         outcome: AttemptOutcome,
     ) -> Option<Duration> {
-        if !retry::is_safe(outcome, request.idempotent) || request.attempt >= self.limits.attempts {
+        if !retry::is_safe(outcome, request.idempotent)
+            || request.attempt >= self.limits.max_attempts
+        {
             return None;
         }
         let until = now + retry::backoff(&self.limits, request.attempt, &mut self.rng);
--- a/crates/flow/src/retry.rs
+++ b/crates/flow/src/retry.rs
@@ -66,8 +66,8 @@
 /// Backoff with full jitter before the attempt that follows attempt number `attempt`.
 pub fn backoff(limits: &Limits, attempt: u32, rng: &mut impl RngExt) -> Duration {
     let doublings = attempt.saturating_sub(1).min(16);
-    let upper_bound = limits.backoff.saturating_mul(1 << doublings);
+    let upper_bound = limits.base_backoff.saturating_mul(1 << doublings);
     upper_bound
-        .min(limits.backoff_cap)
+        .min(limits.max_backoff)
         .mul_f64(rng.random::<f64>())
 }
--- a/crates/flow/tests/all/basics.rs
+++ b/crates/flow/tests/all/basics.rs
@@ -47,7 +47,7 @@
         1,
         8,
         Limits {
-            queue: 1,
+            max_queued: 1,
             ..Limits::default()
         },
     );
@@ -181,7 +181,7 @@
         8,
         1,
         Limits {
-            attempts: 2,
+            max_attempts: 2,
             ..Limits::default()
         },
     );
--- a/crates/flow/tests/all/twin_measures.rs
+++ b/crates/flow/tests/all/twin_measures.rs
@@ -121,7 +121,7 @@
         .reduce(|mean, next| mean + 0.05 * (next - mean));
     let is_slow = good.len() >= 20
         && pool_stats.latency.is_known()
-        && mean.is_some_and(|mean| mean > limits.slow * pool_stats.latency.seconds());
+        && mean.is_some_and(|mean| mean > limits.slow_factor * pool_stats.latency.seconds());
     consecutive >= 5 || (all >= 20.0 && bad / all > pool + 0.3) || is_slow
 }
 
--- a/crates/serve/src/fields.rs
+++ b/crates/serve/src/fields.rs
@@ -103,8 +103,8 @@
 
 fn flow(limits: &Limits) -> FlowLimits {
     FlowLimits {
-        queue: limits.queue_per_account as usize,
-        attempts: limits.retries.saturating_add(1),
+        max_queued: limits.queue_per_account as usize,
+        max_attempts: limits.retries.saturating_add(1),
         retry_ratio: limits.retry_budget,
         ..FlowLimits::default()
     }
