--- a/crates/flow/src/estimate.rs
+++ b/crates/flow/src/estimate.rs
@@ -48,7 +48,7 @@
 
     /// Time in seconds within which nearly all requests complete.
     ///
-    /// MovingAverage plus four deviations, as in TCP's retransmission timer (Jacobson, "Congestion Avoidance
+    /// Mean plus four deviations, as in TCP's retransmission timer (Jacobson, "Congestion Avoidance
     /// and Control", 1988): 2% of exponentially distributed service times are longer.
     pub fn upper_bound(self) -> f64 {
         self.mean.seconds() + 4.0 * self.deviation.seconds()
--- a/crates/flow/src/fair.rs
+++ b/crates/flow/src/fair.rs
@@ -7,10 +7,10 @@
 //! time, so that slot time is shared, not the number of requests. An idle account accumulates no
 //! credit, and an account that sends too much delays only itself.
 //!
-//! Within an account urgent requests precede deferrable ones, but every [`DEFERRABLE_INTERVAL`]th request is a
-//! deferrable one while any is queued. Accounts come first and classes second, so an account cannot
-//! exceed its share by marking its requests urgent. Within a class, services are served round-robin,
-//! each first in, first out.
+//! Within an account urgent requests precede deferrable ones, but one in [`DEFERRABLE_INTERVAL`]
+//! requests is a deferrable one while any is queued. Accounts come first and classes second, so an
+//! account cannot exceed its share by marking its requests urgent. Within a class, services are
+//! served round-robin, each first in, first out.
 
 use crate::quota::allocation::{Weights, weight};
 use primroseroute_domain::{account::Class, id};
--- a/crates/flow/src/pool/admit.rs
+++ b/crates/flow/src/pool/admit.rs
@@ -114,7 +114,7 @@
     /// together do not retry together.
     pub(super) fn refuse(&mut self, request: u64, code: Code) {
         let backlog = Duration::from_secs_f64(self.queue.cost() / self.slots());
-        let min_retry_after = match code {
+        let min_delay = match code {
             Code::NoInstance => self.limits.min_retry_after_no_instance,
             _ => self.limits.min_retry_after,
         };
@@ -122,7 +122,7 @@
         self.actions.push(Action::Refuse {
             request,
             code,
-            retry_after: min_retry_after.max(backlog).mul_f64(jitter),
+            retry_after: min_delay.max(backlog).mul_f64(jitter),
         });
     }
 }
--- a/crates/flow/src/pool/share.rs
+++ b/crates/flow/src/pool/share.rs
@@ -70,8 +70,8 @@
 
     /// As [`Pool::report`], but `None` if the report would not change what peers do.
     ///
-    /// In a steady state one report per [`KEEP_ALIVE_INTERVAL`] remains, at any call rate. A newly connected
-    /// peer has missed earlier reports, so it is sent a [`Pool::report`] immediately.
+    /// In a steady state one report per [`KEEP_ALIVE_INTERVAL`] remains, at any call rate. A newly
+    /// connected peer has missed earlier reports, so it is sent a [`Pool::report`] immediately.
     pub fn report_if_changed(&mut self, now: Duration) -> Option<Report> {
         let demand = self.meter.read(now);
         let has_lent = self.update_loans(&demand);
@@ -85,7 +85,7 @@
     /// Updates weights and loans; returns whether loans changed.
     fn update_loans(&mut self, demand: &BTreeMap<id::Account, f64>) -> bool {
         self.update_weights(demand);
-        let has_lent = self.loans.lend(&self.shares, demand);
+        let has_lent = self.loans.rebalance(&self.shares, demand);
         if has_lent {
             self.refresh_quotas();
         }
--- a/crates/flow/src/quota/allocation.rs
+++ b/crates/flow/src/quota/allocation.rs
@@ -81,9 +81,9 @@
 }
 
 /// The target number of slots of each entry; the sum equals the number of owned slots.
-pub fn allocate(shares: &Weights, claims: &[EntryDemand<'_>]) -> Vec<f64> {
-    let capacity: f64 = claims.iter().map(|claim| claim.owned).sum();
-    let total = total(claims.iter().map(|claim| claim.demand));
+pub fn allocate(shares: &Weights, entries: &[EntryDemand<'_>]) -> Vec<f64> {
+    let capacity: f64 = entries.iter().map(|entry| entry.owned).sum();
+    let total = total(entries.iter().map(|entry| entry.demand));
     let parts = max_min(capacity, shares, &total);
     let part = |(account, demanded): (&id::Account, &f64)| {
         let total = total.get(account).copied().unwrap_or(0.0);
@@ -94,9 +94,9 @@
             0.0
         }
     };
-    let targets = claims
+    let targets = entries
         .iter()
-        .map(|claim| claim.demand.iter().map(part).sum::<f64>());
+        .map(|entry| entry.demand.iter().map(part).sum::<f64>());
     distribute_spare(capacity, &targets.collect::<Vec<_>>())
 }
 
--- a/crates/flow/src/quota/loans.rs
+++ b/crates/flow/src/quota/loans.rs
@@ -76,7 +76,7 @@
 }
 
 impl LoanTable {
-    /// Creates the table of an entry that knows no peers.
+    /// Creates the loan table of an entry that knows no peers.
     pub fn new(entry: id::Entry, incarnation: u64) -> Self {
         Self {
             entry,
@@ -171,7 +171,7 @@
     }
 
     /// Lends and recalls stripes by demand; returns whether the usable slots changed.
-    pub fn lend(&mut self, shares: &Weights, demand: &Demand) -> bool {
+    pub fn rebalance(&mut self, shares: &Weights, demand: &Demand) -> bool {
         let before: Vec<_> = self.loans.keys().copied().collect();
         for (to, slots) in self.targets(shares, demand) {
             self.adjust_loans(&to, slots);
@@ -188,7 +188,7 @@
     /// Number of slots that this entry should lend to each known peer.
     fn targets(&self, shares: &Weights, demand: &Demand) -> Vec<(id::Entry, f64)> {
         let mut known = Vec::new();
-        let mut claims = Vec::new();
+        let mut entry_demands = Vec::new();
         for (entry, stripe_sizes) in self.entries.iter().zip(&self.stripe_sizes) {
             let peer = self.peers.get(entry).map(|peer| &peer.demand);
             let own = (*entry == self.entry).then_some(demand);
@@ -197,13 +197,13 @@
             };
             let owned = f64::from(stripe_sizes.iter().sum::<u32>());
             known.push(entry);
-            claims.push(EntryDemand { owned, demand });
+            entry_demands.push(EntryDemand { owned, demand });
         }
-        let targets = allocate(shares, &claims);
-        let deficits = claims
+        let targets = allocate(shares, &entry_demands);
+        let deficits = entry_demands
             .iter()
             .zip(&targets)
-            .map(|(claim, target)| target - claim.owned);
+            .map(|(entry_demand, target)| target - entry_demand.owned);
         let deficits: Vec<_> = known.into_iter().zip(deficits).collect();
         let total_deficit: f64 = deficits.iter().map(|(_, deficit)| deficit.max(0.0)).sum();
         let own = deficits.iter().find(|(entry, _)| **entry == self.entry);
--- a/crates/flow/tests/all/goals.rs
+++ b/crates/flow/tests/all/goals.rs
@@ -13,7 +13,7 @@
 }
 
 /// Goodput of at least 95% of capacity, at least 90% of its reachable fair part for each account,
-/// less than 1% overruns, and never more quota than slots.
+/// less than 1% overruns, and a total quota of at most the slots.
 fn meets_the_goals(case: &Case) {
     let outcome = run(case);
     let Outcome {
--- a/crates/flow/tests/all/lending.rs
+++ b/crates/flow/tests/all/lending.rs
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Maximum requests at any worker, counting unused quota as well.
+    /// Maximum requests at any worker, counting unused quotas as well.
     fn max_load(&self) -> u32 {
         let at_most = |pool: &Pool, id: &id::Instance| pool.quota(id).max(pool.in_flight(id));
         let sum = |id| self.pools.iter().map(|pool| at_most(pool, &id)).sum();
