--- a/crates/flow/tests/all/basics.rs
+++ b/crates/flow/tests/all/basics.rs
@@ -1,6 +1,6 @@
 //! The path of a request through the pool, by example.
 
-use crate::bed::{arrival, bad, cases, good, ms, pool, refused, sent, view, worker};
+use crate::fixture::{arrival, bad, cases, good, ms, pool, refused, sent, view, worker};
 use primroseroute_domain::instance::State;
 use primroseroute_flow::{
     limits::Limits,
@@ -10,7 +10,7 @@
 };
 
 #[test]
-fn a_request_is_sent_and_its_answer_frees_the_slot() {
+fn a_request_is_sent_and_its_response_frees_the_slot() {
     let mut pool = pool(1, 8, Limits::default());
     let first = sent(&pool.arrive(ms(0), arrival(1, ms(1_000))));
     assert_eq!(first, [(1, worker(0))]);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_retried_only_where_the_request_is_idempotent() {
+fn a_lost_response_is_retried_only_if_the_request_is_idempotent() {
     let mut pool = pool(8, 8, Limits::default());
     pool.arrive(ms(0), arrival(1, ms(1_000)));
     assert_eq!(
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_failed_answer_is_the_answer() {
+fn an_error_response_is_not_retried() {
     let mut pool = pool(8, 8, Limits::default());
     pool.arrive(ms(0), arrival(1, ms(1_000)));
     assert!(pool.finish(ms(1), 1, bad()).is_empty());
@@ -141,7 +141,7 @@
 /// Guards against refusals at the deadline instead of on arrival. The workers have become slower than
 /// all deadlines, so no response ever shows how slow they are.
 #[test]
-fn answers_that_never_come_count_as_slow() {
+fn timed_out_responses_raise_the_estimate() {
     let mut pool = pool(1, 8, Limits::default());
     pool.arrive(ms(0), arrival(0, ms(1_000)));
     pool.finish(ms(10), 0, good(10));
@@ -176,7 +176,7 @@
 /// Guards against a "not run" refusal of a request that may have been executed, after which the caller
 /// would send it again and it would run twice. The response to the first attempt is lost; the retry
 /// finds no connection, no time or no worker, each of which alone would prove that nothing was run.
-fn a_retry_that_fails_does_not_unsay_the_first_attempt(end: impl Fn(&mut Pool) -> Vec<Action>) {
+fn a_failed_retry_is_not_reported_as_not_run(end: impl Fn(&mut Pool) -> Vec<Action>) {
     let mut pool = pool(
         8,
         1,
@@ -196,13 +196,13 @@
 }
 
 cases! {
-    a_retry_that_fails_does_not_unsay_the_first_attempt:
-    a_lost_answer_then_no_connection(|pool| {
+    a_failed_retry_is_not_reported_as_not_run:
+    a_lost_response_then_no_connection(|pool| {
         assert_eq!(sent(&pool.tick(ms(500))).len(), 1);
         pool.finish(ms(501), 1, AttemptOutcome::NotSent)
     });
-    a_lost_answer_then_no_instance(|pool| pool.apply_view(ms(2), &View::default()));
-    a_lost_answer_then_no_time(|pool| {
+    a_lost_response_then_no_instance(|pool| pool.apply_view(ms(2), &View::default()));
+    a_lost_response_then_no_time(|pool| {
         // 64 other requests occupy every slot for longer than the request can wait.
         (2..66).for_each(|at| assert_eq!(sent(&pool.arrive(ms(1), arrival(at, ms(9_000)))).len(), 1));
         assert!(pool.tick(ms(999)).is_empty());
--- a/crates/flow/tests/all/checker.rs
+++ b/crates/flow/tests/all/checker.rs
@@ -1,6 +1,6 @@
 //! Checks invariants of one pool over random histories, through its public interface.
 
-use crate::bed::{bad, check, entry, good, ms, name, view, worker};
+use crate::fixture::{bad, check, entry, good, ms, name, view, worker};
 use primroseroute_domain::{account::Class, id, instance::State};
 use primroseroute_flow::{
     limits::Limits,
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn every_request_ends_once_and_nothing_runs_that_must_not() {
+fn every_request_ends_once_and_only_safe_retries_are_sent() {
     check(300, &prop::collection::vec(step(), 1..250), |steps| {
         let mut pool = Pool::new(entry(0), 1, Limits::default(), 3);
         let view = view(WORKERS, 1);
--- a/crates/flow/tests/all/ejection.rs
+++ b/crates/flow/tests/all/ejection.rs
@@ -1,6 +1,6 @@
 //! Ejection of failing workers.
 
-use crate::bed::{arrival, bad, good, ms, pool, sent, view, worker};
+use crate::fixture::{arrival, bad, good, ms, pool, sent, view, worker};
 use primroseroute_domain::{id, instance::State};
 use primroseroute_flow::{limits::Limits, pool::Pool, request::AttemptOutcome};
 use std::{collections::BTreeSet, time::Duration};
@@ -22,7 +22,7 @@
 /// Guards against a worker that attracts most of the load by failing fast, so that most requests
 /// fail: it responds immediately with 500 and therefore always has free slots.
 #[test]
-fn a_worker_that_fails_everything_draws_next_to_nothing() {
+fn a_worker_that_fails_all_requests_receives_few() {
     let mut pool = pool(10, 1, Limits::default());
     let fails = |at: &id::Instance| if *at == worker(3) { bad() } else { good(5) };
     let hits = |pool: &mut Pool, from: u64, to: u64| {
@@ -39,7 +39,7 @@
 /// Guards against the failure of a whole service when a common fault, such as a bad release, ejects
 /// all workers one after the other and overloads the last ones.
 #[test]
-fn a_bad_wave_never_ejects_more_than_half() {
+fn a_common_fault_ejects_at_most_half_of_the_pool() {
     let mut pool = pool(10, 1, Limits::default());
     for request in 0..1_000 {
         serve(&mut pool, ms(request), request, |_| bad());
@@ -53,7 +53,7 @@
 /// Guards against ejection of healthy workers by callers with a timeout header of 1 ms, which would
 /// lead to 503 responses for all callers.
 #[test]
-fn impatient_callers_eject_nobody() {
+fn short_timeouts_do_not_eject_workers() {
     let mut pool = pool(4, 1, Limits::default());
     for request in 0..100 {
         serve(&mut pool, ms(request), request, |_| good(50));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_probe_is_one_request_and_brings_the_worker_back() {
+fn a_probe_is_one_request_and_readmits_the_worker() {
     let mut pool = pool(2, 1, Limits::default());
     for request in 0..40 {
         serve(&mut pool, ms(request), request, |at| {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_request_that_must_not_run_twice_is_no_probe_while_another_worker_is_free() {
+fn a_non_idempotent_request_is_no_probe_while_another_worker_is_free() {
     let mut pool = pool(2, 1, Limits::default());
     for request in 0..40 {
         serve(&mut pool, ms(request), request, |at| {
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_worker_that_comes_back_from_a_reboot_starts_anew() {
+fn a_rebooted_worker_starts_with_a_clean_record() {
     let mut pool = pool(2, 1, Limits::default());
     for request in 0..40 {
         serve(&mut pool, ms(request), request, |at| {
@@ -137,7 +137,7 @@
 /// worker continues; if its slot counted as free, a second request would run beside the first, and
 /// under overload latencies would rise at all workers until requests time out.
 #[test]
-fn a_slot_whose_request_was_given_up_is_not_used_at_once() {
+fn the_slot_of_a_cancelled_request_is_held() {
     let mut pool = pool(1, 8, Limits::default());
     pool.arrive(ms(0), arrival(1, ms(1_000)));
     pool.finish(ms(100), 1, good(100));
--- a/crates/flow/tests/all/goals.rs
+++ b/crates/flow/tests/all/goals.rs
@@ -1,7 +1,7 @@
 //! Targets under overload and faults, in a simulation of seven entries and twenty workers.
 
 use crate::{
-    bed::cases,
+    fixture::cases,
     sim::{Case, Outcome, Way, flood, run, single},
 };
 
@@ -14,7 +14,7 @@
 
 /// Goodput of at least 95% of capacity, at least 90% of its reachable fair part for each account,
 /// less than 1% overruns, and a total quota of at most the slots.
-fn meets_the_goals(case: &Case) {
+fn meets_the_targets(case: &Case) {
     let outcome = run(case);
     let Outcome {
         goodput,
@@ -30,7 +30,7 @@
 }
 
 cases! {
-    meets_the_goals:
+    meets_the_targets:
     half_load(&Case { load: 0.5, ..small() });
     near_capacity(&Case { load: 0.9, ..small() });
     over_capacity(&Case { load: 1.2, ..small() });
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_failing_worker_draws_little_of_the_load() {
+fn a_failing_worker_receives_little_of_the_load() {
     let outcome = run(&Case {
         failing: true,
         load: 0.9,
@@ -56,7 +56,7 @@
 /// Confirms the design note's comparison with the rejected alternatives: lending avoids the overruns
 /// of least load, and serves callers that subsets and fixed slots refuse.
 #[test]
-fn the_other_ways_do_worse_where_one_entry_has_most_callers() {
+fn the_alternatives_do_worse_if_one_entry_has_most_callers() {
     let of = |way| {
         run(&Case {
             way,
--- a/crates/flow/tests/all/lending.rs
+++ b/crates/flow/tests/all/lending.rs
@@ -1,6 +1,6 @@
 //! Lending of slots between entries with late, duplicated, reordered or lost reports.
 
-use crate::bed::{arrival, check, entry, good, ms, name, sent, view, worker};
+use crate::fixture::{arrival, check, entry, good, ms, name, sent, view, worker};
 use primroseroute_domain::{id, instance::SLOTS};
 use primroseroute_flow::{limits::Limits, pool::Pool, report::Report};
 use proptest::prelude::*;
@@ -125,7 +125,7 @@
 /// stale reports, a borrower could keep using a recalled slot or an owner a granted one, so that both
 /// use the same slot.
 #[test]
-fn no_worker_gets_more_than_its_slots_whatever_becomes_of_reports() {
+fn no_worker_exceeds_its_slots_with_unreliable_reports() {
     let steps = prop::collection::vec(step(3), 50..250);
     check(150, &steps, |steps| {
         let mut entries = Entries::with_entries(3, 4);
@@ -172,7 +172,7 @@
 /// Guards against refusals while workers are idle because a crashed peer still counts as the borrower
 /// of slots. The loans end when the peer leaves the view.
 #[test]
-fn slots_lent_to_an_entry_that_is_gone_come_home() {
+fn loans_to_an_entry_end_when_it_leaves_the_view() {
     let mut entries = Entries::with_entries(2, 4);
     for _ in 0..50 {
         entries.now += ms(50);
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn reports_of_an_earlier_start_are_ignored() {
+fn reports_of_an_earlier_incarnation_are_ignored() {
     let mut entries = Entries::with_entries(2, 4);
     let lent: BTreeMap<u8, id::Entry> = (0..64).map(|stripe| (stripe, entry(1))).collect();
     let report = |incarnation, seq, lent: &BTreeMap<_, _>| Report {
--- a/crates/flow/tests/all/main.rs
+++ b/crates/flow/tests/all/main.rs
@@ -1,17 +1,17 @@
 //! Tests of the request path decisions.
 //!
-//! Modules whose names start with `twin` compare an implementation with a naive reference that keeps
-//! the whole history and recomputes everything; `checker` checks invariants of a whole pool.
+//! Modules whose names start with `reference` compare an implementation with a naive reference that
+//! keeps the whole history and recomputes everything; `checker` checks invariants of a whole pool.
 
 mod basics;
-mod bed;
 mod checker;
 mod ejection;
+mod fixture;
 mod goals;
 mod lending;
+mod reference_allocation;
+mod reference_choice;
+mod reference_fair;
+mod reference_measures;
 #[path = "../../benches/sim/mod.rs"]
 mod sim;
-mod twin_choice;
-mod twin_division;
-mod twin_fair;
-mod twin_measures;
--- a/crates/flow/tests/all/twin_division.rs
+++ b/crates/flow/tests/all/reference_allocation.rs
@@ -1,6 +1,6 @@
 //! Compares slot allocation with progressive filling, and checks slot ownership.
 
-use crate::bed::{cases, check, entry, name, worker};
+use crate::fixture::{cases, check, entry, name, worker};
 use primroseroute_domain::instance::SLOTS;
 use primroseroute_flow::quota::{
     allocation::{Demand, EntryDemand, Weights, allocate, max_min, rates},
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn parts_are_those_of_progressive_filling() {
+fn max_min_matches_progressive_filling() {
     check(100, &(accounts(), 1..60u8), |(accounts, capacity)| {
         let (weights, demand) = weights_and_demand(&accounts);
         let capacity = f64::from(capacity);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn the_entries_get_what_they_own_together() {
+fn targets_sum_to_the_owned_slots() {
     let entries = prop::collection::vec((accounts(), 0..30u8), 1..9);
     check(200, &entries, |entries| {
         let demands: Vec<_> = entries
--- a/crates/flow/tests/all/twin_choice.rs
+++ b/crates/flow/tests/all/reference_choice.rs
@@ -1,6 +1,6 @@
 //! Compares worker selection with a scan of all workers.
 
-use crate::bed::{check, view, worker};
+use crate::fixture::{check, view, worker};
 use primroseroute_domain::instance::State;
 use primroseroute_flow::{
     health::{Health, Status},
@@ -150,13 +150,13 @@
 }
 
 #[test]
-fn the_choice_is_one_that_a_scan_would_make() {
+fn selection_matches_a_full_scan() {
     let steps = prop::collection::vec(step(6), 1..120);
     check(400, &steps, |steps| replay(steps, 6));
 }
 
 #[test]
-fn a_retry_goes_to_another_rack_and_zone_where_one_is_free() {
+fn a_retry_goes_to_another_rack_and_zone_if_one_is_free() {
     let members = view(24, 1).members;
     let mut set = Set::default();
     for (id, member) in &members {
--- a/crates/flow/tests/all/twin_fair.rs
+++ b/crates/flow/tests/all/reference_fair.rs
@@ -1,6 +1,6 @@
 //! Compares fair queueing with a reference that searches a single list.
 
-use crate::bed::{check, name};
+use crate::fixture::{check, name};
 use primroseroute_domain::{account::Class, id};
 use primroseroute_flow::fair::{DEFERRABLE_INTERVAL, Queue, QueuedRequest};
 use proptest::prelude::*;
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn requests_leave_in_the_naive_order() {
+fn requests_leave_in_the_reference_order() {
     check(400, &prop::collection::vec(step(), 1..200), replay);
 }
 
--- a/crates/flow/tests/all/twin_measures.rs
+++ b/crates/flow/tests/all/reference_measures.rs
@@ -1,6 +1,6 @@
 //! Compares incremental statistics with values computed from the whole history.
 
-use crate::bed::{check, ms, name};
+use crate::fixture::{check, ms, name};
 use primroseroute_flow::{
     demand::Meter,
     health::{Health, PoolStats, Sample, Status},
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn back_offs_stay_below_a_doubling_limit() {
+fn backoffs_stay_below_a_doubling_limit() {
     let limits = Limits::default();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for (attempt, upper_bound) in [(1, 10), (2, 20), (3, 40), (6, 250), (40, 250)] {
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn only_what_cannot_run_twice_wrongly_is_retried() {
+fn only_safe_attempts_are_retried() {
     let answered = AttemptOutcome::Responded {
         latency: ms(1),
         failure: true,
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_worker_is_judged_as_by_its_whole_history() {
+fn health_matches_an_evaluation_of_the_whole_history() {
     let sample = prop_oneof![
         3 => (1..90u64).prop_map(|latency| Sample::Success(ms(latency))),
         2 => Just(Sample::Failure),
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn ejections_double_up_to_a_limit_and_a_good_probe_opens_the_gate() {
+fn ejections_double_up_to_a_limit_and_a_successful_probe_ends_them() {
     let limits = Limits::default();
     let mut health = Health::default();
     let mut now = ms(0);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn good_service_makes_up_for_ejections() {
+fn successes_offset_ejections() {
     let limits = Limits::default();
     let pool_stats = PoolStats::default();
     let mut health = Health::default();
