--- a/crates/flow/src/pool/finish.rs
+++ b/crates/flow/src/pool/finish.rs
@@ -100,14 +100,13 @@
             AttemptOutcome::Cancelled => return,
             _ => Sample::Failure,
         };
-        let pool_stats = self.pool_stats;
-        self.pool_stats.failure_ratio.add(sample == Sample::Failure);
+        let baseline = self.baseline;
+        self.baseline.failure_ratio.add(sample == Sample::Failure);
         if let Sample::Success(latency) = sample {
-            self.pool_stats.latency.add(latency);
+            self.baseline.latency.add(latency);
         }
         let limits = &self.limits;
-        let change =
-            |worker: &mut worker::Worker| worker.health.record(sample, &pool_stats, limits);
+        let change = |worker: &mut worker::Worker| worker.health.record(sample, &baseline, limits);
         let is_failing = self.workers.change(worker, change);
         if is_failing == Some(true) {
             self.eject(now, worker);
--- a/crates/flow/src/pool/mod.rs
+++ b/crates/flow/src/pool/mod.rs
@@ -100,7 +100,7 @@
     workers: worker::Set,
     service_times: ServiceTimes,
     budget: retry::Budget,
-    pool_stats: PoolStats,
+    baseline: PoolStats,
     /// When queued requests expire and backoffs end, by time and request.
     request_timers: BTreeSet<(Duration, u64)>,
     /// When the slots of requests that ended without a response are released.
@@ -130,7 +130,7 @@
             queue: fair::Queue::default(),
             workers: worker::Set::default(),
             service_times: ServiceTimes::default(),
-            pool_stats: PoolStats::default(),
+            baseline: PoolStats::default(),
             request_timers: BTreeSet::new(),
             held_slots: BTreeSet::new(),
             probe_timers: BTreeSet::new(),
