--- a/crates/flow/benches/flow.rs
+++ b/crates/flow/benches/flow.rs
@@ -5,9 +5,9 @@
 use primroseroute_flow::{
     limits::Limits,
     pool::Pool,
-    request::{Arrival, Ending},
+    request::{Arrival, AttemptOutcome},
     view::{Member, View},
-    worker::{Set, Wish},
+    worker::{Preferences, Set},
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -40,17 +40,17 @@
     for workers in WORKERS {
         let mut set = Set::default();
         for (id, member) in view(workers, 7).members {
-            let index = set.put(&id, member);
-            set.change(index, |worker| worker.rights = 2);
+            let index = set.upsert(&id, member);
+            set.change(index, |worker| worker.quota = 2);
         }
         let mut random = ChaCha8Rng::seed_from_u64(7);
         group.bench_function(workers.to_string(), |b| {
             b.iter(|| {
-                let wish = Wish {
+                let preferences = Preferences {
                     idempotent: true,
                     tried: &[],
                 };
-                let index = set.choose(wish, &mut random).expect("one is free");
+                let index = set.choose(preferences, &mut random).expect("one is free");
                 set.change(index, |worker| worker.in_flight += 1);
                 set.change(index, |worker| worker.in_flight -= 1);
                 black_box(index)
@@ -61,7 +61,7 @@
 
 fn open(workers: usize) -> Pool {
     let mut pool = Pool::new(name("e0"), 1, Limits::default(), 7);
-    pool.sync(Duration::ZERO, &view(workers, 7));
+    pool.apply_view(Duration::ZERO, &view(workers, 7));
     pool
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-const GOOD: Ending = Ending::Answered {
+const GOOD: AttemptOutcome = AttemptOutcome::Responded {
     latency: Duration::from_millis(5),
     failure: false,
 };
@@ -131,11 +131,11 @@
     for workers in WORKERS {
         let mut pool = open(workers);
         let mut peer = Pool::new(name("e1"), 1, Limits::default(), 7);
-        peer.sync(Duration::ZERO, &view(workers, 7));
+        peer.apply_view(Duration::ZERO, &view(workers, 7));
         group.bench_function(workers.to_string(), |b| {
             b.iter(|| {
                 let report = peer.report(Duration::ZERO);
-                black_box(pool.peers(Duration::ZERO, &[report]));
+                black_box(pool.apply_reports(Duration::ZERO, &[report]));
                 black_box(pool.report(Duration::ZERO))
             });
         });
@@ -153,8 +153,8 @@
         first.state = State::Draining;
         group.bench_function(workers.to_string(), |b| {
             b.iter(|| {
-                pool.sync(Duration::ZERO, &draining);
-                pool.sync(Duration::ZERO, &serving);
+                pool.apply_view(Duration::ZERO, &draining);
+                pool.apply_view(Duration::ZERO, &serving);
             });
         });
     }
--- a/crates/flow/benches/sim/way.rs
+++ b/crates/flow/benches/sim/way.rs
@@ -3,13 +3,13 @@
 use super::{Case, Way, entry, view, worker};
 use primroseroute_domain::{id, instance::SLOTS, outcome::Code};
 use primroseroute_flow::{
-    estimate::Times,
+    estimate::ServiceTimes,
     fair,
     limits::Limits,
     pool::Pool,
     report::Report,
-    request::{Action, Arrival, Ending},
-    worker::{Set, Wish},
+    request::{Action, Arrival, AttemptOutcome},
+    worker::{Preferences, Set},
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -27,12 +27,12 @@
 
 pub trait Node {
     fn arrive(&mut self, now: Duration, arrival: Arrival) -> Vec<Action>;
-    fn finish(&mut self, now: Duration, request: u64, ending: Ending) -> Vec<Action>;
+    fn finish(&mut self, now: Duration, request: u64, ending: AttemptOutcome) -> Vec<Action>;
     fn tick(&mut self, now: Duration) -> Vec<Action>;
     fn next_tick(&self) -> Option<Duration>;
     fn note(&mut self, now: Duration) -> Option<Note>;
     fn take(&mut self, now: Duration, note: &Note) -> Vec<Action>;
-    fn rights(&self, instance: &id::Instance) -> u32;
+    fn quota(&self, instance: &id::Instance) -> u32;
 }
 
 pub fn open(case: &Case, at: usize) -> Box<dyn Node> {
@@ -40,7 +40,7 @@
     match case.way {
         Way::Lend | Way::Own => {
             let mut pool = Pool::new(entry(at), 1, Limits::default(), seed);
-            pool.sync(Duration::ZERO, &view(case));
+            pool.apply_view(Duration::ZERO, &view(case));
             Box::new(pool)
         }
         Way::LeastLoad | Way::Subset => Box::new(Rival::open(case, at, seed)),
@@ -52,7 +52,7 @@
         Pool::arrive(self, now, arrival)
     }
 
-    fn finish(&mut self, now: Duration, request: u64, ending: Ending) -> Vec<Action> {
+    fn finish(&mut self, now: Duration, request: u64, ending: AttemptOutcome) -> Vec<Action> {
         Pool::finish(self, now, request, ending)
     }
 
@@ -65,18 +65,18 @@
     }
 
     fn note(&mut self, now: Duration) -> Option<Note> {
-        self.news(now).map(Note::Report)
+        self.report_if_changed(now).map(Note::Report)
     }
 
     fn take(&mut self, now: Duration, note: &Note) -> Vec<Action> {
         match note {
-            Note::Report(report) => self.peers(now, std::slice::from_ref(report)),
+            Note::Report(report) => self.apply_reports(now, std::slice::from_ref(report)),
             Note::Load(..) => Vec::new(),
         }
     }
 
-    fn rights(&self, instance: &id::Instance) -> u32 {
-        Pool::rights(self, instance)
+    fn quota(&self, instance: &id::Instance) -> u32 {
+        Pool::quota(self, instance)
     }
 }
 
@@ -86,7 +86,7 @@
     at: usize,
     entries: usize,
     queue: fair::Queue,
-    times: Times,
+    times: ServiceTimes,
     workers: Set,
     random: ChaCha8Rng,
     requests: BTreeMap<u64, (Arrival, Option<usize>)>,
@@ -100,10 +100,10 @@
         let view = view(case);
         for number in 0..case.workers {
             let name = worker(number);
-            let index = workers.put(&name, view.members[&name].clone());
+            let index = workers.upsert(&name, view.members[&name].clone());
             let is_own = case.way == Way::LeastLoad || number % case.entries == at;
             workers.change(index, |worker| {
-                worker.rights = if is_own { SLOTS } else { 0 }
+                worker.quota = if is_own { SLOTS } else { 0 }
             });
         }
         let mut queue = fair::Queue::default();
@@ -118,7 +118,7 @@
             at,
             entries: case.entries,
             queue,
-            times: Times::default(),
+            times: ServiceTimes::default(),
             workers,
             random: ChaCha8Rng::seed_from_u64(seed),
             requests: BTreeMap::new(),
@@ -146,15 +146,15 @@
 
     fn dispatch(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
-        while self.workers.has_free() {
+        while self.workers.has_free_slot() {
             let Some(item) = self.queue.pop() else { break };
-            let wish = Wish {
+            let preferences = Preferences {
                 idempotent: false,
                 tried: &[],
             };
             let index = self
                 .workers
-                .choose(wish, &mut self.random)
+                .choose(preferences, &mut self.random)
                 .expect("one is free");
             let request = self.requests.get_mut(&item.request).expect("it waits");
             request.1 = Some(index);
@@ -179,15 +179,17 @@
 impl Node for Rival {
     fn arrive(&mut self, now: Duration, arrival: Arrival) -> Vec<Action> {
         let service = self.times.service(&arrival.service);
-        let rate = self.slots() * self.queue.part(&arrival.account);
-        let wait = self.queue.wait(&arrival.account, arrival.class, rate);
+        let rate = self.slots() * self.queue.weight_fraction(&arrival.account);
+        let wait = self
+            .queue
+            .expected_wait(&arrival.account, arrival.class, rate);
         let left = arrival.deadline.saturating_sub(now).as_secs_f64();
-        let waits = !self.queue.is_empty() || !self.workers.has_free();
-        let longest = (left - service.most()).min(left / 2.0);
+        let waits = !self.queue.is_empty() || !self.workers.has_free_slot();
+        let longest = (left - service.upper_bound()).min(left / 2.0);
         if waits && wait > longest {
             return vec![Self::refuse(arrival.request, Code::DeadlineUnreachable)];
         }
-        self.queue.push(fair::Item {
+        self.queue.push(fair::QueuedRequest {
             request: arrival.request,
             account: arrival.account.clone(),
             service: arrival.service.clone(),
@@ -196,16 +198,16 @@
         });
         let until = arrival
             .deadline
-            .saturating_sub(Duration::from_secs_f64(service.most()));
+            .saturating_sub(Duration::from_secs_f64(service.upper_bound()));
         self.timers.insert((until.max(now), arrival.request));
         self.requests.insert(arrival.request, (arrival, None));
         self.dispatch()
     }
 
-    fn finish(&mut self, _now: Duration, request: u64, ending: Ending) -> Vec<Action> {
+    fn finish(&mut self, _now: Duration, request: u64, ending: AttemptOutcome) -> Vec<Action> {
         if let Some((arrival, Some(index))) = self.requests.remove(&request) {
             self.workers.change(index, |worker| worker.in_flight -= 1);
-            if let Ending::Answered {
+            if let AttemptOutcome::Responded {
                 latency,
                 failure: false,
             } = ending
@@ -249,17 +251,17 @@
             self.workers.change(index, |worker| {
                 let load = |peer: &BTreeMap<_, _>| peer.get(&worker.id).copied().unwrap_or(0);
                 let others: u32 = peers.values().map(load).sum();
-                worker.rights = SLOTS.saturating_sub(others);
+                worker.quota = SLOTS.saturating_sub(others);
             });
         }
         self.dispatch()
     }
 
-    fn rights(&self, instance: &id::Instance) -> u32 {
+    fn quota(&self, instance: &id::Instance) -> u32 {
         let worker = self
             .workers
             .find(instance)
             .and_then(|index| self.workers.get(index));
-        worker.map_or(0, |worker| worker.rights)
+        worker.map_or(0, |worker| worker.quota)
     }
 }
--- a/crates/flow/tests/all/basics.rs
+++ b/crates/flow/tests/all/basics.rs
@@ -1,16 +1,16 @@
-//! The way of a request through the pool, case by case.
+//! The path of a request through the pool, by example.
 
-use crate::bed::{arrival, bad, cases, good, ms, pool, refused, sent, view, worker};
+use crate::fixture::{arrival, bad, cases, good, ms, pool, refused, sent, view, worker};
 use primroseroute_domain::instance::State;
 use primroseroute_flow::{
     limits::Limits,
     pool::Pool,
-    request::{Action, Ending},
+    request::{Action, AttemptOutcome},
     view::View,
 };
 
 #[test]
-fn a_request_is_sent_and_its_answer_frees_the_slot() {
+fn a_request_is_sent_and_its_response_frees_the_slot() {
     let mut pool = pool(1, 8, Limits::default());
     let first = sent(&pool.arrive(ms(0), arrival(1, ms(1_000))));
     assert_eq!(first, [(1, worker(0))]);
@@ -31,7 +31,7 @@
         .get_mut(&worker(0))
         .expect("a member")
         .state = State::Draining;
-    assert_eq!(refused(&pool.sync(ms(1), &draining)), [(2, 203)]);
+    assert_eq!(refused(&pool.apply_view(ms(1), &draining)), [(2, 203)]);
     assert_eq!(
         refused(&pool.arrive(ms(2), arrival(3, ms(1_000)))),
         [(3, 203)]
@@ -47,7 +47,7 @@
         1,
         8,
         Limits {
-            queue: 1,
+            max_queued: 1,
             ..Limits::default()
         },
     );
@@ -71,14 +71,20 @@
 }
 
 #[test]
-fn a_lost_answer_is_retried_only_where_the_request_is_idempotent() {
+fn a_lost_response_is_retried_only_if_the_request_is_idempotent() {
     let mut pool = pool(8, 8, Limits::default());
     pool.arrive(ms(0), arrival(1, ms(1_000)));
-    assert_eq!(refused(&pool.finish(ms(1), 1, Ending::Lost)), [(1, 302)]);
+    assert_eq!(
+        refused(&pool.finish(ms(1), 1, AttemptOutcome::ConnectionLost)),
+        [(1, 302)]
+    );
     let mut idempotent = arrival(2, ms(1_000));
     idempotent.idempotent = true;
     let first = sent(&pool.arrive(ms(2), idempotent));
-    assert!(pool.finish(ms(3), 2, Ending::Lost).is_empty());
+    assert!(
+        pool.finish(ms(3), 2, AttemptOutcome::ConnectionLost)
+            .is_empty()
+    );
     let due = pool.next_tick().expect("a back-off");
     let second = sent(&pool.tick(due));
     assert_eq!(second.len(), 1);
@@ -86,15 +92,15 @@
 }
 
 #[test]
-fn a_failed_answer_is_the_answer() {
+fn an_error_response_is_not_retried() {
     let mut pool = pool(8, 8, Limits::default());
     pool.arrive(ms(0), arrival(1, ms(1_000)));
     assert!(pool.finish(ms(1), 1, bad()).is_empty());
     assert_eq!(pool.next_tick(), None);
 }
 
-/// What the caller sees: a pool that fails is sent three times its load, and fails more. Every
-/// attempt is lost; each of a thousand callers would have two more attempts.
+/// Guards against retries that multiply the load of a failing pool by three. Every attempt is lost;
+/// without a budget, each of a thousand callers would have two more attempts.
 #[test]
 fn retries_stay_within_the_budget() {
     let mut pool = pool(8, 1, Limits::default());
@@ -106,17 +112,17 @@
         let mut actions = pool.arrive(now, idempotent);
         while !sent(&actions).is_empty() {
             attempts += 1;
-            pool.finish(now, request, Ending::Lost);
+            pool.finish(now, request, AttemptOutcome::ConnectionLost);
             actions = pool.tick(now + ms(500));
         }
     }
-    // A full bucket of 10, and a fifth of a token from each first attempt after the one that finds
-    // it full.
+    // A full bucket of 10, plus a fifth of a token from each first attempt except the first, which
+    // finds the bucket full.
     assert_eq!(attempts, 1_000 + 10 + 999 / 5);
 }
 
-/// What the caller sees: 503 for ever, from workers that are fast again. Answers took longer than
-/// the deadlines for a while, so all would be refused by the estimate, and none would correct it.
+/// Guards against permanent 503 responses after workers have recovered. While responses take longer
+/// than the deadlines, the estimate would refuse all requests, and no response would correct it.
 #[test]
 fn a_request_that_starts_at_once_is_not_refused_by_an_estimate() {
     let mut pool = pool(1, 8, Limits::default());
@@ -132,10 +138,10 @@
     );
 }
 
-/// What the caller sees: a wait up to the deadline and then a refusal, where one at once was due. The
-/// workers have become slower than all deadlines, so no answer ever tells how slow they are.
+/// Guards against refusals at the deadline instead of on arrival. The workers have become slower than
+/// all deadlines, so no response ever shows how slow they are.
 #[test]
-fn answers_that_never_come_count_as_slow() {
+fn timed_out_responses_raise_the_estimate() {
     let mut pool = pool(1, 8, Limits::default());
     pool.arrive(ms(0), arrival(0, ms(1_000)));
     pool.finish(ms(10), 0, good(10));
@@ -145,7 +151,7 @@
             sent(&pool.arrive(now, arrival(request, now + ms(1_000)))).len(),
             1
         );
-        pool.finish(now + ms(1_000), request, Ending::Late);
+        pool.finish(now + ms(1_000), request, AttemptOutcome::TimedOut);
     }
     let now = ms(2_000_000);
     pool.arrive(now, arrival(100, now + ms(1_000)));
@@ -155,8 +161,8 @@
     );
 }
 
-/// What the caller sees: nothing, it has gone; the worker runs a request for nobody. A slot comes
-/// free after the deadline and before the shell's timer has fired.
+/// Guards against a worker executing a request that its caller has abandoned. A slot becomes free
+/// after the deadline but before the I/O layer's timer has fired.
 #[test]
 fn nothing_is_sent_after_its_deadline_however_late_the_tick() {
     let mut pool = pool(1, 8, Limits::default());
@@ -167,34 +173,37 @@
     assert!(sent(&actions).is_empty());
 }
 
-/// What the caller sees: "not run", sends the request again, and it has run twice. The first answer
-/// of an idempotent request is lost after it was sent; the retry finds no connection, no time or no
-/// worker, each of which alone would prove that nothing ran.
-fn a_retry_that_fails_does_not_unsay_the_first_attempt(end: impl Fn(&mut Pool) -> Vec<Action>) {
+/// Guards against a "not run" refusal of a request that may have been executed, after which the caller
+/// would send it again and it would run twice. The response to the first attempt is lost; the retry
+/// finds no connection, no time or no worker, each of which alone would prove that nothing was run.
+fn a_failed_retry_is_not_reported_as_not_run(end: impl Fn(&mut Pool) -> Vec<Action>) {
     let mut pool = pool(
         8,
         1,
         Limits {
-            attempts: 2,
+            max_attempts: 2,
             ..Limits::default()
         },
     );
     let mut idempotent = arrival(1, ms(1_000));
     idempotent.idempotent = true;
     pool.arrive(ms(0), idempotent);
-    assert!(pool.finish(ms(1), 1, Ending::Lost).is_empty());
+    assert!(
+        pool.finish(ms(1), 1, AttemptOutcome::ConnectionLost)
+            .is_empty()
+    );
     assert_eq!(refused(&end(&mut pool)), [(1, 302)]);
 }
 
 cases! {
-    a_retry_that_fails_does_not_unsay_the_first_attempt:
-    a_lost_answer_then_no_connection(|pool| {
+    a_failed_retry_is_not_reported_as_not_run:
+    a_lost_response_then_no_connection(|pool| {
         assert_eq!(sent(&pool.tick(ms(500))).len(), 1);
-        pool.finish(ms(501), 1, Ending::NotSent)
+        pool.finish(ms(501), 1, AttemptOutcome::NotSent)
     });
-    a_lost_answer_then_no_instance(|pool| pool.sync(ms(2), &View::default()));
-    a_lost_answer_then_no_time(|pool| {
-        // Sixty-four others take every slot for longer than the request can wait.
+    a_lost_response_then_no_instance(|pool| pool.apply_view(ms(2), &View::default()));
+    a_lost_response_then_no_time(|pool| {
+        // 64 other requests occupy every slot for longer than the request can wait.
         (2..66).for_each(|at| assert_eq!(sent(&pool.arrive(ms(1), arrival(at, ms(9_000)))).len(), 1));
         assert!(pool.tick(ms(999)).is_empty());
         pool.tick(ms(1_000))
--- a/crates/flow/tests/all/ejection.rs
+++ b/crates/flow/tests/all/ejection.rs
@@ -1,16 +1,16 @@
-//! Workers that fail, and what the pool does about them.
+//! Ejection of failing workers.
 
-use crate::bed::{arrival, bad, good, ms, pool, sent, view, worker};
+use crate::fixture::{arrival, bad, good, ms, pool, sent, view, worker};
 use primroseroute_domain::{id, instance::State};
-use primroseroute_flow::{limits::Limits, pool::Pool, request::Ending};
+use primroseroute_flow::{limits::Limits, pool::Pool, request::AttemptOutcome};
 use std::{collections::BTreeSet, time::Duration};
 
-/// Sends a request and ends it by `ending`; gives where it went.
+/// Sends a request, ends it with `ending`, and returns the instance that it was sent to.
 fn serve(
     pool: &mut Pool,
     now: Duration,
     request: u64,
-    ending: impl Fn(&id::Instance) -> Ending,
+    ending: impl Fn(&id::Instance) -> AttemptOutcome,
 ) -> id::Instance {
     let mut idempotent = arrival(request, now + ms(1_000));
     idempotent.idempotent = true;
@@ -19,10 +19,10 @@
     instance
 }
 
-/// What the caller sees: every request fails at once. One worker answers all with 500 in no time,
-/// so it is always free and would draw ever more of the load.
+/// Guards against a worker that attracts most of the load by failing fast, so that most requests
+/// fail: it responds immediately with 500 and therefore always has free slots.
 #[test]
-fn a_worker_that_fails_everything_draws_next_to_nothing() {
+fn a_worker_that_fails_all_requests_receives_few() {
     let mut pool = pool(10, 1, Limits::default());
     let fails = |at: &id::Instance| if *at == worker(3) { bad() } else { good(5) };
     let hits = |pool: &mut Pool, from: u64, to: u64| {
@@ -32,14 +32,14 @@
     hits(&mut pool, 0, 500);
     assert_eq!(pool.ejected(), [worker(3)]);
     assert_eq!((pool.totals().serving, pool.totals().ejected), (10, 1));
-    // Ten seconds after the first five: a probe at each doubling of two seconds at most.
+    // From 5 s to 15 s: at most one probe after each ejection, which double from 2 s.
     assert!(hits(&mut pool, 500, 1_500) <= 2);
 }
 
-/// What the caller sees: the whole service fails because a fault that strikes everywhere, such as
-/// a bad release, has all workers ejected, and the last ones are crushed.
+/// Guards against the failure of a whole service when a common fault, such as a bad release, ejects
+/// all workers one after the other and overloads the last ones.
 #[test]
-fn a_bad_wave_never_ejects_more_than_half() {
+fn a_common_fault_ejects_at_most_half_of_the_pool() {
     let mut pool = pool(10, 1, Limits::default());
     for request in 0..1_000 {
         serve(&mut pool, ms(request), request, |_| bad());
@@ -50,10 +50,10 @@
     assert_eq!(late.len(), 5);
 }
 
-/// What the caller sees: callers with a timeout header of a millisecond get their timeouts, and then
-/// everybody gets 503, because each timeout counted against a healthy worker.
+/// Guards against ejection of healthy workers by callers with a timeout header of 1 ms, which would
+/// lead to 503 responses for all callers.
 #[test]
-fn impatient_callers_eject_nobody() {
+fn short_timeouts_do_not_eject_workers() {
     let mut pool = pool(4, 1, Limits::default());
     for request in 0..100 {
         serve(&mut pool, ms(request), request, |_| good(50));
@@ -64,7 +64,7 @@
             sent(&pool.arrive(now, arrival(request, now + ms(1)))).len(),
             1
         );
-        pool.finish(now + ms(1), request, Ending::Late);
+        pool.finish(now + ms(1), request, AttemptOutcome::TimedOut);
     }
     let used: BTreeSet<_> = (200..300)
         .map(|at| serve(&mut pool, ms(2_200), at, |_| good(50)))
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_probe_is_one_request_and_brings_the_worker_back() {
+fn a_probe_is_one_request_and_readmits_the_worker() {
     let mut pool = pool(2, 1, Limits::default());
     for request in 0..40 {
         serve(&mut pool, ms(request), request, |at| {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_request_that_must_not_run_twice_is_no_probe_while_another_worker_is_free() {
+fn a_non_idempotent_request_is_no_probe_while_another_worker_is_free() {
     let mut pool = pool(2, 1, Limits::default());
     for request in 0..40 {
         serve(&mut pool, ms(request), request, |at| {
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_worker_that_comes_back_from_a_reboot_starts_anew() {
+fn a_rebooted_worker_starts_with_a_clean_record() {
     let mut pool = pool(2, 1, Limits::default());
     for request in 0..40 {
         serve(&mut pool, ms(request), request, |at| {
@@ -125,25 +125,28 @@
         .get_mut(&worker(0))
         .expect("a member")
         .state = State::Maintenance;
-    pool.sync(ms(100), &rebooting);
-    pool.sync(ms(200), &view(2, 1));
+    pool.apply_view(ms(100), &rebooting);
+    pool.apply_view(ms(200), &view(2, 1));
     let used: BTreeSet<_> = (100..140)
         .map(|at| serve(&mut pool, ms(300), at, |_| good(5)))
         .collect();
     assert_eq!(used.len(), 2);
 }
 
-/// What the caller sees: requests take longer and longer and then time out. A caller gives up, the
-/// worker goes on with its request; the slot is taken for free and a second request starts beside
-/// the first. Under overload that happens everywhere at once.
+/// Guards against workers that run more requests than they have slots. When a caller cancels, the
+/// worker continues; if its slot counted as free, a second request would run beside the first, and
+/// under overload latencies would rise at all workers until requests time out.
 #[test]
-fn a_slot_whose_request_was_given_up_is_not_used_at_once() {
+fn the_slot_of_a_cancelled_request_is_held() {
     let mut pool = pool(1, 8, Limits::default());
     pool.arrive(ms(0), arrival(1, ms(1_000)));
     pool.finish(ms(100), 1, good(100));
     pool.arrive(ms(100), arrival(2, ms(1_000)));
     pool.arrive(ms(100), arrival(3, ms(5_000)));
-    assert!(pool.finish(ms(200), 2, Ending::Cancelled).is_empty());
+    assert!(
+        pool.finish(ms(200), 2, AttemptOutcome::Cancelled)
+            .is_empty()
+    );
     assert_eq!(pool.in_flight(&worker(0)), 1);
     assert!(sent(&pool.tick(ms(399))).is_empty());
     assert_eq!(sent(&pool.tick(ms(400))), [(3, worker(0))]);
