--- a/crates/jobs/benches/plan.rs
+++ b/crates/jobs/benches/plan.rs
@@ -1,4 +1,4 @@
-//! Time of one plan by the number of instances: `cargo bench -p primroseroute-jobs`.
+//! Duration of one plan by the number of instances: `cargo bench -p primroseroute-jobs`.
 
 use criterion::{BatchSize, BenchmarkId, Criterion};
 use primroseroute_domain::{id, time::Instant};
@@ -6,7 +6,7 @@
 use primroseroute_platform::task::{Phase, Report, Resources};
 use std::{collections::BTreeMap, hint::black_box, time::Duration};
 
-/// Accounts and pools of the size of two years from now, for 1,200 workers.
+/// Numbers of accounts and pools expected in two years, for 1,200 workers.
 const ACCOUNTS: u32 = 140;
 const WORKERS_PER_POOL: u32 = 5;
 const JOBS_PER_WORKER: u32 = 8;
@@ -49,7 +49,7 @@
             Instant(u64::from(n)),
         )
     };
-    // No bound on kinds without proof, so that one plan fills everything.
+    // No limit on unproven kinds, so that one plan fills all instances.
     let limits = Limits {
         faults: u32::MAX,
         ..Limits::default()
@@ -61,7 +61,7 @@
     )
 }
 
-/// Every run reports, so that the next plan has to renew, learn and check all of them.
+/// Reports on every run, so that the next plan has to renew, update and check all of them.
 fn reports(board: &Board) -> Vec<Report> {
     let report = |row: &Row| {
         let instance = row.state.instance()?.clone();
--- a/crates/jobs/src/action.rs
+++ b/crates/jobs/src/action.rs
@@ -1,48 +1,48 @@
-//! What the decisions ask for.
+//! Actions that the scheduler requests.
 
 use crate::row::Row;
 use primroseroute_domain::id;
 use primroseroute_platform::task::{Start, Token};
 use std::time::Duration;
 
-/// One call to the platform, or a change to an instance.
+/// A call to the platform or a change to an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start a task.
+    /// Starts a task.
     Start(Start),
-    /// Extend the lease of a task.
+    /// Extends the lease of a task.
     Renew {
         /// The job.
         job: id::Job,
-        /// Its start.
+        /// The token of its start.
         token: Token,
-        /// The lease from now on.
+        /// The new lease.
         lease: Duration,
     },
-    /// Have a task write a checkpoint.
+    /// Asks a task to write a checkpoint.
     Checkpoint {
         /// The job.
         job: id::Job,
-        /// Its start.
+        /// The token of its start.
         token: Token,
     },
-    /// Limit a task to a fraction of its processor cores.
+    /// Limits a task to a fraction of its processor cores.
     Throttle {
         /// The job.
         job: id::Job,
-        /// Its start.
+        /// The token of its start.
         token: Token,
         /// The fraction, 0 to 1.
         fraction: f64,
     },
-    /// Stop a task.
+    /// Stops a task.
     Stop {
         /// The job.
         job: id::Job,
-        /// Its start.
+        /// The token of its start.
         token: Token,
     },
-    /// Take an instance out of use.
+    /// Takes an instance out of service.
     Quarantine {
         /// The instance.
         instance: id::Instance,
@@ -51,15 +51,15 @@
     },
 }
 
-/// What is to be done now.
+/// Rows to commit and actions to execute now.
 ///
-/// The rows are committed first, all in one transaction; only then are the actions carried out.
-/// Else a controller that dies between the two could leave a run that no row knows, and its
-/// successor would start the job a second time beside it.
+/// The rows are committed first, all in one transaction; only then are the actions executed.
+/// Otherwise a controller that dies between the two could leave a run that no row records, and its
+/// successor would start the job a second time in parallel.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// The rows that changed.
+    /// The changed rows.
     pub rows: Vec<Row>,
-    /// The calls, in order.
+    /// The actions, in order.
     pub actions: Vec<Action>,
 }
--- a/crates/jobs/src/board/aged.rs
+++ b/crates/jobs/src/board/aged.rs
@@ -1,11 +1,11 @@
-//! Room for jobs that have waited too long.
+//! Reservation of instances for jobs that have waited too long.
 
-use super::{Board, Entry, floor::Floor, sort};
+use super::{Board, Entry, candidates::Assignment, job_class};
 use crate::{
     amount,
-    board::floor::Room,
+    board::candidates::Candidate,
     row::{Row, State},
-    share::Place,
+    share::ShareRank,
 };
 use primroseroute_domain::{id, time::Instant};
 use std::{
@@ -14,57 +14,63 @@
 };
 
 impl Board {
-    /// Starts an aged job of each pool, or keeps an instance free for it.
+    /// Starts an aged job of each pool, or reserves an instance for it.
     ///
-    /// A large job finds no room while small ones take each gap that opens. On the instance that is
-    /// kept for it nothing else starts, so that it runs when the runs there have ended. It stays
-    /// the pool's aged job until it runs: were another chosen meanwhile, neither would get there.
-    pub(super) fn keep_for_aged(&mut self, floor: &mut Floor<'_>, now: Duration, at: Instant) {
-        let kept = std::mem::take(&mut self.kept);
-        let waits = |job: &id::Job| {
+    /// A large job finds no free capacity while small ones take each gap that opens. On the instance
+    /// reserved for it nothing else starts, so that it runs when the runs there have ended. It stays
+    /// the pool's aged job until it runs: if another were chosen meanwhile, neither would ever start.
+    pub(super) fn reserve_for_aged(
+        &mut self,
+        assignment: &mut Assignment<'_>,
+        now: Duration,
+        at: Instant,
+    ) {
+        let reserved = std::mem::take(&mut self.reserved);
+        let is_queued = |job: &id::Job| {
             self.rows
                 .get(job)
                 .is_some_and(|row| row.state == State::Queued)
         };
-        let mut aged: BTreeMap<id::Pool, id::Job> = kept
+        let mut aged: BTreeMap<id::Pool, id::Job> = reserved
             .into_iter()
-            .filter(|(_, (job, _))| waits(job))
+            .filter(|(_, (job, _))| is_queued(job))
             .map(|(pool, (job, _))| (pool, job))
             .collect();
-        for (pool, job) in self.aged(floor, at) {
+        for (pool, job) in self.aged(assignment, at) {
             aged.entry(pool).or_insert(job);
         }
         for (pool, job) in aged {
             let row = &self.rows[&job];
-            if let Some(instance) = self.choose(row, floor) {
-                self.start(&job, &instance, floor, now);
-            } else if let Some(instance) = self.nearest(row, floor) {
-                self.kept.insert(pool, (job, instance));
+            if let Some(instance) = self.choose(row, assignment) {
+                self.start(&job, &instance, assignment, now);
+            } else if let Some(instance) = self.closest_fit(row, assignment) {
+                self.reserved.insert(pool, (job, instance));
             }
         }
     }
 
-    /// The aged job of each pool: the oldest of the account that has the smallest share.
+    /// The aged job of each pool: the oldest job of the account with the smallest share.
     ///
-    /// Not simply the oldest: where all jobs wait for long, that would be first come, first served
-    /// and no fair share would be left.
-    fn aged(&self, floor: &Floor<'_>, at: Instant) -> BTreeMap<id::Pool, id::Job> {
-        let mut first: BTreeMap<id::Pool, (Place, &Entry)> = BTreeMap::new();
-        for (account, lines) in &self.queue {
-            let place = floor.shares.place(account);
-            for entry in lines.values().filter_map(BTreeSet::first) {
+    /// Not simply the oldest job: where all jobs wait for long, that would be first come, first served
+    /// instead of fair shares.
+    fn aged(&self, assignment: &Assignment<'_>, at: Instant) -> BTreeMap<id::Pool, id::Job> {
+        let mut first: BTreeMap<id::Pool, (ShareRank, &Entry)> = BTreeMap::new();
+        for (account, queues) in &self.queue {
+            let rank = assignment.shares.account_rank(account);
+            for entry in queues.values().filter_map(BTreeSet::first) {
                 let row = &self.rows[&entry.1];
-                // A kind that has to prove itself first waits for its own runs, not for room.
-                let held = floor.untested(&sort(row)) >= self.limits.faults;
-                if held || at.since(entry.0) < self.limits.aged {
+                // An unproven kind waits for its own runs and not for free capacity.
+                let waits_for_proof =
+                    assignment.unproven_runs(&job_class(row)) >= self.limits.faults;
+                if waits_for_proof || at.since(entry.0) < self.limits.aged {
                     continue;
                 }
-                let candidate = (place.clone(), entry);
+                let ranked = (rank.clone(), entry);
                 let best = first
                     .entry(row.pool.clone())
-                    .or_insert_with(|| candidate.clone());
-                if candidate < *best {
-                    *best = candidate;
+                    .or_insert_with(|| ranked.clone());
+                if ranked < *best {
+                    *best = ranked;
                 }
             }
         }
@@ -74,22 +80,25 @@
             .collect()
     }
 
-    /// The instance that lacks the least room for the job.
+    /// The instance with the smallest lack of capacity for the job.
     ///
-    /// On the one that is kept, what is lacking only shrinks, since nothing starts there; another
-    /// is taken only where it lacks less still. So the job comes nearer with each run that ends.
-    fn nearest(&self, row: &Row, floor: &Floor<'_>) -> Option<id::Instance> {
-        let size = self.clamped(row, floor);
-        let rooms = floor.rooms.get(&row.pool)?;
-        let could = rooms.values().filter(|room| {
-            room.open
-                && !row.failed_on.contains(&room.worker.id)
-                && amount::fits(size, room.worker.capacity)
+    /// On the reserved one the lack only shrinks, since nothing starts there; another one is chosen
+    /// only where it lacks even less. So each run that ends brings the job closer to its start.
+    fn closest_fit(&self, row: &Row, assignment: &Assignment<'_>) -> Option<id::Instance> {
+        let size = self.clamped_size(row, assignment);
+        let candidates = assignment.candidates.get(&row.pool)?;
+        let possible = candidates.values().filter(|candidate| {
+            candidate.open
+                && !row.failed_on.contains(&candidate.worker.id)
+                && amount::fits(size, candidate.worker.capacity)
         });
-        let lacking = |room: &Room<'_>| {
-            amount::dominant(amount::subtract(size, room.free), room.worker.capacity)
+        let lacking = |candidate: &Candidate<'_>| {
+            amount::dominant_fraction(
+                amount::subtract(size, candidate.free),
+                candidate.worker.capacity,
+            )
         };
-        let best = could.min_by(|a, b| lacking(a).total_cmp(&lacking(b)));
-        best.map(|room| room.worker.id.clone())
+        let best = possible.min_by(|a, b| lacking(a).total_cmp(&lacking(b)));
+        best.map(|candidate| candidate.worker.id.clone())
     }
 }
--- a/crates/jobs/src/board/mod.rs
+++ b/crates/jobs/src/board/mod.rs
@@ -1,18 +1,18 @@
-//! The jobs, their runs, and what happens to them.
+//! Jobs, their runs, and the decisions about them.
 
 mod aged;
-mod care;
-mod fill;
-mod floor;
-mod judge;
+mod assign;
+mod candidates;
+mod results;
+mod runs;
 
 use crate::{
     action::{Action, Plan},
-    fault::{Faults, Sort},
+    fault::{FaultTracker, JobClass},
     lease::{Run, Stop},
     limits::Limits,
     row::{Kind, Row, State},
-    size::Sizes,
+    size::SizeEstimator,
     worker::Worker,
 };
 use primroseroute_domain::{id, time::Instant};
@@ -24,61 +24,62 @@
 
 /// The jobs of all pools.
 ///
-/// Methods that take something in note the rows that change; [`Board::plan`] gives them out with
-/// the calls, so that a burst of reports or cancellations is one batch.
+/// Methods that apply inputs record the changed rows; [`Board::plan`] returns them with the calls,
+/// so that a burst of reports or cancellations forms one batch.
 #[derive(Clone, Debug)]
 pub struct Board {
     limits: Limits,
     rows: BTreeMap<id::Job, Row>,
     runs: BTreeMap<id::Job, Run>,
-    queue: BTreeMap<id::Account, Lines>,
-    sizes: Sizes,
-    faults: Faults,
+    queue: BTreeMap<id::Account, AccountQueue>,
+    sizes: SizeEstimator,
+    fault_tracker: FaultTracker,
     changed: BTreeSet<id::Job>,
     actions: Vec<Action>,
-    /// For each pool, the aged job that an instance is kept free for.
-    kept: BTreeMap<id::Pool, (id::Job, id::Instance)>,
+    /// For each pool, the aged job for which an instance is reserved, and that instance.
+    reserved: BTreeMap<id::Pool, (id::Job, id::Instance)>,
     quarantined: BTreeSet<id::Instance>,
     /// Jobs that have failed and are not parked.
-    suspects: BTreeSet<id::Job>,
-    /// Where the last run of a queued job lapsed: the instance may be cut off without being listed.
-    lapsed: BTreeMap<id::Job, id::Instance>,
+    failed_jobs: BTreeSet<id::Job>,
+    /// Instance on which the lease of a queued job last expired: it may be partitioned without being
+    /// listed as such.
+    expired_on: BTreeMap<id::Job, id::Instance>,
     /// When the platform's reports were last read.
-    read: Duration,
+    reports_read_at: Duration,
 }
 
-/// One account's queued jobs by pool and kind, each line in the order of submission.
-type Lines = BTreeMap<Line, BTreeSet<Entry>>;
+/// One account's queued jobs by pool and kind, each queue in the order of submission.
+type AccountQueue = BTreeMap<QueueKey, BTreeSet<Entry>>;
 
-type Line = (id::Pool, Kind);
+type QueueKey = (id::Pool, Kind);
 
 type Entry = (Instant, id::Job);
 
-fn line(row: &Row) -> Line {
+fn queue_key(row: &Row) -> QueueKey {
     (row.pool.clone(), row.kind.clone())
 }
 
-fn sort(row: &Row) -> Sort {
+fn job_class(row: &Row) -> JobClass {
     (row.account.clone(), row.kind.clone())
 }
 
 impl Board {
-    /// A board with the rows of the table, taken over at `now` since the controller's start.
+    /// Restores the state from the rows of the table, at a takeover `now` after the controller's start.
     pub fn open(limits: Limits, rows: impl IntoIterator<Item = Row>, now: Duration) -> Self {
         let mut board = Self {
             limits,
             rows: BTreeMap::new(),
             runs: BTreeMap::new(),
             queue: BTreeMap::new(),
-            sizes: Sizes::default(),
-            faults: Faults::default(),
+            sizes: SizeEstimator::default(),
+            fault_tracker: FaultTracker::default(),
             changed: BTreeSet::new(),
             actions: Vec::new(),
-            kept: BTreeMap::new(),
+            reserved: BTreeMap::new(),
             quarantined: BTreeSet::new(),
-            suspects: BTreeSet::new(),
-            lapsed: BTreeMap::new(),
-            read: now,
+            failed_jobs: BTreeSet::new(),
+            expired_on: BTreeMap::new(),
+            reports_read_at: now,
         };
         for row in rows {
             let id = row.id.clone();
@@ -99,7 +100,7 @@
     pub fn add(&mut self, row: Row) {
         let id = row.id.clone();
         if row.failures > 0 {
-            self.suspects.insert(id.clone());
+            self.failed_jobs.insert(id.clone());
         }
         self.rows.insert(id.clone(), row);
         self.enqueue(&id);
@@ -115,10 +116,10 @@
         self.rows.values()
     }
 
-    /// What a job needs, as far as is known.
+    /// The estimated size of a job.
     pub fn size(&self, row: &Row) -> Resources {
         self.sizes
-            .of(&row.id, &row.account, &row.kind, row.declared)
+            .estimate(&row.id, &row.account, &row.kind, row.declared)
     }
 
     /// Drops a job that has ended; its row may be deleted.
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Cancels jobs, as one batch: the queued ones at once, the running ones by a stop.
+    /// Cancels jobs as one batch: queued ones at once, running ones by a stop.
     pub fn cancel<'a>(&mut self, jobs: impl IntoIterator<Item = &'a id::Job>) {
         for job in jobs {
             let Some(row) = self.rows.get_mut(job) else {
@@ -147,48 +148,48 @@
         }
     }
 
-    /// A start or renewal of `job` returned, whatever it said.
+    /// Records that a start or renewal of `job` returned, whatever its result.
     pub fn returned(&mut self, job: &id::Job, token: Token, now: Duration) {
         if self.is_current(job, token)
             && let Some(run) = self.runs.get_mut(job)
         {
-            run.returned(now, &self.limits);
+            run.call_returned(now, &self.limits);
         }
     }
 
-    /// A stop failed or its answer was lost; the next plan sends it again.
+    /// Records that a stop failed or its response was lost; the next plan sends it again.
     pub fn not_stopped(&mut self, job: &id::Job, token: Token) {
         if self.is_current(job, token)
             && let Some(run) = self.runs.get_mut(job)
         {
-            run.stop = Stop::Again;
+            run.stop = Stop::Resend;
         }
     }
 
-    /// A start had no effect, proven; the job goes back to the queue.
+    /// Records that a start certainly had no effect; the job returns to the queue.
     pub fn not_started(&mut self, job: &id::Job, token: Token) {
         if self.is_current(job, token) {
-            self.stopped(job);
+            self.record_stopped(job);
         }
     }
 
-    /// An instance was repaired or replaced, and may run jobs again without proof.
+    /// Records that an instance was repaired or replaced; it may run jobs again and is unproven.
     pub fn repaired(&mut self, instance: &id::Instance) {
         self.quarantined.remove(instance);
-        self.faults.forget(instance);
+        self.fault_tracker.reset_instance(instance);
     }
 
-    /// Takes in what one reading of the reports gave; late and repeated ones have no effect.
+    /// Applies the reports of one read; late and repeated ones have no effect.
     ///
-    /// An empty reading counts too: silence on a run says something only while reports are read.
+    /// An empty read counts too: the absence of a run is significant only while reports are read.
     pub fn report(&mut self, reports: &[Report], now: Duration) {
-        self.read = now;
+        self.reports_read_at = now;
         for report in reports {
-            self.take_in(report, now);
+            self.apply_report(report, now);
         }
     }
 
-    fn take_in(&mut self, report: &Report, now: Duration) {
+    fn apply_report(&mut self, report: &Report, now: Duration) {
         if !self.is_current(&report.job, report.token) {
             return;
         }
@@ -199,17 +200,17 @@
             return;
         }
         run.as_of = Some(report.as_of);
-        run.heard = now;
-        self.learn(report);
+        run.reported_at = now;
+        self.record_usage(report);
         match report.phase {
-            Phase::Running => self.ran(&report.job, now),
-            Phase::Done => self.worked(&report.job),
-            Phase::Failed => self.failed(&report.job),
-            Phase::Stopped => self.stopped(&report.job),
+            Phase::Running => self.record_running(&report.job, now),
+            Phase::Done => self.record_done(&report.job),
+            Phase::Failed => self.record_failed(&report.job),
+            Phase::Stopped => self.record_stopped(&report.job),
         }
     }
 
-    /// What is to be done now, with the instances as they are and the accounts' fair shares.
+    /// Plans rows and actions for the current instances and the accounts' weights.
     pub fn plan(
         &mut self,
         now: Duration,
@@ -217,11 +218,11 @@
         workers: &BTreeMap<id::Instance, Worker>,
         weights: &BTreeMap<id::Account, u32>,
     ) -> Plan {
-        self.lapse(now);
-        self.quarantine();
-        self.park();
-        self.care(now, workers);
-        self.fill(now, at, workers, weights);
+        self.requeue_expired(now);
+        self.quarantine_faulty();
+        self.park_faulty();
+        self.update_runs(now, workers);
+        self.assign_queued(now, at, workers, weights);
         let changed = std::mem::take(&mut self.changed);
         Plan {
             rows: changed
@@ -237,20 +238,20 @@
         self.rows.get(job).is_some_and(|row| row.token == token) && self.runs.contains_key(job)
     }
 
-    fn learn(&mut self, report: &Report) {
+    fn record_usage(&mut self, report: &Report) {
         let Some(row) = self.rows.get_mut(&report.job) else {
             return;
         };
         row.checkpoint = row.checkpoint.max(report.checkpoint);
-        // What a run that has ended uses, nothing, says little of its size.
+        // A run that has ended uses nothing, which says nothing about its size.
         if report.phase == Phase::Running {
             let (job, declared) = (&row.id, row.declared);
             self.sizes
-                .learn(job, &row.account, &row.kind, declared, report.usage);
+                .record(job, &row.account, &row.kind, declared, report.usage);
         }
     }
 
-    fn stopped(&mut self, job: &id::Job) {
+    fn record_stopped(&mut self, job: &id::Job) {
         let cancelled = self
             .rows
             .get(job)
@@ -263,15 +264,15 @@
         self.end(job, next);
     }
 
-    /// Ends the run of a job, if it has one, and gives it its next state.
+    /// Ends the run of a job, if there is one, and sets its next state.
     fn end(&mut self, job: &id::Job, next: State) {
         self.runs.remove(job);
-        self.lapsed.remove(job);
-        self.sizes.forget(job);
+        self.expired_on.remove(job);
+        self.sizes.forget_run(job);
         self.dequeue(job);
         if let Some(row) = self.rows.get_mut(job) {
             if next != State::Queued {
-                self.suspects.remove(job);
+                self.failed_jobs.remove(job);
             }
             row.state = next;
             self.changed.insert(job.clone());
@@ -283,18 +284,18 @@
         if let Some(row) = self.rows.get(job)
             && row.state == State::Queued
         {
-            let lines = self.queue.entry(row.account.clone()).or_default();
-            let line = lines.entry(line(row)).or_default();
-            line.insert((row.submitted, job.clone()));
+            let queues = self.queue.entry(row.account.clone()).or_default();
+            let queued = queues.entry(queue_key(row)).or_default();
+            queued.insert((row.submitted, job.clone()));
         }
     }
 
     fn dequeue(&mut self, job: &id::Job) {
         if let Some(row) = self.rows.get(job)
-            && let Some(lines) = self.queue.get_mut(&row.account)
-            && let Some(line) = lines.get_mut(&line(row))
+            && let Some(queues) = self.queue.get_mut(&row.account)
+            && let Some(queued) = queues.get_mut(&queue_key(row))
         {
-            line.remove(&(row.submitted, job.clone()));
+            queued.remove(&(row.submitted, job.clone()));
         }
     }
 
@@ -302,7 +303,7 @@
         let (Some(row), Some(run)) = (self.rows.get(job), self.runs.get_mut(job)) else {
             return;
         };
-        run.stop = Stop::Told;
+        run.stop = Stop::Sent;
         self.actions.push(Action::Stop {
             job: job.clone(),
             token: row.token,
--- a/crates/jobs/src/board/care.rs
+++ b/crates/jobs/src/board/runs.rs
@@ -1,4 +1,4 @@
-//! Care for runs: lapse, renewal, drains, throttling.
+//! Actions on current runs: lease expiry, renewal, drains, throttling.
 
 use super::Board;
 use crate::{
@@ -10,19 +10,19 @@
 use std::{collections::BTreeMap, time::Duration};
 
 impl Board {
-    /// Puts jobs whose run has surely ended back into the queue.
-    pub(super) fn lapse(&mut self, now: Duration) {
-        let lapsed = |job: &&id::Job| self.runs[*job].has_lapsed(now, &self.limits);
-        let lapsed: Vec<id::Job> = self.runs.keys().filter(lapsed).cloned().collect();
-        for job in lapsed {
+    /// Returns jobs whose lease has certainly expired to the queue.
+    pub(super) fn requeue_expired(&mut self, now: Duration) {
+        let is_expired = |job: &&id::Job| self.runs[*job].has_expired(now, &self.limits);
+        let expired: Vec<id::Job> = self.runs.keys().filter(is_expired).cloned().collect();
+        for job in expired {
             let at = self.rows[&job].state.instance().cloned();
-            self.stopped(&job);
-            self.lapsed.extend(at.map(|at| (job, at)));
+            self.record_stopped(&job);
+            self.expired_on.extend(at.map(|at| (job, at)));
         }
     }
 
-    /// Renews, drains and throttles.
-    pub(super) fn care(&mut self, now: Duration, workers: &BTreeMap<id::Instance, Worker>) {
+    /// Renews, drains and throttles runs.
+    pub(super) fn update_runs(&mut self, now: Duration, workers: &BTreeMap<id::Instance, Worker>) {
         let jobs: Vec<id::Job> = self.runs.keys().cloned().collect();
         for job in jobs {
             let worker = self.rows[&job]
@@ -34,19 +34,19 @@
                 self.throttle(&job, worker);
             }
 
-            self.stop_again(&job);
+            self.resend_stop(&job);
             self.renew(&job, now);
         }
     }
 
-    /// Sends a stop that did not get through once more.
+    /// Sends a stop again that did not reach the platform.
     ///
-    /// The lapse of the lease would end the run too, but later than a drain may wait.
-    fn stop_again(&mut self, job: &id::Job) {
+    /// The expiry of the lease would end the run too, but later than a drain may wait.
+    fn resend_stop(&mut self, job: &id::Job) {
         if self
             .runs
             .get(job)
-            .is_some_and(|run| run.stop == Stop::Again)
+            .is_some_and(|run| run.stop == Stop::Resend)
         {
             self.stop(job);
         }
@@ -57,16 +57,16 @@
         let Some(run) = self.runs.get_mut(job) else {
             return;
         };
-        if !run.is_due(now, self.read, &limits) {
+        if !run.is_renewal_due(now, self.reports_read_at, &limits) {
             return;
         }
-        run.calling = true;
+        run.call_in_flight = true;
         let token = self.rows[job].token;
         let (job, lease) = (job.clone(), limits.lease);
         self.actions.push(Action::Renew { job, token, lease });
     }
 
-    /// Before a drain ends: a checkpoint, then the stop once it is written or time is short.
+    /// Before a drain ends: requests a checkpoint, and stops the run once it is written or time is short.
     fn drain(&mut self, job: &id::Job, worker: &Worker, now: Duration) {
         let Availability::Draining(end) = worker.availability else {
             return;
@@ -74,23 +74,23 @@
         let (Some(run), row) = (self.runs.get_mut(job), &self.rows[job]) else {
             return;
         };
-        if run.stop != Stop::No {
+        if run.stop != Stop::NotRequested {
             return;
         }
-        if run.asked.is_none() {
-            run.asked = Some(now);
-            run.asked_at = row.checkpoint;
+        if run.checkpoint_requested_at.is_none() {
+            run.checkpoint_requested_at = Some(now);
+            run.checkpoint_at_request = row.checkpoint;
             let (job, token) = (job.clone(), row.token);
             self.actions.push(Action::Checkpoint { job, token });
         }
-        let written = row.checkpoint > run.asked_at;
+        let written = row.checkpoint > run.checkpoint_at_request;
         if written || now + self.limits.stop_before >= end {
             self.stop(job);
         }
     }
 
-    /// Makes room for requests; two thresholds, so that pressure about one of them does not
-    /// cause a call with every plan.
+    /// Frees processor time for requests. There are two thresholds, so that pressure around one of
+    /// them does not cause a call with every plan.
     fn throttle(&mut self, job: &id::Job, worker: &Worker) {
         let limits = self.limits;
         let Some(run) = self.runs.get_mut(job) else {
@@ -101,12 +101,12 @@
         } else if worker.pressure < limits.pressure_low {
             1.0
         } else {
-            run.fraction
+            run.cpu_fraction
         };
-        if run.stop != Stop::No || (wanted - run.fraction).abs() < f64::EPSILON {
+        if run.stop != Stop::NotRequested || (wanted - run.cpu_fraction).abs() < f64::EPSILON {
             return;
         }
-        run.fraction = wanted;
+        run.cpu_fraction = wanted;
         let (job, token) = (job.clone(), self.rows[job].token);
         self.actions.push(Action::Throttle {
             job,
--- a/crates/jobs/src/limits.rs
+++ b/crates/jobs/src/limits.rs
@@ -1,36 +1,37 @@
-//! The numbers that the decisions go by.
+//! Limits and thresholds of the scheduler.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The numbers that the decisions go by.
+/// Limits and thresholds of the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Limits {
-    /// Lease of each start and renewal.
+    /// Lease that each start and renewal grants.
     pub lease: Duration,
-    /// Added to a lease before it counts as lapsed: the time that a call to the platform may take,
+    /// Added to a lease before it counts as expired: the time that a call to the platform may take,
     /// and the drift between this clock and the instance's over one lease.
     pub margin: Duration,
-    /// A run of which nothing was heard for so long is renewed no further, so that it lapses.
+    /// Time without a newer report after which a run is no longer renewed, so that its lease expires.
     pub silent: Duration,
-    /// Distinct failures that park a job or quarantine an instance.
+    /// Number of distinct failures that park a job or quarantine an instance.
     pub faults: u32,
-    /// Failures after which a job is parked whatever the evidence.
+    /// Number of failures after which a job is parked whatever the evidence.
     pub tries: u32,
-    /// A run of this length counts as proof that its instance and its kind can work.
+    /// Duration of a run that proves that its instance and its kind work.
     pub proof: Duration,
-    /// Wait after which the oldest job of a pool has an instance kept free for it.
+    /// Waiting time after which an instance is reserved for the oldest job of a pool.
     pub aged: Duration,
-    /// Part of an instance's slots in use by requests above which jobs are throttled.
+    /// Fraction of an instance's slots in use by requests above which jobs are throttled.
     pub pressure_high: f64,
-    /// Part below which they are let go again.
+    /// Fraction below which throttling ends.
     pub pressure_low: f64,
-    /// Fraction of processor time that a throttled job keeps; above zero, so that it finishes.
+    /// Fraction of processor time that a throttled job keeps; above zero, so that it can finish.
     pub throttled: f64,
-    /// Most starts of one plan, so that its rows stay within what the store takes in one change.
+    /// Maximum number of starts per plan, which keeps its rows within what the store accepts in one
+    /// transaction.
     pub starts: usize,
-    /// How long before the end of a drain a job is stopped, with or without a checkpoint.
+    /// Time before the end of a drain at which a job is stopped, with or without a checkpoint.
     pub stop_before: Duration,
 }
 
--- a/crates/jobs/src/row.rs
+++ b/crates/jobs/src/row.rs
@@ -1,4 +1,4 @@
-//! The row of a job.
+//! The stored row of a job.
 
 use primroseroute_domain::{
     id,
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeSet, fmt, sync::Arc};
 
-/// What sort of work a job is, such as `reminder`; jobs of a kind and account have like sizes.
+/// Type of work, such as `reminder`; jobs of one kind and account have similar sizes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Kind(pub Arc<str>);
@@ -26,30 +26,30 @@
 pub enum Reason {
     /// It failed on several distinct instances on which other jobs succeed.
     FailsOnHealthy,
-    /// It failed as often as any job may, and no failure could be laid to an instance.
+    /// It failed as often as any job may, and no failure could be attributed to an instance.
     FailsEverywhere,
 }
 
-/// What a job is doing.
+/// State of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
     /// It waits for an instance.
     Queued,
-    /// It was given to an instance, where it runs or may run.
+    /// It was assigned to an instance, where it runs or may run.
     Running(id::Instance),
     /// It was cancelled while it ran, and may still run there.
     Cancelling(id::Instance),
-    /// It failed too often; an operator decides.
+    /// It failed too often and waits for an operator.
     Parked(Reason),
-    /// It was cancelled and does not run.
+    /// It was cancelled and no longer runs.
     Cancelled,
-    /// It ended well.
+    /// It succeeded.
     Done,
 }
 
 impl State {
-    /// The name of the state, as lists show it.
+    /// The name of the state in lists.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Queued => "queued",
@@ -70,36 +70,36 @@
     }
 }
 
-/// The row of a job.
+/// The stored row of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Row {
     /// Its name.
     pub id: id::Job,
-    /// The account whose share it uses.
+    /// The account whose share it counts towards.
     pub account: id::Account,
     /// The pool whose instances may run it.
     pub pool: id::Pool,
-    /// What sort of work it is.
+    /// Type of work.
     pub kind: Kind,
-    /// What its owner says it needs, which may be far off.
+    /// Resources declared by its owner, which may be far off.
     pub declared: Resources,
     /// When it was submitted.
     pub submitted: Instant,
-    /// What it is doing.
+    /// Its state.
     pub state: State,
-    /// The token of its newest start; it grows with each and never falls.
+    /// The token of its newest start; it increases with each start.
     pub token: Token,
-    /// Starts that ended in failure.
+    /// Number of starts that ended in failure.
     pub failures: u32,
-    /// Instances on which it failed, but for those that were found to be at fault.
+    /// Instances on which it failed, except those found to be faulty.
     pub failed_on: BTreeSet<id::Instance>,
-    /// The part of the work that the last known checkpoint holds, 0 to 1.
+    /// Progress of the last known checkpoint, 0 to 1.
     pub checkpoint: f64,
 }
 
 impl Row {
-    /// A job that was just submitted.
+    /// The row of a newly submitted job.
     pub fn submit(
         id: id::Job,
         account: id::Account,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Puts a parked job back into the queue, its failures forgotten.
+    /// Returns a parked job to the queue and clears its failures.
     ///
     /// # Errors
     /// [`Code::JobStateForbids`] where the job is not parked.
@@ -140,7 +140,7 @@
         Ok(())
     }
 
-    /// The numbered code that goes with the state, where it calls for one.
+    /// The result code of the state, if it has one.
     pub fn code(&self) -> Option<Code> {
         matches!(self.state, State::Parked(_)).then_some(Code::JobParked)
     }
--- a/crates/jobs/tests/all/drain.rs
+++ b/crates/jobs/tests/all/drain.rs
@@ -1,28 +1,28 @@
-//! Drains, pressure by requests, and bursts of cancellations.
+//! Drains, pressure from requests, and bulk cancellations.
 
-use crate::world::{TICK, World, cores, name, truth};
+use crate::simulation::{Simulation, TICK_SECONDS, cores, name, profile};
 use primroseroute_jobs::{Action, Availability, State};
 use std::time::Duration;
 
-// An instance drains. Its job writes a checkpoint, is stopped when the report of that is in, and
-// goes on elsewhere from there. Nothing new starts on the instance.
+// An instance drains. Its job writes a checkpoint, is stopped once that is reported, and continues
+// elsewhere from there. No job starts on the draining instance.
 #[test]
-fn checkpoint_then_stop() {
-    let mut world = World::start(2);
-    world.submit(
+fn draining_job_writes_a_checkpoint_and_is_stopped() {
+    let mut sim = Simulation::start(2);
+    sim.submit(
         "job",
         "gojo",
         "rebuild",
         cores(4.0),
-        truth(cores(4.0), 1000),
+        profile(cores(4.0), 1000),
     );
-    world.run(5);
-    let from = world.starts[0].1.clone();
-    let end = Duration::from_secs(world.now + 300);
-    world.worker(from.as_str()).availability = Availability::Draining(end);
+    sim.run_ticks(5);
+    let from = sim.starts[0].1.clone();
+    let end = Duration::from_secs(sim.now + 300);
+    sim.worker(from.as_str()).availability = Availability::Draining(end);
     let mut seen = Vec::new();
     for _ in 0..12 {
-        let plan = world.tick();
+        let plan = sim.tick();
         seen.extend(
             plan.actions
                 .into_iter()
@@ -39,148 +39,148 @@
         })
         .collect();
     assert_eq!(kinds, ["checkpoint", "stop", "start"]);
-    assert!(world.board.row(&name("job")).expect("known").checkpoint > 0.0);
-    assert_ne!(world.starts[1].1, from);
+    assert!(sim.board.row(&name("job")).expect("known").checkpoint > 0.0);
+    assert_ne!(sim.starts[1].1, from);
 }
 
-// The checkpoint is never written. The job is stopped before the drain ends all the same, since
-// the reboot would otherwise cut it off in the middle of a write.
+// The checkpoint is never written. The job is stopped before the drain ends nevertheless, since
+// the reboot would otherwise interrupt it in the middle of a write.
 #[test]
-fn stop_without_a_checkpoint() {
-    let mut world = World::start(1);
-    world.no_checkpoints = true;
-    world.submit(
+fn job_without_a_checkpoint_is_stopped_before_the_drain_ends() {
+    let mut sim = Simulation::start(1);
+    sim.no_checkpoints = true;
+    sim.submit(
         "job",
         "gojo",
         "rebuild",
         cores(4.0),
-        truth(cores(4.0), 1000),
+        profile(cores(4.0), 1000),
     );
-    world.run(5);
-    let end = world.now + 60;
-    world.worker("w0").availability = Availability::Draining(Duration::from_secs(end));
-    while world.now < end - 10 {
-        world.tick();
-        assert!(!world.tasks.is_empty());
+    sim.run_ticks(5);
+    let end = sim.now + 60;
+    sim.worker("w0").availability = Availability::Draining(Duration::from_secs(end));
+    while sim.now < end - 10 {
+        sim.tick();
+        assert!(!sim.tasks.is_empty());
     }
-    world.run(1);
-    assert!(world.tasks.is_empty(), "stopped 10 s before the end");
+    sim.run_ticks(1);
+    assert!(sim.tasks.is_empty(), "stopped 10 s before the end");
 }
 
-// The first stop is lost on its way, ten seconds before the drain ends. It is sent again at once,
-// since the lapse of the lease would come after the reboot.
+// The first stop is lost in transit, ten seconds before the drain ends. It is sent again at once,
+// since the lease would expire only after the reboot.
 #[test]
-fn stop_is_lost() {
-    let mut world = World::start(1);
+fn lost_stop_is_sent_again() {
+    let mut sim = Simulation::start(1);
     let size = cores(4.0);
-    world.submit("job", "gojo", "rebuild", size, truth(size, 1000));
-    world.run(5);
-    let end = world.now + 15;
-    world.worker("w0").availability = Availability::Draining(Duration::from_secs(end));
-    world.no_checkpoints = true;
-    world.run(1);
-    world.deaf = true;
-    world.run(1);
-    world.deaf = false;
-    world.run(1);
-    assert!(world.tasks.is_empty());
-    assert_eq!(world.now, end);
+    sim.submit("job", "gojo", "rebuild", size, profile(size, 1000));
+    sim.run_ticks(5);
+    let end = sim.now + 15;
+    sim.worker("w0").availability = Availability::Draining(Duration::from_secs(end));
+    sim.no_checkpoints = true;
+    sim.run_ticks(1);
+    sim.calls_lost = true;
+    sim.run_ticks(1);
+    sim.calls_lost = false;
+    sim.run_ticks(1);
+    assert!(sim.tasks.is_empty());
+    assert_eq!(sim.now, end);
 }
 
-// Requests need the slots: jobs are slowed and none starts. Pressure that wavers between the two
-// thresholds causes no calls, and when it is gone the jobs run at full speed again.
+// Requests need the slots: jobs are throttled and none starts. Pressure that varies between the two
+// thresholds causes no calls, and when it falls the jobs run at full speed again.
 #[test]
-fn throttle_under_pressure() {
-    let mut world = World::start(1);
-    world.submit(
+fn jobs_are_throttled_under_pressure() {
+    let mut sim = Simulation::start(1);
+    sim.submit(
         "job",
         "gojo",
         "rebuild",
         cores(1.0),
-        truth(cores(1.0), 1000),
+        profile(cores(1.0), 1000),
     );
-    world.run(2);
+    sim.run_ticks(2);
     let mut fractions = Vec::new();
     for pressure in [0.9, 0.6, 0.7, 0.9, 0.4, 0.6, 0.4] {
-        world.worker("w0").pressure = pressure;
+        sim.worker("w0").pressure = pressure;
         if pressure > 0.8 {
-            world.submit(
-                &format!("late{}", world.now),
+            sim.submit(
+                &format!("late{}", sim.now),
                 "gojo",
                 "rebuild",
                 cores(1.0),
-                truth(cores(1.0), 10),
+                profile(cores(1.0), 10),
             );
-            let before = world.starts.len();
-            world.tick();
-            assert_eq!(world.starts.len(), before, "nothing starts under pressure");
+            let before = sim.starts.len();
+            sim.tick();
+            assert_eq!(sim.starts.len(), before, "no job starts under pressure");
         } else {
-            world.tick();
+            sim.tick();
         }
-        fractions.push(world.tasks[0].fraction);
+        fractions.push(sim.tasks[0].fraction);
     }
-    let wanted = [0.1, 0.1, 0.1, 0.1, 1.0, 1.0, 1.0];
+    let expected = [0.1, 0.1, 0.1, 0.1, 1.0, 1.0, 1.0];
     assert!(
         fractions
             .iter()
-            .zip(wanted)
+            .zip(expected)
             .all(|(a, b): (&f64, f64)| (a - b).abs() < 1e-9),
         "{fractions:?}"
     );
 }
 
-// An operator cancels two hundred jobs, twenty of which run, while one that ended races with it.
-// One plan has all the rows and a stop for each run; what was queued never starts.
+// An operator cancels two hundred jobs, of which twenty run and one has just ended. A single plan
+// has the rows of all others and a stop for each run; queued jobs never start.
 #[test]
-fn cancellations_are_one_batch() {
-    let mut world = World::start(5);
+fn cancellations_form_one_batch() {
+    let mut sim = Simulation::start(5);
     for number in 0..200 {
         let seconds = if number == 0 { 5 } else { 10_000 };
-        world.submit(
+        sim.submit(
             &format!("j{number}"),
             "gojo",
             "rebuild",
             cores(2.0),
-            truth(cores(2.0), seconds),
+            profile(cores(2.0), seconds),
         );
     }
-    world.run(60);
-    let running = world.tasks.len();
-    let starts = world.starts.len();
+    sim.run_ticks(60);
+    let running = sim.tasks.len();
+    let starts = sim.starts.len();
     assert_eq!(running, 20);
     let jobs: Vec<_> = (0..200).map(|n| name(&format!("j{n}"))).collect();
-    world.board.cancel(&jobs);
-    let plan = world.tick();
-    assert_eq!(plan.rows.len(), 199, "all but the one that is done");
+    sim.board.cancel(&jobs);
+    let plan = sim.tick();
+    assert_eq!(plan.rows.len(), 199, "all but the job that is done");
     assert_eq!(plan.actions.len(), running);
     assert!(
         plan.actions
             .iter()
             .all(|action| matches!(action, Action::Stop { .. }))
     );
-    world.run(10);
-    assert_eq!(world.starts.len(), starts);
-    assert_eq!(world.state("j0"), &State::Done);
-    assert!((1..200).all(|n| world.state(&format!("j{n}")) == &State::Cancelled));
-    assert!(world.now > TICK);
+    sim.run_ticks(10);
+    assert_eq!(sim.starts.len(), starts);
+    assert_eq!(sim.state("j0"), &State::Done);
+    assert!((1..200).all(|n| sim.state(&format!("j{n}")) == &State::Cancelled));
+    assert!(sim.now > TICK_SECONDS);
 }
 
-// The controller dies between the row "cancelling" and the stop. Its successor must stop the run:
-// renewed for ever, a cancelled job would go on to send its reminders.
+// The controller dies between the commit of the row "cancelling" and the stop. Its successor must
+// stop the run: renewed for ever, a cancelled job would continue to send its reminders.
 #[test]
 fn successor_stops_cancelled_runs() {
-    let mut world = World::start(1);
-    world.submit(
+    let mut sim = Simulation::start(1);
+    sim.submit(
         "job",
         "gojo",
         "reminder",
         cores(1.0),
-        truth(cores(1.0), 10_000),
+        profile(cores(1.0), 10_000),
     );
-    world.run(5);
-    world.board.cancel([&name("job")]);
-    world.take_over();
-    world.run(10);
-    assert!(world.tasks.is_empty());
-    assert_eq!(world.state("job"), &State::Cancelled);
+    sim.run_ticks(5);
+    sim.board.cancel([&name("job")]);
+    sim.take_over();
+    sim.run_ticks(10);
+    assert!(sim.tasks.is_empty());
+    assert_eq!(sim.state("job"), &State::Cancelled);
 }
--- a/crates/jobs/tests/all/main.rs
+++ b/crates/jobs/tests/all/main.rs
@@ -1,6 +1,6 @@
-//! Tests of the decisions on jobs, over a small fake of the platform's tasks.
+//! Tests of the job scheduler, on a small simulation of the platform's tasks.
 
-/// Names each case of a table: one test function for each line.
+/// Generates one test function for each line of a table of cases.
 macro_rules! cases {
     ($run:ident: $($name:ident($($argument:expr),* $(,)?);)+) => {
         $(
@@ -13,10 +13,10 @@
 }
 
 mod drain;
-mod fair;
+mod fairness;
 mod fault;
 mod lease;
-mod naive;
-mod random;
+mod random_faults;
+mod reference;
 mod row;
-mod world;
+mod simulation;
--- a/crates/jobs/tests/all/naive.rs
+++ b/crates/jobs/tests/all/reference.rs
@@ -1,6 +1,7 @@
-//! The fair fill against a naive twin that computes every share anew for every start.
+//! Fair assignment compared with a naive reference implementation that recomputes every share for
+//! every start.
 
-use crate::world::name;
+use crate::simulation::name;
 use primroseroute_domain::{id, time::Instant};
 use primroseroute_jobs::{Action, Availability, Board, Kind, Limits, Row, Worker};
 use primroseroute_platform::task::Resources;
@@ -16,7 +17,7 @@
     /// Cores and memory of each instance.
     workers: Vec<(u8, u8)>,
     weights: Vec<u8>,
-    /// Account, cores, memory, submission.
+    /// Account, cores, memory and submission time of each job.
     jobs: Vec<(u8, u8, u8, u8)>,
     closed: Vec<bool>,
 }
@@ -58,7 +59,8 @@
     workers.map(|worker| (worker.id.clone(), worker)).collect()
 }
 
-/// One kind for each job and wide bounds on faults, so that only fairness and room decide.
+/// Each job has a kind of its own and the limits on faults are wide, so that only fairness and free
+/// capacity decide.
 fn rows(case: &Case) -> Vec<Row> {
     let row = |(n, job): (usize, &(u8, u8, u8, u8))| {
         let (account, cores, memory, submitted) = *job;
@@ -86,7 +88,7 @@
     case.weights.iter().enumerate().map(weight).collect()
 }
 
-fn planned(case: &Case) -> Vec<(String, String)> {
+fn scheduled(case: &Case) -> Vec<(String, String)> {
     let mut board = Board::open(limits(), rows(case), Duration::ZERO);
     let plan = board.plan(Duration::ZERO, Instant(300), &workers(case), &weights(case));
     let start = |action: &Action| match action {
@@ -96,7 +98,7 @@
     plan.actions.iter().map(start).collect()
 }
 
-type Amount = fn(&Resources) -> f64;
+type Resource = fn(&Resources) -> f64;
 
 fn cores(amount: &Resources) -> f64 {
     amount.cores
@@ -106,18 +108,18 @@
     amount.memory
 }
 
-/// Again and again: of all accounts by their present share, of all their jobs by age, of all
-/// instances by what would be left, the first that goes.
-fn naive(case: &Case) -> Vec<(String, String)> {
+/// For every start anew: considers all accounts by current share, all their jobs by age and all
+/// instances by the capacity that would be left, and takes the first match.
+fn reference(case: &Case) -> Vec<(String, String)> {
     let workers = workers(case);
     let weights = weights(case);
     let mut rows = rows(case);
     rows.sort_by(|a, b| (a.submitted, &a.id).cmp(&(b.submitted, &b.id)));
     let mut placed: Vec<(Row, Resources, id::Instance)> = Vec::new();
-    let most = |f: Amount| workers.values().map(|w| f(&w.capacity)).fold(0.0, f64::max);
-    let sum = |f: Amount| workers.values().map(|w| f(&w.capacity)).sum::<f64>();
+    let most = |f: Resource| workers.values().map(|w| f(&w.capacity)).fold(0.0, f64::max);
+    let sum = |f: Resource| workers.values().map(|w| f(&w.capacity)).sum::<f64>();
     loop {
-        let used = |by: &dyn Fn(&Row, &id::Instance) -> bool, f: Amount| {
+        let used = |by: &dyn Fn(&Row, &id::Instance) -> bool, f: Resource| {
             let mine = placed.iter().filter(|(row, _, at)| by(row, at));
             mine.map(|(_, size, _)| f(size))
                 .fold(0.0, |sum, size| sum + size)
@@ -173,7 +175,7 @@
 }
 
 #[test]
-fn fill_is_as_the_naive_one() {
+fn assignment_matches_the_reference_implementation() {
     let config = Config {
         cases: 500,
         failure_persistence: None,
@@ -182,8 +184,8 @@
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let run = runner.run(&case(), |case| {
-        proptest::prop_assert_eq!(planned(&case), naive(&case));
+        proptest::prop_assert_eq!(scheduled(&case), reference(&case));
         Ok(())
     });
-    run.expect("the fill and its naive twin agree");
+    run.expect("the assignment matches the reference implementation");
 }
--- a/crates/jobs/tests/all/row.rs
+++ b/crates/jobs/tests/all/row.rs
@@ -1,12 +1,12 @@
-//! The shape of a job's row in the table.
+//! Serialised form of a job's row in the table.
 
-use crate::world::{cores, name};
+use crate::simulation::{cores, name};
 use expect_test::expect;
 use primroseroute_domain::time::Instant;
 use primroseroute_jobs::{Kind, Reason, Row, State};
 
 #[test]
-fn row_shape() {
+fn row_serialised_form() {
     let mut row = Row::submit(
         name("rebuild-7"),
         name("gojo"),
--- a/crates/jobs/tests/all/world.rs
+++ b/crates/jobs/tests/all/simulation.rs
@@ -1,4 +1,4 @@
-//! A fake of the platform: instances, tasks with true sizes and run times, lagging reports.
+//! A simulated platform: instances, tasks with true sizes and run times, lagging reports.
 
 use primroseroute_domain::{id, time::Instant};
 use primroseroute_jobs::{Action, Availability, Board, Kind, Limits, Plan, Row, State, Worker};
@@ -8,16 +8,16 @@
     time::Duration,
 };
 
-/// Seconds between two plans.
-pub const TICK: u64 = 5;
-/// Seconds after which a late failure comes.
-pub const LATE: u64 = 100;
-/// Ticks by which reports lag.
-pub const LAG: u64 = 3;
+/// Time between two plans.
+pub const TICK_SECONDS: u64 = 5;
+/// Run time after which jobs fail on instances that fail late.
+pub const LATE_FAILURE_SECONDS: u64 = 100;
+/// Delay of reports.
+pub const REPORT_LAG_TICKS: u64 = 3;
 
-/// The truth about a job, which the decisions do not see.
+/// True behaviour of a job, which the scheduler does not see.
 #[derive(Clone, Copy, Debug)]
-pub struct Truth {
+pub struct Profile {
     pub size: Resources,
     pub seconds: u64,
     pub broken: bool,
@@ -29,32 +29,32 @@
     pub job: id::Job,
     pub instance: id::Instance,
     pub token: Token,
-    pub left: u64,
-    pub lapses: u64,
+    pub remaining_seconds: u64,
+    pub lease_expires_at: u64,
     pub fraction: f64,
     pub checkpoint: f64,
     ended: Option<Phase>,
 }
 
 #[derive(Debug)]
-pub struct World {
+pub struct Simulation {
     pub now: u64,
     pub board: Board,
     pub workers: BTreeMap<id::Instance, Worker>,
     pub weights: BTreeMap<id::Account, u32>,
-    pub truths: BTreeMap<id::Job, Truth>,
+    pub profiles: BTreeMap<id::Job, Profile>,
     pub tasks: Vec<Task>,
     /// Instances that fail every job at once.
-    pub bad: BTreeSet<id::Instance>,
-    /// Instances that the platform hears nothing of; their tasks run on.
-    pub cut: BTreeSet<id::Instance>,
-    /// Instances that fail every job after [`LATE`] seconds.
-    pub late: BTreeSet<id::Instance>,
+    pub failing: BTreeSet<id::Instance>,
+    /// Instances that the platform cannot reach; their tasks continue.
+    pub partitioned: BTreeSet<id::Instance>,
+    /// Instances that fail every job after [`LATE_FAILURE_SECONDS`].
+    pub failing_late: BTreeSet<id::Instance>,
     /// Whether the reports cannot be read.
-    pub unread: bool,
-    /// Whether calls are lost on their way.
-    pub deaf: bool,
-    /// Whether tasks write no checkpoint when asked.
+    pub reports_unreadable: bool,
+    /// Whether calls are lost in transit.
+    pub calls_lost: bool,
+    /// Whether tasks ignore requests for checkpoints.
     pub no_checkpoints: bool,
     pub starts: Vec<(id::Job, id::Instance)>,
     pub quarantined: BTreeSet<id::Instance>,
@@ -69,8 +69,8 @@
     }
 }
 
-pub fn truth(size: Resources, seconds: u64) -> Truth {
-    Truth {
+pub fn profile(size: Resources, seconds: u64) -> Profile {
+    Profile {
         size,
         seconds,
         broken: false,
@@ -81,7 +81,7 @@
     text.parse().expect("a name")
 }
 
-impl World {
+impl Simulation {
     /// `count` instances of 8 cores in one pool, named `w0` and so on.
     pub fn start(count: u32) -> Self {
         let worker = |n: u32| Worker {
@@ -99,13 +99,13 @@
             board: Board::open(Limits::default(), [], Duration::ZERO),
             workers: workers.collect(),
             weights: BTreeMap::new(),
-            truths: BTreeMap::new(),
+            profiles: BTreeMap::new(),
             tasks: Vec::new(),
-            bad: BTreeSet::new(),
-            cut: BTreeSet::new(),
-            late: BTreeSet::new(),
-            unread: false,
-            deaf: false,
+            failing: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
+            failing_late: BTreeSet::new(),
+            reports_unreadable: false,
+            calls_lost: false,
             no_checkpoints: false,
             starts: Vec::new(),
             quarantined: BTreeSet::new(),
@@ -119,7 +119,7 @@
         account: &str,
         kind: &str,
         declared: Resources,
-        truth: Truth,
+        profile: Profile,
     ) {
         let row = Row::submit(
             name(job),
@@ -129,7 +129,7 @@
             declared,
             Instant(self.now * 1000),
         );
-        self.truths.insert(row.id.clone(), truth);
+        self.profiles.insert(row.id.clone(), profile);
         self.board.add(row);
     }
 
@@ -157,41 +157,41 @@
             .count()
     }
 
-    /// Another controller takes over with nothing but the rows.
+    /// Another controller takes over, which knows only the rows.
     pub fn take_over(&mut self) {
         let rows: Vec<Row> = self.board.rows().cloned().collect();
         self.board = Board::open(Limits::default(), rows, Duration::from_secs(self.now));
     }
 
-    pub fn run(&mut self, ticks: u64) {
+    pub fn run_ticks(&mut self, ticks: u64) {
         for _ in 0..ticks {
             self.tick();
         }
     }
 
-    /// One plan, the calls that it asks for, and [`TICK`] seconds of work.
+    /// Makes one plan, executes its calls, and simulates [`TICK_SECONDS`] of run time.
     pub fn tick(&mut self) -> Plan {
         let now = Duration::from_secs(self.now);
-        if !self.unread && self.reports.len() as u64 > LAG {
+        if !self.reports_unreadable && self.reports.len() as u64 > REPORT_LAG_TICKS {
             let reports = self.reports.pop_front().unwrap_or_default();
             self.board.report(&reports, now);
         }
         let at = Instant(self.now * 1000);
         let plan = self.board.plan(now, at, &self.workers, &self.weights);
         for action in &plan.actions {
-            self.carry_out(action);
+            self.execute(action);
         }
-        self.work();
-        self.report();
-        self.now += TICK;
+        self.run_tasks();
+        self.queue_reports();
+        self.now += TICK_SECONDS;
         plan
     }
 
-    fn carry_out(&mut self, action: &Action) {
+    fn execute(&mut self, action: &Action) {
         let now = Duration::from_secs(self.now);
         match action {
             Action::Start(start) => {
-                if !self.deaf {
+                if !self.calls_lost {
                     let running = self
                         .tasks
                         .iter()
@@ -203,8 +203,8 @@
                         job: start.job.clone(),
                         instance: start.instance.clone(),
                         token: start.token,
-                        left: self.truths[&start.job].seconds,
-                        lapses: self.now + start.lease.as_secs(),
+                        remaining_seconds: self.profiles[&start.job].seconds,
+                        lease_expires_at: self.now + start.lease.as_secs(),
                         fraction: 1.0,
                         checkpoint: 0.0,
                         ended: None,
@@ -213,26 +213,26 @@
                 self.board.returned(&start.job, start.token, now);
             }
             Action::Renew { job, token, lease } => {
-                let lapses = self.now + lease.as_secs();
-                self.on(job, *token, |task| task.lapses = lapses);
+                let expires_at = self.now + lease.as_secs();
+                self.update_task(job, *token, |task| task.lease_expires_at = expires_at);
                 self.board.returned(job, *token, now);
             }
             Action::Checkpoint { .. } if self.no_checkpoints => {}
             Action::Checkpoint { job, token } => {
-                self.on(job, *token, |task| task.checkpoint += 0.1);
+                self.update_task(job, *token, |task| task.checkpoint += 0.1);
             }
             Action::Throttle {
                 job,
                 token,
                 fraction,
             } => {
-                self.on(job, *token, |task| task.fraction = *fraction);
+                self.update_task(job, *token, |task| task.fraction = *fraction);
             }
-            Action::Stop { job, token } if self.deaf => self.board.not_stopped(job, *token),
+            Action::Stop { job, token } if self.calls_lost => self.board.not_stopped(job, *token),
             Action::Stop { job, token } => {
-                let cut = self.cut.clone();
-                self.on(job, *token, |task| {
-                    if !cut.contains(&task.instance) {
+                let partitioned = self.partitioned.clone();
+                self.update_task(job, *token, |task| {
+                    if !partitioned.contains(&task.instance) {
                         task.ended = Some(Phase::Stopped);
                     }
                 });
@@ -243,51 +243,52 @@
         }
     }
 
-    fn on(&mut self, job: &id::Job, token: Token, change: impl FnOnce(&mut Task)) {
-        let same =
+    fn update_task(&mut self, job: &id::Job, token: Token, change: impl FnOnce(&mut Task)) {
+        let is_target =
             |task: &&mut Task| task.job == *job && task.token == token && task.ended.is_none();
-        if !self.deaf
-            && let Some(task) = self.tasks.iter_mut().find(same)
+        if !self.calls_lost
+            && let Some(task) = self.tasks.iter_mut().find(is_target)
         {
             change(task);
         }
     }
 
-    fn work(&mut self) {
+    fn run_tasks(&mut self) {
         for task in self.tasks.iter_mut().filter(|task| task.ended.is_none()) {
-            task.left = task.left.saturating_sub(TICK);
-            let truth = self.truths[&task.job];
-            let late = task.left + LATE <= truth.seconds && self.late.contains(&task.instance);
-            let broken = truth.broken || late || self.bad.contains(&task.instance);
-            if self.now + TICK > task.lapses {
+            task.remaining_seconds = task.remaining_seconds.saturating_sub(TICK_SECONDS);
+            let profile = self.profiles[&task.job];
+            let fails_late = task.remaining_seconds + LATE_FAILURE_SECONDS <= profile.seconds
+                && self.failing_late.contains(&task.instance);
+            let broken = profile.broken || fails_late || self.failing.contains(&task.instance);
+            if self.now + TICK_SECONDS > task.lease_expires_at {
                 task.ended = Some(Phase::Stopped);
             } else if broken {
                 task.ended = Some(Phase::Failed);
-            } else if task.left == 0 {
+            } else if task.remaining_seconds == 0 {
                 task.ended = Some(Phase::Done);
             }
         }
     }
 
-    fn report(&mut self) {
+    fn queue_reports(&mut self) {
         let as_of = Instant(self.now * 1000);
-        let heard = self
+        let reachable = self
             .tasks
             .iter()
-            .filter(|task| !self.cut.contains(&task.instance));
+            .filter(|task| !self.partitioned.contains(&task.instance));
         let report = |task: &Task| Report {
             job: task.job.clone(),
             instance: task.instance.clone(),
             token: task.token,
             phase: task.ended.unwrap_or(Phase::Running),
-            usage: self.truths[&task.job].size,
+            usage: self.profiles[&task.job].size,
             checkpoint: task.checkpoint,
             as_of,
         };
-        self.reports.push_back(heard.map(report).collect());
-        // An ended task is reported once; the fake keeps no history.
-        let cut = &self.cut;
+        self.reports.push_back(reachable.map(report).collect());
+        // An ended task is reported once; the simulation keeps no history.
+        let partitioned = &self.partitioned;
         self.tasks
-            .retain(|task| task.ended.is_none() || cut.contains(&task.instance));
+            .retain(|task| task.ended.is_none() || partitioned.contains(&task.instance));
     }
 }
