--- a/crates/cell/tests/all/incarnation.rs
+++ b/crates/cell/tests/all/incarnation.rs
@@ -71,7 +71,7 @@
             percent,
             load: 0,
         }],
-        ..look(NEXT_BOOT)
+        ..response(NEXT_BOOT)
     }
 }
 
@@ -120,7 +120,7 @@
     fixture.now += 100;
     let with_end = Look {
         ended: vec![end(&id, 1, 1)],
-        ..look(NEXT_BOOT)
+        ..response(NEXT_BOOT)
     };
     deliver(&mut fixture, &with_end);
     let tick = fixture.round();
--- a/crates/jobs/src/board/assign.rs
+++ b/crates/jobs/src/board/assign.rs
@@ -35,8 +35,8 @@
 
 impl Search {
     fn from_heads(queues: &AccountQueue) -> Self {
-        let head = |(key, queued): (&QueueKey, &BTreeSet<Entry>)| {
-            queued.first().map(|entry| (entry.clone(), key.clone()))
+        let head = |(key, entries): (&QueueKey, &BTreeSet<Entry>)| {
+            entries.first().map(|entry| (entry.clone(), key.clone()))
         };
         Self {
             heads: queues.iter().filter_map(head).collect(),
@@ -49,7 +49,7 @@
         let (entry, key) = self.heads.pop_first()?;
         let rest = queues
             .get(&key)
-            .map(|queued| queued.range((Excluded(&entry), Unbounded)));
+            .map(|entries| entries.range((Excluded(&entry), Unbounded)));
         let next = rest.and_then(|mut rest| rest.next());
         self.heads
             .extend(next.map(|next| (next.clone(), key.clone())));
@@ -76,7 +76,7 @@
     ) {
         let mut assignment = self.begin_assignment(workers, weights);
         self.reserve_for_aged(&mut assignment, now, at);
-        let has_jobs = |queues: &AccountQueue| queues.values().any(|queued| !queued.is_empty());
+        let has_jobs = |queues: &AccountQueue| queues.values().any(|entries| !entries.is_empty());
         let waiting = self.queue.iter().filter(|(_, queues)| has_jobs(queues));
         let mut order: BTreeSet<ShareRank> = waiting
             .map(|(account, _)| assignment.shares.account_rank(account))
--- a/crates/jobs/src/board/mod.rs
+++ b/crates/jobs/src/board/mod.rs
@@ -285,17 +285,17 @@
             && row.state == State::Queued
         {
             let queues = self.queue.entry(row.account.clone()).or_default();
-            let queued = queues.entry(queue_key(row)).or_default();
-            queued.insert((row.submitted, job.clone()));
+            let entries = queues.entry(queue_key(row)).or_default();
+            entries.insert((row.submitted, job.clone()));
         }
     }
 
     fn dequeue(&mut self, job: &id::Job) {
         if let Some(row) = self.rows.get(job)
             && let Some(queues) = self.queue.get_mut(&row.account)
-            && let Some(queued) = queues.get_mut(&queue_key(row))
+            && let Some(entries) = queues.get_mut(&queue_key(row))
         {
-            queued.remove(&(row.submitted, job.clone()));
+            entries.remove(&(row.submitted, job.clone()));
         }
     }
 
--- a/crates/jobs/src/share.rs
+++ b/crates/jobs/src/share.rs
@@ -64,7 +64,7 @@
         let used = self.used.get(account).copied().unwrap_or_default();
         let weight = self.weights.get(account).copied().unwrap_or(1).max(1);
         ShareRank {
-            share: amount::dominant(used, self.total) / f64::from(weight),
+            share: amount::dominant_fraction(used, self.total) / f64::from(weight),
             account: account.clone(),
         }
     }
