--- a/crates/controller/src/jobs/calls.rs
+++ b/crates/controller/src/jobs/calls.rs
@@ -36,7 +36,7 @@
     Refused,
     /// A stop may not have got through.
     NotStopped,
-    /// Nothing that the board has to know.
+    /// Nothing that the scheduler has to know.
     Nothing,
 }
 
--- a/crates/controller/src/jobs/driver.rs
+++ b/crates/controller/src/jobs/driver.rs
@@ -1,4 +1,4 @@
-//! The task that drives the board while the lease is held.
+//! The task that drives the scheduler while the lease is held.
 
 use super::{
     Settings,
@@ -108,16 +108,16 @@
 
     fn take_in(&mut self, ended: &Ended) {
         let Some(state) = &mut self.state else { return };
-        let (board, job, token) = (&mut state.board, &ended.job, ended.token);
+        let (scheduler, job, token) = (&mut state.scheduler, &ended.job, ended.token);
         let at = ended.at.saturating_duration_since(self.started);
         match ended.outcome {
-            Outcome::Returned => board.returned(job, token, at),
-            Outcome::NotStarted => board.not_started(job, token),
+            Outcome::Returned => scheduler.returned(job, token, at),
+            Outcome::NotStarted => scheduler.not_started(job, token),
             Outcome::Refused => {
-                board.not_started(job, token);
+                scheduler.not_started(job, token);
                 self.held_off = ended.at + HOLD_OFF;
             }
-            Outcome::NotStopped => board.not_stopped(job, token),
+            Outcome::NotStopped => scheduler.not_stopped(job, token),
             Outcome::Nothing => {}
         }
     }
@@ -199,14 +199,16 @@
         let sight = self.desk.newest();
         let workers = self.workers(snapshot, sight.as_deref(), at);
         let weights = snapshot.routes().shares();
-        let plan = state.board.plan(now, wall, &workers, weights);
+        let plan = state.scheduler.plan(now, wall, &workers, weights);
         let actions = write(plan, &mut state, draft);
-        let State { board, accused, .. } = &mut state;
-        accused.settle(snapshot, sight.as_deref(), wall, board, draft);
+        let State {
+            scheduler, accused, ..
+        } = &mut state;
+        accused.settle(snapshot, sight.as_deref(), wall, scheduler, draft);
         Ok(Decided { state, actions, at })
     }
 
-    /// The instances as the board sees them.
+    /// The instances as the scheduler sees them.
     fn workers(
         &self,
         snapshot: &Snapshot,
@@ -242,7 +244,7 @@
         }
     }
 
-    /// Makes a committed decision the board, and sends its calls.
+    /// Makes a committed decision the scheduler, and sends its calls.
     fn adopt(&mut self, decided: Decided) {
         self.state = Some(decided.state);
         for action in decided.actions {
--- a/crates/controller/src/jobs/mod.rs
+++ b/crates/controller/src/jobs/mod.rs
@@ -6,15 +6,15 @@
 //! # A cycle
 //!
 //! The task reports are read first. Inside [`primroseroute_view::amend`], on the newest rows, a copy
-//! of the board takes in what operators wrote and what the reports say, and plans. All rows of the
+//! of the scheduler takes in what operators wrote and what the reports say, and plans. All rows of the
 //! plan, and the rows of instances that it quarantines, go out as one change that is conditional on
-//! the epoch. Only when that is committed does the copy become the board, and are the calls sent. A
+//! the epoch. Only when that is committed does the copy become the scheduler, and are the calls sent. A
 //! plan without rows commits nothing; there the epoch row is read before anything is sent.
 //!
 //! # Where a commit's fate is not known
 //!
 //! The copy is dropped and nothing is sent. Should the rows have been written after all, the next
-//! cycle finds a start in the table that the board doesn't know, and opens the board anew from the
+//! cycle finds a start in the table that the scheduler doesn't know, and opens the scheduler anew from the
 //! rows, as a successor would: the run counts as taken over and is waited out.
 //!
 //! # Paused controllers
--- a/crates/controller/src/jobs/quarantine.rs
+++ b/crates/controller/src/jobs/quarantine.rs
@@ -10,14 +10,14 @@
     Fleet,
     budget::{self, Forbidden},
 };
-use primroseroute_jobs::Board;
+use primroseroute_jobs::Scheduler;
 use primroseroute_ledger::{Draft, Versioned, key};
 use primroseroute_view::Snapshot;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Instances that the board found faulty.
+/// Instances that the scheduler found faulty.
 ///
-/// The board gives them no more jobs from then on, whether or not their rows may change: a budget
+/// The scheduler gives them no more jobs from then on, whether or not their rows may change: a budget
 /// that keeps one in service for requests doesn't let it fail more jobs.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Accused {
@@ -58,7 +58,7 @@
 }
 
 impl Accused {
-    /// The board found `instance` faulty by the jobs that `failed` there.
+    /// The scheduler found `instance` faulty by the jobs that `failed` there.
     pub(super) fn add(&mut self, instance: id::Instance, failed: Vec<id::Job>) {
         let names: Vec<&str> = failed.iter().map(id::Job::as_str).collect();
         log::warn!("jobs fail on {instance}: {}", names.join(", "));
@@ -71,7 +71,7 @@
         snapshot: &Snapshot,
         sight: Option<&Sight>,
         now: Instant,
-        board: &mut Board,
+        scheduler: &mut Scheduler,
         draft: &mut Draft,
     ) {
         let rows = snapshot.instances();
@@ -79,7 +79,7 @@
         self.out.retain(|name| {
             let is_back = matches!(state(name), Some(State::Serving) | None);
             if is_back {
-                board.repaired(name);
+                scheduler.repaired(name);
             }
             !is_back
         });
--- a/crates/controller/src/jobs/state.rs
+++ b/crates/controller/src/jobs/state.rs
@@ -1,8 +1,8 @@
-//! The board beside the rows of the table, and how it follows them.
+//! The scheduler beside the rows of the table, and how it follows them.
 
 use super::{Settings, mirror::Mirror, quarantine::Accused};
 use primroseroute_domain::outcome::Refusal;
-use primroseroute_jobs::{Board, Row, State as Job};
+use primroseroute_jobs::{Row, Scheduler, State as Job};
 use primroseroute_platform::task::{Phase, Report};
 use primroseroute_view::Snapshot;
 use std::time::Duration;
@@ -10,23 +10,23 @@
 /// Ends of runs that one plan takes in; the others are reported again.
 const ENDS: usize = 100;
 
-/// The board, the rows that it has taken in, and the instances that it found faulty.
+/// The scheduler, the rows that it has taken in, and the instances that it found faulty.
 #[derive(Clone, Debug)]
 pub(super) struct State {
-    pub(super) board: Board,
+    pub(super) scheduler: Scheduler,
     pub(super) mirror: Mirror,
     pub(super) accused: Accused,
 }
 
-/// What a row of the table means for the board.
+/// What a row of the table means for the scheduler.
 enum Means {
-    /// What the board has already.
+    /// What the scheduler has already.
     Nothing,
     /// A job to add, or to put back into the queue.
     Add,
     /// An operator cancelled it.
     Cancel,
-    /// Something that the board should have written itself and does not know.
+    /// Something that the scheduler should have written itself and does not know.
     Lost,
 }
 
@@ -39,9 +39,9 @@
     ) -> Result<Self, Refusal> {
         let mut mirror = Mirror::default();
         mirror.look(snapshot)?;
-        let board = Board::open(settings.limits, mirror.rows().cloned(), now);
+        let scheduler = Scheduler::open(settings.limits, mirror.rows().cloned(), now);
         Ok(Self {
-            board,
+            scheduler,
             mirror,
             accused: Accused::default(),
         })
@@ -49,7 +49,7 @@
 
     /// Takes in what others wrote since.
     ///
-    /// A row that nobody else can have written comes of a commit whose answer was lost. The board
+    /// A row that nobody else can have written comes of a commit whose answer was lost. The scheduler
     /// without it could start a job beside its run, so it is opened anew.
     pub(super) fn follow(
         &mut self,
@@ -59,26 +59,29 @@
     ) -> Result<(), Refusal> {
         let found = self.mirror.look(snapshot)?;
         for job in &found.gone {
-            self.board.remove(job);
+            self.scheduler.remove(job);
         }
-        let left = found.gone.iter().any(|job| self.board.row(job).is_some());
+        let left = found
+            .gone
+            .iter()
+            .any(|job| self.scheduler.row(job).is_some());
         let lost = left || !found.written.into_iter().all(|row| self.take_in(row));
         if lost {
             log::warn!("a change of the jobs was committed unseen; their rows are taken over");
-            self.board = Board::open(settings.limits, self.mirror.rows().cloned(), now);
+            self.scheduler = Scheduler::open(settings.limits, self.mirror.rows().cloned(), now);
         }
         Ok(())
     }
 
-    /// Takes in one row; says whether the board can go on.
+    /// Takes in one row; says whether the scheduler can go on.
     fn take_in(&mut self, row: Row) -> bool {
         match self.means(&row) {
             Means::Nothing => {}
             Means::Add => {
-                self.board.remove(&row.id);
-                self.board.add(row);
+                self.scheduler.remove(&row.id);
+                self.scheduler.add(row);
             }
-            Means::Cancel => self.board.cancel([&row.id]),
+            Means::Cancel => self.scheduler.cancel([&row.id]),
             Means::Lost => return false,
         }
         true
@@ -89,13 +92,13 @@
             Some(_) => Means::Lost,
             None => Means::Add,
         };
-        let Some(own) = self.board.row(&row.id) else {
+        let Some(own) = self.scheduler.row(&row.id) else {
             return is_new();
         };
         let same_start = own.token == row.token;
         match (&own.state, &row.state) {
             (own, theirs) if own == theirs && same_start => Means::Nothing,
-            // The board knows that the start had no effect; the row says so with the next change.
+            // The scheduler knows that the start had no effect; the row says so with the next change.
             (Job::Queued, Job::Running(_)) | (Job::Cancelled, Job::Cancelling(_)) if same_start => {
                 Means::Nothing
             }
@@ -112,7 +115,7 @@
     pub(super) fn report(&mut self, reports: &[Report], now: Duration) {
         let mut ends = 0;
         let is_current = |report: &Report| {
-            let row = self.board.row(&report.job);
+            let row = self.scheduler.row(&report.job);
             row.is_some_and(|row| row.token == report.token && row.state.instance().is_some())
         };
         let mut within = |report: &&Report| {
@@ -123,6 +126,6 @@
             is_current(report) && ends <= ENDS
         };
         let taken: Vec<Report> = reports.iter().filter(&mut within).cloned().collect();
-        self.board.report(&taken, now);
+        self.scheduler.report(&taken, now);
     }
 }
--- a/crates/jobs/benches/plan.rs
+++ b/crates/jobs/benches/plan.rs
@@ -2,7 +2,7 @@
 
 use criterion::{BatchSize, BenchmarkId, Criterion};
 use primroseroute_domain::{id, time::Instant};
-use primroseroute_jobs::{Availability, Board, Kind, Limits, Row, Worker};
+use primroseroute_jobs::{Availability, Kind, Limits, Row, Scheduler, Worker};
 use primroseroute_platform::task::{Phase, Report, Resources};
 use std::{collections::BTreeMap, hint::black_box, time::Duration};
 
@@ -34,7 +34,7 @@
         .collect()
 }
 
-fn board(count: u32) -> Board {
+fn scheduler(count: u32) -> Scheduler {
     let row = |n: u32| {
         Row::submit(
             name(&format!("j{n}")),
@@ -54,7 +54,7 @@
         faults: u32::MAX,
         ..Limits::default()
     };
-    Board::open(
+    Scheduler::open(
         limits,
         (0..count * JOBS_PER_WORKER).map(row),
         Duration::ZERO,
@@ -62,7 +62,7 @@
 }
 
 /// Reports on every run, so that the next plan has to renew, update and check all of them.
-fn reports(board: &Board) -> Vec<Report> {
+fn reports(scheduler: &Scheduler) -> Vec<Report> {
     let report = |row: &Row| {
         let instance = row.state.instance()?.clone();
         Some(Report {
@@ -75,7 +75,7 @@
             as_of: Instant(1),
         })
     };
-    board.rows().filter_map(report).collect()
+    scheduler.rows().filter_map(report).collect()
 }
 
 fn main() {
@@ -84,10 +84,11 @@
     let at = Instant(1_000);
     for count in SIZES {
         let workers = workers(count);
-        let empty = board(count);
+        let empty = scheduler(count);
         criterion.bench_with_input(BenchmarkId::new("fill", count), &count, |bench, _| {
-            let plan =
-                |mut board: Board| black_box(board.plan(Duration::ZERO, at, &workers, &weights));
+            let plan = |mut scheduler: Scheduler| {
+                black_box(scheduler.plan(Duration::ZERO, at, &workers, &weights))
+            };
             bench.iter_batched(|| empty.clone(), plan, BatchSize::LargeInput);
         });
         let mut busy = empty.clone();
@@ -100,9 +101,9 @@
         );
         let later = Duration::from_secs(5);
         criterion.bench_with_input(BenchmarkId::new("steady", count), &count, |bench, _| {
-            let plan = |mut board: Board| {
-                board.report(&reports, later);
-                black_box(board.plan(later, at, &workers, &weights))
+            let plan = |mut scheduler: Scheduler| {
+                scheduler.report(&reports, later);
+                black_box(scheduler.plan(later, at, &workers, &weights))
             };
             bench.iter_batched(|| busy.clone(), plan, BatchSize::LargeInput);
         });
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,6 +1,6 @@
 //! Scheduling of the background jobs of a pool's services.
 //!
-//! Decisions only: [`Board`] takes rows, reports and the state of the instances, and returns a
+//! Decisions only: [`Scheduler`] takes rows, reports and the state of the instances, and returns a
 //! [`Plan`] of rows to commit and calls to make. It has no clock, does no I/O and draws no random
 //! numbers; the controller role drives it, and a new controller rebuilds it from the rows.
 //!
@@ -8,7 +8,7 @@
 //! * [`SizeEstimator`]: sizes estimated from lagging reports, since declared ones are off by up to a
 //!   factor of ten.
 //! * [`FaultTracker`]: whether a job or an instance is faulty, and limits until that is known.
-//! * [`Board`]: runs and their leases, the queue, drains, throttling, cancellations.
+//! * [`Scheduler`]: runs and their leases, the queue, drains, throttling, cancellations.
 //!
 //! # Never two runs of one job
 //!
@@ -19,20 +19,20 @@
 
 mod action;
 mod amount;
-mod board;
 mod fault;
 pub mod lease;
 mod limits;
 mod row;
+mod scheduler;
 mod share;
 mod size;
 mod worker;
 
 pub use action::{Action, Plan};
-pub use board::Board;
 pub use fault::{FaultTracker, JobClass};
 pub use limits::Limits;
 pub use row::{Kind, Reason, Row, State};
+pub use scheduler::Scheduler;
 pub use share::{ShareRank, Shares};
 pub use size::SizeEstimator;
 pub use worker::{Availability, Worker};
--- a/crates/jobs/src/board/aged.rs
+++ b/crates/jobs/src/scheduler/aged.rs
@@ -1,10 +1,10 @@
 //! Reservation of instances for jobs that have waited too long.
 
-use super::{Board, Entry, candidates::Assignment, job_class};
+use super::{Entry, Scheduler, candidates::Assignment, job_class};
 use crate::{
     amount,
-    board::candidates::Candidate,
     row::{Row, State},
+    scheduler::candidates::Candidate,
     share::ShareRank,
 };
 use primroseroute_domain::{id, time::Instant};
@@ -13,7 +13,7 @@
     time::Duration,
 };
 
-impl Board {
+impl Scheduler {
     /// Starts an aged job of each pool, or reserves an instance for it.
     ///
     /// A large job finds no free capacity while small ones take each gap that opens. On the instance
--- a/crates/jobs/src/board/assign.rs
+++ b/crates/jobs/src/scheduler/assign.rs
@@ -1,7 +1,7 @@
 //! Assignment of queued jobs to instances, by dominant-resource fairness.
 
 use super::{
-    AccountQueue, Board, Entry, QueueKey,
+    AccountQueue, Entry, QueueKey, Scheduler,
     candidates::{Assignment, Candidate},
     job_class,
 };
@@ -66,7 +66,7 @@
     }
 }
 
-impl Board {
+impl Scheduler {
     pub(super) fn assign_queued(
         &mut self,
         now: Duration,
--- a/crates/jobs/src/board/candidates.rs
+++ b/crates/jobs/src/scheduler/candidates.rs
@@ -1,6 +1,6 @@
 //! Instances and accounts during one assignment of queued jobs.
 
-use super::{Board, job_class};
+use super::{Scheduler, job_class};
 use crate::{
     amount,
     fault::JobClass,
@@ -56,7 +56,7 @@
     }
 }
 
-impl Board {
+impl Scheduler {
     /// Begins an assignment with all current runs counted.
     pub(super) fn begin_assignment<'a>(
         &self,
--- a/crates/jobs/src/board/mod.rs
+++ b/crates/jobs/src/scheduler/mod.rs
@@ -24,10 +24,10 @@
 
 /// The jobs of all pools.
 ///
-/// Methods that apply inputs record the changed rows; [`Board::plan`] returns them with the calls,
+/// Methods that apply inputs record the changed rows; [`Scheduler::plan`] returns them with the calls,
 /// so that a burst of reports or cancellations forms one batch.
 #[derive(Clone, Debug)]
-pub struct Board {
+pub struct Scheduler {
     limits: Limits,
     rows: BTreeMap<id::Job, Row>,
     runs: BTreeMap<id::Job, Run>,
@@ -63,10 +63,10 @@
     (row.account.clone(), row.kind.clone())
 }
 
-impl Board {
+impl Scheduler {
     /// Restores the state from the rows of the table, at a takeover `now` after the controller's start.
     pub fn open(limits: Limits, rows: impl IntoIterator<Item = Row>, now: Duration) -> Self {
-        let mut board = Self {
+        let mut scheduler = Self {
             limits,
             rows: BTreeMap::new(),
             runs: BTreeMap::new(),
@@ -84,16 +84,16 @@
         for row in rows {
             let id = row.id.clone();
             if row.state.instance().is_some() {
-                let run = Run::taken_over(now, &board.limits);
-                board.runs.insert(id.clone(), run);
+                let run = Run::taken_over(now, &scheduler.limits);
+                scheduler.runs.insert(id.clone(), run);
             }
             let cancelling = matches!(row.state, State::Cancelling(_));
-            board.add(row);
+            scheduler.add(row);
             if cancelling {
-                board.stop(&id);
+                scheduler.stop(&id);
             }
         }
-        board
+        scheduler
     }
 
     /// Adds a job that was submitted and committed.
--- a/crates/jobs/src/board/results.rs
+++ b/crates/jobs/src/scheduler/results.rs
@@ -1,6 +1,6 @@
 //! Conclusions from results of runs about jobs and instances.
 
-use super::{Board, job_class};
+use super::{Scheduler, job_class};
 use crate::{
     action::Action,
     row::{Reason, State},
@@ -8,7 +8,7 @@
 use primroseroute_domain::id;
 use std::time::Duration;
 
-impl Board {
+impl Scheduler {
     /// Records a running job; a run that has lasted long enough proves its instance and its kind.
     pub(super) fn record_running(&mut self, job: &id::Job, now: Duration) {
         let proof = self.limits.proof;
--- a/crates/jobs/src/board/runs.rs
+++ b/crates/jobs/src/scheduler/runs.rs
@@ -1,6 +1,6 @@
 //! Actions on current runs: lease expiry, renewal, drains, throttling.
 
-use super::Board;
+use super::Scheduler;
 use crate::{
     action::Action,
     lease::Stop,
@@ -9,7 +9,7 @@
 use primroseroute_domain::id;
 use std::{collections::BTreeMap, time::Duration};
 
-impl Board {
+impl Scheduler {
     /// Returns jobs whose lease has certainly expired to the queue.
     pub(super) fn requeue_expired(&mut self, now: Duration) {
         let is_expired = |job: &&id::Job| self.runs[*job].has_expired(now, &self.limits);
--- a/crates/jobs/tests/all/drain.rs
+++ b/crates/jobs/tests/all/drain.rs
@@ -39,7 +39,7 @@
         })
         .collect();
     assert_eq!(kinds, ["checkpoint", "stop", "start"]);
-    assert!(sim.board.row(&name("job")).expect("known").checkpoint > 0.0);
+    assert!(sim.scheduler.row(&name("job")).expect("known").checkpoint > 0.0);
     assert_ne!(sim.starts[1].1, from);
 }
 
@@ -149,7 +149,7 @@
     let starts = sim.starts.len();
     assert_eq!(running, 20);
     let jobs: Vec<_> = (0..200).map(|n| name(&format!("j{n}"))).collect();
-    sim.board.cancel(&jobs);
+    sim.scheduler.cancel(&jobs);
     let plan = sim.tick();
     assert_eq!(plan.rows.len(), 199, "all but the job that is done");
     assert_eq!(plan.actions.len(), running);
@@ -178,7 +178,7 @@
         profile(cores(1.0), 10_000),
     );
     sim.run_ticks(5);
-    sim.board.cancel([&name("job")]);
+    sim.scheduler.cancel([&name("job")]);
     sim.take_over();
     sim.run_ticks(10);
     assert!(sim.tasks.is_empty());
--- a/crates/jobs/tests/all/fairness.rs
+++ b/crates/jobs/tests/all/fairness.rs
@@ -52,7 +52,7 @@
             continue;
         }
         for task in &sim.tasks {
-            let row = sim.board.row(&task.job).expect("known");
+            let row = sim.scheduler.row(&task.job).expect("known");
             let size = sim.profiles[&task.job].size;
             let share = size.cores.max(size.memory) / (12.0 * 8.0);
             *used.entry(row.account.to_string()).or_default() += share;
--- a/crates/jobs/tests/all/fault.rs
+++ b/crates/jobs/tests/all/fault.rs
@@ -63,7 +63,7 @@
     assert!(sim.quarantined.contains(&name("w0")));
     assert!(sim.starts_on("w0") <= 3, "{}", sim.starts_on("w0"));
     let has_failure = |row: &&Row| row.failed_on.contains(&name("w0"));
-    assert_eq!(sim.board.rows().filter(has_failure).count(), 0);
+    assert_eq!(sim.scheduler.rows().filter(has_failure).count(), 0);
     assert!((0..120).all(|n| sim.state(&format!("good{n}")) == &State::Done));
 }
 
@@ -120,10 +120,10 @@
     let mut sim = Simulation::start(1);
     sim.submit("bad", "a0", "rebuild", cores(2.0), broken_profile());
     sim.run_ticks(100);
-    let mut row = sim.board.row(&name("bad")).expect("known").clone();
+    let mut row = sim.scheduler.row(&name("bad")).expect("known").clone();
     row.release().expect("it is parked");
     assert!(row.release().is_err(), "it is queued by now");
-    sim.board.add(row);
+    sim.scheduler.add(row);
     sim.profiles.insert(name("bad"), profile(cores(2.0), 20));
     sim.run_ticks(20);
     assert_eq!(sim.state("bad"), &State::Done);
--- a/crates/jobs/tests/all/lease.rs
+++ b/crates/jobs/tests/all/lease.rs
@@ -78,7 +78,10 @@
     assert_eq!(sim.state("job"), &State::Running(name("w0")));
     sim.run_ticks(30);
     assert_eq!(sim.state("job"), &State::Done);
-    assert_eq!(sim.board.row(&name("job")).expect("known").token, Token(2));
+    assert_eq!(
+        sim.scheduler.row(&name("job")).expect("known").token,
+        Token(2)
+    );
 }
 
 // A renewal is in flight and does not return: it may take effect at any moment, so the lease does
@@ -104,19 +107,19 @@
     // There are no reports and the first renewal never returns.
     for second in (10..500).step_by(5) {
         let now = at(second);
-        sim.board.report(&[], now);
+        sim.scheduler.report(&[], now);
         let plan = sim
-            .board
+            .scheduler
             .plan(now, Instant::default(), &sim.workers, &weights);
         let renew = |action: &&Action| matches!(action, Action::Renew { .. });
         renewals += plan.actions.iter().filter(renew).count();
         assert_eq!(sim.state("job"), &State::Running(name("w0")));
     }
     assert_eq!(renewals, 1);
-    sim.board.returned(&job, token, at(500));
+    sim.scheduler.returned(&job, token, at(500));
     for (second, starts) in [(530, 0), (544, 0), (545, 1)] {
         let plan = sim
-            .board
+            .scheduler
             .plan(at(second), Instant::default(), &sim.workers, &weights);
         assert_eq!(plan.actions.len(), starts, "at {second} s");
     }
@@ -179,7 +182,7 @@
         profile(cores(4.0), 100_000),
     );
     sim.tick();
-    let row = sim.board.row(&name("job")).expect("known").clone();
+    let row = sim.scheduler.row(&name("job")).expect("known").clone();
     let report = Report {
         job: row.id.clone(),
         instance: name("w0"),
@@ -192,12 +195,14 @@
     let mut renewals = 0;
     for second in (5..300).step_by(5) {
         let now = std::time::Duration::from_secs(second);
-        sim.board.report(std::slice::from_ref(&report), now);
-        let plan = sim.board.plan(now, Instant(0), &sim.workers, &sim.weights);
+        sim.scheduler.report(std::slice::from_ref(&report), now);
+        let plan = sim
+            .scheduler
+            .plan(now, Instant(0), &sim.workers, &sim.weights);
         for action in plan.actions {
             if let Action::Renew { job, token, .. } = action {
                 renewals += 1;
-                sim.board.returned(&job, token, now);
+                sim.scheduler.returned(&job, token, now);
             }
         }
     }
@@ -205,5 +210,5 @@
         (1..=7).contains(&renewals),
         "{renewals} renewals in the minute before the run counts as unresponsive"
     );
-    assert!(sim.board.row(&name("job")).expect("known").token > row.token);
+    assert!(sim.scheduler.row(&name("job")).expect("known").token > row.token);
 }
--- a/crates/jobs/tests/all/random_faults.rs
+++ b/crates/jobs/tests/all/random_faults.rs
@@ -72,7 +72,7 @@
             *state == State::Done
         };
         assert!(ended, "{job}, broken: {broken}, is {state:?}");
-        let failures = sim.board.row(&name(&job)).expect("known").failures;
+        let failures = sim.scheduler.row(&name(&job)).expect("known").failures;
         assert!(
             failures <= Limits::default().tries,
             "{job} failed {failures} times"
--- a/crates/jobs/tests/all/reference.rs
+++ b/crates/jobs/tests/all/reference.rs
@@ -3,7 +3,7 @@
 
 use crate::simulation::name;
 use primroseroute_domain::{id, time::Instant};
-use primroseroute_jobs::{Action, Availability, Board, Kind, Limits, Row, Worker};
+use primroseroute_jobs::{Action, Availability, Kind, Limits, Row, Scheduler, Worker};
 use primroseroute_platform::task::Resources;
 use proptest::{
     collection::vec,
@@ -89,8 +89,8 @@
 }
 
 fn scheduled(case: &Case) -> Vec<(String, String)> {
-    let mut board = Board::open(limits(), rows(case), Duration::ZERO);
-    let plan = board.plan(Duration::ZERO, Instant(300), &workers(case), &weights(case));
+    let mut scheduler = Scheduler::open(limits(), rows(case), Duration::ZERO);
+    let plan = scheduler.plan(Duration::ZERO, Instant(300), &workers(case), &weights(case));
     let start = |action: &Action| match action {
         Action::Start(start) => (start.job.to_string(), start.instance.to_string()),
         other => panic!("unexpected {other:?}"),
--- a/crates/jobs/tests/all/simulation.rs
+++ b/crates/jobs/tests/all/simulation.rs
@@ -1,7 +1,7 @@
 //! A simulated platform: instances, tasks with true sizes and run times, lagging reports.
 
 use primroseroute_domain::{id, time::Instant};
-use primroseroute_jobs::{Action, Availability, Board, Kind, Limits, Plan, Row, State, Worker};
+use primroseroute_jobs::{Action, Availability, Kind, Limits, Plan, Row, Scheduler, State, Worker};
 use primroseroute_platform::task::{Phase, Report, Resources, Token};
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub struct Simulation {
     pub now: u64,
-    pub board: Board,
+    pub scheduler: Scheduler,
     pub workers: BTreeMap<id::Instance, Worker>,
     pub weights: BTreeMap<id::Account, u32>,
     pub profiles: BTreeMap<id::Job, Profile>,
@@ -96,7 +96,7 @@
             .map(|worker| (worker.id.clone(), worker));
         Self {
             now: 0,
-            board: Board::open(Limits::default(), [], Duration::ZERO),
+            scheduler: Scheduler::open(Limits::default(), [], Duration::ZERO),
             workers: workers.collect(),
             weights: BTreeMap::new(),
             profiles: BTreeMap::new(),
@@ -130,11 +130,15 @@
             Instant(self.now * 1000),
         );
         self.profiles.insert(row.id.clone(), profile);
-        self.board.add(row);
+        self.scheduler.add(row);
     }
 
     pub fn state(&self, job: &str) -> &State {
-        &self.board.row(&name(job)).expect("the job is known").state
+        &self
+            .scheduler
+            .row(&name(job))
+            .expect("the job is known")
+            .state
     }
 
     pub fn worker(&mut self, id: &str) -> &mut Worker {
@@ -159,8 +163,8 @@
 
     /// Another controller takes over, which knows only the rows.
     pub fn take_over(&mut self) {
-        let rows: Vec<Row> = self.board.rows().cloned().collect();
-        self.board = Board::open(Limits::default(), rows, Duration::from_secs(self.now));
+        let rows: Vec<Row> = self.scheduler.rows().cloned().collect();
+        self.scheduler = Scheduler::open(Limits::default(), rows, Duration::from_secs(self.now));
     }
 
     pub fn run_ticks(&mut self, ticks: u64) {
@@ -174,10 +178,10 @@
         let now = Duration::from_secs(self.now);
         if !self.reports_unreadable && self.reports.len() as u64 > REPORT_LAG_TICKS {
             let reports = self.reports.pop_front().unwrap_or_default();
-            self.board.report(&reports, now);
+            self.scheduler.report(&reports, now);
         }
         let at = Instant(self.now * 1000);
-        let plan = self.board.plan(now, at, &self.workers, &self.weights);
+        let plan = self.scheduler.plan(now, at, &self.workers, &self.weights);
         for action in &plan.actions {
             self.execute(action);
         }
@@ -210,12 +214,12 @@
                         ended: None,
                     });
                 }
-                self.board.returned(&start.job, start.token, now);
+                self.scheduler.returned(&start.job, start.token, now);
             }
             Action::Renew { job, token, lease } => {
                 let expires_at = self.now + lease.as_secs();
                 self.update_task(job, *token, |task| task.lease_expires_at = expires_at);
-                self.board.returned(job, *token, now);
+                self.scheduler.returned(job, *token, now);
             }
             Action::Checkpoint { .. } if self.no_checkpoints => {}
             Action::Checkpoint { job, token } => {
@@ -228,7 +232,9 @@
             } => {
                 self.update_task(job, *token, |task| task.fraction = *fraction);
             }
-            Action::Stop { job, token } if self.calls_lost => self.board.not_stopped(job, *token),
+            Action::Stop { job, token } if self.calls_lost => {
+                self.scheduler.not_stopped(job, *token)
+            }
             Action::Stop { job, token } => {
                 let partitioned = self.partitioned.clone();
                 self.update_task(job, *token, |task| {
