--- a/crates/controller/src/jobs/driver.rs
+++ b/crates/controller/src/jobs/driver.rs
@@ -111,13 +111,13 @@
         let (scheduler, job, token) = (&mut state.scheduler, &ended.job, ended.token);
         let at = ended.at.saturating_duration_since(self.started);
         match ended.outcome {
-            Outcome::Returned => scheduler.returned(job, token, at),
-            Outcome::NotStarted => scheduler.not_started(job, token),
+            Outcome::Returned => scheduler.call_returned(job, token, at),
+            Outcome::NotStarted => scheduler.start_not_applied(job, token),
             Outcome::Refused => {
-                scheduler.not_started(job, token);
+                scheduler.start_not_applied(job, token);
                 self.held_off = ended.at + HOLD_OFF;
             }
-            Outcome::NotStopped => scheduler.not_stopped(job, token),
+            Outcome::NotStopped => scheduler.stop_unconfirmed(job, token),
             Outcome::Nothing => {}
         }
     }
--- a/crates/controller/src/jobs/quarantine.rs
+++ b/crates/controller/src/jobs/quarantine.rs
@@ -79,7 +79,7 @@
         self.out.retain(|name| {
             let is_back = matches!(state(name), Some(State::Serving) | None);
             if is_back {
-                scheduler.repaired(name);
+                scheduler.instance_repaired(name);
             }
             !is_back
         });
--- a/crates/controller/src/jobs/state.rs
+++ b/crates/controller/src/jobs/state.rs
@@ -39,7 +39,7 @@
     ) -> Result<Self, Refusal> {
         let mut mirror = Mirror::default();
         mirror.look(snapshot)?;
-        let scheduler = Scheduler::open(settings.limits, mirror.rows().cloned(), now);
+        let scheduler = Scheduler::restore(settings.limits, mirror.rows().cloned(), now);
         Ok(Self {
             scheduler,
             mirror,
@@ -68,7 +68,7 @@
         let lost = left || !found.written.into_iter().all(|row| self.take_in(row));
         if lost {
             log::warn!("a change of the jobs was committed unseen; their rows are taken over");
-            self.scheduler = Scheduler::open(settings.limits, self.mirror.rows().cloned(), now);
+            self.scheduler = Scheduler::restore(settings.limits, self.mirror.rows().cloned(), now);
         }
         Ok(())
     }
@@ -126,6 +126,6 @@
             is_current(report) && ends <= ENDS
         };
         let taken: Vec<Report> = reports.iter().filter(&mut within).cloned().collect();
-        self.scheduler.report(&taken, now);
+        self.scheduler.apply_reports(&taken, now);
     }
 }
--- a/crates/jobs/benches/plan.rs
+++ b/crates/jobs/benches/plan.rs
@@ -54,7 +54,7 @@
         faults: u32::MAX,
         ..Limits::default()
     };
-    Scheduler::open(
+    Scheduler::restore(
         limits,
         (0..count * JOBS_PER_WORKER).map(row),
         Duration::ZERO,
@@ -102,7 +102,7 @@
         let later = Duration::from_secs(5);
         criterion.bench_with_input(BenchmarkId::new("steady", count), &count, |bench, _| {
             let plan = |mut scheduler: Scheduler| {
-                scheduler.report(&reports, later);
+                scheduler.apply_reports(&reports, later);
                 black_box(scheduler.plan(later, at, &workers, &weights))
             };
             bench.iter_batched(|| busy.clone(), plan, BatchSize::LargeInput);
--- a/crates/jobs/src/scheduler/mod.rs
+++ b/crates/jobs/src/scheduler/mod.rs
@@ -65,7 +65,7 @@
 
 impl Scheduler {
     /// Restores the state from the rows of the table, at a takeover `now` after the controller's start.
-    pub fn open(limits: Limits, rows: impl IntoIterator<Item = Row>, now: Duration) -> Self {
+    pub fn restore(limits: Limits, rows: impl IntoIterator<Item = Row>, now: Duration) -> Self {
         let mut scheduler = Self {
             limits,
             rows: BTreeMap::new(),
@@ -149,7 +149,7 @@
     }
 
     /// Records that a start or renewal of `job` returned, whatever its result.
-    pub fn returned(&mut self, job: &id::Job, token: Token, now: Duration) {
+    pub fn call_returned(&mut self, job: &id::Job, token: Token, now: Duration) {
         if self.is_current(job, token)
             && let Some(run) = self.runs.get_mut(job)
         {
@@ -158,7 +158,7 @@
     }
 
     /// Records that a stop failed or its response was lost; the next plan sends it again.
-    pub fn not_stopped(&mut self, job: &id::Job, token: Token) {
+    pub fn stop_unconfirmed(&mut self, job: &id::Job, token: Token) {
         if self.is_current(job, token)
             && let Some(run) = self.runs.get_mut(job)
         {
@@ -167,14 +167,14 @@
     }
 
     /// Records that a start certainly had no effect; the job returns to the queue.
-    pub fn not_started(&mut self, job: &id::Job, token: Token) {
+    pub fn start_not_applied(&mut self, job: &id::Job, token: Token) {
         if self.is_current(job, token) {
             self.record_stopped(job);
         }
     }
 
     /// Records that an instance was repaired or replaced; it may run jobs again and is unproven.
-    pub fn repaired(&mut self, instance: &id::Instance) {
+    pub fn instance_repaired(&mut self, instance: &id::Instance) {
         self.quarantined.remove(instance);
         self.fault_tracker.reset_instance(instance);
     }
@@ -182,7 +182,7 @@
     /// Applies the reports of one read; late and repeated ones have no effect.
     ///
     /// An empty read counts too: the absence of a run is significant only while reports are read.
-    pub fn report(&mut self, reports: &[Report], now: Duration) {
+    pub fn apply_reports(&mut self, reports: &[Report], now: Duration) {
         self.reports_read_at = now;
         for report in reports {
             self.apply_report(report, now);
--- a/crates/jobs/tests/all/lease.rs
+++ b/crates/jobs/tests/all/lease.rs
@@ -107,7 +107,7 @@
     // There are no reports and the first renewal never returns.
     for second in (10..500).step_by(5) {
         let now = at(second);
-        sim.scheduler.report(&[], now);
+        sim.scheduler.apply_reports(&[], now);
         let plan = sim
             .scheduler
             .plan(now, Instant::default(), &sim.workers, &weights);
@@ -116,7 +116,7 @@
         assert_eq!(sim.state("job"), &State::Running(name("w0")));
     }
     assert_eq!(renewals, 1);
-    sim.scheduler.returned(&job, token, at(500));
+    sim.scheduler.call_returned(&job, token, at(500));
     for (second, starts) in [(530, 0), (544, 0), (545, 1)] {
         let plan = sim
             .scheduler
@@ -195,14 +195,15 @@
     let mut renewals = 0;
     for second in (5..300).step_by(5) {
         let now = std::time::Duration::from_secs(second);
-        sim.scheduler.report(std::slice::from_ref(&report), now);
+        sim.scheduler
+            .apply_reports(std::slice::from_ref(&report), now);
         let plan = sim
             .scheduler
             .plan(now, Instant(0), &sim.workers, &sim.weights);
         for action in plan.actions {
             if let Action::Renew { job, token, .. } = action {
                 renewals += 1;
-                sim.scheduler.returned(&job, token, now);
+                sim.scheduler.call_returned(&job, token, now);
             }
         }
     }
--- a/crates/jobs/tests/all/reference.rs
+++ b/crates/jobs/tests/all/reference.rs
@@ -89,7 +89,7 @@
 }
 
 fn scheduled(case: &Case) -> Vec<(String, String)> {
-    let mut scheduler = Scheduler::open(limits(), rows(case), Duration::ZERO);
+    let mut scheduler = Scheduler::restore(limits(), rows(case), Duration::ZERO);
     let plan = scheduler.plan(Duration::ZERO, Instant(300), &workers(case), &weights(case));
     let start = |action: &Action| match action {
         Action::Start(start) => (start.job.to_string(), start.instance.to_string()),
--- a/crates/jobs/tests/all/simulation.rs
+++ b/crates/jobs/tests/all/simulation.rs
@@ -96,7 +96,7 @@
             .map(|worker| (worker.id.clone(), worker));
         Self {
             now: 0,
-            scheduler: Scheduler::open(Limits::default(), [], Duration::ZERO),
+            scheduler: Scheduler::restore(Limits::default(), [], Duration::ZERO),
             workers: workers.collect(),
             weights: BTreeMap::new(),
             profiles: BTreeMap::new(),
@@ -164,7 +164,7 @@
     /// Another controller takes over, which knows only the rows.
     pub fn take_over(&mut self) {
         let rows: Vec<Row> = self.scheduler.rows().cloned().collect();
-        self.scheduler = Scheduler::open(Limits::default(), rows, Duration::from_secs(self.now));
+        self.scheduler = Scheduler::restore(Limits::default(), rows, Duration::from_secs(self.now));
     }
 
     pub fn run_ticks(&mut self, ticks: u64) {
@@ -178,7 +178,7 @@
         let now = Duration::from_secs(self.now);
         if !self.reports_unreadable && self.reports.len() as u64 > REPORT_LAG_TICKS {
             let reports = self.reports.pop_front().unwrap_or_default();
-            self.scheduler.report(&reports, now);
+            self.scheduler.apply_reports(&reports, now);
         }
         let at = Instant(self.now * 1000);
         let plan = self.scheduler.plan(now, at, &self.workers, &self.weights);
@@ -214,12 +214,12 @@
                         ended: None,
                     });
                 }
-                self.scheduler.returned(&start.job, start.token, now);
+                self.scheduler.call_returned(&start.job, start.token, now);
             }
             Action::Renew { job, token, lease } => {
                 let expires_at = self.now + lease.as_secs();
                 self.update_task(job, *token, |task| task.lease_expires_at = expires_at);
-                self.scheduler.returned(job, *token, now);
+                self.scheduler.call_returned(job, *token, now);
             }
             Action::Checkpoint { .. } if self.no_checkpoints => {}
             Action::Checkpoint { job, token } => {
@@ -233,7 +233,7 @@
                 self.update_task(job, *token, |task| task.fraction = *fraction);
             }
             Action::Stop { job, token } if self.calls_lost => {
-                self.scheduler.not_stopped(job, *token)
+                self.scheduler.stop_unconfirmed(job, *token);
             }
             Action::Stop { job, token } => {
                 let partitioned = self.partitioned.clone();
