--- a/crates/jobs/tests/all/drain.rs
+++ b/crates/jobs/tests/all/drain.rs
@@ -129,8 +129,8 @@
     );
 }
 
-// An operator cancels two hundred jobs, of which twenty run and one has just ended. A single plan
-// has the rows of all others and a stop for each run; queued jobs never start.
+// An operator cancels two hundred jobs, of which twenty run and one has already ended. A single
+// plan has the rows of all others and a stop for each run; queued jobs never start.
 #[test]
 fn cancellations_form_one_batch() {
     let mut sim = Simulation::start(5);
