--- a/crates/fleet/benches/fleet.rs
+++ b/crates/fleet/benches/fleet.rs
@@ -1,7 +1,8 @@
-//! Time and memory of one cycle's decisions at 50 to 5,000 workers, 270 pools at 1,200.
+//! Time and memory of one control cycle's decisions at 50 to 5,000 workers, with 270 pools at
+//! 1,200.
 //!
-//! `cargo bench -p primroseroute-fleet --bench fleet` prints one line for each decision and size, the
-//! peak resident memory after each size, and the wave rate that the budgets allow at 1,200.
+//! `cargo bench -p primroseroute-fleet --bench fleet` prints one line per decision and size, the
+//! peak resident memory after each size, and the wave rate that the budgets allow at 1,200 workers.
 
 use criterion::{BenchmarkId, Criterion};
 use primroseroute_domain::{
@@ -19,29 +20,31 @@
 use primroseroute_platform::fleet::{Listed, Phase};
 use std::{collections::BTreeMap, fs, hint::black_box, net::SocketAddr, time::Duration};
 
-/// Workers of each case, from the brief's sizes to beyond the letter's.
+/// Fleet sizes in workers.
 const SIZES: [u32; 4] = [50, 300, 1_200, 5_000];
 
-/// Workers a rack, as the brief has it.
-const RACK: u32 = 4;
+const WORKERS_PER_RACK: u32 = 4;
 
-/// Availability zones, as the letter has them.
+/// Number of availability zones.
 const ZONES: u32 = 5;
 
 fn pools(workers: u32) -> u32 {
     workers * 270 / 1_200
 }
 
-/// Spares and budgets: pools of 3 to 5 members, each with room for one; a tenth stays spare.
+/// A fleet of spares and budgets for pools of 3 to 5 members, each with headroom for one. A tenth
+/// of the workers stays spare.
 fn arrivals(workers: u32) -> Fleet {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let row = |index: u32| Row {
         id: format!("i{index:05}").parse().expect("a name"),
         address,
-        zone: format!("z{}", index / RACK % ZONES)
+        zone: format!("z{}", index / WORKERS_PER_RACK % ZONES)
+            .parse()
+            .expect("a name"),
+        rack: format!("r{}", index / WORKERS_PER_RACK)
             .parse()
             .expect("a name"),
-        rack: format!("r{}", index / RACK).parse().expect("a name"),
         pool: None,
         state: State::Probation,
         purpose: None,
@@ -70,7 +73,7 @@
     }
 }
 
-/// The fleet with every pool placed and serving.
+/// The fleet with all pools placed and serving.
 fn placed(workers: u32) -> Fleet {
     let mut fleet = arrivals(workers);
     let plan = placement::plan(&fleet, Weights::default());
@@ -82,10 +85,10 @@
     fleet
 }
 
-/// The fleet after one rack was lost.
+/// The fleet after the loss of one rack.
 fn without_a_rack(workers: u32) -> Fleet {
     let mut fleet = placed(workers);
-    for row in fleet.rows.values_mut().take(RACK as usize) {
+    for row in fleet.rows.values_mut().take(WORKERS_PER_RACK as usize) {
         row.state = State::Quarantined;
     }
     fleet
@@ -174,14 +177,15 @@
     group.finish();
 }
 
-/// The peak resident memory of this process, which bounds that of the decisions.
+/// Peak resident memory of this process, an upper bound for that of the decisions.
 fn peak() -> String {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmHWM"));
     line.unwrap_or("not known").to_owned()
 }
 
-/// How fast the budgets let a wave go at the letter's size, against once in four weeks.
+/// Prints the wave rate that the budgets allow at 1,200 workers, and the rate needed to maintain
+/// each once in four weeks.
 fn rate() {
     let fleet = placed(1_200);
     let plan =
--- a/crates/fleet/benches/ways.rs
+++ b/crates/fleet/benches/ways.rs
@@ -1,7 +1,7 @@
-//! The ways of placement that were weighed, on the same fleets: time, promises and changes.
+//! Comparison of placement algorithms on the same fleets: time, unmet promises and changes.
 //!
-//! `cargo bench -p primroseroute-fleet --bench ways` prints a table. Each fleet begins with members
-//! placed at random, so that many pools are crowded in one rack.
+//! `cargo bench -p primroseroute-fleet --bench ways` prints a table. The members of each fleet are
+//! placed at random at first, so that many pools are concentrated in one rack.
 
 use microlp::{ComparisonOp, OptimizationDirection, Problem};
 use primroseroute_domain::{
@@ -17,14 +17,13 @@
 use rand_chacha::ChaCha8Rng;
 use std::{collections::BTreeMap, net::SocketAddr, time::Instant as Clock};
 
-/// Workers of each case; the linear program is left out above the second, where it takes minutes.
+/// Fleet sizes in workers. The linear program is skipped above the second, where it takes minutes.
 const SIZES: [u32; 3] = [50, 300, 1_200];
 
-/// Most workers for which the linear program is solved here.
-const LINEAR: u32 = 300;
+/// Largest fleet for which the linear program is solved.
+const LINEAR_MAX_WORKERS: u32 = 300;
 
-/// Workers a rack, as the brief has it.
-const RACK: u32 = 4;
+const WORKERS_PER_RACK: u32 = 4;
 
 fn crowded(workers: u32) -> Fleet {
     let mut rng = ChaCha8Rng::seed_from_u64(u64::from(workers));
@@ -35,8 +34,12 @@
         Row {
             id: format!("i{index:05}").parse().expect("a name"),
             address: SocketAddr::from(([127, 0, 0, 1], 1)),
-            zone: format!("z{}", index / RACK % 5).parse().expect("a name"),
-            rack: format!("r{}", index / RACK).parse().expect("a name"),
+            zone: format!("z{}", index / WORKERS_PER_RACK % 5)
+                .parse()
+                .expect("a name"),
+            rack: format!("r{}", index / WORKERS_PER_RACK)
+                .parse()
+                .expect("a name"),
             pool: (!is_spare).then(|| format!("p{pool:04}").parse().expect("a name")),
             state: if is_spare {
                 State::Probation
@@ -79,8 +82,8 @@
         .sum()
 }
 
-/// Naive: fills each pool in turn to its target with the next spare or surplus member, whatever
-/// its rack.
+/// Baseline: fills each pool in turn to its target with the next spare or surplus member,
+/// regardless of its rack.
 fn naive(fleet: &Fleet) -> (Fleet, usize) {
     let mut after = fleet.clone();
     let mut changes = 0;
@@ -110,9 +113,10 @@
     (after, changes)
 }
 
-/// The transport problem: members of pool p in rack r, at most one, each new one costs a change.
+/// Transportation problem: at most one member of pool p in rack r, where each new one costs a
+/// change.
 ///
-/// Its matrix is totally unimodular, so the solution is whole; the loss is one for each pool.
+/// Its matrix is totally unimodular, so the solution is integral; the worst loss is one per pool.
 fn linear(fleet: &Fleet) -> Option<f64> {
     let mut problem = Problem::new(OptimizationDirection::Minimize);
     let mut capacity: BTreeMap<_, f64> = BTreeMap::new();
@@ -170,7 +174,7 @@
             plan.score.short,
             plan.held_back,
         );
-        if workers <= LINEAR {
+        if workers <= LINEAR_MAX_WORKERS {
             let clock = Clock::now();
             let least = linear(&fleet);
             println!(
--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -1,22 +1,23 @@
-//! What a pool's availability budget allows now.
+//! Availability budgets: which instances of a pool may leave it now.
 //!
-//! A pool's instances may leave as long as three things hold afterwards: at most `max_absent` are
-//! held out by planned work, `promised` serve, and `promised` would still serve after the sudden
-//! loss of the worst rack (or zone, where the budget asks for it). The loss is counted over the
-//! instances that serve *now*, so an unplanned absence shrinks the room as soon as it is known.
+//! Planned work may take an instance out if three conditions hold afterwards: at most `max_absent`
+//! instances are out for planned work, `promised` instances serve, and `promised` would still serve
+//! after the sudden loss of the worst rack (or zone, if the budget says so). The loss is computed
+//! over the instances that serve *now*, so an unplanned absence reduces the allowed disruptions as
+//! soon as it is known.
 //!
-//! # Why a late list breaks no promise
+//! # Safety under a stale list
 //!
-//! The margin covers the worst domain among the believed-present instances. Where one domain is
-//! already lost and not yet known to be, the instances that really serve are at least the believed
-//! ones less the worst domain, which is still `promised`.
+//! The margin covers the loss of the worst failure domain among the instances believed to be
+//! present. If one domain is already lost and this is not known yet, the instances that really
+//! serve are at least the believed ones minus the worst domain, which is still `promised`.
 //!
-//! # Cost
+//! # Complexity
 //!
-//! A [`Standing`] keeps one count for each rack and zone of the pool and a count of those counts,
-//! so a departure costs O(log racks) and the worst domain is read off the last key.
+//! A [`Standing`] has one count for each rack and zone of the pool, and a histogram of those
+//! counts. A departure costs O(log racks), and the worst domain is the last key of the histogram.
 
-use crate::state::{Fleet, is_planned_out};
+use crate::state::{Fleet, is_planned_absence};
 use primroseroute_domain::{
     account::{Budget, Survive},
     id,
@@ -27,27 +28,27 @@
 /// Why an instance may not leave its pool now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Forbidden {
-    /// Planned work already holds as many absent as it may.
+    /// Planned work already has `max_absent` instances out.
     #[error("planned work holds {absent} absent, and at most {max_absent} may be")]
     MaxAbsent {
-        /// Instances that planned work holds absent.
+        /// Instances that are out for planned work.
         absent: u32,
-        /// The most that it may.
+        /// The maximum that the budget allows.
         max_absent: u32,
     },
-    /// Too few would serve after the worst further loss.
+    /// Fewer than `promised` instances would serve after the worst further loss.
     #[error("{left} would serve after the loss of the worst {domain}, and {promised} are promised")]
     Promise {
-        /// Instances that would still serve.
+        /// Instances that would still serve after the loss.
         left: u32,
-        /// Instances that must.
+        /// Instances that the budget promises.
         promised: u32,
-        /// The failure domain of the loss.
+        /// The kind of failure domain that is lost.
         domain: Domain,
     },
 }
 
-/// The failure domain of a [`Survive`], for people.
+/// The kind of failure domain of a [`Survive`], for messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Domain(pub Survive);
 
@@ -61,38 +62,39 @@
     }
 }
 
-/// Counts of members by domain, with the largest count at hand.
+/// Members by failure domain, with constant-time access to the largest count.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Tally<K> {
-    members: BTreeMap<K, u32>,
-    domains: BTreeMap<u32, u32>,
+struct DomainCounts<K> {
+    members_by_domain: BTreeMap<K, u32>,
+    /// Number of domains by member count.
+    domains_by_count: BTreeMap<u32, u32>,
 }
 
-impl<K: Ord + Clone> Tally<K> {
+impl<K: Ord + Clone> DomainCounts<K> {
     fn new() -> Self {
         Self {
-            members: BTreeMap::new(),
-            domains: BTreeMap::new(),
+            members_by_domain: BTreeMap::new(),
+            domains_by_count: BTreeMap::new(),
         }
     }
 
     fn count(&self, domain: &K) -> u32 {
-        self.members.get(domain).copied().unwrap_or(0)
+        self.members_by_domain.get(domain).copied().unwrap_or(0)
     }
 
     fn set(&mut self, domain: &K, before: u32, after: u32) {
-        if let Some(domains) = self.domains.get_mut(&before) {
+        if let Some(domains) = self.domains_by_count.get_mut(&before) {
             *domains -= 1;
             if *domains == 0 {
-                self.domains.remove(&before);
+                self.domains_by_count.remove(&before);
             }
         }
         if after == 0 {
-            self.members.remove(domain);
+            self.members_by_domain.remove(domain);
             return;
         }
-        *self.domains.entry(after).or_default() += 1;
-        self.members.insert(domain.clone(), after);
+        *self.domains_by_count.entry(after).or_default() += 1;
+        self.members_by_domain.insert(domain.clone(), after);
     }
 
     fn add(&mut self, domain: &K) {
@@ -106,24 +108,26 @@
     }
 
     fn largest(&self) -> u32 {
-        self.domains.last_key_value().map_or(0, |(count, _)| *count)
+        self.domains_by_count
+            .last_key_value()
+            .map_or(0, |(count, _)| *count)
     }
 
-    /// The largest count once one member of `domain` has left.
+    /// The largest count after one member of `domain` leaves.
     fn largest_without(&self, domain: &K) -> u32 {
         let largest = self.largest();
-        let is_sole = self.domains.get(&largest) == Some(&1);
+        let is_sole = self.domains_by_count.get(&largest) == Some(&1);
         largest - u32::from(is_sole && self.count(domain) == largest)
     }
 }
 
-/// How a pool stands: who is present, by domain, and how many planned work holds absent.
+/// Availability of one pool: present members by failure domain, and members out for planned work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Standing {
     present: u32,
     planned: u32,
-    racks: Tally<id::Rack>,
-    zones: Tally<id::Zone>,
+    racks: DomainCounts<id::Rack>,
+    zones: DomainCounts<id::Zone>,
 }
 
 impl Default for Standing {
@@ -131,34 +135,34 @@
         Self {
             present: 0,
             planned: 0,
-            racks: Tally::new(),
-            zones: Tally::new(),
+            racks: DomainCounts::new(),
+            zones: DomainCounts::new(),
         }
     }
 }
 
 impl Standing {
-    /// Instances that serve now.
+    /// Number of instances that serve now.
     pub fn present(&self) -> u32 {
         self.present
     }
 
-    /// Instances that planned work holds absent.
+    /// Number of instances that are out for planned work.
     pub fn planned(&self) -> u32 {
         self.planned
     }
 
-    /// Instances that serve now in `rack`.
+    /// Number of instances that serve now in `rack`.
     pub fn in_rack(&self, rack: &id::Rack) -> u32 {
         self.racks.count(rack)
     }
 
-    /// Instances that serve now in `zone`.
+    /// Number of instances that serve now in `zone`.
     pub fn in_zone(&self, zone: &id::Zone) -> u32 {
         self.zones.count(zone)
     }
 
-    /// Instances that would serve after the worst further loss of `survive`.
+    /// Number of instances that would serve after the worst further loss of `survive`.
     pub fn left(&self, survive: Survive) -> u32 {
         let lost = match survive {
             Survive::Nothing => 0,
@@ -168,35 +172,36 @@
         self.present - lost
     }
 
-    /// Instances missing from the promise after the worst further loss; zero where it holds.
+    /// Number of instances below `promised` after the worst further loss; zero if the promise
+    /// holds.
     pub fn deficit(&self, budget: &Budget) -> u32 {
         budget.promised.saturating_sub(self.left(budget.survive))
     }
 
-    /// Counts a new member at `row`'s place.
+    /// Adds a present member in `row`'s rack and zone.
     pub fn join(&mut self, row: &Row) {
         self.present += 1;
         self.racks.add(&row.rack);
         self.zones.add(&row.zone);
     }
 
-    /// Counts a member at `row`'s place out; `row` must have been counted present.
+    /// Removes a member in `row`'s rack and zone, which must have been added as present.
     pub fn leave(&mut self, row: &Row) {
         self.present -= 1;
         self.racks.remove(&row.rack);
         self.zones.remove(&row.zone);
     }
 
-    /// Counts a present member out for planned work.
+    /// Removes a present member and counts it as out for planned work.
     pub fn take_out(&mut self, row: &Row) {
         self.leave(row);
         self.planned += 1;
     }
 
-    /// Whether planned work may take `row`, which is present, out now.
+    /// Checks whether planned work may take out `row`, which must be present.
     ///
     /// # Errors
-    /// The limit of the budget that forbids it.
+    /// The limit of the budget that would be exceeded.
     pub fn may_leave(&self, row: &Row, budget: &Budget) -> Result<(), Forbidden> {
         if self.planned >= budget.max_absent {
             return Err(Forbidden::MaxAbsent {
@@ -204,7 +209,7 @@
                 max_absent: budget.max_absent,
             });
         }
-        let left = self.left_without(row, budget.survive);
+        let left = self.survivors_without(row, budget.survive);
         if left < budget.promised {
             return Err(Forbidden::Promise {
                 left,
@@ -215,7 +220,7 @@
         Ok(())
     }
 
-    fn left_without(&self, row: &Row, survive: Survive) -> u32 {
+    fn survivors_without(&self, row: &Row, survive: Survive) -> u32 {
         let lost = match survive {
             Survive::Nothing => 0,
             Survive::Rack => self.racks.largest_without(&row.rack),
@@ -224,10 +229,10 @@
         self.present - 1 - lost
     }
 
-    /// Orders candidates to leave: those whose domain is the fullest come first.
+    /// Sort key of candidates to leave: members of the fullest failure domain have the largest key.
     ///
-    /// Taking from the fullest domain lowers the worst loss, so it leaves the most room; the other
-    /// domain breaks ties, which keeps the pool spread.
+    /// Taking from the fullest domain lowers the worst loss, so it allows the most disruptions. The
+    /// other kind of domain breaks ties, which keeps the pool spread.
     pub fn fullness(&self, row: &Row, survive: Survive) -> (u32, u32) {
         let rack = self.in_rack(&row.rack);
         let zone = self.in_zone(&row.zone);
@@ -238,7 +243,7 @@
     }
 }
 
-/// How every pool with a budget stands.
+/// Availability of every pool that has a budget.
 pub fn standings(fleet: &Fleet) -> BTreeMap<id::Pool, Standing> {
     let mut standings: BTreeMap<_, _> = fleet
         .budgets
@@ -251,17 +256,17 @@
         };
         if fleet.is_present(row) {
             standing.join(row);
-        } else if is_planned_out(row) {
+        } else if is_planned_absence(row) {
             standing.planned += 1;
         }
     }
     standings
 }
 
-/// Takes out of `standing` a largest set of `candidates` that may leave together, at most `most`.
+/// Takes a maximum set of `candidates` that may leave together out of `standing`, at most `most`.
 ///
-/// Greedy by fullest domain is exact: for each number of departures it leaves the least possible
-/// largest domain, and the survivors never grow as more leave.
+/// Greedy selection by fullest domain is exact: for each number of departures it minimizes the
+/// largest remaining domain, and the number of survivors never increases with more departures.
 pub fn take<'a>(
     standing: &mut Standing,
     budget: &Budget,
@@ -286,7 +291,7 @@
     taken
 }
 
-/// The instances of `pool` that may leave together now, beginning with the best to go.
+/// The instances of `pool` that may leave together now, in the order in which they should leave.
 pub fn room(fleet: &Fleet, pool: &id::Pool) -> Vec<id::Instance> {
     let Some(budget) = fleet.budgets.get(pool) else {
         return Vec::new();
--- a/crates/fleet/src/check.rs
+++ b/crates/fleet/src/check.rs
@@ -1,14 +1,14 @@
-//! An independent checker of I1 and I2 over a history of rows and views.
+//! Independent checker of the invariants I1 and I2 over a history of rows and views.
 //!
-//! It shares no code with the planner: it counts from the rows anew at every moment, by the words
-//! of the invariants. Tests of any crate record [`Moment`]s and hand them to [`history`].
+//! It shares no code with the planner: it recounts the rows of every [`Moment`] from the
+//! definitions of the invariants. Tests of any crate record moments and pass them to [`history`].
 //!
 //! * I1: an instance has one row, and no two of the table and the entries' views send requests to
 //!   it, or have requests in flight on it, for different pools.
-//! * I2: a planned step never leaves a pool with less than it promises. A step is planned where a
-//!   serving instance is taken out by an operator, a move or a wave. An unplanned loss on its own
-//!   is no breach. An instance that a move or a wave took out and that then failed is such a loss:
-//!   it counts against the margin and no longer as held out by planned work.
+//! * I2: a planned step never leaves a pool with fewer instances than promised. A step is planned
+//!   if an operator, a move or a wave takes out a serving instance. An unplanned loss alone is not
+//!   a breach. An instance that fails after a move or a wave took it out is an unplanned loss: it
+//!   counts against the margin and no longer as out for planned work.
 
 use primroseroute_domain::{
     account::{Budget, Survive},
@@ -18,81 +18,82 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What one entry believes and does.
+/// Routing state of one entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    /// The pool for which the entry sends requests to an instance.
+    /// The pool for which the entry sends requests to each instance.
     pub sends: BTreeMap<id::Instance, id::Pool>,
-    /// The pool for which the entry has requests in flight on an instance.
+    /// The pool for which the entry has requests in flight on each instance.
     pub in_flight: BTreeMap<id::Instance, id::Pool>,
 }
 
 /// The state of the fleet after one transaction or event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Moment {
-    /// When it was.
+    /// Time of the transaction or event.
     pub at: Instant,
-    /// Every row of the table; a list, so that a doubled row shows.
+    /// All rows of the table; a list, so that a duplicate row is detected.
     pub rows: Vec<Row>,
-    /// Every pool's budget.
+    /// The budget of each pool.
     pub budgets: BTreeMap<id::Pool, Budget>,
-    /// Instances that truly cannot serve, whatever their rows say.
+    /// Instances that actually cannot serve, whatever their rows say.
     pub down: BTreeSet<id::Instance>,
-    /// Those of them of which the controller could know.
+    /// The subset of `down` that the controller could know of.
     pub known: BTreeSet<id::Instance>,
-    /// Every entry's view.
+    /// The view of each entry.
     pub views: BTreeMap<id::Entry, View>,
 }
 
-/// A breach of an invariant.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Breach {
     /// I1: one instance has two rows.
     DoubledRow {
-        /// When it was seen.
+        /// Time of the state that breaks the invariant.
         at: Instant,
         /// The instance.
         instance: id::Instance,
     },
-    /// I1: one instance is used for two pools at the same moment.
+    /// I1: one instance is used for two pools at the same time.
     TwoPools {
-        /// When it was seen.
+        /// Time of the state that breaks the invariant.
         at: Instant,
         /// The instance.
         instance: id::Instance,
         /// The pools.
         pools: BTreeSet<id::Pool>,
     },
-    /// I2: planned work holds more absent than it may.
+    /// I2: more instances are out for planned work than the budget allows.
     MaxAbsent {
-        /// When it was seen.
+        /// Time of the state that breaks the invariant.
         at: Instant,
         /// The pool.
         pool: id::Pool,
-        /// Instances that planned work holds absent.
+        /// Instances that are out for planned work.
         absent: u32,
     },
-    /// I2: a planned step leaves less than promised, after the worst further loss of known state.
+    /// I2: after a planned step, the worst further loss in the known state would leave fewer
+    /// instances than promised.
     Margin {
-        /// When it was seen.
+        /// Time of the state that breaks the invariant.
         at: Instant,
         /// The pool.
         pool: id::Pool,
         /// Instances that would serve after the loss.
         left: u32,
     },
-    /// I2: a planned step leaves less than promised serving in truth.
+    /// I2: after a planned step, fewer instances than promised actually serve.
     Promise {
-        /// When it was seen.
+        /// Time of the state that breaks the invariant.
         at: Instant,
         /// The pool.
         pool: id::Pool,
-        /// Instances that truly serve.
+        /// Instances that actually serve.
         serving: u32,
     },
 }
 
-/// Every breach in `moments`, which are in the order in which they happened.
+/// All breaches in `moments`, which must be in chronological order.
 pub fn history<'a>(moments: impl IntoIterator<Item = &'a Moment>) -> Vec<Breach> {
     let mut breaches = Vec::new();
     let mut before: Option<&Moment> = None;
@@ -103,7 +104,7 @@
     breaches
 }
 
-/// Every breach at `after`, given the moment `before` it.
+/// All breaches at `after`, given the preceding moment `before`.
 pub fn step(before: Option<&Moment>, after: &Moment) -> Vec<Breach> {
     let mut breaches = one_pool(after);
     let Some(before) = before else {
@@ -156,7 +157,7 @@
     row.state != State::Serving && row.state != State::Leaving && !is_lost
 }
 
-/// Whether planned work took a serving instance out of `pool` between the two moments.
+/// Whether planned work took a serving instance out of `pool` between `before` and `after`.
 fn takes_out(before: &Moment, after: &Moment, pool: &id::Pool) -> bool {
     let served: BTreeSet<_> = before
         .rows
@@ -197,7 +198,7 @@
         .filter(|row| moment.down.contains(&row.id))
         .collect();
     let truly = count(serving().filter(|row| !moment.down.contains(&row.id)));
-    // A budget guards against one unforeseen loss of the domain that it names, not against more.
+    // A budget covers one undetected loss of the failure domain that it names, not more.
     let guarded = usize::from(budget.survive != Survive::Nothing);
     let domains: BTreeSet<_> = unknown
         .iter()
@@ -223,7 +224,7 @@
     }
 }
 
-/// The fewest of `members` that any one loss leaves: tries every domain.
+/// The fewest of `members` left after the loss of any one failure domain, by trying each domain.
 fn survivors(members: &[&&Row], survive: Survive) -> u32 {
     if survive == Survive::Nothing {
         return count(members.iter());
--- a/crates/fleet/src/lifecycle/limits.rs
+++ b/crates/fleet/src/lifecycle/limits.rs
@@ -1,28 +1,28 @@
-//! How long and how often before a step is taken.
+//! Health check thresholds and time-outs of the lifecycle.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Good checks in a row before an instance serves: with a check a second, a backend server that
-/// accepts connections before it can answer is found out.
+/// Consecutive good checks before an instance serves. With one check per second, three detect a
+/// backend server that accepts connections before it can answer.
 const GOOD_CHECKS: u32 = 3;
 
-/// Bad checks in a row before an instance is quarantined: one lost packet is not a failure.
+/// Consecutive bad checks before an instance is quarantined; a single lost packet is not a failure.
 const BAD_CHECKS: u32 = 3;
 
-/// Longest probation with bad checks, in seconds: five minutes is a slow start, more is a fault.
-const PROBATION: u64 = 300;
+/// Longest probation with bad checks: a slow start can take five minutes, more indicates a fault.
+const PROBATION_SECONDS: u64 = 300;
 
-/// Longest maintenance, in seconds: twice a slow reboot of ten minutes.
-const MAINTENANCE: u64 = 1_200;
+/// Longest maintenance: twice a slow reboot of ten minutes.
+const MAINTENANCE_SECONDS: u64 = 1_200;
 
 /// Limits of the lifecycle, from the deployment's settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Limits {
-    /// Good checks in a row before an instance leaves probation or quarantine.
+    /// Consecutive good checks before an instance leaves probation or quarantine.
     pub good_checks: u32,
-    /// Bad checks in a row before an instance is quarantined.
+    /// Consecutive bad checks before an instance is quarantined.
     pub bad_checks: u32,
     /// Seconds in probation after which an instance with bad checks is quarantined.
     pub probation_seconds: u64,
@@ -35,8 +35,8 @@
         Self {
             good_checks: GOOD_CHECKS,
             bad_checks: BAD_CHECKS,
-            probation_seconds: PROBATION,
-            maintenance_seconds: MAINTENANCE,
+            probation_seconds: PROBATION_SECONDS,
+            maintenance_seconds: MAINTENANCE_SECONDS,
         }
     }
 }
--- a/crates/fleet/src/lifecycle/mod.rs
+++ b/crates/fleet/src/lifecycle/mod.rs
@@ -1,24 +1,23 @@
-//! The next step of each instance, from its row and what is known of it.
+//! Lifecycle of instances: the next step of each, from its row and the observed state.
 //!
 //! # Moves
 //!
 //! `serving in A` -> `draining in A` -> every registered entry has acknowledged a view at or after
-//! the change that wrote `draining`, and has nothing in flight on the instance -> `serving in B`.
-//! At each moment one row names one pool, and no entry sends for B before every entry has stopped
-//! sending for A.
+//! the change that wrote `draining`, and has no requests in flight on the instance ->
+//! `serving in B`. The row names exactly one pool at any time, and no entry sends requests for B
+//! before every entry has stopped sending for A.
 //!
-//! # Silent entries
+//! # Unresponsive entries
 //!
-//! An entry that does not acknowledge stops moves, reboots and deletions; it never stops serving.
-//! It counts as gone only where the platform's list says so or an operator removes it
-//! ([`Entry::gone`]). Nothing is concluded from its silence: an entry that is paused or cut off
-//! wakes up with its old view and its requests in flight, and for as long as it is not gone
-//! nothing has been done that its old view forbids.
+//! An entry that does not acknowledge blocks moves, reboots and deletions, but never serving. It
+//! counts as gone only if the platform's list says so or an operator removes it ([`Entry::gone`]).
+//! No time-out declares it gone: an entry that was paused or partitioned resumes with its old view
+//! and its requests in flight, and until it is gone nothing happens that contradicts that view.
 //!
 //! # Restarts
 //!
-//! Nothing here is remembered between calls. Health checks restart from zero with a new
-//! controller, which delays a step and never causes one.
+//! No state is kept between calls. Health check counts restart from zero with a new controller,
+//! which can delay a step but never cause one.
 
 mod limits;
 mod orders;
@@ -37,31 +36,31 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, sync::Arc};
 
-/// Consecutive results of health checks of one instance since its last result of the other kind.
+/// Consecutive health check results of one instance since the last result of the other kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Checks {
-    /// Good results in a row; zero where the last one was bad.
+    /// Consecutive good results; zero if the last one was bad.
     pub good: u32,
-    /// Bad results in a row; zero where the last one was good.
+    /// Consecutive bad results; zero if the last one was good.
     pub bad: u32,
 }
 
-/// What one registered entry last reported.
+/// The last report of one registered entry.
 ///
-/// `seen` and `in_flight` are one report: the requests in flight when the view was `seen`.
-/// In-flight counts of an older view say nothing about a drain, since the entry could still send.
+/// `seen` and `in_flight` belong to the same report: the requests in flight when the view was at
+/// `seen`. Counts from an older view do not prove a drain, since the entry could still send.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Entry {
     /// The entry.
     pub id: id::Entry,
-    /// The newest change in its view.
+    /// The newest change that its view includes.
     pub seen: Seq,
-    /// Requests in flight by instance; an instance without any may be left out.
+    /// Requests in flight by instance; instances without any may be omitted.
     #[serde(default)]
     pub in_flight: BTreeMap<id::Instance, u32>,
-    /// Whether the platform's list says that it is gone, or an operator removed it.
+    /// Whether the platform lists it as gone or an operator removed it.
     #[serde(default)]
     pub gone: bool,
 }
@@ -77,15 +76,16 @@
     }
 }
 
-/// Whether every entry acknowledges `version`.
+/// Whether every entry has acknowledged `version`.
 ///
-/// No entries at all is no acknowledgement: the controller is itself a registered entry, so an
-/// empty list is a failed read, and acting on it would move an instance under live requests.
+/// An empty list is not an acknowledgement: the controller is itself a registered entry, so an
+/// empty list means a failed read, and acting on it would move an instance that has requests in
+/// flight.
 pub fn acknowledged(entries: &[Entry], version: Seq) -> bool {
     !entries.is_empty() && entries.iter().all(|entry| entry.has_seen(version))
 }
 
-/// Whether every entry acknowledges `version` and has nothing in flight on `instance`.
+/// Whether every entry has acknowledged `version` and has no requests in flight on `instance`.
 pub fn emptied(entries: &[Entry], instance: &id::Instance, version: Seq) -> bool {
     !entries.is_empty()
         && entries
@@ -93,50 +93,50 @@
             .all(|entry| entry.has_emptied(instance, version))
 }
 
-/// One thing to do. The actions of one call that write go into one transaction.
+/// An action for the caller. All writes of one call belong in one transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Write the row, because of `reason`.
+    /// Write the row.
     Put {
         /// The new row.
         row: Row,
-        /// Why, for the audit trail.
+        /// Cause of the change, for the audit trail.
         reason: Arc<str>,
     },
-    /// Delete the row and the mark of an instance that is gone.
+    /// Delete the row and the boot mark of an instance that is gone.
     Delete {
         /// The instance.
         id: id::Instance,
     },
-    /// Keep beside the row how often the instance had booted before its reboot is asked for.
+    /// Store the instance's boot count as its mark, before its reboot is requested.
     Mark {
         /// The instance.
         id: id::Instance,
-        /// Its count of boots.
+        /// Its boot count.
         boots: u64,
     },
-    /// Forget the mark, which belongs to an earlier reboot.
+    /// Delete the mark, which belongs to an earlier reboot.
     Unmark {
         /// The instance.
         id: id::Instance,
     },
-    /// Ask the platform for a reboot; a repeat with the same `boots` reboots once.
+    /// Request a reboot from the platform; requests with the same `boots` reboot only once.
     Reboot {
         /// The instance.
         id: id::Instance,
-        /// The marked count of boots.
+        /// The marked boot count.
         boots: u64,
     },
 }
 
-/// `row` in `state` from `now` on.
+/// `row` after a transition to `state` at `now`.
 ///
 /// # Panics
-/// If the transition is illegal, which is a bug of the caller.
-fn enter(row: &Row, state: State, now: Instant) -> Row {
+/// If the transition is illegal, which is a bug in the caller.
+fn transition(row: &Row, state: State, now: Instant) -> Row {
     assert!(
         row.state.may_become(state),
-        "{} cannot go from {} to {state}",
+        "illegal transition of `{}` from {} to {state}",
         row.id,
         row.state,
     );
--- a/crates/fleet/src/lifecycle/orders.rs
+++ b/crates/fleet/src/lifecycle/orders.rs
@@ -1,6 +1,6 @@
-//! Orders: what operators and planned work do to one instance, with what forbids it.
+//! Commands of operators and planned work to one instance, and the conditions that refuse them.
 
-use super::enter;
+use super::transition;
 use crate::{
     budget::{self, Standing},
     state::Fleet,
@@ -12,26 +12,26 @@
     time::Instant,
 };
 
-/// What an operator orders for one instance.
+/// An operator's command to one instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Take it out of its pool until it is released.
+    /// Take the instance out of its pool until it is released.
     Drain,
-    /// Move it to another pool.
+    /// Move the instance to another pool.
     Move(id::Pool),
-    /// Give a spare instance its first pool.
+    /// Assign a spare to its first pool.
     Assign(id::Pool),
-    /// Let it serve again, or check it again.
+    /// Return the instance to serving from a drain, or to probation from quarantine.
     Release,
-    /// Put it out of use until it is released.
+    /// Take the instance out of use until it is released.
     Quarantine,
 }
 
-/// The row of `instance` after `order`, if nothing forbids it.
+/// The row of `instance` after `order`.
 ///
 /// # Errors
-/// [`Code::NotFound`] for an unknown instance or pool, [`Code::IllegalTransition`] where the state
-/// does not allow it, [`Code::BudgetForbids`] where the pool's budget does not.
+/// [`Code::NotFound`] for an unknown instance or pool, [`Code::IllegalTransition`] if the state
+/// does not allow the command, [`Code::BudgetForbids`] if the pool's budget does not.
 pub fn order(
     fleet: &Fleet,
     instance: &id::Instance,
@@ -43,10 +43,10 @@
         .get(instance)
         .ok_or_else(|| Refusal::new(Code::NotFound, format!("no instance `{instance}`")))?;
     match order {
-        Order::Drain => drain_within(fleet, row, Purpose::Operator, now),
+        Order::Drain => drain_within_budget(fleet, row, Purpose::Operator, now),
         Order::Move(pool) => move_to(fleet, row, pool, now),
         Order::Assign(pool) => {
-            known(fleet, pool)?;
+            require_pool(fleet, pool)?;
             assign(row, pool)
         }
         Order::Release => release(row, now),
@@ -59,7 +59,7 @@
     Refusal::new(Code::IllegalTransition, detail)
 }
 
-fn known(fleet: &Fleet, pool: &id::Pool) -> Result<(), Refusal> {
+fn require_pool(fleet: &Fleet, pool: &id::Pool) -> Result<(), Refusal> {
     if fleet.budgets.contains_key(pool) {
         return Ok(());
     }
@@ -67,21 +67,26 @@
 }
 
 fn move_to(fleet: &Fleet, row: &Row, pool: &id::Pool, now: Instant) -> Result<Row, Refusal> {
-    known(fleet, pool)?;
+    require_pool(fleet, pool)?;
     if row.pool.as_ref() == Some(pool) {
         return Err(illegal(row, &format!("moved to `{pool}`, its own pool")));
     }
-    drain_within(fleet, row, Purpose::Move(pool.clone()), now)
+    drain_within_budget(fleet, row, Purpose::Move(pool.clone()), now)
 }
 
-fn drain_within(fleet: &Fleet, row: &Row, purpose: Purpose, now: Instant) -> Result<Row, Refusal> {
+fn drain_within_budget(
+    fleet: &Fleet,
+    row: &Row,
+    purpose: Purpose,
+    now: Instant,
+) -> Result<Row, Refusal> {
     let drained = drain(row, purpose, now)?;
-    allowed(fleet, row)?;
+    check_budget(fleet, row)?;
     Ok(drained)
 }
 
-/// Whether the budget of `row`'s pool lets it leave.
-fn allowed(fleet: &Fleet, row: &Row) -> Result<(), Refusal> {
+/// Checks that the budget of `row`'s pool allows it to leave.
+fn check_budget(fleet: &Fleet, row: &Row) -> Result<(), Refusal> {
     let Some(pool) = &row.pool else { return Ok(()) };
     let Some(budget) = fleet.budgets.get(pool) else {
         return Ok(());
@@ -90,14 +95,16 @@
     let verdict = if fleet.is_present(row) {
         standing.may_leave(row, budget)
     } else {
-        absent_may_leave(&standing, budget)
+        check_budget_of_absent(&standing, budget)
     };
     verdict.map_err(|why| Refusal::new(Code::BudgetForbids, format!("pool `{pool}`: {why}")))
 }
 
-/// An absent instance takes no capacity with it, so only the count of planned absences limits it;
-/// the margin must hold all the same, or planned work would go on in a pool below its promise.
-fn absent_may_leave(
+/// Checks the budget for an instance that is already absent.
+///
+/// It takes no capacity with it, so only the number of planned absences limits it. The margin must
+/// hold nevertheless, or planned work would continue in a pool below its promise.
+fn check_budget_of_absent(
     standing: &Standing,
     budget: &primroseroute_domain::account::Budget,
 ) -> Result<(), budget::Forbidden> {
@@ -117,40 +124,40 @@
     Ok(())
 }
 
-/// `row` draining for `purpose`; budgets are the caller's to hold.
+/// `row` draining for `purpose`. The caller must check the budget.
 ///
 /// # Errors
-/// [`Code::IllegalTransition`] where it does not serve.
+/// [`Code::IllegalTransition`] if the instance is not serving.
 pub fn drain(row: &Row, purpose: Purpose, now: Instant) -> Result<Row, Refusal> {
     if row.state != State::Serving {
         return Err(illegal(row, "drained"));
     }
     Ok(Row {
         purpose: Some(purpose),
-        ..enter(row, State::Draining, now)
+        ..transition(row, State::Draining, now)
     })
 }
 
 /// `row` serving again in the pool that it was draining from.
 ///
-/// It is safe at any moment of a drain, since the pool has not changed.
+/// This is safe at any point of a drain, since the pool has not changed.
 ///
 /// # Errors
-/// [`Code::IllegalTransition`] where it does not drain, or the platform takes it away.
+/// [`Code::IllegalTransition`] if the instance is not draining or the platform is removing it.
 pub fn undrain(row: &Row, now: Instant) -> Result<Row, Refusal> {
     if row.state != State::Draining || row.purpose == Some(Purpose::Leave) {
         return Err(illegal(row, "released"));
     }
     Ok(Row {
         purpose: None,
-        ..enter(row, State::Serving, now)
+        ..transition(row, State::Serving, now)
     })
 }
 
-/// The spare `row` with its first pool; it serves as soon as its checks are good.
+/// The spare `row` assigned to its first pool; it serves once its health checks pass.
 ///
-/// # Errors
-/// [`Code::IllegalTransition`] where it is not a spare: in probation and in no pool.
+/// # Errors [`Code::IllegalTransition`] if the instance is not a spare, that is, in probation and
+/// in no pool.
 pub fn assign(row: &Row, pool: &id::Pool) -> Result<Row, Refusal> {
     if row.pool.is_some() || row.state != State::Probation {
         return Err(illegal(row, &format!("given to `{pool}`")));
@@ -165,7 +172,7 @@
     if row.state == State::Quarantined {
         return Ok(Row {
             purpose: None,
-            ..enter(row, State::Probation, now)
+            ..transition(row, State::Probation, now)
         });
     }
     undrain(row, now)
@@ -175,10 +182,10 @@
     if !row.state.may_become(State::Quarantined) {
         return Err(illegal(row, "quarantined"));
     }
-    // An instance that does not serve is lost already: the order records it and breaks nothing.
+    // An instance that does not serve is lost already: quarantine only records the loss.
     let is_lost = row.state == State::Serving && fleet.absent.contains(&row.id);
     if row.state == State::Serving && !is_lost {
-        allowed(fleet, row)?;
+        check_budget(fleet, row)?;
     }
     let purpose = if is_lost {
         None
@@ -187,6 +194,6 @@
     };
     Ok(Row {
         purpose,
-        ..enter(row, State::Quarantined, now)
+        ..transition(row, State::Quarantined, now)
     })
 }
--- a/crates/fleet/src/lifecycle/step.rs
+++ b/crates/fleet/src/lifecycle/step.rs
@@ -1,6 +1,6 @@
-//! One step of the whole fleet.
+//! One lifecycle step of the whole fleet.
 
-use super::{Action, Checks, Entry, Limits, acknowledged, emptied, enter};
+use super::{Action, Checks, Entry, Limits, acknowledged, emptied, transition};
 use primroseroute_domain::{
     change::Seq,
     id,
@@ -10,40 +10,41 @@
 use primroseroute_platform::fleet::{Listed, Phase};
 use std::collections::BTreeMap;
 
-/// Fewest serving instances that fail checks together before the checks themselves are doubted.
-const DOUBT_FLOOR: usize = 4;
+/// Fewest serving instances that must fail checks together for the checks to count as unreliable.
+const UNRELIABLE_CHECKS_MIN_FAILURES: usize = 4;
 
-/// Everything that one step reads.
+/// Input of one step.
 #[derive(Clone, Copy, Debug)]
 pub struct Input<'a> {
-    /// Every instance's row.
+    /// The row of each instance.
     pub rows: &'a BTreeMap<id::Instance, Row>,
     /// The change that last wrote each row.
     pub versions: &'a BTreeMap<id::Instance, Seq>,
-    /// The platform's list; the caller never hands in an older list after a newer one.
+    /// The platform's list of instances; the caller must never pass an older list after a newer
+    /// one.
     pub listed: &'a BTreeMap<id::Instance, Listed>,
-    /// Health checks since the controller began.
+    /// Health checks since the controller started.
     pub checks: &'a BTreeMap<id::Instance, Checks>,
-    /// The counts of boots that [`Action::Mark`] kept.
+    /// The boot counts stored by [`Action::Mark`].
     pub marks: &'a BTreeMap<id::Instance, u64>,
-    /// Every registered entry.
+    /// All registered entries.
     pub entries: &'a [Entry],
-    /// The deployment's limits.
+    /// The limits of the deployment.
     pub limits: Limits,
-    /// The time, by the writer's clock.
+    /// Current time, by the writer's clock.
     pub now: Instant,
 }
 
-/// The next step of every instance: arrivals, then rows in order of their names.
+/// The next actions for all instances: arrivals first, then existing rows ordered by name.
 pub fn step(input: &Input<'_>) -> Vec<Action> {
-    let doubts_checks = doubts_checks(input);
+    let checks_unreliable = checks_unreliable(input);
     let rows = input.rows.values().flat_map(|row| {
-        let one = One {
+        let instance = InstanceStep {
             input,
             row,
-            doubts_checks,
+            checks_unreliable,
         };
-        one.next()
+        instance.next_actions()
     });
     arrivals(input).chain(rows).collect()
 }
@@ -67,14 +68,14 @@
     })
 }
 
-/// Whether so many serving instances fail their checks at once that the checker is the likelier
+/// Whether so many serving instances fail their checks at once that the checker is probably at
 /// fault.
 ///
-/// A controller that is cut off from the workers sees every check fail. Without this it would
-/// quarantine the whole fleet, and every caller would be refused while the workers are well. The
-/// platform's list still takes out what is truly gone, and the request path ejects on its own what
-/// fails requests.
-fn doubts_checks(input: &Input<'_>) -> bool {
+/// A controller that is partitioned from the workers sees every check fail. Without this test it
+/// would quarantine the whole fleet, and every caller would be refused although the workers are
+/// healthy. The platform's list still removes instances that are really gone, and the request path
+/// ejects failing instances independently.
+fn checks_unreliable(input: &Input<'_>) -> bool {
     let serving = || {
         input
             .rows
@@ -84,7 +85,7 @@
     let failing = serving()
         .filter(|row| checks_of(input, row).bad >= input.limits.bad_checks)
         .count();
-    failing >= DOUBT_FLOOR && failing * 2 > serving().count()
+    failing >= UNRELIABLE_CHECKS_MIN_FAILURES && failing * 2 > serving().count()
 }
 
 fn checks_of(input: &Input<'_>, row: &Row) -> Checks {
@@ -98,16 +99,16 @@
     }
 }
 
-/// One row with what is known of it.
-struct One<'a> {
+/// One row with the input of the step.
+struct InstanceStep<'a> {
     input: &'a Input<'a>,
     row: &'a Row,
-    doubts_checks: bool,
+    checks_unreliable: bool,
 }
 
-impl One<'_> {
-    fn next(&self) -> Vec<Action> {
-        if let Some(actions) = self.departs() {
+impl InstanceStep<'_> {
+    fn next_actions(&self) -> Vec<Action> {
+        if let Some(actions) = self.platform_removal() {
             return actions;
         }
         match self.row.state {
@@ -130,7 +131,7 @@
     }
 
     fn version(&self) -> Seq {
-        // A row without a known version has been acknowledged by nobody.
+        // No entry can have acknowledged a row without a known version.
         let version = self.input.versions.get(&self.row.id);
         version.copied().unwrap_or(Seq(u64::MAX))
     }
@@ -139,15 +140,15 @@
         checks_of(self.input, self.row)
     }
 
-    fn is_good(&self) -> bool {
+    fn checks_pass(&self) -> bool {
         self.checks().good >= self.input.limits.good_checks
     }
 
-    fn is_bad(&self) -> bool {
+    fn checks_fail(&self) -> bool {
         self.checks().bad >= self.input.limits.bad_checks
     }
 
-    fn is_emptied(&self) -> bool {
+    fn is_drained(&self) -> bool {
         emptied(self.input.entries, &self.row.id, self.version())
     }
 
@@ -155,43 +156,43 @@
         self.input.now.since(self.row.since)
     }
 
-    fn enter(&self, state: State) -> Row {
-        enter(self.row, state, self.input.now)
+    fn row_in(&self, state: State) -> Row {
+        transition(self.row, state, self.input.now)
     }
 
-    fn go(&self, state: State, reason: &str) -> Vec<Action> {
-        vec![put(self.enter(state), reason)]
+    fn put_in(&self, state: State, reason: &str) -> Vec<Action> {
+        vec![put(self.row_in(state), reason)]
     }
 
-    /// What the platform's taking the instance away leads to, whatever its state.
-    fn departs(&self) -> Option<Vec<Action>> {
+    /// Actions if the platform is removing or has removed the instance, whatever its state.
+    fn platform_removal(&self) -> Option<Vec<Action>> {
         let gone = match self.phase()? {
             Phase::Gone => true,
             Phase::Leaving => false,
             Phase::Live | Phase::Rebooting => return None,
         };
         match self.row.state {
-            // The row goes last: an entry with an old view still sends to it, and the name could
-            // come back in another pool.
+            // The row is deleted last: an entry with an old view still sends to the instance, and
+            // its name could be reused in another pool.
             State::Leaving if gone && acknowledged(self.input.entries, self.version()) => {
                 let id = self.row.id.clone();
                 Some(vec![Action::Delete { id }])
             }
             State::Leaving => Some(Vec::new()),
-            State::Serving if !gone => Some(self.drain_to_leave(State::Draining)),
+            State::Serving if !gone => Some(self.begin_leaving(State::Draining)),
             State::Draining if !gone && self.row.purpose != Some(Purpose::Leave) => {
-                Some(self.drain_to_leave(State::Draining))
+                Some(self.begin_leaving(State::Draining))
             }
-            State::Draining if !gone && !self.is_emptied() => Some(Vec::new()),
-            _ => Some(self.drain_to_leave(State::Leaving)),
+            State::Draining if !gone && !self.is_drained() => Some(Vec::new()),
+            _ => Some(self.begin_leaving(State::Leaving)),
         }
     }
 
-    fn drain_to_leave(&self, state: State) -> Vec<Action> {
+    fn begin_leaving(&self, state: State) -> Vec<Action> {
         let entered = if self.row.state == state {
             self.row.clone()
         } else {
-            self.enter(state)
+            self.row_in(state)
         };
         let row = Row {
             purpose: Some(Purpose::Leave),
@@ -202,7 +203,7 @@
 
     fn arriving(&self) -> Vec<Action> {
         if self.phase() == Some(Phase::Live) {
-            return self.go(State::Probation, "it is live");
+            return self.put_in(State::Probation, "it is live");
         }
         Vec::new()
     }
@@ -212,28 +213,28 @@
             let id = self.row.id.clone();
             return vec![Action::Unmark { id }];
         }
-        if self.is_bad() {
-            return self.go(State::Quarantined, "it fails its checks in probation");
+        if self.checks_fail() {
+            return self.put_in(State::Quarantined, "it fails its checks in probation");
         }
         let is_late = self.age() > self.input.limits.probation();
-        if is_late && !self.is_good() && self.checks().bad > 0 {
-            return self.go(State::Quarantined, "its checks do not settle");
+        if is_late && !self.checks_pass() && self.checks().bad > 0 {
+            return self.put_in(State::Quarantined, "its checks do not settle");
         }
-        if !self.is_good() || self.phase() == Some(Phase::Rebooting) {
+        if !self.checks_pass() || self.phase() == Some(Phase::Rebooting) {
             return Vec::new();
         }
         if self.row.pool.is_none() {
-            return self.spare();
+            return self.finish_spare_maintenance();
         }
         let row = Row {
             purpose: None,
-            ..self.enter(State::Serving)
+            ..self.row_in(State::Serving)
         };
         vec![put(row, "its checks are good")]
     }
 
-    /// A spare stays in probation; what took it out is over, or its wave would wait for it for ever.
-    fn spare(&self) -> Vec<Action> {
+    /// A spare stays in probation. Its purpose is cleared, or its wave would wait for it forever.
+    fn finish_spare_maintenance(&self) -> Vec<Action> {
         if self.row.purpose.is_none() {
             return Vec::new();
         }
@@ -246,19 +247,19 @@
 
     fn serving(&self) -> Vec<Action> {
         if self.phase() == Some(Phase::Rebooting) {
-            return self.go(State::Quarantined, "it reboots unasked");
+            return self.put_in(State::Quarantined, "it reboots unasked");
         }
-        if self.is_bad() && !self.doubts_checks {
-            return self.go(State::Quarantined, "it fails its checks");
+        if self.checks_fail() && !self.checks_unreliable {
+            return self.put_in(State::Quarantined, "it fails its checks");
         }
         Vec::new()
     }
 
     fn draining(&self) -> Vec<Action> {
-        if self.is_bad() && !self.doubts_checks {
-            return self.fail_draining();
+        if self.checks_fail() && !self.checks_unreliable {
+            return self.quarantine_draining();
         }
-        if !self.is_emptied() {
+        if !self.is_drained() {
             return Vec::new();
         }
         match &self.row.purpose {
@@ -266,20 +267,22 @@
                 let row = Row {
                     pool: Some(pool.clone()),
                     purpose: None,
-                    ..self.enter(State::Serving)
+                    ..self.row_in(State::Serving)
                 };
                 vec![put(row, "it is empty and moves")]
             }
             Some(Purpose::Wave(_)) => self.begin_maintenance(),
-            Some(Purpose::Leave) => self.go(State::Leaving, "it is empty and leaves"),
+            Some(Purpose::Leave) => self.put_in(State::Leaving, "it is empty and leaves"),
             Some(Purpose::Operator) | None => Vec::new(),
         }
     }
 
-    /// An older reboot's mark goes, or the next list would show a reboot that never was and the
-    /// wave would count an instance as maintained that was not.
-    fn fail_draining(&self) -> Vec<Action> {
-        let mut actions = self.go(State::Quarantined, "it fails its checks while it drains");
+    /// Quarantines a draining instance that fails its checks.
+    ///
+    /// The mark of an earlier reboot is deleted. Otherwise the next list would seem to show a
+    /// reboot that did not happen, and the wave would count the instance as maintained.
+    fn quarantine_draining(&self) -> Vec<Action> {
+        let mut actions = self.put_in(State::Quarantined, "it fails its checks while it drains");
         if self.input.marks.contains_key(&self.row.id) {
             let id = self.row.id.clone();
             actions.push(Action::Unmark { id });
@@ -295,28 +298,28 @@
             id: self.row.id.clone(),
             boots: listed.boots,
         };
-        let row = self.enter(State::Maintenance);
+        let row = self.row_in(State::Maintenance);
         vec![put(row, "it is empty and reboots"), mark]
     }
 
     fn maintenance(&self) -> Vec<Action> {
         let Some(listed) = self.listed() else {
-            return self.overdue();
+            return self.quarantine_if_overdue();
         };
         let Some(&boots) = self.input.marks.get(&self.row.id) else {
             let id = self.row.id.clone();
             let boots = listed.boots;
             return vec![Action::Mark { id, boots }];
         };
-        if self.is_rebooted() {
+        if self.has_rebooted() {
             let row = Row {
                 maintained: Some(self.input.now),
-                ..self.enter(State::Probation)
+                ..self.row_in(State::Probation)
             };
             return vec![put(row, "it has rebooted")];
         }
         if self.age() > self.input.limits.maintenance() {
-            return self.overdue();
+            return self.quarantine_if_overdue();
         }
         if listed.phase == Phase::Live && listed.boots == boots {
             let id = self.row.id.clone();
@@ -325,49 +328,50 @@
         Vec::new()
     }
 
-    fn overdue(&self) -> Vec<Action> {
+    fn quarantine_if_overdue(&self) -> Vec<Action> {
         if self.age() > self.input.limits.maintenance() {
-            return self.go(State::Quarantined, "it has not come back from its reboot");
+            return self.put_in(State::Quarantined, "it has not come back from its reboot");
         }
         Vec::new()
     }
 
-    fn is_rebooted(&self) -> bool {
+    fn has_rebooted(&self) -> bool {
         let mark = self.input.marks.get(&self.row.id);
         self.listed()
             .zip(mark)
             .is_some_and(|(listed, mark)| listed.phase == Phase::Live && listed.boots > *mark)
     }
 
-    /// The reboot that was marked and has not happened.
+    /// The reboot that was marked and has not happened yet.
     ///
-    /// A controller that was paused since the mark may still ask the platform for it when it wakes
-    /// up, and the platform would carry it out, since the count of boots has not moved: a serving
-    /// instance would go down with requests in flight. So the instance reboots before it serves.
-    fn owed_reboot(&self) -> Option<Action> {
+    /// A controller that was paused after writing the mark may still request the reboot when it
+    /// resumes. The platform would carry it out, since the boot count has not changed, and a
+    /// serving instance would go down with requests in flight. So the instance reboots before it
+    /// serves.
+    fn pending_reboot(&self) -> Option<Action> {
         let boots = *self.input.marks.get(&self.row.id)?;
-        let is_owed = self.listed().is_some_and(|listed| listed.boots == boots);
+        let is_pending = self.listed().is_some_and(|listed| listed.boots == boots);
         let id = self.row.id.clone();
-        is_owed.then_some(Action::Reboot { id, boots })
+        is_pending.then_some(Action::Reboot { id, boots })
     }
 
     fn quarantined(&self) -> Vec<Action> {
         let by_operator = self.row.purpose == Some(Purpose::Operator);
-        if by_operator || !self.is_good() || self.phase() != Some(Phase::Live) {
+        if by_operator || !self.checks_pass() || self.phase() != Some(Phase::Live) {
             return Vec::new();
         }
-        if let Some(reboot) = self.owed_reboot() {
+        if let Some(reboot) = self.pending_reboot() {
             return vec![reboot];
         }
-        let was_due = matches!(self.row.purpose, Some(Purpose::Wave(_)));
-        let maintained = if was_due && self.is_rebooted() {
+        let in_wave = matches!(self.row.purpose, Some(Purpose::Wave(_)));
+        let maintained = if in_wave && self.has_rebooted() {
             Some(self.input.now)
         } else {
             self.row.maintained
         };
         let row = Row {
             maintained,
-            ..self.enter(State::Probation)
+            ..self.row_in(State::Probation)
         };
         vec![put(row, "its checks are good again")]
     }
--- a/crates/fleet/src/measure.rs
+++ b/crates/fleet/src/measure.rs
@@ -1,13 +1,13 @@
-//! What a fleet costs: buffer, roll-out time and moves, from a history of rows.
+//! Cost of a fleet over a history of rows: buffer, moves and roll-out time.
 //!
-//! * Buffer cost: slot-hours that pools hold beyond what they promise. A member counts as held
-//!   from its first placement until it is lost, also while it reboots: it is there for the pool
-//!   and for nothing else. Spares are counted apart, since any pool may have them.
-//! * Lower bound: for each pool, the least that its budget asks to be held beyond the promise,
-//!   however well it is placed: the worst loss under the best spread, and the room for planned
-//!   work ([`crate::placement::target`]).
+//! * Buffer cost: slot-hours of pool members beyond the promised number. A member counts from its
+//!   first placement until it is lost, also while it reboots, since it is reserved for that pool.
+//!   Spares are counted separately, because any pool may use them.
+//! * Lower bound: for each pool, the smallest buffer that its budget requires under any placement:
+//!   the worst loss with the best possible spread, plus the headroom for planned work
+//!   ([`crate::placement::target`]).
 //! * Moves: changes of an instance from one pool to another.
-//! * Roll-out time: from a wave's start to its end ([`rollout`]).
+//! * Roll-out time: from the start of a wave to its end ([`rollout`]).
 
 use crate::{
     placement::{self, Weights, target},
@@ -18,33 +18,32 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, time::Duration};
 
-/// Seconds of an hour.
-const HOUR: f64 = 3_600.0;
+const SECONDS_PER_HOUR: f64 = 3_600.0;
 
-/// What one pool cost over a period.
+/// Cost of one pool over a period.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Cost {
-    /// Slot-hours held beyond the promise.
+    /// Slot-hours of members beyond the promised number.
     pub buffer_slot_hours: f64,
-    /// The least that any placement could have held.
+    /// Lower bound of `buffer_slot_hours` under any placement.
     pub bound_slot_hours: f64,
-    /// Instances that moved into the pool from another.
+    /// Instances that moved into the pool from another pool.
     pub moves: u32,
 }
 
-/// What a fleet cost over a period.
+/// Cost of a fleet over a period.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Report {
-    /// Each pool's cost.
+    /// Cost of each pool.
     pub pools: BTreeMap<id::Pool, Cost>,
-    /// Slot-hours of spares, which any pool may have.
+    /// Slot-hours of spares, which belong to no pool.
     pub spare_slot_hours: f64,
 }
 
 impl Report {
-    /// The cost over all pools.
+    /// Sum of the costs of all pools.
     pub fn total(&self) -> Cost {
         let add = |sum: Cost, cost: &Cost| Cost {
             buffer_slot_hours: sum.buffer_slot_hours + cost.buffer_slot_hours,
@@ -55,7 +54,7 @@
     }
 }
 
-/// Adds up a history that is shown to it moment by moment.
+/// Accumulates the cost of a history from successive states of the fleet.
 #[derive(Clone, Debug)]
 pub struct Meter {
     weights: Weights,
@@ -64,7 +63,7 @@
 }
 
 impl Meter {
-    /// A meter that has seen nothing.
+    /// A meter without observations.
     pub fn new(weights: Weights) -> Self {
         Self {
             weights,
@@ -73,7 +72,7 @@
         }
     }
 
-    /// Takes in the fleet as it is from `now` on; times never go back.
+    /// Records the state of the fleet from `now` on; `now` must not decrease between calls.
     pub fn observe(&mut self, fleet: &Fleet, now: Instant) {
         if let Some((since, before)) = self.last.take() {
             self.add_period(&before, now.since(since));
@@ -82,21 +81,21 @@
         self.last = Some((now, fleet.clone()));
     }
 
-    /// What was added up until the last moment taken in.
+    /// The cost up to the last observation.
     pub fn report(&self) -> &Report {
         &self.report
     }
 
     fn add_period(&mut self, fleet: &Fleet, period: Duration) {
-        let slot_hours = f64::from(SLOTS) * period.as_secs_f64() / HOUR;
+        let slot_hours = f64::from(SLOTS) * period.as_secs_f64() / SECONDS_PER_HOUR;
         let bounds = bounds(fleet, self.weights);
-        for (pool, held) in held(fleet) {
+        for (pool, members) in members_by_pool(fleet) {
             let Some(budget) = fleet.budgets.get(pool) else {
                 continue;
             };
             let cost = self.report.pools.entry(pool.clone()).or_default();
-            let beyond = held.saturating_sub(budget.promised);
-            cost.buffer_slot_hours += f64::from(beyond) * slot_hours;
+            let surplus = members.saturating_sub(budget.promised);
+            cost.buffer_slot_hours += f64::from(surplus) * slot_hours;
             cost.bound_slot_hours += f64::from(bounds[pool]) * slot_hours;
         }
         let spares = fleet
@@ -119,16 +118,17 @@
     }
 }
 
-/// Slot-hours that the pools of `fleet` hold beyond their promises over `period`.
+/// Slot-hours over `period` of the members that the pools of `fleet` have beyond the promised
+/// number.
 pub fn buffer(fleet: &Fleet, period: Duration) -> f64 {
-    let beyond = held(fleet).into_iter().map(|(pool, held)| {
+    let surplus = members_by_pool(fleet).into_iter().map(|(pool, members)| {
         let promised = fleet.budgets.get(pool).map_or(0, |budget| budget.promised);
-        f64::from(held.saturating_sub(promised))
+        f64::from(members.saturating_sub(promised))
     });
-    beyond.sum::<f64>() * f64::from(SLOTS) * period.as_secs_f64() / HOUR
+    surplus.sum::<f64>() * f64::from(SLOTS) * period.as_secs_f64() / SECONDS_PER_HOUR
 }
 
-/// The least number of members that each pool must hold beyond its promise.
+/// The smallest number of members that each pool needs beyond the promised number.
 pub fn bounds(fleet: &Fleet, weights: Weights) -> BTreeMap<&id::Pool, u32> {
     let mut racks = BTreeMap::<_, u32>::new();
     let mut zones = BTreeMap::<_, u32>::new();
@@ -147,17 +147,17 @@
         .collect()
 }
 
-fn held(fleet: &Fleet) -> BTreeMap<&id::Pool, u32> {
-    let mut held = BTreeMap::new();
+fn members_by_pool(fleet: &Fleet) -> BTreeMap<&id::Pool, u32> {
+    let mut members = BTreeMap::new();
     for row in fleet.rows.values() {
         if let Some(pool) = placement::home(fleet, row) {
-            *held.entry(pool).or_default() += 1;
+            *members.entry(pool).or_default() += 1;
         }
     }
-    held
+    members
 }
 
-/// How long a wave took, or has taken so far.
+/// Duration of a wave, until `now` if it has not ended.
 pub fn rollout(wave: &wave::Row, now: Instant) -> Duration {
     wave.ended.unwrap_or(now).since(wave.started)
 }
--- a/crates/fleet/src/placement/mod.rs
+++ b/crates/fleet/src/placement/mod.rs
@@ -1,31 +1,32 @@
-//! Which instance serves which pool.
+//! Placement: assignment of instances to pools.
 //!
-//! # Objective, in this order
+//! # Objectives, in lexicographic order
 //!
 //! 1. Promises: `promised` instances after the loss of the worst rack (or zone).
-//! 2. Room: beside that, as many members as the pool's planned work takes out at a time, so that
-//!    maintenance does not wait for spares ([`target`]).
-//! 3. Least cost: members held, by the deployment's weight of buffer, and moves, by its weight of
-//!    moves. A spare given to a pool is held from then on; a surplus member of another pool is
-//!    held already, and its move costs a drain. The weights decide between the two.
+//! 2. Headroom: in addition, as many members as the pool's planned work takes out at a time, so
+//!    that maintenance does not wait for spares ([`target`]).
+//! 3. Cost: the number of members and the number of moves, each multiplied by its weight from the
+//!    settings. A spare given to a pool is a member from then on; a surplus member of another pool
+//!    is a member already, and moving it costs a drain. The weights decide between the two.
 //! 4. Spread over racks and zones.
 //!
-//! # Way
+//! # Algorithm
 //!
-//! Greedy by largest deficit, twice: once with the spread of zones before the stock of racks, once
-//! the other way round. The better plan is kept and improved by exchanges where a promise is still
-//! unmet. `docs/design/placement.md` has the ways that were weighed and their figures.
+//! A greedy pass by largest deficit runs twice: once with ties broken by the spread over zones, and
+//! once by the spares left in a rack. The better result is kept and improved by local search where
+//! a promise is still unmet. `docs/design/placement.md` compares the alternatives with
+//! measurements.
 //!
-//! # Order of a plan
+//! # Order of moves
 //!
-//! Spares first, then moves in an order in which each source pool's budget holds at each step; a
-//! move that no order allows is left out. [`start`] begins what the budgets allow now and leaves
-//! the rest to the next call: a plan is made anew from the rows each time, so a plan is never
+//! Spares come first, then moves in an order in which each source pool's budget holds at each step;
+//! a move that no order allows is left out. [`start`] begins the moves that the budgets allow now
+//! and leaves the rest to the next call. Each call plans again from the rows, so a plan is never
 //! stale.
 
-mod board;
-mod exchange;
-mod fill;
+mod assignment;
+mod greedy;
+mod local_search;
 mod order;
 mod target;
 
@@ -41,15 +42,15 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a deployment weighs, from its settings; only the ratios count.
+/// Weights of the placement costs, from the deployment's settings; only the ratios matter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Weights {
-    /// Cost of one instance that a pool holds beyond its promise.
+    /// Cost of one member beyond the promised number.
     pub buffer: u32,
     /// Cost of one move between pools.
     pub moves: u32,
-    /// Cost of one more round of reboots in a wave over a pool.
+    /// Cost of one additional round of reboots in a wave over a pool.
     pub rollout: u32,
 }
 
@@ -63,75 +64,75 @@
     }
 }
 
-/// One instance that changes its pool.
+/// A change of one instance's pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Move {
     /// The instance.
     pub instance: id::Instance,
-    /// The pool that it leaves; none for a spare.
+    /// The pool that the instance leaves; none for a spare.
     pub from: Option<id::Pool>,
-    /// The pool that it joins.
+    /// The pool that the instance joins.
     pub to: id::Pool,
 }
 
-/// How good an assignment is; less is better, and the fields count in this order.
+/// Score of an assignment; lower is better. The fields are compared in this order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Score {
-    /// Instances missing from promises after the worst loss.
+    /// Instances below the promised number after the worst loss, over all pools.
     pub unmet: u32,
-    /// Members missing from room for planned work.
+    /// Members below the targets, which include the headroom for planned work.
     pub short: u32,
-    /// Weighted cost of members held and of moves.
+    /// Weighted cost of members and moves.
     pub cost: u64,
-    /// Pairs of members of one pool in one rack.
+    /// Pairs of members of the same pool in the same rack.
     pub crowded: u64,
 }
 
-/// An ordered list of moves, and what remains unmet after it.
+/// An ordered list of moves and the promises that it leaves unmet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Plan {
-    /// The moves; no step breaks a budget if each ends before the next begins.
+    /// The moves; no move breaks a budget if each ends before the next begins.
     pub moves: Vec<Move>,
-    /// Instances missing from each pool's promise after the worst loss, where any are.
+    /// Instances below the promised number after the worst loss, for each pool that has any.
     pub unmet: BTreeMap<id::Pool, u32>,
-    /// Moves that the best assignment has and no order of steps allows now.
+    /// Moves of the best assignment that no order allows now.
     pub held_back: usize,
-    /// How good the best assignment is; reached where no move is held back.
+    /// Score of the best assignment, which the plan reaches if no move is held back.
     pub score: Score,
 }
 
 impl Plan {
-    /// Moves between pools, which cost a drain each.
+    /// Number of moves between pools, each of which requires a drain.
     pub fn drains(&self) -> usize {
         self.moves.iter().filter(|step| step.from.is_some()).count()
     }
 }
 
-/// Plans the placement of every spare and the moves that promises need.
+/// Plans the placement of spares and the moves that promises require.
 pub fn plan(fleet: &Fleet, weights: Weights) -> Plan {
-    let mut by_zone = board::Board::of(fleet, weights);
-    let mut by_stock = by_zone.clone();
-    fill::fill(&mut by_zone, fill::Prefer::Zone);
-    fill::fill(&mut by_stock, fill::Prefer::Stock);
-    let mut best = if by_stock.score() < by_zone.score() {
-        by_stock
+    let mut by_zone = assignment::Assignment::new(fleet, weights);
+    let mut by_rack_spares = by_zone.clone();
+    greedy::fill(&mut by_zone, greedy::TieBreak::Zone);
+    greedy::fill(&mut by_rack_spares, greedy::TieBreak::RackSpares);
+    let mut best = if by_rack_spares.score() < by_zone.score() {
+        by_rack_spares
     } else {
         by_zone
     };
-    exchange::improve(&mut best);
-    order::order(fleet, &best)
+    local_search::improve(&mut best);
+    order::ordered_plan(fleet, &best)
 }
 
-/// The pool whose capacity `row` is or will be part of, once what is under way is done.
+/// The pool to which `row` contributes capacity once its current operation is complete.
 ///
-/// An instance that is lost, quarantined or taken away by the platform is part of none: its pool
-/// may need another in its place.
+/// An instance that is lost, quarantined or being removed by the platform contributes to none: its
+/// pool may need a replacement.
 pub fn home<'a>(fleet: &Fleet, row: &'a Row) -> Option<&'a id::Pool> {
-    // Only a serving instance is lost by being absent: one that reboots is listed as rebooting,
-    // and to replace it would cost a move for each instance of a wave.
+    // Absence means a loss only for a serving instance. An instance in maintenance is listed as
+    // rebooting, and replacing it would cost a move for each instance of a wave.
     if row.state == State::Serving && fleet.absent.contains(&row.id) {
         return None;
     }
@@ -145,13 +146,13 @@
     }
 }
 
-/// Pairs among `count` members.
+/// Number of pairs among `count` members.
 fn pairs(count: u32) -> u64 {
     let count = u64::from(count);
     count * count.saturating_sub(1) / 2
 }
 
-/// How many `left` after the worst loss `budget` misses.
+/// Instances below `budget.promised` with `left` instances after the worst loss.
 fn missing(budget: &Budget, left: u32) -> u32 {
     budget.promised.saturating_sub(left)
 }
--- a/crates/fleet/src/placement/order.rs
+++ b/crates/fleet/src/placement/order.rs
@@ -1,6 +1,6 @@
-//! From a board to an ordered plan, and from a plan to the steps that may begin now.
+//! Ordering of moves so that budgets hold, and selection of the moves that may begin now.
 
-use super::{Move, Plan, board::Board};
+use super::{Move, Plan, assignment::Assignment};
 use crate::{
     budget::{self, Standing},
     lifecycle,
@@ -13,10 +13,10 @@
 };
 use std::collections::BTreeMap;
 
-/// The moves of `board` in an order in which every budget holds at each step.
-pub(super) fn order(fleet: &Fleet, board: &Board) -> Plan {
+/// Plan with the moves of `assignment`, in an order in which every budget holds at each step.
+pub(super) fn ordered_plan(fleet: &Fleet, assignment: &Assignment) -> Plan {
     let (mut moves, mut waiting): (Vec<_>, Vec<_>) =
-        changes(fleet, board).partition(|step| step.from.is_none());
+        changes(fleet, assignment).partition(|step| step.from.is_none());
     let mut standings = budget::standings(fleet);
     for step in &moves {
         join(&mut standings, &step.to, &fleet.rows[&step.instance]);
@@ -35,28 +35,30 @@
     }
     Plan {
         moves,
-        unmet: unmet(board),
+        unmet: unmet(assignment),
         held_back: waiting.len(),
-        score: board.score(),
+        score: assignment.score(),
     }
 }
 
-fn changes<'a>(fleet: &'a Fleet, board: &'a Board) -> impl Iterator<Item = Move> + 'a {
-    board.pieces.iter().filter_map(move |piece| {
-        let to = piece.place.filter(|place| piece.origin != Some(*place))?;
+fn changes<'a>(fleet: &'a Fleet, assignment: &'a Assignment) -> impl Iterator<Item = Move> + 'a {
+    assignment.instances.iter().filter_map(move |instance| {
+        let to = instance
+            .assigned_pool
+            .filter(|assigned_pool| instance.original_pool != Some(*assigned_pool))?;
         Some(Move {
-            instance: piece.id.clone(),
-            // The row's pool, also where no template names it any more: leaving it takes a drain.
-            from: fleet.rows[&piece.id].pool.clone(),
-            to: board.pools[to].clone(),
+            instance: instance.id.clone(),
+            // The row's pool, even if no template names it any more: leaving it requires a drain.
+            from: fleet.rows[&instance.id].pool.clone(),
+            to: assignment.pool_ids[to].clone(),
         })
     })
 }
 
-fn unmet(board: &Board) -> BTreeMap<id::Pool, u32> {
-    let sides = board.pools.iter().zip(&board.sides);
-    sides
-        .map(|(pool, side)| (pool.clone(), side.unmet()))
+fn unmet(assignment: &Assignment) -> BTreeMap<id::Pool, u32> {
+    let pools = assignment.pool_ids.iter().zip(&assignment.pools);
+    pools
+        .map(|(pool, pool_state)| (pool.clone(), pool_state.unmet()))
         .filter(|(_, unmet)| *unmet > 0)
         .collect()
 }
@@ -70,12 +72,12 @@
     let Some(from) = &step.from else { return true };
     match (standings.get(from), fleet.budgets.get(from)) {
         (Some(standing), Some(budget)) => standing.may_leave(row, budget).is_ok(),
-        // A pool that no template names promises nothing.
+        // A pool that no template names has no budget.
         _ => true,
     }
 }
 
-/// The rows of the moves of `plan` that may begin now, all together.
+/// New rows for all moves of `plan` that may begin together now.
 pub fn start(fleet: &Fleet, plan: &Plan, now: Instant) -> Vec<Row> {
     let mut standings = budget::standings(fleet);
     let mut rows = Vec::new();
--- a/crates/fleet/src/placement/target.rs
+++ b/crates/fleet/src/placement/target.rs
@@ -1,25 +1,26 @@
-//! How many members a pool should hold.
+//! Target size of a pool.
 
 use super::Weights;
 use primroseroute_domain::account::{Budget, Survive};
 
-/// The members that a pool should hold, and what they are for.
+/// Target size of a pool and its parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Members in all.
+    /// Total number of members.
     pub members: u32,
-    /// Members that planned work may take out at a time with the promise kept.
+    /// Members that planned work may take out at a time without breaking the promise.
     pub room: u32,
-    /// Members that the worst loss takes when the pool is spread as well as the fleet allows.
+    /// Members lost with the worst failure domain if the pool is spread as well as the fleet
+    /// allows.
     pub lost: u32,
 }
 
 /// The target of a pool with `budget` in a fleet whose racks and zones have these capacities.
 ///
-/// The room is the number of members out at a time, from 1 to `max_absent`, with the least
+/// The headroom is the number of members out at a time, from 1 to `max_absent`, that minimizes
 /// `buffer * room + rollout * rounds`, where a wave over the pool takes `members / room` rounds.
-/// No room at all is never chosen: every wave would have to borrow a spare for each pool in turn,
-/// which costs a move for each and takes as many rounds as the fleet has instances.
+/// Zero is never chosen: every wave would have to borrow a spare for each pool in turn, which costs
+/// a move for each and takes as many rounds as the fleet has instances.
 pub fn target(budget: &Budget, weights: Weights, racks: &[u32], zones: &[u32]) -> Target {
     let domains = match budget.survive {
         Survive::Nothing => &[],
@@ -43,8 +44,9 @@
 
 /// The fewest members of which `promised` are left after the loss of the worst of `domains`.
 ///
-/// Where the domains cannot hold enough, the promise and its double: no fleet of them meets it,
-/// and a pool that asks for more than it can get leaves the rest to others.
+/// Tries up to twice `promised`. If none suffices, the result is `promised` itself: no assignment
+/// in this fleet meets the promise, and a pool that asks for more than it can get leaves the rest
+/// to other pools.
 fn members_kept(promised: u32, domains: &[u32]) -> u32 {
     if domains.is_empty() {
         return promised;
@@ -56,7 +58,7 @@
         .unwrap_or(promised)
 }
 
-/// The least possible largest share when `members` are spread over domains of these capacities.
+/// The smallest possible largest count when `members` are spread over domains of these capacities.
 fn least_largest(members: u32, domains: &[u32]) -> Option<u32> {
     (0..=members).find(|largest| {
         let held: u32 = domains.iter().map(|capacity| capacity.min(largest)).sum();
--- a/crates/fleet/src/wave/mod.rs
+++ b/crates/fleet/src/wave/mod.rs
@@ -1,23 +1,26 @@
-//! Maintenance waves: which instances to take out next, and what a wave would cost.
+//! Maintenance waves (rolling reboots): selection of the next instances, and cost of a wave.
 //!
-//! A wave's progress is not kept beside the instances' rows but read off them: an instance is out
-//! while its row's purpose names the wave, done once it was maintained after the wave began, and
-//! failed while it is quarantined with that purpose. So a new controller goes on from the rows
-//! alone, and an instance that moves or is lost in between is never counted twice.
+//! The progress of a wave is not stored separately but derived from the instances' rows: an
+//! instance is out while its row's purpose names the wave, done once it was maintained after the
+//! wave began, and failed while it is quarantined with that purpose. So a new controller continues
+//! from the rows alone, and an instance that moves or is lost in the meantime is never counted
+//! twice.
 //!
 //! # Batches
 //!
-//! [`step`] takes out as many as the width allows, from the pools that have the most rounds before
-//! them, each within its budget after the worst further loss. The width begins small and grows
-//! with each instance that came back well, so that it doubles with each batch. Pools go side by
-//! side; within a pool those of the fullest rack or zone go first, which leaves the most room.
+//! [`step`] takes out as many instances as the wave's concurrency limit allows, from the pools with
+//! the most rounds left, each within its budget after the worst further loss. The limit starts
+//! small and grows with each instance that came back well, so that it doubles with each batch.
+//! Pools are maintained in parallel; within a pool, instances of the fullest rack or zone go first,
+//! which allows the most disruptions.
 //!
 //! # Stopping
 //!
-//! A wave halts where its first instance fails, or where at least [`Limits::failures`] fail within
-//! [`Limits::together_seconds`] and are at least [`Limits::percent`] of what ended in that time.
-//! The rate keeps a wave over a large fleet from stopping at a few failures that have nothing to
-//! do with each other. A halted or aborted wave lets what still drains serve again.
+//! A wave halts if its first instance fails, or if at least [`Limits::failures`] instances fail
+//! within [`Limits::together_seconds`] and are at least [`Limits::percent`] of the instances that
+//! failed or came back in that time. The percentage keeps a wave over a large fleet from stopping
+//! at a few unrelated failures. A halted or aborted wave returns instances that still drain to
+//! serving.
 
 mod plan;
 mod progress;
--- a/crates/fleet/src/wave/plan.rs
+++ b/crates/fleet/src/wave/plan.rs
@@ -1,4 +1,4 @@
-//! The dry run of a wave: its batches, how long it takes and what it costs.
+//! Dry run of a wave: batches, duration and cost.
 
 use super::{
     row::{Order, Row},
@@ -20,38 +20,38 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, time::Duration};
 
-/// Instances that go out together.
+/// Instances that are taken out together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Batch {
-    /// Seconds after the wave's start.
+    /// Seconds from the start of the wave.
     pub after_seconds: u64,
-    /// The instances, with the pool of each; none for a spare.
+    /// The pool of each instance; none for a spare.
     pub instances: BTreeMap<id::Instance, Option<id::Pool>>,
 }
 
-/// What a wave would do if nothing failed.
+/// Course of a wave in which nothing fails.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Plan {
-    /// The batches in order.
+    /// The batches in chronological order.
     pub batches: Vec<Batch>,
-    /// Seconds from its start to the last instance's return.
+    /// Seconds from the start of the wave until the last instance is back.
     pub rollout_seconds: u64,
-    /// Idle slot-hours that the pools hold during the wave beyond their promises.
+    /// Slot-hours of members beyond the promised numbers during the wave.
     pub buffer_slot_hours: f64,
-    /// Moves between pools that have to come first, for budgets to allow the wave.
+    /// Moves between pools that must happen before budgets allow the wave.
     pub moves: usize,
     /// Whether the wave ends before its window closes.
     pub fits_window: bool,
 }
 
-/// Plans `order` over `fleet`, beside the waves in `others`.
+/// Plans `order` over `fleet`, given the other waves `others`.
 ///
 /// # Errors
-/// [`Code::NotFound`] where it covers no instance, [`Code::WaveOverlaps`] where a wave that has not
-/// ended covers one of its instances, [`Code::WaveCannotFinish`] where a budget never lets one of
-/// them leave.
+/// [`Code::NotFound`] if it covers no instance, [`Code::WaveOverlaps`] if a wave that has not ended
+/// covers one of its instances, [`Code::WaveCannotFinish`] if a budget never allows one of them to
+/// leave.
 pub fn plan(
     fleet: &Fleet,
     weights: Weights,
@@ -62,32 +62,32 @@
     if !fleet.rows.values().any(|row| order.scope.covers(row)) {
         return Err(Refusal::new(Code::NotFound, "the wave covers no instance"));
     }
-    overlap(fleet, order, others)?;
+    check_overlap(fleet, order, others)?;
     let placed = placement::plan(fleet, weights);
-    let mut rehearsal = rehearse(fleet, &placed);
-    while let Some(row) = relief(&rehearsal, order) {
+    let mut projected = project(fleet, &placed);
+    while let Some(row) = unblocking_spare(&projected, order) {
         let state = State::Serving;
-        rehearsal
+        projected
             .rows
             .insert(row.id.clone(), Instance { state, ..row });
     }
-    if let Some(refusal) = never(&rehearsal, order) {
+    if let Some(refusal) = cannot_finish(&projected, order) {
         return Err(refusal);
     }
-    let begins = order.window.opens.map_or(now, |opens| opens.max(now));
-    let batches = batches(&mut rehearsal, order, begins);
+    let start = order.window.opens.map_or(now, |opens| opens.max(now));
+    let batches = simulate_batches(&mut projected, order, start);
     let rollout = order.limits.reboot() * u32::try_from(batches.len()).unwrap_or(u32::MAX);
-    let ends = begins.after(rollout);
+    let end = start.after(rollout);
     Ok(Plan {
         batches,
         rollout_seconds: rollout.as_secs(),
-        buffer_slot_hours: measure::buffer(&rehearsal, rollout),
+        buffer_slot_hours: measure::buffer(&projected, rollout),
         moves: placed.drains(),
-        fits_window: order.window.closes.is_none_or(|closes| ends <= closes),
+        fits_window: order.window.closes.is_none_or(|closes| end <= closes),
     })
 }
 
-fn overlap(fleet: &Fleet, order: &Order, others: &[Row]) -> Result<(), Refusal> {
+fn check_overlap(fleet: &Fleet, order: &Order, others: &[Row]) -> Result<(), Refusal> {
     let open = others
         .iter()
         .filter(|other| !other.state.has_ended() && other.id() != &order.id);
@@ -106,29 +106,29 @@
     Ok(())
 }
 
-/// The fleet once the moves of `placed` are done and everything that is to come back is back.
-fn rehearse(fleet: &Fleet, placed: &placement::Plan) -> Fleet {
-    let mut rehearsal = fleet.clone();
+/// The fleet after the moves of `placed`, with all instances that will return serving again.
+fn project(fleet: &Fleet, placed: &placement::Plan) -> Fleet {
+    let mut projected = fleet.clone();
     for step in &placed.moves {
-        if let Some(row) = rehearsal.rows.get_mut(&step.instance) {
+        if let Some(row) = projected.rows.get_mut(&step.instance) {
             row.pool = Some(step.to.clone());
             row.state = State::Serving;
         }
     }
-    for row in rehearsal.rows.values_mut() {
+    for row in projected.rows.values_mut() {
         if let Some(pool) = placement::home(fleet, row).cloned() {
             row.pool = Some(pool);
             row.state = State::Serving;
             row.purpose = None;
         }
     }
-    rehearsal
+    projected
 }
 
-/// Why `order` can never finish: the first instance that could not leave its pool although every
-/// other member serves, with what would allow it.
-pub(super) fn never(fleet: &Fleet, order: &Order) -> Option<Refusal> {
-    let standings = whole(fleet);
+/// The reason why `order` can never finish: the first instance that its pool's budget does not
+/// allow to leave even if every other member serves, and the changes that would allow it.
+pub(super) fn cannot_finish(fleet: &Fleet, order: &Order) -> Option<Refusal> {
+    let standings = full_standings(fleet);
     let members = fleet.rows.values().filter(|row| order.scope.covers(row));
     members.into_iter().find_map(|row| {
         let pool = placement::home(fleet, row)?;
@@ -143,13 +143,13 @@
     })
 }
 
-/// A spare that would let an instance of `order` leave that otherwise never can, given to its pool.
+/// Row of a spare assigned to a pool so that an instance of `order`, otherwise blocked, can leave.
 ///
-/// A pool can have its members and be spread so badly, after losses, that those outside its fullest
-/// domain can never leave: without this the wave would wait for ever beside the spare. The spare is
-/// taken only here, where a wave needs it, since each member more is buffer held from then on.
-pub(super) fn relief(fleet: &Fleet, order: &Order) -> Option<Instance> {
-    let standings = whole(fleet);
+/// After losses, a pool at its target size can be spread so badly that members outside its fullest
+/// domain can never leave, and the wave would wait forever although a spare is available. The spare
+/// is assigned only if a wave needs it, since every additional member adds to the buffer.
+pub(super) fn unblocking_spare(fleet: &Fleet, order: &Order) -> Option<Instance> {
+    let standings = full_standings(fleet);
     let covered = fleet.rows.values().filter(|row| order.scope.covers(row));
     covered.into_iter().find_map(|row| {
         let pool = placement::home(fleet, row)?;
@@ -158,18 +158,18 @@
         if standing.may_leave(row, budget).is_ok() {
             return None;
         }
-        let helps = |spare: &&Instance| {
+        let unblocks = |spare: &&Instance| {
             let mut with = standing.clone();
             with.join(spare);
             with.may_leave(row, budget).is_ok()
         };
         let mut spares = fleet.rows.values().filter(|row| fleet.is_spare(row));
-        lifecycle::assign(spares.find(helps)?, pool).ok()
+        lifecycle::assign(spares.find(unblocks)?, pool).ok()
     })
 }
 
-/// How each pool stands when all of its members serve.
-fn whole(fleet: &Fleet) -> BTreeMap<id::Pool, Standing> {
+/// Availability of each pool if all of its members serve.
+fn full_standings(fleet: &Fleet) -> BTreeMap<id::Pool, Standing> {
     let mut standings: BTreeMap<_, Standing> = BTreeMap::new();
     for row in fleet.rows.values() {
         if let Some(pool) = placement::home(fleet, row) {
@@ -189,32 +189,32 @@
     }
 }
 
-/// Lets the wave go through in rounds, each as long as one reboot.
-fn batches(rehearsal: &mut Fleet, order: &Order, begins: Instant) -> Vec<Batch> {
-    let wave = Row::begin(order.clone(), begins);
+/// Simulates the wave in rounds, each as long as one reboot.
+fn simulate_batches(projected: &mut Fleet, order: &Order, start: Instant) -> Vec<Batch> {
+    let wave = Row::begin(order.clone(), start);
     let reboot = order.limits.reboot();
     let mut batches = Vec::new();
-    let mut waited = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     let mut done = 0;
     loop {
-        let out = select(rehearsal, &wave, order.limits.width(done));
+        let out = select(projected, &wave, order.limits.width(done));
         let ids: Vec<_> = out.into_iter().map(|row| row.id.clone()).collect();
         if ids.is_empty() {
             return batches;
         }
         let mut instances = BTreeMap::new();
         for id in ids {
-            let Some(row) = rehearsal.rows.get_mut(&id) else {
+            let Some(row) = projected.rows.get_mut(&id) else {
                 continue;
             };
-            row.maintained = Some(begins);
+            row.maintained = Some(start);
             instances.insert(id, row.pool.clone());
             done += 1;
         }
         batches.push(Batch {
-            after_seconds: waited.as_secs(),
+            after_seconds: elapsed.as_secs(),
             instances,
         });
-        waited += reboot;
+        elapsed += reboot;
     }
 }
--- a/crates/fleet/src/wave/progress.rs
+++ b/crates/fleet/src/wave/progress.rs
@@ -1,4 +1,4 @@
-//! How far a wave is, read off the instances' rows.
+//! Progress of a wave, derived from the instances' rows.
 
 use super::row::Row;
 use crate::state::Fleet;
@@ -9,49 +9,49 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What a wave has to do with one instance that it covers.
+/// Stage of one instance that a wave covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Maintained since the wave began, and back.
+    /// Maintained since the wave began and back in service.
     Done,
-    /// Taken out by the wave, or on its way back.
+    /// Taken out by the wave, or returning.
     Out,
     /// Failed after the wave took it out.
     Failed,
     /// Still to be taken out.
     Pending,
-    /// Not to be had: lost, held by an operator, arriving or leaving.
+    /// Not available to the wave: lost, held by an operator, arriving or leaving.
     Skipped,
 }
 
 pub(super) fn stage(wave: &Row, row: &Instance) -> Stage {
-    let is_ours = matches!(&row.purpose, Some(Purpose::Wave(id)) if id == wave.id());
-    if is_ours && row.state == State::Quarantined {
+    let in_this_wave = matches!(&row.purpose, Some(Purpose::Wave(id)) if id == wave.id());
+    if in_this_wave && row.state == State::Quarantined {
         return Stage::Failed;
     }
-    if is_ours && row.state != State::Leaving {
+    if in_this_wave && row.state != State::Leaving {
         return Stage::Out;
     }
     if row.maintained.is_some_and(|at| at >= wave.started) {
         return Stage::Done;
     }
-    // What another wave that was aborted, or a move, still holds out will serve again.
-    let comes_back = matches!(
+    // Instances that a move or another wave, such as an aborted one, took out will serve again.
+    let will_return = matches!(
         row.purpose,
         None | Some(Purpose::Move(_) | Purpose::Wave(_))
     );
     match row.state {
         State::Serving => Stage::Pending,
-        State::Draining | State::Probation | State::Maintenance if comes_back => Stage::Pending,
+        State::Draining | State::Probation | State::Maintenance if will_return => Stage::Pending,
         _ => Stage::Skipped,
     }
 }
 
-/// How far a wave is.
+/// Number of instances of a wave by stage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Progress {
-    /// Instances maintained and back.
+    /// Instances maintained and back in service.
     pub done: u32,
     /// Instances out now.
     pub out: u32,
@@ -59,19 +59,19 @@
     pub pending: u32,
     /// Instances that failed after the wave took them out.
     pub failed: u32,
-    /// Instances that the wave cannot have: lost, held by an operator, arriving or leaving.
+    /// Instances not available to the wave: lost, held by an operator, arriving or leaving.
     pub skipped: u32,
     /// Instances maintained since the wave was last resumed.
     pub recent: u32,
 }
 
 impl Progress {
-    /// Whether nothing is left to do.
+    /// Whether no instance is pending or out.
     pub fn is_finished(&self) -> bool {
         self.pending == 0 && self.out == 0
     }
 
-    /// Instances maintained an hour, over the whole wave so far.
+    /// Instances maintained per hour since the wave started.
     pub fn rate(&self, wave: &Row, now: Instant) -> f64 {
         let hours = now.since(wave.started).as_secs_f64() / 3_600.0;
         if hours > 0.0 {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// When the wave ends if it goes on as it did; none before the first instance is done.
+    /// Estimated end at the current rate; none before the first instance is done.
     pub fn end(&self, wave: &Row, now: Instant) -> Option<Instant> {
         if self.done == 0 {
             return None;
@@ -92,7 +92,7 @@
     }
 }
 
-/// How far `wave` is over `fleet`.
+/// Progress of `wave` over `fleet`.
 pub fn progress(fleet: &Fleet, wave: &Row) -> Progress {
     let mut progress = Progress::default();
     let covered = fleet
--- a/crates/fleet/src/wave/row.rs
+++ b/crates/fleet/src/wave/row.rs
@@ -1,4 +1,4 @@
-//! The row of a wave, from which alone a new controller goes on, and the orders to it.
+//! Stored row of a wave, from which a new controller continues it, and commands to the wave.
 
 use primroseroute_domain::{
     id,
@@ -9,11 +9,11 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeSet, fmt, sync::Arc, time::Duration};
 
-/// Which instances a wave covers: those in each of the sets that is not empty.
+/// Instances that a wave covers: those that match every non-empty set.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Scope {
-    /// Pools; empty for all, and for spares too.
+    /// Pools; empty for all pools and for spares.
     pub pools: BTreeSet<id::Pool>,
     /// Availability zones; empty for all.
     pub zones: BTreeSet<id::Zone>,
@@ -35,39 +35,41 @@
     }
 }
 
-/// When instances may be taken out; what is out at the end still comes back.
+/// Maintenance window; instances that are out when it closes still come back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Window {
-    /// Not before; none for at once.
+    /// Earliest time to take instances out; none for immediately.
     pub opens: Option<Instant>,
-    /// Not at or after; none for no end.
+    /// Time from which none are taken out; none for no limit.
     pub closes: Option<Instant>,
 }
 
-/// How fast a wave may go and when it stops by itself.
+/// Concurrency limits and halt conditions of a wave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Limits {
-    /// Most instances out at a time over all pools; none where the budgets alone decide.
+    /// Maximum number of instances out at a time over all pools; none to limit it by budgets only.
     pub max_out: Option<u32>,
-    /// Instances out at a time at the start.
+    /// Initial number of instances out at a time.
     pub first: u32,
-    /// By how many more the instances out at a time grow for each that came back well.
+    /// Increase of the number out at a time for each instance that came back well.
     pub growth: u32,
-    /// Failures together at which the wave may stop by itself.
+    /// Failures within `together_seconds` from which the wave may halt.
     pub failures: u32,
-    /// Percentage of failures among what ended together from which it does stop.
+    /// Percentage of failures among the instances that failed or came back within
+    /// `together_seconds`, from which the wave halts.
     pub percent: u32,
-    /// Seconds within which instances fail or come back "together".
+    /// Length in seconds of the period over which failures and returns are counted.
     pub together_seconds: u64,
-    /// Seconds that one instance is expected to be out, from its drain to serving again.
+    /// Expected time in seconds that one instance is out, from its drain to serving again.
     pub reboot_seconds: u64,
 }
 
 impl Default for Limits {
-    /// One at first, then doubling with each batch; stops at two failures together, if they are
-    /// a fifth of what ended in half an hour. Ten minutes is the brief platform's slow reboot.
+    /// Starts with one instance and doubles with each batch. Halts at two failures if they are a
+    /// fifth of the instances that failed or came back in half an hour. A slow reboot of the
+    /// platform takes ten minutes.
     fn default() -> Self {
         Self {
             max_out: None,
@@ -82,12 +84,12 @@
 }
 
 impl Limits {
-    /// How long one instance is expected to be out.
+    /// Expected time that one instance is out.
     pub fn reboot(&self) -> Duration {
         Duration::from_secs(self.reboot_seconds)
     }
 
-    /// Instances that may be out at a time once `done` have come back well.
+    /// Maximum number of instances out at a time after `done` have come back well.
     pub fn width(&self, done: u32) -> u32 {
         let grown = self
             .first
@@ -97,36 +99,36 @@
     }
 }
 
-/// What an operator asks for.
+/// An operator's order to start a wave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Order {
     /// The wave's name.
     pub id: id::Wave,
-    /// Which instances it covers.
+    /// The instances that it covers.
     #[serde(default)]
     pub scope: Scope,
-    /// When it may take instances out.
+    /// The maintenance window.
     #[serde(default)]
     pub window: Window,
-    /// How fast it may go.
+    /// Concurrency limits and halt conditions.
     #[serde(default)]
     pub limits: Limits,
 }
 
-/// What a wave is doing.
+/// State of a wave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It takes instances out as budgets allow.
+    /// Takes instances out as budgets allow.
     Running,
-    /// It takes none out; those that are out come back.
+    /// Takes no instances out; those that are out come back.
     Paused,
-    /// It stopped by itself since its instances failed together.
+    /// Stopped automatically because instances failed.
     Halted,
-    /// Every instance that it covers is maintained, or failed and is reported so.
+    /// Every instance that it covers is maintained, or failed and reported as such.
     Done,
-    /// An operator ended it.
+    /// Ended by an operator.
     Aborted,
 }
 
@@ -153,35 +155,35 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Row {
-    /// What was asked for.
+    /// The operator's order.
     pub order: Order,
-    /// What it is doing.
+    /// The state of the wave.
     pub state: State,
-    /// When it began: an instance maintained since then is done.
+    /// Start time; an instance maintained since then is done.
     pub started: Instant,
-    /// Since when failures and successes count for its width and for stopping.
+    /// Time since which failures and successes count for the concurrency limit and for halting.
     pub resumed: Instant,
-    /// When it ended for good.
+    /// Time at which it was done or aborted.
     #[serde(default)]
     pub ended: Option<Instant>,
-    /// Why it waits, stopped or ended, for people.
+    /// Why the wave waits, stopped or ended, for operators.
     #[serde(default)]
     pub reason: Option<Arc<str>>,
 }
 
-/// What an operator does to a wave.
+/// An operator's command to a wave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Take no more out.
+    /// Take no more instances out.
     Pause,
-    /// Go on, small again.
+    /// Continue, from the initial concurrency.
     Resume,
-    /// End it; instances that still drain serve again.
+    /// End the wave; instances that still drain serve again.
     Abort,
 }
 
 impl Row {
-    /// A wave that begins now.
+    /// A running wave that starts at `now`.
     pub fn begin(order: Order, now: Instant) -> Self {
         Self {
             order,
@@ -201,7 +203,7 @@
     /// The row after `command`.
     ///
     /// # Errors
-    /// [`Code::WaveStateForbids`] where the wave's state does not allow it.
+    /// [`Code::WaveStateForbids`] if the wave's state does not allow it.
     pub fn command(&self, command: Command, now: Instant) -> Result<Self, Refusal> {
         use State::{Aborted, Halted, Paused, Running};
         let next = match (command, self.state) {
@@ -213,15 +215,15 @@
                 return Err(Refusal::new(Code::WaveStateForbids, detail));
             }
         };
-        let mut row = self.enter(next, now, None);
+        let mut row = self.transition(next, now, None);
         if next == Running {
             row.resumed = now;
         }
         Ok(row)
     }
 
-    /// The row in `state`, because of `reason`.
-    pub(super) fn enter(&self, state: State, now: Instant, reason: Option<Arc<str>>) -> Self {
+    /// The row after a transition to `state` at `now`.
+    pub(super) fn transition(&self, state: State, now: Instant, reason: Option<Arc<str>>) -> Self {
         Self {
             state,
             reason,
--- a/crates/fleet/src/wave/step.rs
+++ b/crates/fleet/src/wave/step.rs
@@ -1,4 +1,4 @@
-//! One step of a wave.
+//! Control step of a wave.
 
 use super::{
     progress::{Progress, Stage, progress, stage},
@@ -13,37 +13,41 @@
 };
 use std::sync::Arc;
 
-/// One thing to do; all writes of a step go into one transaction.
+/// An action for the caller; all writes of one step belong in one transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Write the instance's row: it drains, goes into maintenance, or serves again.
+    /// Write the instance's row: it drains, goes into maintenance or serves again.
     Put(Instance),
     /// Write the wave's row.
     Wave(Row),
 }
 
-/// The next step of `wave`.
+/// The next actions for `wave`.
 pub fn step(fleet: &Fleet, wave: &Row, now: Instant) -> Vec<Action> {
     match wave.state {
         State::Running => run(fleet, wave, now),
-        State::Halted | State::Aborted => give_back(fleet, wave, now),
+        State::Halted | State::Aborted => release_draining(fleet, wave, now),
         State::Paused | State::Done => Vec::new(),
     }
 }
 
 fn run(fleet: &Fleet, wave: &Row, now: Instant) -> Vec<Action> {
     let progress = progress(fleet, wave);
-    if let Some(reason) = failed_together(fleet, wave, &progress, now) {
-        let halted = wave.enter(State::Halted, now, Some(reason));
+    if let Some(reason) = halt_reason(fleet, wave, &progress, now) {
+        let halted = wave.transition(State::Halted, now, Some(reason));
         return vec![Action::Wave(halted)];
     }
     if progress.is_finished() {
-        return vec![Action::Wave(wave.enter(State::Done, now, None))];
+        return vec![Action::Wave(wave.transition(State::Done, now, None))];
     }
     let window = wave.order.window;
     if window.closes.is_some_and(|closes| now >= closes) {
         let reason = "its window has closed".into();
-        return vec![Action::Wave(wave.enter(State::Paused, now, Some(reason)))];
+        return vec![Action::Wave(wave.transition(
+            State::Paused,
+            now,
+            Some(reason),
+        ))];
     }
     if window.opens.is_some_and(|opens| now < opens) {
         return Vec::new();
@@ -56,21 +60,22 @@
     let most = width.saturating_sub(progress.out);
     let leaving = select(fleet, wave, most);
     if leaving.is_empty() && progress.out == 0 {
-        return explain(fleet, wave, now);
+        return unblock_or_explain(fleet, wave, now);
     }
     let mut actions: Vec<_> = leaving
         .into_iter()
-        .filter_map(|row| out(wave, row, now))
+        .filter_map(|row| taken_out(wave, row, now))
         .map(Action::Put)
         .collect();
     if wave.reason.is_some() && !actions.is_empty() {
-        actions.push(Action::Wave(wave.enter(State::Running, now, None)));
+        actions.push(Action::Wave(wave.transition(State::Running, now, None)));
     }
     actions
 }
 
-/// The row of an instance that goes out: a spare has nothing to drain.
-fn out(wave: &Row, row: &Instance, now: Instant) -> Option<Instance> {
+/// The row of an instance that is taken out. A spare goes straight into maintenance, since it has
+/// no requests to drain.
+fn taken_out(wave: &Row, row: &Instance, now: Instant) -> Option<Instance> {
     let purpose = Purpose::Wave(wave.id().clone());
     if row.state != InstanceState::Probation {
         return lifecycle::drain(row, purpose, now).ok();
@@ -83,28 +88,23 @@
     })
 }
 
-/// Gives a pool the spare that lets the wave go on, or says in the wave's row why nothing can
-/// leave, once.
-fn explain(fleet: &Fleet, wave: &Row, now: Instant) -> Vec<Action> {
-    if let Some(row) = super::plan::relief(fleet, &wave.order) {
+/// Assigns a spare that lets the wave continue. If there is none, writes once to the wave's row why
+/// no instance can leave.
+fn unblock_or_explain(fleet: &Fleet, wave: &Row, now: Instant) -> Vec<Action> {
+    if let Some(row) = super::plan::unblocking_spare(fleet, &wave.order) {
         return vec![Action::Put(row)];
     }
-    let reason: Option<Arc<str>> = super::plan::never(fleet, &wave.order)
+    let reason: Option<Arc<str>> = super::plan::cannot_finish(fleet, &wave.order)
         .map(|refusal| format!("{}: {}", Code::WaveCannotFinish, refusal.detail).into())
         .or_else(|| Some("it waits for absent instances of its pools to come back".into()));
     if wave.reason == reason {
         return Vec::new();
     }
-    vec![Action::Wave(wave.enter(State::Running, now, reason))]
+    vec![Action::Wave(wave.transition(State::Running, now, reason))]
 }
 
-/// Why the wave must stop, if its instances fail together.
-fn failed_together(
-    fleet: &Fleet,
-    wave: &Row,
-    progress: &Progress,
-    now: Instant,
-) -> Option<Arc<str>> {
+/// The reason to halt the wave, if too many instances failed.
+fn halt_reason(fleet: &Fleet, wave: &Row, progress: &Progress, now: Instant) -> Option<Arc<str>> {
     let limits = wave.order.limits;
     let is_recent =
         |at: Instant| at >= wave.resumed && now.since(at).as_secs() <= limits.together_seconds;
@@ -120,15 +120,15 @@
     let ended_well = covered()
         .filter(|row| stage(wave, row) == Stage::Done && row.maintained.is_some_and(is_recent))
         .count();
-    let fails_first = failed > 0 && progress.recent == 0;
-    let is_many = failed >= limits.failures.max(1) as usize;
-    let is_much = failed * 100 >= limits.percent as usize * (failed + ended_well);
+    let first_failed = failed > 0 && progress.recent == 0;
+    let enough_failures = failed >= limits.failures.max(1) as usize;
+    let high_percentage = failed * 100 >= limits.percent as usize * (failed + ended_well);
     let reason = || format!("{failed} failed and {ended_well} came back well").into();
-    (fails_first || (is_many && is_much)).then(reason)
+    (first_failed || (enough_failures && high_percentage)).then(reason)
 }
 
-/// What still drains for a wave that stopped serves again: it has not been rebooted.
-fn give_back(fleet: &Fleet, wave: &Row, now: Instant) -> Vec<Action> {
+/// Returns instances that still drain for a stopped wave to serving; they have not been rebooted.
+fn release_draining(fleet: &Fleet, wave: &Row, now: Instant) -> Vec<Action> {
     let is_draining = |row: &&Instance| {
         row.state == InstanceState::Draining
             && matches!(&row.purpose, Some(Purpose::Wave(id)) if id == wave.id())
--- a/crates/fleet/tests/all/budget.rs
+++ b/crates/fleet/tests/all/budget.rs
@@ -1,4 +1,4 @@
-//! What a budget allows, against a twin that tries every subset.
+//! Budgets, compared with a reference implementation that tries every subset.
 
 use crate::fixture::{budget, draining, fleet, name, runner, serving};
 use primroseroute_domain::{
@@ -10,8 +10,8 @@
 use proptest::prelude::{Just, Strategy, any, prop_oneof};
 use std::collections::BTreeSet;
 
-/// The most instances of pool `p` that may leave together: tries every subset of the present.
-fn naive_room(fleet: &Fleet, budget: &Budget) -> usize {
+/// The most instances of pool `p` that may leave together, by trying every subset of those present.
+fn reference_room(fleet: &Fleet, budget: &Budget) -> usize {
     let present: Vec<_> = fleet
         .rows
         .values()
@@ -23,13 +23,13 @@
         .filter(|row| row.purpose.is_some() && row.state != State::Serving)
         .count();
     (0..1_usize << present.len())
-        .filter(|set| naive_holds(&present, *set, planned, budget))
+        .filter(|set| reference_holds(&present, *set, planned, budget))
         .map(|set| set.count_ones() as usize)
         .max()
         .unwrap_or(0)
 }
 
-fn naive_holds(present: &[&Row], set: usize, planned: usize, budget: &Budget) -> bool {
+fn reference_holds(present: &[&Row], set: usize, planned: usize, budget: &Budget) -> bool {
     let left: Vec<_> = (0..present.len())
         .filter(|index| set & (1 << index) == 0)
         .map(|index| present[index])
@@ -59,7 +59,7 @@
     ]
 }
 
-/// A member by its rack (two racks a zone), and what became of it.
+/// A member: its rack (two racks per zone), and a number that selects draining, absent or serving.
 fn member() -> impl Strategy<Value = (u8, u8)> {
     (0..6_u8, 0..8_u8)
 }
@@ -67,10 +67,10 @@
 fn build(members: &[(u8, u8)], budget: Budget) -> Fleet {
     let mut absent = BTreeSet::new();
     let mut rows = Vec::new();
-    for (index, (rack, fate)) in members.iter().enumerate() {
+    for (index, (rack, condition)) in members.iter().enumerate() {
         let id = format!("i{index}");
         let row = serving(&id, "p", &format!("r{rack}"), &format!("z{}", rack / 2));
-        match fate {
+        match condition {
             0 => rows.push(draining(row, Purpose::Operator)),
             1 => {
                 absent.insert(name::<id::Instance>(&id));
@@ -96,17 +96,17 @@
     let verdict = runner(1_500).run(&input, |(members, promised, max_absent, survive, _)| {
         let budget = budget(promised, max_absent, survive);
         let fleet = build(&members, budget);
-        // Where the promise is already broken nothing may leave; the twin allows the empty set.
-        let naive = naive_room(&fleet, &budget);
-        assert_eq!(budgets::room(&fleet, &name("p")).len(), naive);
+        // If the promise is already broken none may leave; the reference then yields the empty set.
+        let expected = reference_room(&fleet, &budget);
+        assert_eq!(budgets::room(&fleet, &name("p")).len(), expected);
         Ok(())
     });
-    verdict.expect("the fast way and the twin agree");
+    verdict.expect("the implementation agrees with the reference");
 }
 
-/// A rack of two is lost while nothing of the pool is planned. The pool's promise still holds, so
-/// the loss itself is no breach, but the room that was there a moment ago is gone: planned work
-/// must wait from the moment when the loss is known, not from when the rows say so.
+/// A rack with two members is lost while no planned work is in progress. The promise still holds,
+/// so the loss is no breach, but no further disruption is allowed: planned work must wait as soon
+/// as the loss is known, before the rows show it.
 fn unplanned_loss_takes_the_room() {
     let rows = (0..8)
         .map(|i| serving(&format!("i{i}"), "p", &format!("r{}", i / 2), "z"))
@@ -117,9 +117,9 @@
     assert_eq!(budgets::room(&fleet, &name("p")).len(), 0);
 }
 
-/// Two instances failed after a wave took them out, in a pool that lets two be absent. They are
-/// losses, which the margin counts; were they counted as planned, nothing else of the pool could
-/// ever be maintained until somebody mends them.
+/// Two instances failed after a wave took them out, in a pool with `max_absent` 2. They are
+/// unplanned losses, which the margin covers. If they counted as planned, no other instance of the
+/// pool could be maintained until they are repaired.
 fn failed_instances_do_not_use_up_the_count() {
     let rows = (0..8).map(|i| serving(&format!("i{i}"), "p", &format!("r{i}"), "z"));
     let mut fleet = fleet(rows.collect(), vec![("p", budget(3, 2, Survive::Rack))]);
--- a/crates/fleet/tests/all/check.rs
+++ b/crates/fleet/tests/all/check.rs
@@ -1,4 +1,4 @@
-//! The checker finds what it is there to find, and nothing else.
+//! The checker reports breaches of the invariants and accepts allowed steps.
 
 use crate::fixture::{budget, draining, name, serving};
 use primroseroute_domain::{account::Survive, id, instance::Purpose, instance::Row};
@@ -79,7 +79,7 @@
 
 fn planned_step_that_truly_breaks_the_promise() {
     let rows = members();
-    // Three of four in one rack, which is down; the budget asks for one rack's loss.
+    // All members are in one rack, of which three are down; the budget covers the loss of one rack.
     let crowded: Vec<_> = rows
         .iter()
         .map(|row| Row {
--- a/crates/fleet/tests/all/cluster/controller.rs
+++ b/crates/fleet/tests/all/cluster/controller.rs
@@ -1,4 +1,4 @@
-//! The controller's half of the loop: calls the decisions and applies their actions.
+//! The controller of the in-memory cluster: calls the decisions and applies their actions.
 
 use super::{Cluster, Policy};
 use primroseroute_domain::instance::{Purpose, Row, State};
@@ -56,7 +56,8 @@
         self.write(rows);
     }
 
-    /// The naive way: drains whatever serves and is not maintained, and ends as the product does.
+    /// Baseline policy: drains every serving instance that is not maintained, and ends the wave as
+    /// the product does.
     fn whole_fleet(&mut self, wave: &wave::Row) {
         if wave::progress(&self.fleet, wave).is_finished() {
             let actions = wave::step(&self.fleet, wave, self.now());
@@ -90,7 +91,7 @@
         self.write(rows);
     }
 
-    /// One transaction.
+    /// Writes `rows` in one transaction.
     pub(super) fn write(&mut self, rows: Vec<Row>) {
         if rows.is_empty() {
             return;
--- a/crates/fleet/tests/all/cluster/mod.rs
+++ b/crates/fleet/tests/all/cluster/mod.rs
@@ -1,8 +1,8 @@
-//! A small in-memory loop: applies the decisions' actions to rows, with faults by seed.
+//! In-memory cluster: applies the decisions' actions to rows, with faults chosen by a seed.
 //!
-//! A tick is ten seconds. Each tick the platform moves on, entries may take the newest view, and
-//! the controller takes one step from the rows alone. Every transaction is one [`Moment`], and
-//! the checker sees each against the one before.
+//! A tick is ten seconds. In each tick the platform advances, entries may take the newest view, and
+//! the controller takes one step from the rows alone. Every transaction is one [`Moment`], and the
+//! checker compares each with the previous one.
 
 mod controller;
 
@@ -25,45 +25,45 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Milliseconds of a tick.
-const TICK: u64 = 10_000;
+/// Milliseconds per tick.
+const TICK_MS: u64 = 10_000;
 
 /// Ticks that a reboot takes; with drain, list lag and checks an instance is out for about ten.
-const REBOOT: u64 = 6;
+const REBOOT_TICKS: u64 = 6;
 
-/// What goes wrong, as chances out of a thousand.
+/// Injected faults; probabilities are out of a thousand.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// A reboot never comes back.
+    /// Probability that a reboot never finishes.
     pub lost_reboot: u32,
-    /// An instance fails its checks after its reboot.
+    /// Probability that an instance fails its checks after its reboot.
     pub bad_reboot: u32,
-    /// The controller forgets everything but the table, in each tick.
+    /// Probability per tick that the controller loses all state except the table.
     pub restart: u32,
-    /// An operator gives a random order, in each tick.
+    /// Probability per tick of a random operator command.
     pub operator: u32,
-    /// An entry misses a view, in each tick.
+    /// Probability per tick that an entry misses a view.
     pub silent_entry: u32,
-    /// Ticks by which the platform's list may lag.
+    /// Lag of the platform's list in ticks.
     pub lag: usize,
-    /// The tick in which a whole rack is lost for an hour.
+    /// Tick in which a whole rack is lost for an hour.
     pub rack_lost: Option<u64>,
 }
 
-/// Who decides what a wave takes out.
+/// Policy that selects the instances that a wave takes out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The product.
+    /// The product's policy.
     Product,
-    /// Naive: everything that serves, at once.
+    /// Baseline: all serving instances at once.
     WholeFleet,
 }
 
 #[derive(Clone, Debug)]
 struct Machine {
     line: Listed,
-    back: Option<u64>,
-    is_well: bool,
+    up_at: Option<u64>,
+    is_healthy: bool,
 }
 
 pub struct Cluster {
@@ -89,12 +89,12 @@
 }
 
 impl Cluster {
-    /// A cluster whose instances the platform lists and no row knows.
+    /// A cluster whose instances are listed by the platform and have no rows yet.
     pub fn new(deployment: &Deployment, policy: Policy, faults: Faults, seed: u64) -> Self {
         let machine = |row: &Row| Machine {
             line: crate::fixture::listed(row, Phase::Live, 1),
-            back: None,
-            is_well: true,
+            up_at: None,
+            is_healthy: true,
         };
         let rows = deployment.fleet.rows.values();
         let entry = |index: u32| Entry {
@@ -130,10 +130,10 @@
     }
 
     pub fn now(&self) -> Instant {
-        Instant(self.tick * TICK)
+        Instant(self.tick * TICK_MS)
     }
 
-    /// Goes on until `is_over`, at most `ticks` ticks; whether it was.
+    /// Runs until `is_over`, for at most `ticks` ticks; returns whether it is over.
     pub fn run(&mut self, ticks: u64, is_over: impl Fn(&Self) -> bool) -> bool {
         for _ in 0..ticks {
             if is_over(self) {
@@ -144,16 +144,16 @@
         is_over(self)
     }
 
-    /// From now on no entry takes a new view.
+    /// Stops all entries from taking new views.
     pub fn silence_entries(&mut self) {
         self.faults.silent_entry = 1_000;
     }
 
-    /// People mend every machine and release what operators hold.
+    /// Repairs every machine and releases the instances that operators hold.
     pub fn repair(&mut self) {
         for machine in self.machines.values_mut() {
-            machine.is_well = true;
-            machine.back = machine.back.map(|_| self.tick);
+            machine.is_healthy = true;
+            machine.up_at = machine.up_at.map(|_| self.tick);
         }
         let held = self
             .fleet
@@ -176,7 +176,7 @@
             return;
         }
         self.check_health();
-        self.believe();
+        self.update_absent();
         self.operator();
         self.lifecycle();
         self.wave_step();
@@ -194,8 +194,8 @@
             self.lose_rack();
         }
         for machine in self.machines.values_mut() {
-            if machine.back.is_some_and(|back| back <= tick) {
-                machine.back = None;
+            if machine.up_at.is_some_and(|up_at| up_at <= tick) {
+                machine.up_at = None;
                 machine.line.phase = Phase::Live;
                 machine.line.boots += 1;
             }
@@ -216,16 +216,16 @@
             .collect();
         let lost = self.rng.random_range(0..racks.len());
         let lost = racks.into_iter().nth(lost);
-        let back = self.tick + 360;
+        let up_at = self.tick + 360;
         for machine in self.machines.values_mut() {
             if Some(&machine.line.rack) == lost.as_ref() {
                 machine.line.phase = Phase::Rebooting;
-                machine.back = Some(back);
+                machine.up_at = Some(up_at);
             }
         }
     }
 
-    /// Entries take the newest view and send; requests last into the next tick.
+    /// Entries take the newest view and send requests, which may last into later ticks.
     fn serve(&mut self) {
         for index in 0..self.entries.len() {
             let misses = self.happens(self.faults.silent_entry);
@@ -255,7 +255,7 @@
 
     fn is_up(&self, id: &id::Instance) -> bool {
         let machine = &self.machines[id];
-        machine.is_well && machine.line.phase == Phase::Live
+        machine.is_healthy && machine.line.phase == Phase::Live
     }
 
     fn check_health(&mut self) {
@@ -281,8 +281,9 @@
         self.lists.front().expect("a list was made this tick")
     }
 
-    /// What the controller can know: the lagging list, and checks that failed often enough.
-    fn believe(&mut self) {
+    /// Sets the absences that the controller can know, from the stale list and repeatedly failed
+    /// checks.
+    fn update_absent(&mut self) {
         let listed = self
             .list()
             .values()
@@ -321,11 +322,11 @@
         }
         self.reboots += 1;
         machine.line.phase = Phase::Rebooting;
-        machine.back = Some(if is_lost {
+        machine.up_at = Some(if is_lost {
             u64::MAX
         } else {
-            self.tick + REBOOT
+            self.tick + REBOOT_TICKS
         });
-        machine.is_well = !is_bad;
+        machine.is_healthy = !is_bad;
     }
 }
--- a/crates/fleet/tests/all/deployment.rs
+++ b/crates/fleet/tests/all/deployment.rs
@@ -1,20 +1,19 @@
-//! The two committed example deployments, and a fleet for each: 13 racks of 4 in three zones.
+//! The two committed example deployments, each with a fleet of 13 racks of 4 in three zones.
 
 use crate::fixture::{name, spare};
 use primroseroute_domain::{account, instance::Row};
 use primroseroute_fleet::{Fleet, placement::Weights};
 use std::{collections::BTreeMap, fs, path::PathBuf};
 
-/// Workers a rack, as the brief has it.
-const RACK: usize = 4;
+const WORKERS_PER_RACK: usize = 4;
 
-/// Racks of each zone; 52 workers, "about 50", of which the pools need 49.
-const ZONES: [usize; 3] = [5, 4, 4];
+/// Racks by zone: 52 workers in total, of which the pools need 49.
+const RACKS_BY_ZONE: [usize; 3] = [5, 4, 4];
 
-/// Both deployments' folders under `examples/`.
+/// Folders of both deployments under `examples/`.
 pub const BOTH: [&str; 2] = ["gojo-beds", "ikeoluwa"];
 
-/// A deployment as its operators would set it up.
+/// A deployment's templates and weights, and a fleet for it.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     pub templates: Vec<account::Template>,
@@ -26,7 +25,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../examples")
 }
 
-/// Reads the deployment `folder` and gives it a fleet of spares.
+/// Reads the deployment in `folder` and adds a fleet of spares.
 pub fn read(folder: &str) -> Deployment {
     let files = fs::read_dir(examples().join(folder)).expect("the folder is committed");
     let templates: Vec<account::Template> = files
@@ -48,12 +47,12 @@
 }
 
 fn workers() -> impl Iterator<Item = Row> {
-    let racks = ZONES
+    let racks = RACKS_BY_ZONE
         .iter()
         .enumerate()
         .flat_map(|(zone, racks)| (0..*racks).map(move |rack| (zone, rack)));
     racks.flat_map(|(zone, rack)| {
-        (0..RACK).map(move |slot| {
+        (0..WORKERS_PER_RACK).map(move |slot| {
             let rack = format!("z{zone}-r{rack}");
             spare(&format!("{rack}-w{slot}"), &rack, &format!("z{zone}"))
         })
--- a/crates/fleet/tests/all/fixture.rs
+++ b/crates/fleet/tests/all/fixture.rs
@@ -1,4 +1,4 @@
-//! Rows, budgets and deterministic property tests that every topic uses.
+//! Shared helpers: rows, budgets and a deterministic property test runner.
 
 use primroseroute_domain::{
     account::{Budget, Survive},
@@ -11,17 +11,17 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::net::SocketAddr;
 
-/// A name of any kind.
+/// Parses a name of any kind.
 pub fn name<T: std::str::FromStr<Err: std::fmt::Debug>>(text: &str) -> T {
     text.parse().expect("a valid name")
 }
 
-/// Where every test instance listens; the decisions never use it.
+/// Address of every test instance; the decisions do not use it.
 pub fn address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
-/// An instance of `pool` in `rack` of `zone`, serving.
+/// A serving instance of `pool` in `rack` of `zone`.
 pub fn serving(id: &str, pool: &str, rack: &str, zone: &str) -> Row {
     Row {
         id: name(id),
@@ -36,7 +36,7 @@
     }
 }
 
-/// A spare instance that is ready for its first pool.
+/// A spare: an instance in probation without a pool.
 pub fn spare(id: &str, rack: &str, zone: &str) -> Row {
     Row {
         pool: None,
@@ -54,7 +54,7 @@
     }
 }
 
-/// The platform's line for `row`.
+/// The platform's list entry for `row`.
 pub fn listed(row: &Row, phase: Phase, boots: u64) -> Listed {
     Listed {
         id: row.id.clone(),
@@ -66,7 +66,6 @@
     }
 }
 
-/// A budget.
 pub fn budget(promised: u32, max_absent: u32, survive: Survive) -> Budget {
     Budget {
         promised,
@@ -75,7 +74,7 @@
     }
 }
 
-/// A fleet of `rows` whose pools have `budgets`.
+/// A fleet of `rows` with `budgets` by pool.
 pub fn fleet(rows: Vec<Row>, budgets: Vec<(&str, Budget)>) -> Fleet {
     Fleet {
         rows: rows.into_iter().map(|row| (row.id.clone(), row)).collect(),
@@ -87,7 +86,7 @@
     }
 }
 
-/// A property runner that takes the same `cases` every time.
+/// A property test runner with a fixed seed: each run generates the same `cases` inputs.
 pub fn runner(cases: u32) -> TestRunner {
     let config = Config {
         failure_persistence: None,
--- a/crates/fleet/tests/all/lifecycle.rs
+++ b/crates/fleet/tests/all/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The next step of one instance under what entries, the list and checks say.
+//! The next step of one instance, depending on entries, the platform's list and health checks.
 
 use crate::fixture::{budget, draining, fleet, listed, name, serving, spare};
 use primroseroute_domain::{
@@ -13,11 +13,11 @@
 use primroseroute_platform::fleet::{Listed, Phase};
 use std::collections::BTreeMap;
 
-/// The drain under test was written by this change.
+/// The change that wrote the drain under test.
 const DRAINED: Seq = Seq(7);
 
-/// Everything that a step reads, owned.
-struct World {
+/// Owned data for the input of a step.
+struct Fixture {
     rows: BTreeMap<id::Instance, Row>,
     versions: BTreeMap<id::Instance, Seq>,
     listed: BTreeMap<id::Instance, Listed>,
@@ -27,7 +27,7 @@
     now: Instant,
 }
 
-impl World {
+impl Fixture {
     fn of(row: &Row) -> Self {
         let at = |seen| Entry {
             id: name("e"),
@@ -94,52 +94,55 @@
     Row { state, ..row }
 }
 
-/// Where the only written row goes, if one is written.
-fn goes(actions: &[Action]) -> Option<(State, Option<&str>)> {
+/// State and pool of the first written row, if any.
+fn first_written(actions: &[Action]) -> Option<(State, Option<&str>)> {
     actions.iter().find_map(|action| match action {
         Action::Put { row, .. } => Some((row.state, row.pool.as_ref().map(id::Pool::as_str))),
         _ => None,
     })
 }
 
-fn move_needs(change: impl FnOnce(&mut Entry), moves: bool) {
-    let mut world = World::of(&moving());
-    change(&mut world.entries[0]);
+fn check_move(change: impl FnOnce(&mut Entry), moves: bool) {
+    let mut fixture = Fixture::of(&moving());
+    change(&mut fixture.entries[0]);
     let expected = moves.then_some((State::Serving, Some("b")));
-    assert_eq!(goes(&world.step()), expected);
+    assert_eq!(first_written(&fixture.step()), expected);
 }
 
 fn busy(entry: &mut Entry) {
     entry.in_flight = [(name("i0"), 1)].into();
 }
 
-/// The registration rows could not be read, so the list of entries is empty. Taken as "everybody
-/// acknowledges" it would move the instance under live requests; it must stop the move instead.
+/// The registration rows could not be read, so the list of entries is empty. Treating this as an
+/// acknowledgement by all would move the instance with requests in flight; it must block the move.
 fn no_entries_stop_the_move() {
-    let mut world = World::of(&moving());
-    world.entries.clear();
-    assert_eq!(world.step(), []);
+    let mut fixture = Fixture::of(&moving());
+    fixture.entries.clear();
+    assert_eq!(fixture.step(), []);
 }
 
-/// The controller asked for a reboot, and dies. Its successor has the row, the mark and a list
-/// that may be older than the reboot. It may ask again, under the same count of boots, and the
-/// platform reboots once; when the count has grown the instance is checked, not rebooted again.
+/// A controller requested a reboot and died. Its successor has the row, the mark and a list that
+/// may be older than the reboot. It may repeat the request with the same boot count, for which the
+/// platform reboots once. Once the count has grown, the instance is checked and not rebooted again.
 fn reboot_is_asked_under_one_count() {
     let row = with(in_wave(), State::Maintenance);
     let ask = Action::Reboot {
         id: name("i0"),
         boots: 4,
     };
-    let world = || World::of(&row).mark(4);
-    assert_eq!(world().list(Phase::Live, 4).step(), [ask]);
-    assert_eq!(world().list(Phase::Rebooting, 4).step(), []);
-    let back = world().list(Phase::Live, 5).step();
-    assert_eq!(goes(&back), Some((State::Probation, Some("a"))));
+    let fixture = || Fixture::of(&row).mark(4);
+    assert_eq!(fixture().list(Phase::Live, 4).step(), [ask]);
+    assert_eq!(fixture().list(Phase::Rebooting, 4).step(), []);
+    let back = fixture().list(Phase::Live, 5).step();
+    assert_eq!(first_written(&back), Some((State::Probation, Some("a"))));
 }
 
 fn drained_wave_marks_before_it_reboots() {
-    let actions = World::of(&in_wave()).list(Phase::Live, 4).step();
-    assert_eq!(goes(&actions), Some((State::Maintenance, Some("a"))));
+    let actions = Fixture::of(&in_wave()).list(Phase::Live, 4).step();
+    assert_eq!(
+        first_written(&actions),
+        Some((State::Maintenance, Some("a")))
+    );
     let mark = Action::Mark {
         id: name("i0"),
         boots: 4,
@@ -147,19 +150,22 @@
     assert_eq!(actions[1..], [mark]);
 }
 
-/// A draining instance fails before its reboot. A mark of last month's reboot is still there and
-/// the list shows more boots than it says. Were the mark kept, the instance would count as
-/// maintained when it is well again, and the wave would end without having rebooted it.
+/// A draining instance fails before its reboot, while the mark of an earlier reboot still exists
+/// and the list shows a higher boot count. If the mark were kept, the instance would count as
+/// maintained once it recovers, and the wave would end without having rebooted it.
 fn stale_mark_does_not_count_as_maintained() {
-    let failed = World::of(&in_wave())
+    let failed = Fixture::of(&in_wave())
         .check(0, 3)
         .mark(1)
         .list(Phase::Live, 2);
     let actions = failed.step();
-    assert_eq!(goes(&actions), Some((State::Quarantined, Some("a"))));
+    assert_eq!(
+        first_written(&actions),
+        Some((State::Quarantined, Some("a")))
+    );
     assert!(actions.contains(&Action::Unmark { id: name("i0") }));
     let quarantined = with(in_wave(), State::Quarantined);
-    let well = World::of(&quarantined)
+    let well = Fixture::of(&quarantined)
         .check(3, 0)
         .list(Phase::Live, 2)
         .step();
@@ -171,11 +177,14 @@
 
 fn late_reboot_is_quarantined_and_counted_when_back() {
     let row = with(in_wave(), State::Maintenance);
-    let mut late = World::of(&row).mark(4).list(Phase::Rebooting, 4);
+    let mut late = Fixture::of(&row).mark(4).list(Phase::Rebooting, 4);
     late.now = Instant(1_201_000);
-    assert_eq!(goes(&late.step()), Some((State::Quarantined, Some("a"))));
+    assert_eq!(
+        first_written(&late.step()),
+        Some((State::Quarantined, Some("a")))
+    );
     let quarantined = with(row, State::Quarantined);
-    let back = World::of(&quarantined)
+    let back = Fixture::of(&quarantined)
         .mark(4)
         .check(3, 0)
         .list(Phase::Live, 5);
@@ -186,109 +195,121 @@
     assert_eq!(row.maintained, Some(back.now));
 }
 
-/// The controller is cut off from the workers: every check fails at once while callers are served
-/// well. Quarantining them would refuse every caller; one failing alone is still taken out.
+/// The controller is partitioned from the workers: every check fails at once while callers are
+/// served. Quarantining all workers would refuse every caller. A single failure is still taken out.
 fn all_failing_together_doubts_the_checks() {
     let rows: Vec<_> = (0..6)
         .map(|i| serving(&format!("i{i}"), "a", "r", "z"))
         .collect();
-    let mut world = World::of(&rows[0]);
-    world.rows = rows
+    let mut fixture = Fixture::of(&rows[0]);
+    fixture.rows = rows
         .iter()
         .map(|row| (row.id.clone(), row.clone()))
         .collect();
-    let mut cut_off = world.check(0, 9);
+    let mut cut_off = fixture.check(0, 9);
     assert_eq!(cut_off.step(), []);
     cut_off.checks.retain(|id, _| id.as_str() == "i3");
     assert_eq!(cut_off.step().len(), 1);
 }
 
 /// An instance is gone while one entry still has an old view that sends to its address. The row
-/// stays until that entry has seen it leave; else the name could return in another pool while the
-/// old view is in use.
+/// must stay until that entry has seen it leave, or the name could be reused in another pool while
+/// the old view is in use.
 fn gone_row_stays_until_everybody_knows() {
     let row = with(draining(one(), Purpose::Leave), State::Leaving);
-    let mut world = World::of(&row).list(Phase::Gone, 1);
-    assert_eq!(world.step(), [Action::Delete { id: name("i0") }]);
-    world.entries[0].seen = Seq(6);
-    assert_eq!(world.step(), []);
+    let mut fixture = Fixture::of(&row).list(Phase::Gone, 1);
+    assert_eq!(fixture.step(), [Action::Delete { id: name("i0") }]);
+    fixture.entries[0].seen = Seq(6);
+    assert_eq!(fixture.step(), []);
 }
 
-fn next_is(world: &World, state: State) {
-    assert_eq!(goes(&world.step()).map(|(state, _)| state), Some(state));
+fn next_is(fixture: &Fixture, state: State) {
+    assert_eq!(
+        first_written(&fixture.step()).map(|(state, _)| state),
+        Some(state)
+    );
 }
 
-fn stays(world: &World) {
-    assert_eq!(world.step(), []);
+fn stays(fixture: &Fixture) {
+    assert_eq!(fixture.step(), []);
 }
 
 fn arrival_is_checked_first() {
-    let mut world = World::of(&one());
-    world.rows.clear();
-    next_is(&world, State::Arriving);
+    let mut fixture = Fixture::of(&one());
+    fixture.rows.clear();
+    next_is(&fixture, State::Arriving);
     let arriving = with(spare("i0", "r", "z"), State::Arriving);
-    next_is(&World::of(&arriving), State::Probation);
+    next_is(&Fixture::of(&arriving), State::Probation);
     let in_probation = with(one(), State::Probation);
-    stays(&World::of(&in_probation).check(2, 0));
-    next_is(&World::of(&in_probation).check(3, 0), State::Serving);
-    next_is(&World::of(&in_probation).check(0, 3), State::Quarantined);
-    stays(&World::of(&spare("i0", "r", "z")).check(3, 0));
+    stays(&Fixture::of(&in_probation).check(2, 0));
+    next_is(&Fixture::of(&in_probation).check(3, 0), State::Serving);
+    next_is(&Fixture::of(&in_probation).check(0, 3), State::Quarantined);
+    stays(&Fixture::of(&spare("i0", "r", "z")).check(3, 0));
 }
 
-/// A wave reboots a spare too. The spare has no pool to serve again in, so nothing but its good
-/// checks can end its maintenance; before they did, a wave that covered a spare never ended.
+/// A wave also reboots spares. A spare has no pool in which to serve again, so passing its checks
+/// must end its maintenance. Otherwise a wave that covers a spare never ends.
 fn spare_is_done_when_its_checks_are_good() {
     let spare = spare("i0", "r", "z");
     let purpose = Some(Purpose::Wave(name("w")));
-    let world = World::of(&Row {
+    let fixture = Fixture::of(&Row {
         purpose,
         ..spare.clone()
     })
     .check(3, 0);
-    let actions = world.step();
+    let actions = fixture.step();
     let Action::Put { row, .. } = &actions[0] else {
         panic!("{actions:?}")
     };
     assert_eq!(*row, spare);
 }
 
-/// A spare goes into maintenance without a drain, so nothing marks it anew on the way. With last
-/// month's mark still there, the list would at once show more boots than the mark and the wave
-/// would count a reboot that never was. The mark goes when the maintenance is over.
+/// A spare goes into maintenance without a drain, so no new mark is written on the way. If the mark
+/// of an earlier reboot remained, the list would show a higher boot count at once, and the wave
+/// would count a reboot that did not happen. So the mark is deleted when the maintenance is over.
 fn mark_ends_with_its_maintenance() {
     let row = with(one(), State::Probation);
-    let back = World::of(&row).mark(4).list(Phase::Live, 5).check(3, 0);
+    let back = Fixture::of(&row).mark(4).list(Phase::Live, 5).check(3, 0);
     assert_eq!(back.step(), [Action::Unmark { id: name("i0") }]);
 }
 
-/// A reboot was marked, the instance was quarantined before it happened, and its checks are good
-/// again. A paused controller may still ask for that reboot, so the instance must not serve first.
+/// A reboot was marked, the instance was quarantined before it happened, and its checks pass again.
+/// A paused controller may still request that reboot, so it must happen before the instance serves.
 fn marked_reboot_comes_before_serving() {
     let quarantined = with(in_wave(), State::Quarantined);
-    let owed = World::of(&quarantined).check(5, 0).mark(1);
+    let owed = Fixture::of(&quarantined).check(5, 0).mark(1);
     let id = quarantined.id.clone();
     assert_eq!(owed.step(), [Action::Reboot { id, boots: 1 }]);
     let rebooted = owed.list(Phase::Live, 2);
-    assert_eq!(goes(&rebooted.step()), Some((State::Probation, Some("a"))));
+    assert_eq!(
+        first_written(&rebooted.step()),
+        Some((State::Probation, Some("a")))
+    );
 }
 
 fn operators_quarantine_stays() {
     let well = |purpose| {
         let row = with(one(), State::Quarantined);
-        World::of(&Row { purpose, ..row }).check(9, 0)
+        Fixture::of(&Row { purpose, ..row }).check(9, 0)
     };
     next_is(&well(None), State::Probation);
     stays(&well(Some(Purpose::Operator)));
 }
 
 fn leaving_instance_drains_first() {
-    next_is(&World::of(&one()).list(Phase::Leaving, 1), State::Draining);
+    next_is(
+        &Fixture::of(&one()).list(Phase::Leaving, 1),
+        State::Draining,
+    );
     let leaving = draining(one(), Purpose::Leave);
-    next_is(&World::of(&leaving).list(Phase::Leaving, 1), State::Leaving);
-    let mut waits = World::of(&leaving).list(Phase::Leaving, 1);
+    next_is(
+        &Fixture::of(&leaving).list(Phase::Leaving, 1),
+        State::Leaving,
+    );
+    let mut waits = Fixture::of(&leaving).list(Phase::Leaving, 1);
     busy(&mut waits.entries[1]);
     stays(&waits);
-    next_is(&World::of(&one()).list(Phase::Gone, 1), State::Leaving);
+    next_is(&Fixture::of(&one()).list(Phase::Gone, 1), State::Leaving);
 }
 
 fn orders_are_refused_with_their_codes() {
@@ -313,10 +334,10 @@
 }
 
 cases! {
-    empty_drain_moves: move_needs(|_| {}, true);
-    silent_entry_stops_the_move: move_needs(|entry| entry.seen = Seq(6), false);
-    request_in_flight_stops_the_move: move_needs(busy, false);
-    gone_entry_does_not_stop_the_move: move_needs(
+    empty_drain_moves: check_move(|_| {}, true);
+    silent_entry_stops_the_move: check_move(|entry| entry.seen = Seq(6), false);
+    request_in_flight_stops_the_move: check_move(busy, false);
+    gone_entry_does_not_stop_the_move: check_move(
         |entry| { entry.seen = Seq(6); entry.gone = true; }, true);
     unread_registrations_stop_the_move: no_entries_stop_the_move();
     restarted_controller_reboots_once: reboot_is_asked_under_one_count();
--- a/crates/fleet/tests/all/main.rs
+++ b/crates/fleet/tests/all/main.rs
@@ -1,6 +1,6 @@
-//! Tests of the fleet decisions, one module for each topic.
+//! Tests of the fleet decisions, one module per topic.
 
-/// Names each case: one test for each line.
+/// Defines one test for each `name: expression;` line.
 macro_rules! cases {
     ($($name:ident: $body:expr;)+) => {
         $(
--- a/crates/fleet/tests/all/placement.rs
+++ b/crates/fleet/tests/all/placement.rs
@@ -1,4 +1,4 @@
-//! Placement against exhaustive search on small fleets, and on the example deployments.
+//! Placement, compared with exhaustive search on small fleets, and on the example deployments.
 
 use crate::{
     deployment::{self, BOTH},
@@ -18,19 +18,19 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where each instance is: the naive twin's whole state.
-type Places = BTreeMap<id::Instance, Option<id::Pool>>;
+/// The pool of each instance, in the reference implementation.
+type Assignment = BTreeMap<id::Instance, Option<id::Pool>>;
 
-/// What the naive twin compares, in the order of the objective, spread left out.
+/// Score of the reference implementation, in the order of the objectives, without the spread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Worth {
+struct ReferenceScore {
     unmet: usize,
     short: usize,
     cost: usize,
     moves: usize,
 }
 
-fn naive_left(members: &[&Row], survive: Survive) -> usize {
+fn reference_survivors(members: &[&Row], survive: Survive) -> usize {
     let domain = |row: &Row| match survive {
         Survive::Nothing => String::new(),
         Survive::Rack => row.rack.to_string(),
@@ -48,13 +48,13 @@
     members.len() - lost
 }
 
-fn worth(
+fn reference_score(
     fleet: &Fleet,
-    places: &Places,
+    assignment: &Assignment,
     targets: &BTreeMap<id::Pool, u32>,
     weights: Weights,
-) -> Worth {
-    let mut total = Worth {
+) -> ReferenceScore {
+    let mut total = ReferenceScore {
         unmet: 0,
         short: 0,
         cost: 0,
@@ -64,14 +64,14 @@
         let members: Vec<_> = fleet
             .rows
             .values()
-            .filter(|row| places[&row.id].as_ref() == Some(pool))
+            .filter(|row| assignment[&row.id].as_ref() == Some(pool))
             .collect();
-        let left = naive_left(&members, budget.survive);
+        let left = reference_survivors(&members, budget.survive);
         total.unmet += (budget.promised as usize).saturating_sub(left);
         total.short += (targets[pool] as usize).saturating_sub(members.len());
         total.cost += weights.buffer as usize * members.len();
     }
-    let moved = |row: &&Row| row.pool.is_some() && places[&row.id] != row.pool;
+    let moved = |row: &&Row| row.pool.is_some() && assignment[&row.id] != row.pool;
     total.moves = fleet.rows.values().filter(moved).count();
     total.cost += weights.moves as usize * total.moves;
     total
@@ -93,38 +93,38 @@
         .collect()
 }
 
-/// The best of all assignments; a member that serves may move, and never becomes a spare.
-fn exhaustive(fleet: &Fleet, weights: Weights) -> Worth {
+/// Score of the best of all assignments. A serving member may move but never becomes a spare.
+fn exhaustive(fleet: &Fleet, weights: Weights) -> ReferenceScore {
     let targets = targets(fleet, weights);
     let rows: Vec<_> = fleet.rows.values().collect();
     let pools: Vec<_> = fleet.budgets.keys().cloned().collect();
     let choices = pools.len() + 1;
     let all = 0..choices.pow(u32::try_from(rows.len()).expect("a small fleet"));
     let assignments = all.filter_map(|mut code| {
-        let mut places = Places::new();
+        let mut assignment = Assignment::new();
         for row in &rows {
             let pool = pools.get(code % choices).cloned();
             code /= choices;
             if pool.is_none() && row.pool.is_some() {
                 return None;
             }
-            places.insert(row.id.clone(), pool);
+            assignment.insert(row.id.clone(), pool);
         }
-        Some(worth(fleet, &places, &targets, weights))
+        Some(reference_score(fleet, &assignment, &targets, weights))
     });
     assignments.min().expect("at least one assignment")
 }
 
-fn after(fleet: &Fleet, plan: &Plan) -> Places {
-    let mut places: Places = fleet
+fn after(fleet: &Fleet, plan: &Plan) -> Assignment {
+    let mut assignment: Assignment = fleet
         .rows
         .values()
         .map(|row| (row.id.clone(), row.pool.clone()))
         .collect();
     for step in &plan.moves {
-        places.insert(step.instance.clone(), Some(step.to.clone()));
+        assignment.insert(step.instance.clone(), Some(step.to.clone()));
     }
-    places
+    assignment
 }
 
 fn random_fleet(rng: &mut ChaCha8Rng, size: usize, racks: usize, pools: usize) -> Fleet {
@@ -158,7 +158,7 @@
 
 fn small_cases_are_near_the_best() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let (mut ours_moves, mut best_moves, mut same, mut met) = (0, 0, 0, 0);
+    let (mut plan_moves, mut best_moves, mut optimal, mut optimal_deficits) = (0, 0, 0, 0);
     let cases = 400;
     for case in 0..cases {
         let weights = Weights {
@@ -169,41 +169,45 @@
         let fleet = random_fleet(&mut rng, 7, 4, 2);
         let best = exhaustive(&fleet, weights);
         let plan = plan(&fleet, weights);
-        let ours = worth(
+        let actual = reference_score(
             &fleet,
             &after(&fleet, &plan),
             &targets(&fleet, weights),
             weights,
         );
         assert!(
-            ours >= best,
-            "better than the best of all: {ours:?} {best:?}"
+            actual >= best,
+            "better than exhaustive search: {actual:?} {best:?}"
         );
         if plan.held_back == 0 {
-            let said = (plan.score.unmet as usize, plan.score.short as usize);
-            assert_eq!((ours.unmet, ours.short), said, "the plan says what it does");
+            let planned = (plan.score.unmet as usize, plan.score.short as usize);
+            assert_eq!(
+                (actual.unmet, actual.short),
+                planned,
+                "the plan's score matches its moves"
+            );
         }
-        same += u32::from(ours == best);
-        if (ours.unmet, ours.short) == (best.unmet, best.short) {
-            met += 1;
-            ours_moves += ours.moves;
+        optimal += u32::from(actual == best);
+        if (actual.unmet, actual.short) == (best.unmet, best.short) {
+            optimal_deficits += 1;
+            plan_moves += actual.moves;
             best_moves += best.moves;
         }
     }
     println!(
-        "placement: {same} of {cases} the best of all, {met} as much met, moves {ours_moves} to {best_moves}"
+        "placement: {optimal} of {cases} optimal, {optimal_deficits} with optimal deficits, {plan_moves} moves against {best_moves}"
     );
     assert!(
-        same * 100 >= cases * 97,
-        "{same} of {cases} are the best of all"
+        optimal * 100 >= cases * 97,
+        "{optimal} of {cases} are optimal"
     );
     assert!(
-        ours_moves * 10 <= best_moves * 11,
-        "{ours_moves} moves to {best_moves}"
+        plan_moves * 10 <= best_moves * 11,
+        "{plan_moves} moves against {best_moves}"
     );
 }
 
-/// Replays a plan one move at a time and counts anew after each.
+/// Applies a plan one move at a time and checks the budget before each.
 fn no_step_breaks_a_budget() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let mut drains = 0;
@@ -249,35 +253,35 @@
                 rollout: 1,
             },
         );
-        let held = |fleet: &Fleet, pool: &id::Pool| {
+        let survivors = |fleet: &Fleet, pool: &id::Pool| {
             let members: Vec<_> = fleet
                 .rows
                 .values()
                 .filter(|row| row.pool.as_ref() == Some(pool) && row.state == State::Serving)
                 .collect();
-            naive_left(&members, fleet.budgets[pool].survive)
+            reference_survivors(&members, fleet.budgets[pool].survive)
         };
         let sources: BTreeSet<_> = plan
             .moves
             .iter()
             .filter_map(|step| step.from.clone())
             .collect();
-        let begun = start(&fleet, &plan, Instant(1));
-        let drained: BTreeSet<_> = begun
+        let started = start(&fleet, &plan, Instant(1));
+        let drained: BTreeSet<_> = started
             .iter()
             .filter(|row| row.state == State::Draining)
             .filter_map(|row| row.pool.clone())
             .collect();
-        for row in begun {
+        for row in started {
             fleet.rows.insert(row.id.clone(), row);
         }
         for pool in sources.intersection(&drained) {
-            assert!(held(&fleet, pool) >= fleet.budgets[pool].promised as usize);
+            assert!(survivors(&fleet, pool) >= fleet.budgets[pool].promised as usize);
         }
     }
 }
 
-/// Places every worker of `folder` from nothing, as on the first day of the move.
+/// Places all workers of the deployment in `folder`, starting with spares only.
 fn first_day(folder: &str) -> String {
     let deployment = deployment::read(folder);
     let mut fleet = deployment.fleet;
@@ -303,8 +307,8 @@
     lines.collect()
 }
 
-/// An instance of a full pool quarantines; a spare takes its place without a drain. When the
-/// instance is back, its pool has one too many, which stays: a move would buy nothing.
+/// An instance of a pool at its target is quarantined, and a spare replaces it without a drain.
+/// When the instance is back, the pool keeps the surplus member: moving it would gain nothing.
 fn lost_instance_is_replaced_by_a_spare() {
     let rows = (0..4).map(|i| serving(&format!("i{i}"), "p", &format!("r{i}"), "z"));
     let rows: Vec<_> = rows
@@ -320,15 +324,15 @@
     for row in start(&fleet, &replaced, Instant(1)) {
         fleet.rows.insert(row.id.clone(), row);
     }
-    // The spare is still in its checks; a second call must not give the pool another.
+    // The spare is still in probation; a second call must not assign another one to the pool.
     assert_eq!(plan(&fleet, Weights::default()).moves, []);
     let lost = fleet.rows.get_mut(&name("i0")).expect("a member");
     lost.state = State::Serving;
     assert_eq!(plan(&fleet, Weights::default()).moves, []);
 }
 
-/// A wave reboots an instance, and the platform lists it as rebooting. It is not lost: taken so,
-/// the pool got a spare or another pool's member for each instance of a wave, a move each time.
+/// A wave reboots an instance, and the platform lists it as rebooting. It is not lost. When it was
+/// treated as lost, the pool got a spare or a member of another pool for each instance of a wave.
 fn rebooting_instance_is_not_replaced() {
     let rows = (0..4).map(|i| serving(&format!("i{i}"), "p", &format!("r{i}"), "z"));
     let rows = rows.chain([spare("s", "r9", "z")]).collect();
@@ -340,20 +344,20 @@
 }
 
 /// A template is deleted while its instances serve. They keep their pool until they have drained
-/// for another, as any move; nothing takes them for spares that could be given away at once.
+/// for another one, as in any move, and are not treated as spares that can be assigned at once.
 fn pool_without_a_template_gives_by_moves() {
     let rows = (0..4).map(|i| serving(&format!("i{i}"), "old", &format!("r{i}"), "z"));
     let fleet = fleet(rows.collect(), vec![("p", budget(2, 1, Survive::Rack))]);
     let plan = plan(&fleet, Weights::default());
     assert_eq!(plan.drains(), 4);
-    let begun = start(&fleet, &plan, Instant(1));
-    assert!(begun.iter().all(|row| row.state == State::Draining));
-    assert!(begun.iter().all(|row| row.pool == Some(name("old"))));
+    let started = start(&fleet, &plan, Instant(1));
+    assert!(started.iter().all(|row| row.state == State::Draining));
+    assert!(started.iter().all(|row| row.pool == Some(name("old"))));
     let spare = lifecycle::assign(&fleet.rows[&name("i0")], &name("p"));
     assert!(spare.is_err());
 }
 
-/// Weights decide whether a surplus member moves or a spare is held.
+/// Number of drains under `weights`, where a surplus member can move or a spare can be assigned.
 fn weights_decide(weights: Weights) -> usize {
     let rows = (0..6).map(|i| serving(&format!("i{i}"), "p", &format!("r{i}"), "z"));
     let other = (0..3).map(|i| serving(&format!("j{i}"), "q", &format!("r{i}"), "z"));
--- a/crates/fleet/tests/all/wave.rs
+++ b/crates/fleet/tests/all/wave.rs
@@ -1,4 +1,4 @@
-//! One wave's plan, steps, orders and refusals.
+//! Plan, steps, commands and refusals of a single wave.
 
 use crate::{
     deployment::{self, BOTH},
@@ -21,7 +21,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
 
-/// All of these waves began at this instant.
+/// Start time of the waves in these tests.
 const START: Instant = Instant(1_000_000);
 
 fn order(scope: Scope) -> Order {
@@ -70,7 +70,7 @@
     refusal.to_string()
 }
 
-/// The dry run over a deployment on its first day.
+/// Dry run of a wave over a newly placed deployment.
 fn rehearsal(folder: &str) -> String {
     let deployment = deployment::read(folder);
     let mut fleet = deployment.fleet;
@@ -179,8 +179,8 @@
     );
 }
 
-/// A wave is aborted while one of its instances drains and one reboots. The one that drains has
-/// not been touched and serves again; the one that reboots comes back by itself.
+/// A wave stops while one of its instances drains and another reboots. The draining instance has
+/// not been rebooted and serves again; the rebooting instance comes back through its own lifecycle.
 fn stopped_wave_gives_back(state: WaveState) {
     let mut fleet = pool_of(6, 2, 2);
     let ours = Purpose::Wave(name("w"));
@@ -197,7 +197,8 @@
     );
 }
 
-/// Where `failed` instances failed and `well` came back at the same time, among many pending.
+/// State of a wave after `failed` instances failed and `well` came back at the same time, with many
+/// still pending.
 fn after_failures(failed: usize, well: usize) -> Option<WaveState> {
     let mut fleet = pool_of(60, 2, 50);
     for index in 0..failed + well {
@@ -213,7 +214,7 @@
     wave_after(&step(&fleet, &running(), START))
 }
 
-/// Two fail in half a day among many that come back: they have nothing to do with each other.
+/// Two failures eleven hours apart are unrelated and must not halt the wave.
 fn failures_far_apart_do_not_halt() {
     let mut fleet = pool_of(60, 2, 50);
     for (index, since) in [(0, 1_000_000), (1, 40_000_000)] {
@@ -227,8 +228,8 @@
     assert_ne!(state, Some(WaveState::Halted));
 }
 
-/// A controller dies after any step; its successor reads the wave's row back from JSON and must
-/// take the same step.
+/// A controller may die after any step. Its successor reads the wave's row from JSON and must take
+/// the same step.
 fn row_alone_is_enough() {
     let mut fleet = pool_of(9, 3, 3);
     row(&mut fleet, "i0").maintained = Some(START);
@@ -299,7 +300,8 @@
     check::history([&before, &moment(after.into_values().collect())]).len()
 }
 
-/// The checker is the twin: what a step takes out breaks nothing, and nothing more could go.
+/// By the independent checker, a step's batch breaks no budget, and no further instance could
+/// leave.
 fn batches_are_safe_and_full() {
     let mut rng = ChaCha8Rng::seed_from_u64(4);
     let mut left = 0;
@@ -322,17 +324,18 @@
             let all: Vec<_> = leaving.iter().copied().chain([&more]).collect();
             assert!(
                 breaches(&fleet, &all) > 0,
-                "case {case}: {} could go too",
+                "case {case}: {} could leave too",
                 row.id
             );
         }
     }
-    assert!(left > 400, "only {left} left");
+    assert!(left > 400, "only {left} instances left their pools");
 }
 
-/// Losses have left a pool with five members in one zone and three in each of two others: its
-/// promise of six survives a zone, but none of the six outside the fullest zone can ever leave. A
-/// spare stands ready in another zone. The wave must take it for the pool and go on, not wait.
+/// Losses have left a pool with five members in one zone and three in each of two others. Its
+/// promise of six survives the loss of a zone, but none of the six outside the fullest zone can
+/// ever leave. A spare is available in another zone. The wave must assign it to the pool instead of
+/// waiting.
 fn badly_spread() {
     let zones = [
         "z0", "z0", "z0", "z0", "z0", "z1", "z1", "z1", "z2", "z2", "z2",
--- a/crates/fleet/tests/all/waves.rs
+++ b/crates/fleet/tests/all/waves.rs
@@ -1,4 +1,4 @@
-//! Full waves over both deployments in the in-memory loop, with and without faults.
+//! Complete waves over both deployments in the in-memory cluster, with and without faults.
 
 use crate::{
     cluster::{Cluster, Faults, Policy},
@@ -12,11 +12,11 @@
 };
 use std::time::Duration;
 
-/// Seeds of each faulty case.
+/// Number of seeds in each test with faults.
 const SEEDS: u64 = 40;
 
-/// Ticks after which a wave over 52 workers is stuck: an instance is out for about ten.
-const LONG: u64 = 500;
+/// Ticks after which a wave over 52 workers counts as stuck; an instance is out for about ten.
+const STUCK_TICKS: u64 = 500;
 
 fn order(limits: Limits) -> Order {
     Order {
@@ -54,7 +54,7 @@
         .is_some_and(|wave| wave.state == WaveState::Halted)
 }
 
-/// The fleet arrives and is placed; then a wave begins and runs to its end.
+/// Runs a cluster until its fleet is placed, then a wave until it has ended.
 fn full_wave(folder: &str, policy: Policy, faults: Faults, limits: Limits, seed: u64) -> Cluster {
     let mut cluster = Cluster::new(&deployment::read(folder), policy, faults, seed);
     assert!(
@@ -70,11 +70,11 @@
                 .as_ref()
                 .is_some_and(|wave| wave.state != WaveState::Running)
         };
-        cluster.run(LONG, is_still);
+        cluster.run(STUCK_TICKS, is_still);
         if ended(&cluster) {
             break;
         }
-        // An operator mends what failed and lets the wave go on.
+        // An operator repairs the failed instances and resumes the wave.
         cluster.repair();
         let wave = cluster.wave.take().expect("it was begun");
         let resumed = wave.command(Command::Resume, cluster.now());
@@ -89,23 +89,24 @@
     measure::rollout(wave, cluster.now()).as_secs_f64() / 60.0
 }
 
-/// Without faults: every instance is rebooted once, nothing moves, and the figures hold.
+/// Without faults, every instance is rebooted once, nothing moves, and time and buffer are within
+/// bounds. Compared with one instance at a time and with the whole fleet at once.
 fn against_the_naive_ways(folder: &str) {
     let calm = Faults {
         lag: 2,
         ..Faults::default()
     };
-    let ours = full_wave(folder, Policy::Product, calm, Limits::default(), 1);
+    let product = full_wave(folder, Policy::Product, calm, Limits::default(), 1);
     let single = Limits {
         max_out: Some(1),
         ..Limits::default()
     };
     let one = full_wave(folder, Policy::Product, calm, single, 1);
-    let greedy = full_wave(folder, Policy::WholeFleet, calm, Limits::default(), 1);
+    let whole_fleet = full_wave(folder, Policy::WholeFleet, calm, Limits::default(), 1);
     for (label, run) in [
-        ("product", &ours),
+        ("product", &product),
         ("one at a time", &one),
-        ("whole fleet", &greedy),
+        ("whole fleet", &whole_fleet),
     ] {
         let cost = run.meter.report().total();
         println!(
@@ -118,21 +119,21 @@
             run.breaches.len(),
         );
     }
-    let cost = ours.meter.report().total();
-    assert_eq!((ours.breaches.len(), one.breaches.len()), (0, 0));
+    let cost = product.meter.report().total();
+    assert_eq!((product.breaches.len(), one.breaches.len()), (0, 0));
     assert!(
-        !greedy.breaches.is_empty(),
-        "the checker sees the naive way break budgets"
+        !whole_fleet.breaches.is_empty(),
+        "the checker finds that the whole-fleet policy breaks budgets"
     );
-    assert_eq!((ours.reboots, cost.moves), (52, 0));
-    assert!(minutes(&one) >= 4.0 * minutes(&ours));
+    assert_eq!((product.reboots, cost.moves), (52, 0));
+    assert!(minutes(&one) >= 4.0 * minutes(&product));
     assert!(cost.buffer_slot_hours <= 1.1 * cost.bound_slot_hours);
 }
 
-/// Faults of every kind at once, other for each seed: reboots that never come back or come back
-/// failing, a rack lost in the wave, late lists, silent entries, racing operators, a controller
-/// that starts again from the rows at random ticks. Whatever happens, no invariant breaks, and the
-/// wave ends with every instance that is not lost maintained.
+/// Combines all faults, different for each seed: reboots that never finish or end with failing
+/// checks, a rack lost during the wave, stale lists, unresponsive entries, concurrent operator
+/// commands, and a controller that restarts from the rows at random ticks. No invariant may break,
+/// and the wave must end with every instance maintained that is not lost.
 fn faulty(folder: &str) {
     let (mut reboots, mut halts) = (0, 0);
     for seed in 0..SEEDS {
@@ -163,8 +164,8 @@
     println!("{folder}: {reboots} reboots over {SEEDS} seeds, {halts} waves halted at least once");
 }
 
-/// Every reboot of the wave comes back failing: a bad image. The first instance fails, the wave
-/// halts, and nothing else is touched until an operator resumes.
+/// With a bad image, every rebooted instance fails its checks. The wave halts at its first instance
+/// and touches no other until an operator resumes it.
 fn bad_image_halts_at_the_first(folder: &str) {
     let faults = Faults {
         bad_reboot: 1_000,
@@ -179,8 +180,8 @@
     assert_eq!(cluster.breaches, []);
 }
 
-/// An image that fails one reboot in two passes the first batches by luck; the wave still halts
-/// long before every pool has lost its promise.
+/// An image that fails in half of the reboots can pass the first batches by chance. The wave must
+/// still halt long before every pool falls below its promise.
 fn half_bad_image_halts_early(folder: &str) {
     for seed in 0..SEEDS {
         let faults = Faults {
@@ -190,7 +191,7 @@
         let mut cluster = Cluster::new(&deployment::read(folder), Policy::Product, faults, seed);
         assert!(cluster.run(200, settled));
         cluster.wave = Some(Row::begin(order(Limits::default()), cluster.now()));
-        cluster.run(LONG, has_halted);
+        cluster.run(STUCK_TICKS, has_halted);
         let state = cluster.wave.as_ref().map(|wave| wave.state);
         assert_eq!(state, Some(WaveState::Halted), "seed {seed}");
         assert!(
@@ -202,8 +203,8 @@
     }
 }
 
-/// Entries never take a new view. The first drain is never acknowledged: the wave waits for it and
-/// everything else serves on.
+/// The entries never take a new view, so the first drain is never acknowledged. The wave must wait
+/// for it while all other instances continue to serve.
 fn silent_entries_stop_the_wave_and_not_serving(folder: &str) {
     let mut cluster = Cluster::new(
         &deployment::read(folder),
