--- a/crates/controller/src/jobs/quarantine.rs
+++ b/crates/controller/src/jobs/quarantine.rs
@@ -8,7 +8,7 @@
 };
 use primroseroute_fleet::{
     Fleet,
-    budget::{self, Forbidden},
+    budget::{self, BudgetViolation},
 };
 use primroseroute_jobs::Board;
 use primroseroute_ledger::{Draft, Versioned, key};
@@ -35,14 +35,16 @@
     }
 }
 
-fn may_leave(fleet: &Fleet, row: &Row) -> Result<(), Forbidden> {
+fn may_leave(fleet: &Fleet, row: &Row) -> Result<(), BudgetViolation> {
     let Some(pool) = &row.pool else { return Ok(()) };
     let Some(budget) = fleet.budgets.get(pool) else {
         return Ok(());
     };
-    let standing = budget::standings(fleet).remove(pool).unwrap_or_default();
+    let availability = budget::availability_by_pool(fleet)
+        .remove(pool)
+        .unwrap_or_default();
     // One that is absent already takes nothing from the promise; it is left to the lifecycle.
-    standing.may_leave(row, budget)
+    availability.check_disruption(row, budget)
 }
 
 /// The row out of service until an operator releases it.
--- a/crates/fleet/benches/ways.rs
+++ b/crates/fleet/benches/ways.rs
@@ -74,11 +74,11 @@
 }
 
 fn unmet(fleet: &Fleet) -> u32 {
-    let standings = budget::standings(fleet);
+    let availability_by_pool = budget::availability_by_pool(fleet);
     fleet
         .budgets
         .iter()
-        .map(|(pool, budget)| standings[pool].deficit(budget))
+        .map(|(pool, budget)| availability_by_pool[pool].deficit(budget))
         .sum()
 }
 
--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -14,7 +14,7 @@
 //!
 //! # Complexity
 //!
-//! A [`Standing`] has one count for each rack and zone of the pool, and a histogram of those
+//! An [`Availability`] has one count for each rack and zone of the pool, and a histogram of those
 //! counts. A departure costs O(log racks), and the worst domain is the last key of the histogram.
 
 use crate::state::{Fleet, is_planned_absence};
@@ -27,7 +27,7 @@
 
 /// Why an instance may not leave its pool now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Forbidden {
+pub enum BudgetViolation {
     /// Planned work already has `max_absent` instances out.
     #[error("planned work holds {absent} absent, and at most {max_absent} may be")]
     MaxAbsent {
@@ -123,33 +123,33 @@
 
 /// Availability of one pool: present members by failure domain, and members out for planned work.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct Availability {
     present: u32,
-    planned: u32,
+    planned_absent: u32,
     racks: DomainCounts<id::Rack>,
     zones: DomainCounts<id::Zone>,
 }
 
-impl Default for Standing {
+impl Default for Availability {
     fn default() -> Self {
         Self {
             present: 0,
-            planned: 0,
+            planned_absent: 0,
             racks: DomainCounts::new(),
             zones: DomainCounts::new(),
         }
     }
 }
 
-impl Standing {
+impl Availability {
     /// Number of instances that serve now.
     pub fn present(&self) -> u32 {
         self.present
     }
 
     /// Number of instances that are out for planned work.
-    pub fn planned(&self) -> u32 {
-        self.planned
+    pub fn planned_absent(&self) -> u32 {
+        self.planned_absent
     }
 
     /// Number of instances that serve now in `rack`.
@@ -163,7 +163,7 @@
     }
 
     /// Number of instances that would serve after the worst further loss of `survive`.
-    pub fn left(&self, survive: Survive) -> u32 {
+    pub fn survivors(&self, survive: Survive) -> u32 {
         let lost = match survive {
             Survive::Nothing => 0,
             Survive::Rack => self.racks.largest(),
@@ -175,43 +175,45 @@
     /// Number of instances below `promised` after the worst further loss; zero if the promise
     /// holds.
     pub fn deficit(&self, budget: &Budget) -> u32 {
-        budget.promised.saturating_sub(self.left(budget.survive))
+        budget
+            .promised
+            .saturating_sub(self.survivors(budget.survive))
     }
 
     /// Adds a present member in `row`'s rack and zone.
-    pub fn join(&mut self, row: &Row) {
+    pub fn add_member(&mut self, row: &Row) {
         self.present += 1;
         self.racks.add(&row.rack);
         self.zones.add(&row.zone);
     }
 
     /// Removes a member in `row`'s rack and zone, which must have been added as present.
-    pub fn leave(&mut self, row: &Row) {
+    pub fn remove_member(&mut self, row: &Row) {
         self.present -= 1;
         self.racks.remove(&row.rack);
         self.zones.remove(&row.zone);
     }
 
     /// Removes a present member and counts it as out for planned work.
-    pub fn take_out(&mut self, row: &Row) {
-        self.leave(row);
-        self.planned += 1;
+    pub fn start_disruption(&mut self, row: &Row) {
+        self.remove_member(row);
+        self.planned_absent += 1;
     }
 
     /// Checks whether planned work may take out `row`, which must be present.
     ///
     /// # Errors
     /// The limit of the budget that would be exceeded.
-    pub fn may_leave(&self, row: &Row, budget: &Budget) -> Result<(), Forbidden> {
-        if self.planned >= budget.max_absent {
-            return Err(Forbidden::MaxAbsent {
-                absent: self.planned,
+    pub fn check_disruption(&self, row: &Row, budget: &Budget) -> Result<(), BudgetViolation> {
+        if self.planned_absent >= budget.max_absent {
+            return Err(BudgetViolation::MaxAbsent {
+                absent: self.planned_absent,
                 max_absent: budget.max_absent,
             });
         }
         let left = self.survivors_without(row, budget.survive);
         if left < budget.promised {
-            return Err(Forbidden::Promise {
+            return Err(BudgetViolation::Promise {
                 left,
                 promised: budget.promised,
                 domain: Domain(budget.survive),
@@ -244,31 +246,36 @@
 }
 
 /// Availability of every pool that has a budget.
-pub fn standings(fleet: &Fleet) -> BTreeMap<id::Pool, Standing> {
-    let mut standings: BTreeMap<_, _> = fleet
+pub fn availability_by_pool(fleet: &Fleet) -> BTreeMap<id::Pool, Availability> {
+    let mut availability_by_pool: BTreeMap<_, _> = fleet
         .budgets
         .keys()
-        .map(|pool| (pool.clone(), Standing::default()))
+        .map(|pool| (pool.clone(), Availability::default()))
         .collect();
     for row in fleet.rows.values() {
-        let Some(standing) = row.pool.as_ref().and_then(|pool| standings.get_mut(pool)) else {
+        let Some(availability) = row
+            .pool
+            .as_ref()
+            .and_then(|pool| availability_by_pool.get_mut(pool))
+        else {
             continue;
         };
         if fleet.is_present(row) {
-            standing.join(row);
+            availability.add_member(row);
         } else if is_planned_absence(row) {
-            standing.planned += 1;
+            availability.planned_absent += 1;
         }
     }
-    standings
+    availability_by_pool
 }
 
-/// Takes a maximum set of `candidates` that may leave together out of `standing`, at most `most`.
+/// Takes a maximum set of `candidates` that may leave together out of `availability`, at most
+/// `most`.
 ///
 /// Greedy selection by fullest domain is exact: for each number of departures it minimizes the
 /// largest remaining domain, and the number of survivors never increases with more departures.
-pub fn take<'a>(
-    standing: &mut Standing,
+pub fn select_disruptions<'a>(
+    availability: &mut Availability,
     budget: &Budget,
     candidates: impl IntoIterator<Item = &'a Row>,
     most: u32,
@@ -280,28 +287,28 @@
             .iter()
             .enumerate()
             .rev()
-            .max_by_key(|(_, row)| standing.fullness(row, budget.survive));
+            .max_by_key(|(_, row)| availability.fullness(row, budget.survive));
         let Some((index, row)) = fullest else { break };
-        if standing.may_leave(row, budget).is_err() {
+        if availability.check_disruption(row, budget).is_err() {
             break;
         }
-        standing.take_out(row);
+        availability.start_disruption(row);
         taken.push(waiting.remove(index));
     }
     taken
 }
 
 /// The instances of `pool` that may leave together now, in the order in which they should leave.
-pub fn room(fleet: &Fleet, pool: &id::Pool) -> Vec<id::Instance> {
+pub fn allowed_disruptions(fleet: &Fleet, pool: &id::Pool) -> Vec<id::Instance> {
     let Some(budget) = fleet.budgets.get(pool) else {
         return Vec::new();
     };
-    let mut standing = standings(fleet).remove(pool).unwrap_or_default();
+    let mut availability = availability_by_pool(fleet).remove(pool).unwrap_or_default();
     let candidates = fleet
         .rows
         .values()
         .filter(|row| row.pool.as_ref() == Some(pool) && fleet.is_present(row));
-    take(&mut standing, budget, candidates, u32::MAX)
+    select_disruptions(&mut availability, budget, candidates, u32::MAX)
         .into_iter()
         .map(|row| row.id.clone())
         .collect()
--- a/crates/fleet/src/lifecycle/orders.rs
+++ b/crates/fleet/src/lifecycle/orders.rs
@@ -2,7 +2,7 @@
 
 use super::transition;
 use crate::{
-    budget::{self, Standing},
+    budget::{self, Availability},
     state::Fleet,
 };
 use primroseroute_domain::{
@@ -91,11 +91,13 @@
     let Some(budget) = fleet.budgets.get(pool) else {
         return Ok(());
     };
-    let standing = budget::standings(fleet).remove(pool).unwrap_or_default();
+    let availability = budget::availability_by_pool(fleet)
+        .remove(pool)
+        .unwrap_or_default();
     let verdict = if fleet.is_present(row) {
-        standing.may_leave(row, budget)
+        availability.check_disruption(row, budget)
     } else {
-        check_budget_of_absent(&standing, budget)
+        check_budget_of_absent(&availability, budget)
     };
     verdict.map_err(|why| Refusal::new(Code::BudgetForbids, format!("pool `{pool}`: {why}")))
 }
@@ -105,18 +107,18 @@
 /// It takes no capacity with it, so only the number of planned absences limits it. The margin must
 /// hold nevertheless, or planned work would continue in a pool below its promise.
 fn check_budget_of_absent(
-    standing: &Standing,
+    availability: &Availability,
     budget: &primroseroute_domain::account::Budget,
-) -> Result<(), budget::Forbidden> {
-    if standing.planned() >= budget.max_absent {
-        return Err(budget::Forbidden::MaxAbsent {
-            absent: standing.planned(),
+) -> Result<(), budget::BudgetViolation> {
+    if availability.planned_absent() >= budget.max_absent {
+        return Err(budget::BudgetViolation::MaxAbsent {
+            absent: availability.planned_absent(),
             max_absent: budget.max_absent,
         });
     }
-    if standing.deficit(budget) > 0 {
-        return Err(budget::Forbidden::Promise {
-            left: standing.left(budget.survive),
+    if availability.deficit(budget) > 0 {
+        return Err(budget::BudgetViolation::Promise {
+            left: availability.survivors(budget.survive),
             promised: budget.promised,
             domain: budget::Domain(budget.survive),
         });
--- a/crates/fleet/src/placement/order.rs
+++ b/crates/fleet/src/placement/order.rs
@@ -2,7 +2,7 @@
 
 use super::{Move, Plan, assignment::Assignment};
 use crate::{
-    budget::{self, Standing},
+    budget::{self, Availability},
     lifecycle,
     state::Fleet,
 };
@@ -17,20 +17,28 @@
 pub(super) fn ordered_plan(fleet: &Fleet, assignment: &Assignment) -> Plan {
     let (mut moves, mut waiting): (Vec<_>, Vec<_>) =
         changes(fleet, assignment).partition(|step| step.from.is_none());
-    let mut standings = budget::standings(fleet);
+    let mut availability_by_pool = budget::availability_by_pool(fleet);
     for step in &moves {
-        join(&mut standings, &step.to, &fleet.rows[&step.instance]);
+        join(
+            &mut availability_by_pool,
+            &step.to,
+            &fleet.rows[&step.instance],
+        );
     }
     while let Some(index) = waiting
         .iter()
-        .position(|step| may_leave(fleet, &standings, step))
+        .position(|step| may_leave(fleet, &availability_by_pool, step))
     {
         let step = waiting.remove(index);
         let row = &fleet.rows[&step.instance];
-        if let Some(standing) = step.from.as_ref().and_then(|from| standings.get_mut(from)) {
-            standing.leave(row);
+        if let Some(availability) = step
+            .from
+            .as_ref()
+            .and_then(|from| availability_by_pool.get_mut(from))
+        {
+            availability.remove_member(row);
         }
-        join(&mut standings, &step.to, row);
+        join(&mut availability_by_pool, &step.to, row);
         moves.push(step);
     }
     Plan {
@@ -63,15 +71,22 @@
         .collect()
 }
 
-fn join(standings: &mut BTreeMap<id::Pool, Standing>, pool: &id::Pool, row: &Row) {
-    standings.entry(pool.clone()).or_default().join(row);
+fn join(availability_by_pool: &mut BTreeMap<id::Pool, Availability>, pool: &id::Pool, row: &Row) {
+    availability_by_pool
+        .entry(pool.clone())
+        .or_default()
+        .add_member(row);
 }
 
-fn may_leave(fleet: &Fleet, standings: &BTreeMap<id::Pool, Standing>, step: &Move) -> bool {
+fn may_leave(
+    fleet: &Fleet,
+    availability_by_pool: &BTreeMap<id::Pool, Availability>,
+    step: &Move,
+) -> bool {
     let row = &fleet.rows[&step.instance];
     let Some(from) = &step.from else { return true };
-    match (standings.get(from), fleet.budgets.get(from)) {
-        (Some(standing), Some(budget)) => standing.may_leave(row, budget).is_ok(),
+    match (availability_by_pool.get(from), fleet.budgets.get(from)) {
+        (Some(availability), Some(budget)) => availability.check_disruption(row, budget).is_ok(),
         // A pool that no template names has no budget.
         _ => true,
     }
@@ -79,7 +94,7 @@
 
 /// New rows for all moves of `plan` that may begin together now.
 pub fn start(fleet: &Fleet, plan: &Plan, now: Instant) -> Vec<Row> {
-    let mut standings = budget::standings(fleet);
+    let mut availability_by_pool = budget::availability_by_pool(fleet);
     let mut rows = Vec::new();
     for step in &plan.moves {
         let Some(row) = fleet.rows.get(&step.instance) else {
@@ -87,12 +102,16 @@
         };
         let begun = match &step.from {
             None => lifecycle::assign(row, &step.to),
-            Some(_) if !may_leave(fleet, &standings, step) => continue,
+            Some(_) if !may_leave(fleet, &availability_by_pool, step) => continue,
             Some(_) => lifecycle::drain(row, Purpose::Move(step.to.clone()), now),
         };
         let Ok(begun) = begun else { continue };
-        if let Some(standing) = step.from.as_ref().and_then(|from| standings.get_mut(from)) {
-            standing.take_out(row);
+        if let Some(availability) = step
+            .from
+            .as_ref()
+            .and_then(|from| availability_by_pool.get_mut(from))
+        {
+            availability.start_disruption(row);
         }
         rows.push(begun);
     }
--- a/crates/fleet/src/wave/plan.rs
+++ b/crates/fleet/src/wave/plan.rs
@@ -5,7 +5,7 @@
     select::select,
 };
 use crate::{
-    budget::{Forbidden, Standing},
+    budget::{Availability, BudgetViolation},
     lifecycle, measure,
     placement::{self, Weights},
     state::Fleet,
@@ -128,12 +128,15 @@
 /// The reason why `order` can never finish: the first instance that its pool's budget does not
 /// allow to leave even if every other member serves, and the changes that would allow it.
 pub(super) fn cannot_finish(fleet: &Fleet, order: &Order) -> Option<Refusal> {
-    let standings = full_standings(fleet);
+    let availability_by_pool = full_availability(fleet);
     let members = fleet.rows.values().filter(|row| order.scope.covers(row));
     members.into_iter().find_map(|row| {
         let pool = placement::home(fleet, row)?;
         let budget = fleet.budgets.get(pool)?;
-        let why = standings.get(pool)?.may_leave(row, budget).err()?;
+        let why = availability_by_pool
+            .get(pool)?
+            .check_disruption(row, budget)
+            .err()?;
         let detail = format!(
             "pool `{pool}` never lets `{}` leave: {why}; {} would allow it",
             row.id,
@@ -149,19 +152,19 @@
 /// domain can never leave, and the wave would wait forever although a spare is available. The spare
 /// is assigned only if a wave needs it, since every additional member adds to the buffer.
 pub(super) fn unblocking_spare(fleet: &Fleet, order: &Order) -> Option<Instance> {
-    let standings = full_standings(fleet);
+    let availability_by_pool = full_availability(fleet);
     let covered = fleet.rows.values().filter(|row| order.scope.covers(row));
     covered.into_iter().find_map(|row| {
         let pool = placement::home(fleet, row)?;
         let budget = fleet.budgets.get(pool)?;
-        let standing = standings.get(pool)?;
-        if standing.may_leave(row, budget).is_ok() {
+        let availability = availability_by_pool.get(pool)?;
+        if availability.check_disruption(row, budget).is_ok() {
             return None;
         }
         let unblocks = |spare: &&Instance| {
-            let mut with = standing.clone();
-            with.join(spare);
-            with.may_leave(row, budget).is_ok()
+            let mut with = availability.clone();
+            with.add_member(spare);
+            with.check_disruption(row, budget).is_ok()
         };
         let mut spares = fleet.rows.values().filter(|row| fleet.is_spare(row));
         lifecycle::assign(spares.find(unblocks)?, pool).ok()
@@ -169,20 +172,23 @@
 }
 
 /// Availability of each pool if all of its members serve.
-fn full_standings(fleet: &Fleet) -> BTreeMap<id::Pool, Standing> {
-    let mut standings: BTreeMap<_, Standing> = BTreeMap::new();
+fn full_availability(fleet: &Fleet) -> BTreeMap<id::Pool, Availability> {
+    let mut availability_by_pool: BTreeMap<_, Availability> = BTreeMap::new();
     for row in fleet.rows.values() {
         if let Some(pool) = placement::home(fleet, row) {
-            standings.entry(pool.clone()).or_default().join(row);
+            availability_by_pool
+                .entry(pool.clone())
+                .or_default()
+                .add_member(row);
         }
     }
-    standings
+    availability_by_pool
 }
 
-fn remedy(budget: &Budget, why: Forbidden) -> String {
+fn remedy(budget: &Budget, why: BudgetViolation) -> String {
     match why {
-        Forbidden::MaxAbsent { .. } => "a max-absent of at least 1".to_owned(),
-        Forbidden::Promise { left, domain, .. } => format!(
+        BudgetViolation::MaxAbsent { .. } => "a max-absent of at least 1".to_owned(),
+        BudgetViolation::Promise { left, domain, .. } => format!(
             "a promise of {left}, or {} more in another {domain}",
             budget.promised - left,
         ),
--- a/crates/fleet/src/wave/select.rs
+++ b/crates/fleet/src/wave/select.rs
@@ -5,7 +5,7 @@
     row::Row,
 };
 use crate::{
-    budget::{self, Standing},
+    budget::{self, Availability},
     state::Fleet,
 };
 use primroseroute_domain::{id, instance::Row as Instance};
@@ -23,11 +23,11 @@
     if most == 0 {
         return Vec::new();
     }
-    let mut standings = budget::standings(fleet);
+    let mut availability_by_pool = budget::availability_by_pool(fleet);
     let mut candidates: Vec<_> = pending(fleet, wave)
         .into_iter()
         .flat_map(|(pool, rows)| match pool {
-            Some(pool) => pool_candidates(fleet, pool, &mut standings, rows, most),
+            Some(pool) => pool_candidates(fleet, pool, &mut availability_by_pool, rows, most),
             None => unrestricted(rows),
         })
         .collect();
@@ -54,17 +54,19 @@
 fn pool_candidates<'a>(
     fleet: &Fleet,
     pool: &id::Pool,
-    standings: &mut BTreeMap<id::Pool, Standing>,
+    availability_by_pool: &mut BTreeMap<id::Pool, Availability>,
     rows: Vec<&'a Instance>,
     most: u32,
 ) -> Vec<Candidate<'a>> {
     let waiting = saturating_u32(rows.len());
-    let (Some(standing), Some(budget)) = (standings.get_mut(pool), fleet.budgets.get(pool)) else {
+    let (Some(availability), Some(budget)) =
+        (availability_by_pool.get_mut(pool), fleet.budgets.get(pool))
+    else {
         // No template names the pool, so it has no budget.
         return unrestricted(rows);
     };
     let per_round = budget.max_absent.max(1);
-    let taken = budget::take(standing, budget, rows, most);
+    let taken = budget::select_disruptions(availability, budget, rows, most);
     let candidates = taken
         .into_iter()
         .zip(0_u32..)
--- a/crates/fleet/tests/all/budget.rs
+++ b/crates/fleet/tests/all/budget.rs
@@ -98,7 +98,10 @@
         let fleet = build(&members, budget);
         // If the promise is already broken none may leave; the reference then yields the empty set.
         let expected = reference_room(&fleet, &budget);
-        assert_eq!(budgets::room(&fleet, &name("p")).len(), expected);
+        assert_eq!(
+            budgets::allowed_disruptions(&fleet, &name("p")).len(),
+            expected
+        );
         Ok(())
     });
     verdict.expect("the implementation agrees with the reference");
@@ -112,9 +115,9 @@
         .map(|i| serving(&format!("i{i}"), "p", &format!("r{}", i / 2), "z"))
         .collect();
     let mut fleet = fleet(rows, vec![("p", budget(4, 2, Survive::Rack))]);
-    assert_eq!(budgets::room(&fleet, &name("p")).len(), 2);
+    assert_eq!(budgets::allowed_disruptions(&fleet, &name("p")).len(), 2);
     fleet.absent = [name("i0"), name("i1")].into();
-    assert_eq!(budgets::room(&fleet, &name("p")).len(), 0);
+    assert_eq!(budgets::allowed_disruptions(&fleet, &name("p")).len(), 0);
 }
 
 /// Two instances failed after a wave took them out, in a pool with `max_absent` 2. They are
@@ -127,7 +130,7 @@
         row.state = State::Quarantined;
         row.purpose = Some(Purpose::Wave(name("w")));
     }
-    assert_eq!(budgets::room(&fleet, &name("p")).len(), 2);
+    assert_eq!(budgets::allowed_disruptions(&fleet, &name("p")).len(), 2);
 }
 
 cases! {
--- a/crates/fleet/tests/all/placement.rs
+++ b/crates/fleet/tests/all/placement.rs
@@ -224,10 +224,13 @@
         drains += plan.drains();
         for step in &plan.moves {
             if let Some(from) = &step.from {
-                assert!(budgets::room(&fleet, from).len() <= 2);
-                let standing = &budgets::standings(&fleet)[from];
+                assert!(budgets::allowed_disruptions(&fleet, from).len() <= 2);
+                let availability = &budgets::availability_by_pool(&fleet)[from];
                 let row = &fleet.rows[&step.instance];
-                assert_eq!(standing.may_leave(row, &fleet.budgets[from]), Ok(()));
+                assert_eq!(
+                    availability.check_disruption(row, &fleet.budgets[from]),
+                    Ok(())
+                );
             }
             let row = fleet
                 .rows
@@ -294,13 +297,13 @@
         };
         fleet.rows.insert(row.id.clone(), row);
     }
-    let standings = budgets::standings(&fleet);
-    let lines = standings.iter().map(|(pool, standing)| {
+    let availability_by_pool = budgets::availability_by_pool(&fleet);
+    let lines = availability_by_pool.iter().map(|(pool, availability)| {
         let budget = fleet.budgets[pool];
-        let left = standing.left(budget.survive);
+        let left = availability.survivors(budget.survive);
         format!(
             "{pool}: {} members, {left} after the worst loss, {} promised\n",
-            standing.present(),
+            availability.present(),
             budget.promised
         )
     });
--- a/crates/fleet/tests/all/waves.rs
+++ b/crates/fleet/tests/all/waves.rs
@@ -28,10 +28,10 @@
 }
 
 fn settled(cluster: &Cluster) -> bool {
-    let standings = budget::standings(&cluster.fleet);
+    let availability_by_pool = budget::availability_by_pool(&cluster.fleet);
     cluster.fleet.rows.len() == 52
         && cluster.fleet.budgets.iter().all(|(pool, budget)| {
-            standings[pool].deficit(budget) == 0
+            availability_by_pool[pool].deficit(budget) == 0
                 && cluster
                     .fleet
                     .rows
