--- a/crates/admin/src/edit/instance.rs
+++ b/crates/admin/src/edit/instance.rs
@@ -47,7 +47,7 @@
     let next = if order.force {
         lifecycle::drain(row, Purpose::Operator, now)?
     } else {
-        lifecycle::order(&fleet(snapshot), name, &lifecycle::Order::Drain, now)?
+        lifecycle::apply_command(&fleet(snapshot), name, &lifecycle::Command::Drain, now)?
     };
     put(found, &next, draft);
     Ok(())
@@ -69,7 +69,7 @@
     if found.value.state == State::Serving {
         return Ok(());
     }
-    let next = lifecycle::order(&fleet(snapshot), name, &lifecycle::Order::Release, now)?;
+    let next = lifecycle::apply_command(&fleet(snapshot), name, &lifecycle::Command::Release, now)?;
     put(found, &next, draft);
     Ok(())
 }
@@ -88,8 +88,8 @@
     draft: &mut Draft,
 ) -> Result<(), Refusal> {
     let found = find(snapshot, name, order)?;
-    let wanted = lifecycle::Order::Move(pool.clone());
-    let next = lifecycle::order(&fleet(snapshot), name, &wanted, now)?;
+    let wanted = lifecycle::Command::Move(pool.clone());
+    let next = lifecycle::apply_command(&fleet(snapshot), name, &wanted, now)?;
     put(found, &next, draft);
     Ok(())
 }
--- a/crates/controller/tests/all/waves/fault.rs
+++ b/crates/controller/tests/all/waves/fault.rs
@@ -123,7 +123,7 @@
         let Some(found) = snapshot.instances().get(&id) else {
             return Ok(());
         };
-        let row = lifecycle::order(&fleet(snapshot), &id, &lifecycle::Order::Drain, now)?;
+        let row = lifecycle::apply_command(&fleet(snapshot), &id, &lifecycle::Command::Drain, now)?;
         draft.put(key::instance(&id), Some(found.version), &row);
         Ok(())
     };
@@ -153,7 +153,12 @@
         for (id, found) in snapshot.instances() {
             let row = &found.value;
             if row.state == State::Draining && row.purpose == Some(Purpose::Operator) {
-                let row = lifecycle::order(&fleet(snapshot), id, &lifecycle::Order::Release, now)?;
+                let row = lifecycle::apply_command(
+                    &fleet(snapshot),
+                    id,
+                    &lifecycle::Command::Release,
+                    now,
+                )?;
                 draft.put(key::instance(id), Some(found.version), &row);
             }
         }
--- a/crates/fleet/src/lifecycle/orders.rs
+++ b/crates/fleet/src/lifecycle/commands.rs
@@ -14,7 +14,7 @@
 
 /// An operator's command to one instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Command {
     /// Take the instance out of its pool until it is released.
     Drain,
     /// Move the instance to another pool.
@@ -27,30 +27,30 @@
     Quarantine,
 }
 
-/// The row of `instance` after `order`.
+/// The row of `instance` after `command`.
 ///
 /// # Errors
 /// [`Code::NotFound`] for an unknown instance or pool, [`Code::IllegalTransition`] if the state
 /// does not allow the command, [`Code::BudgetForbids`] if the pool's budget does not.
-pub fn order(
+pub fn apply_command(
     fleet: &Fleet,
     instance: &id::Instance,
-    order: &Order,
+    command: &Command,
     now: Instant,
 ) -> Result<Row, Refusal> {
     let row = fleet
         .rows
         .get(instance)
         .ok_or_else(|| Refusal::new(Code::NotFound, format!("no instance `{instance}`")))?;
-    match order {
-        Order::Drain => drain_within_budget(fleet, row, Purpose::Operator, now),
-        Order::Move(pool) => move_to(fleet, row, pool, now),
-        Order::Assign(pool) => {
+    match command {
+        Command::Drain => drain_within_budget(fleet, row, Purpose::Operator, now),
+        Command::Move(pool) => move_to(fleet, row, pool, now),
+        Command::Assign(pool) => {
             require_pool(fleet, pool)?;
             assign(row, pool)
         }
-        Order::Release => release(row, now),
-        Order::Quarantine => quarantine(fleet, row, now),
+        Command::Release => release(row, now),
+        Command::Quarantine => quarantine(fleet, row, now),
     }
 }
 
--- a/crates/fleet/src/lifecycle/mod.rs
+++ b/crates/fleet/src/lifecycle/mod.rs
@@ -19,12 +19,12 @@
 //! No state is kept between calls. Health check counts restart from zero with a new controller,
 //! which can delay a step but never cause one.
 
+mod commands;
 mod limits;
-mod orders;
 mod step;
 
+pub use commands::{Command, apply_command, assign, drain, undrain};
 pub use limits::Limits;
-pub use orders::{Order, assign, drain, order, undrain};
 pub use step::{Input, step};
 
 use primroseroute_domain::{
--- a/crates/fleet/tests/all/cluster/mod.rs
+++ b/crates/fleet/tests/all/cluster/mod.rs
@@ -161,7 +161,13 @@
             .values()
             .filter(|row| row.purpose == Some(Purpose::Operator));
         let released = held.filter_map(|row| {
-            lifecycle::order(&self.fleet, &row.id, &lifecycle::Order::Release, self.now()).ok()
+            lifecycle::apply_command(
+                &self.fleet,
+                &row.id,
+                &lifecycle::Command::Release,
+                self.now(),
+            )
+            .ok()
         });
         let released = released.collect();
         self.write(released);
@@ -302,13 +308,13 @@
         let pools: Vec<_> = self.fleet.budgets.keys().cloned().collect();
         let row = &rows[self.rng.random_range(0..rows.len())];
         let pool = pools[self.rng.random_range(0..pools.len())].clone();
-        let order = match self.rng.random_range(0..5) {
-            0 => lifecycle::Order::Drain,
-            1 => lifecycle::Order::Move(pool),
-            2 => lifecycle::Order::Quarantine,
-            _ => lifecycle::Order::Release,
+        let command = match self.rng.random_range(0..5) {
+            0 => lifecycle::Command::Drain,
+            1 => lifecycle::Command::Move(pool),
+            2 => lifecycle::Command::Quarantine,
+            _ => lifecycle::Command::Release,
         };
-        if let Ok(row) = lifecycle::order(&self.fleet, row, &order, self.now()) {
+        if let Ok(row) = lifecycle::apply_command(&self.fleet, row, &command, self.now()) {
             self.write(vec![row]);
         }
     }
--- a/crates/fleet/tests/all/lifecycle.rs
+++ b/crates/fleet/tests/all/lifecycle.rs
@@ -9,7 +9,9 @@
     outcome::Code,
     time::Instant,
 };
-use primroseroute_fleet::lifecycle::{Action, Checks, Entry, Input, Limits, Order, order, step};
+use primroseroute_fleet::lifecycle::{
+    Action, Checks, Command, Entry, Input, Limits, apply_command, step,
+};
 use primroseroute_platform::fleet::{Listed, Phase};
 use std::collections::BTreeMap;
 
@@ -317,19 +319,19 @@
     let spare = spare("s", "r9", "z");
     let rows = rows.chain([spare]).collect();
     let fleet = fleet(rows, vec![("a", budget(2, 1, Survive::Rack))]);
-    let code = |id: &str, given: Order| {
-        order(&fleet, &name(id), &given, Instant(1)).map_err(|refusal| refusal.code)
+    let code = |id: &str, given: Command| {
+        apply_command(&fleet, &name(id), &given, Instant(1)).map_err(|refusal| refusal.code)
     };
-    assert_eq!(code("i0", Order::Drain), Err(Code::BudgetForbids));
-    assert_eq!(code("i0", Order::Quarantine), Err(Code::BudgetForbids));
-    assert_eq!(code("i0", Order::Move(name("b"))), Err(Code::NotFound));
-    assert_eq!(code("i0", Order::Release), Err(Code::IllegalTransition));
+    assert_eq!(code("i0", Command::Drain), Err(Code::BudgetForbids));
+    assert_eq!(code("i0", Command::Quarantine), Err(Code::BudgetForbids));
+    assert_eq!(code("i0", Command::Move(name("b"))), Err(Code::NotFound));
+    assert_eq!(code("i0", Command::Release), Err(Code::IllegalTransition));
     assert_eq!(
-        code("i0", Order::Assign(name("a"))),
+        code("i0", Command::Assign(name("a"))),
         Err(Code::IllegalTransition)
     );
-    assert_eq!(code("i9", Order::Drain), Err(Code::NotFound));
-    let placed = code("s", Order::Assign(name("a"))).expect("a spare is given");
+    assert_eq!(code("i9", Command::Drain), Err(Code::NotFound));
+    let placed = code("s", Command::Assign(name("a"))).expect("a spare is given");
     assert_eq!(placed.pool, Some(name("a")));
 }
 
