--- a/crates/controller/tests/all/main.rs
+++ b/crates/controller/tests/all/main.rs
@@ -10,7 +10,7 @@
     instance::{Row, State},
     time::Instant,
 };
-use primroseroute_fleet::lifecycle::{acknowledged, emptied};
+use primroseroute_fleet::lifecycle::{acknowledged_by_all, drained_by_all};
 use primroseroute_peer::report::{Drain, Identity, Report};
 use primroseroute_platform::fleet::{Listed, Phase};
 use std::collections::BTreeMap;
@@ -84,8 +84,8 @@
     let versions = BTreeMap::from([(name("i"), DRAINED)]);
     let entries = acknowledgements(&voices, listed, &rows, &versions);
     (
-        acknowledged(&entries, DRAINED),
-        emptied(&entries, &name("i"), DRAINED),
+        acknowledged_by_all(&entries, DRAINED),
+        drained_by_all(&entries, &name("i"), DRAINED),
     )
 }
 
--- a/crates/fleet/src/lifecycle/mod.rs
+++ b/crates/fleet/src/lifecycle/mod.rs
@@ -70,7 +70,7 @@
         self.gone || self.seen >= version
     }
 
-    fn has_emptied(&self, instance: &id::Instance, version: Seq) -> bool {
+    fn has_drained(&self, instance: &id::Instance, version: Seq) -> bool {
         let in_flight = self.in_flight.get(instance).copied().unwrap_or(0);
         self.gone || (self.seen >= version && in_flight == 0)
     }
@@ -81,16 +81,16 @@
 /// An empty list is not an acknowledgement: the controller is itself a registered entry, so an
 /// empty list means a failed read, and acting on it would move an instance that has requests in
 /// flight.
-pub fn acknowledged(entries: &[Entry], version: Seq) -> bool {
+pub fn acknowledged_by_all(entries: &[Entry], version: Seq) -> bool {
     !entries.is_empty() && entries.iter().all(|entry| entry.has_seen(version))
 }
 
 /// Whether every entry has acknowledged `version` and has no requests in flight on `instance`.
-pub fn emptied(entries: &[Entry], instance: &id::Instance, version: Seq) -> bool {
+pub fn drained_by_all(entries: &[Entry], instance: &id::Instance, version: Seq) -> bool {
     !entries.is_empty()
         && entries
             .iter()
-            .all(|entry| entry.has_emptied(instance, version))
+            .all(|entry| entry.has_drained(instance, version))
 }
 
 /// An action for the caller. All writes of one call belong in one transaction.
--- a/crates/fleet/src/lifecycle/step.rs
+++ b/crates/fleet/src/lifecycle/step.rs
@@ -1,6 +1,6 @@
 //! One lifecycle step of the whole fleet.
 
-use super::{Action, Checks, Entry, Limits, acknowledged, emptied, transition};
+use super::{Action, Checks, Entry, Limits, acknowledged_by_all, drained_by_all, transition};
 use primroseroute_domain::{
     change::Seq,
     id,
@@ -149,7 +149,7 @@
     }
 
     fn is_drained(&self) -> bool {
-        emptied(self.input.entries, &self.row.id, self.version())
+        drained_by_all(self.input.entries, &self.row.id, self.version())
     }
 
     fn age(&self) -> std::time::Duration {
@@ -174,7 +174,7 @@
         match self.row.state {
             // The row is deleted last: an entry with an old view still sends to the instance, and
             // its name could be reused in another pool.
-            State::Leaving if gone && acknowledged(self.input.entries, self.version()) => {
+            State::Leaving if gone && acknowledged_by_all(self.input.entries, self.version()) => {
                 let id = self.row.id.clone();
                 Some(vec![Action::Delete { id }])
             }
