--- a/crates/controller/src/act.rs
+++ b/crates/controller/src/act.rs
@@ -215,7 +215,7 @@
 /// Gives spares to pools and begins moves, as far as the budgets allow now.
 fn place(table: &Table, seen: &Seen, draft: &mut Draft) {
     let plan = placement::plan(&table.fleet, seen.weights);
-    for row in placement::start(&table.fleet, &plan, seen.now) {
+    for row in placement::start_moves(&table.fleet, &plan, seen.now) {
         log::info!(
             "instance {} is placed: {} in {:?}",
             row.id,
--- a/crates/fleet/benches/fleet.rs
+++ b/crates/fleet/benches/fleet.rs
@@ -78,7 +78,7 @@
     let mut fleet = arrivals(workers);
     let plan = placement::plan(&fleet, Weights::default());
     assert!(plan.unmet.is_empty(), "{:?}", plan.score);
-    for row in placement::start(&fleet, &plan, Instant(0)) {
+    for row in placement::start_moves(&fleet, &plan, Instant(0)) {
         let state = State::Serving;
         fleet.rows.insert(row.id.clone(), Row { state, ..row });
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -11,8 +11,8 @@
 //! # Control cycle
 //!
 //! [`lifecycle::step`], then [`wave::step`] for each wave, then [`placement::plan`] and
-//! [`placement::start`]. Each reads the rows as the previous one left them, so no two of them take
-//! out the same instance or spend the same part of a budget. Operator commands go through
+//! [`placement::start_moves`]. Each reads the rows as the previous one left them, so no two of them
+//! take out the same instance or spend the same part of a budget. Operator commands go through
 //! [`lifecycle::apply_command`] and [`wave::plan`], against the rows of the change that they commit
 //! on.
 //!
--- a/crates/fleet/src/measure.rs
+++ b/crates/fleet/src/measure.rs
@@ -142,7 +142,7 @@
     budgets
         .map(|(pool, budget)| {
             let target = target(budget, weights, &racks, &zones);
-            (pool, target.lost + target.room)
+            (pool, target.worst_loss + target.headroom)
         })
         .collect()
 }
@@ -150,7 +150,7 @@
 fn members_by_pool(fleet: &Fleet) -> BTreeMap<&id::Pool, u32> {
     let mut members = BTreeMap::new();
     for row in fleet.rows.values() {
-        if let Some(pool) = placement::home(fleet, row) {
+        if let Some(pool) = placement::effective_pool(fleet, row) {
             *members.entry(pool).or_default() += 1;
         }
     }
--- a/crates/fleet/src/placement/assignment.rs
+++ b/crates/fleet/src/placement/assignment.rs
@@ -1,6 +1,6 @@
 //! Assignment of instances to pools, with indexed pools, racks and zones and incremental counts.
 
-use super::{Score, Target, Weights, home, missing, pairs, target};
+use super::{Score, Target, Weights, effective_pool, missing, pairs, target};
 use crate::state::Fleet;
 use primroseroute_domain::{
     account::{Budget, Survive},
@@ -150,7 +150,7 @@
         let usable: Vec<_> = fleet
             .rows
             .values()
-            .filter(|row| fleet.is_spare(row) || home(fleet, row).is_some())
+            .filter(|row| fleet.is_spare(row) || effective_pool(fleet, row).is_some())
             .collect();
         let racks = index_names(usable.iter().map(|row| &row.rack));
         let zones = index_names(usable.iter().map(|row| &row.zone));
@@ -173,8 +173,8 @@
             weights,
         };
         for row in usable {
-            let assigned_pool =
-                home(fleet, row).and_then(|pool| assignment.pool_ids.binary_search(pool).ok());
+            let assigned_pool = effective_pool(fleet, row)
+                .and_then(|pool| assignment.pool_ids.binary_search(pool).ok());
             let instance = PlacedInstance {
                 id: row.id.clone(),
                 rack: racks[&row.rack],
--- a/crates/fleet/src/placement/mod.rs
+++ b/crates/fleet/src/placement/mod.rs
@@ -20,9 +20,9 @@
 //! # Order of moves
 //!
 //! Spares come first, then moves in an order in which each source pool's budget holds at each step;
-//! a move that no order allows is left out. [`start`] begins the moves that the budgets allow now
-//! and leaves the rest to the next call. Each call plans again from the rows, so a plan is never
-//! stale.
+//! a move that no order allows is left out. [`start_moves`] begins the moves that the budgets allow
+//! now and leaves the rest to the next call. Each call plans again from the rows, so a plan is
+//! never stale.
 
 mod assignment;
 mod greedy;
@@ -30,7 +30,7 @@
 mod order;
 mod target;
 
-pub use order::start;
+pub use order::start_moves;
 pub use target::{Target, target};
 
 use crate::state::Fleet;
@@ -130,7 +130,7 @@
 ///
 /// An instance that is lost, quarantined or being removed by the platform contributes to none: its
 /// pool may need a replacement.
-pub fn home<'a>(fleet: &Fleet, row: &'a Row) -> Option<&'a id::Pool> {
+pub fn effective_pool<'a>(fleet: &Fleet, row: &'a Row) -> Option<&'a id::Pool> {
     // Absence means a loss only for a serving instance. An instance in maintenance is listed as
     // rebooting, and replacing it would cost a move for each instance of a wave.
     if row.state == State::Serving && fleet.absent.contains(&row.id) {
--- a/crates/fleet/src/placement/order.rs
+++ b/crates/fleet/src/placement/order.rs
@@ -93,7 +93,7 @@
 }
 
 /// New rows for all moves of `plan` that may begin together now.
-pub fn start(fleet: &Fleet, plan: &Plan, now: Instant) -> Vec<Row> {
+pub fn start_moves(fleet: &Fleet, plan: &Plan, now: Instant) -> Vec<Row> {
     let mut availability_by_pool = budget::availability_by_pool(fleet);
     let mut rows = Vec::new();
     for step in &plan.moves {
--- a/crates/fleet/src/placement/target.rs
+++ b/crates/fleet/src/placement/target.rs
@@ -9,18 +9,18 @@
     /// Total number of members.
     pub members: u32,
     /// Members that planned work may take out at a time without breaking the promise.
-    pub room: u32,
+    pub headroom: u32,
     /// Members lost with the worst failure domain if the pool is spread as well as the fleet
     /// allows.
-    pub lost: u32,
+    pub worst_loss: u32,
 }
 
 /// The target of a pool with `budget` in a fleet whose racks and zones have these capacities.
 ///
 /// The headroom is the number of members out at a time, from 1 to `max_absent`, that minimizes
-/// `buffer * room + rollout * rounds`, where a wave over the pool takes `members / room` rounds.
-/// Zero is never chosen: every wave would have to borrow a spare for each pool in turn, which costs
-/// a move for each and takes as many rounds as the fleet has instances.
+/// `buffer * headroom + rollout * rounds`, where a wave over the pool takes `members / headroom`
+/// rounds. Zero is never chosen: every wave would have to borrow a spare for each pool in turn,
+/// which costs a move for each and takes as many rounds as the fleet has instances.
 pub fn target(budget: &Budget, weights: Weights, racks: &[u32], zones: &[u32]) -> Target {
     let domains = match budget.survive {
         Survive::Nothing => &[],
@@ -28,17 +28,19 @@
         Survive::Zone => zones,
     };
     let kept = members_kept(budget.promised, domains);
-    let lost = kept - budget.promised;
-    let rooms = 1..=budget.max_absent.max(1);
-    let cost = |room: u32| {
-        let rounds = u64::from((kept + room).div_ceil(room));
-        u64::from(weights.buffer) * u64::from(room) + u64::from(weights.rollout) * rounds
+    let worst_loss = kept - budget.promised;
+    let headrooms = 1..=budget.max_absent.max(1);
+    let cost = |headroom: u32| {
+        let rounds = u64::from((kept + headroom).div_ceil(headroom));
+        u64::from(weights.buffer) * u64::from(headroom) + u64::from(weights.rollout) * rounds
     };
-    let room = rooms.min_by_key(|room| cost(*room)).unwrap_or(1);
+    let headroom = headrooms
+        .min_by_key(|headroom| cost(*headroom))
+        .unwrap_or(1);
     Target {
-        members: kept + room,
-        room,
-        lost,
+        members: kept + headroom,
+        headroom,
+        worst_loss,
     }
 }
 
--- a/crates/fleet/src/wave/plan.rs
+++ b/crates/fleet/src/wave/plan.rs
@@ -116,7 +116,7 @@
         }
     }
     for row in projected.rows.values_mut() {
-        if let Some(pool) = placement::home(fleet, row).cloned() {
+        if let Some(pool) = placement::effective_pool(fleet, row).cloned() {
             row.pool = Some(pool);
             row.state = State::Serving;
             row.purpose = None;
@@ -131,7 +131,7 @@
     let availability_by_pool = full_availability(fleet);
     let members = fleet.rows.values().filter(|row| order.scope.covers(row));
     members.into_iter().find_map(|row| {
-        let pool = placement::home(fleet, row)?;
+        let pool = placement::effective_pool(fleet, row)?;
         let budget = fleet.budgets.get(pool)?;
         let why = availability_by_pool
             .get(pool)?
@@ -155,7 +155,7 @@
     let availability_by_pool = full_availability(fleet);
     let covered = fleet.rows.values().filter(|row| order.scope.covers(row));
     covered.into_iter().find_map(|row| {
-        let pool = placement::home(fleet, row)?;
+        let pool = placement::effective_pool(fleet, row)?;
         let budget = fleet.budgets.get(pool)?;
         let availability = availability_by_pool.get(pool)?;
         if availability.check_disruption(row, budget).is_ok() {
@@ -175,7 +175,7 @@
 fn full_availability(fleet: &Fleet) -> BTreeMap<id::Pool, Availability> {
     let mut availability_by_pool: BTreeMap<_, Availability> = BTreeMap::new();
     for row in fleet.rows.values() {
-        if let Some(pool) = placement::home(fleet, row) {
+        if let Some(pool) = placement::effective_pool(fleet, row) {
             availability_by_pool
                 .entry(pool.clone())
                 .or_default()
--- a/crates/fleet/tests/all/cluster/controller.rs
+++ b/crates/fleet/tests/all/cluster/controller.rs
@@ -87,7 +87,7 @@
 
     pub(super) fn place(&mut self) {
         let plan = placement::plan(&self.fleet, self.weights);
-        let rows = placement::start(&self.fleet, &plan, self.now());
+        let rows = placement::start_moves(&self.fleet, &plan, self.now());
         self.write(rows);
     }
 
--- a/crates/fleet/tests/all/placement.rs
+++ b/crates/fleet/tests/all/placement.rs
@@ -12,7 +12,7 @@
 };
 use primroseroute_fleet::{
     Fleet, budget as budgets, lifecycle,
-    placement::{Plan, Weights, plan, start, target},
+    placement::{Plan, Weights, plan, start_moves, target},
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -269,7 +269,7 @@
             .iter()
             .filter_map(|step| step.from.clone())
             .collect();
-        let started = start(&fleet, &plan, Instant(1));
+        let started = start_moves(&fleet, &plan, Instant(1));
         let drained: BTreeSet<_> = started
             .iter()
             .filter(|row| row.state == State::Draining)
@@ -290,7 +290,7 @@
     let mut fleet = deployment.fleet;
     let plan = plan(&fleet, deployment.weights);
     assert_eq!(plan.unmet, BTreeMap::new());
-    for row in start(&fleet, &plan, Instant(1)) {
+    for row in start_moves(&fleet, &plan, Instant(1)) {
         let row = Row {
             state: State::Serving,
             ..row
@@ -324,7 +324,7 @@
     let replaced = plan(&fleet, Weights::default());
     assert_eq!(replaced.moves.len(), 1);
     assert_eq!(replaced.drains(), 0);
-    for row in start(&fleet, &replaced, Instant(1)) {
+    for row in start_moves(&fleet, &replaced, Instant(1)) {
         fleet.rows.insert(row.id.clone(), row);
     }
     // The spare is still in probation; a second call must not assign another one to the pool.
@@ -353,7 +353,7 @@
     let fleet = fleet(rows.collect(), vec![("p", budget(2, 1, Survive::Rack))]);
     let plan = plan(&fleet, Weights::default());
     assert_eq!(plan.drains(), 4);
-    let started = start(&fleet, &plan, Instant(1));
+    let started = start_moves(&fleet, &plan, Instant(1));
     assert!(started.iter().all(|row| row.state == State::Draining));
     assert!(started.iter().all(|row| row.pool == Some(name("old"))));
     let spare = lifecycle::assign(&fleet.rows[&name("i0")], &name("p"));
--- a/crates/fleet/tests/all/wave.rs
+++ b/crates/fleet/tests/all/wave.rs
@@ -75,7 +75,7 @@
     let deployment = deployment::read(folder);
     let mut fleet = deployment.fleet;
     let placed = placement::plan(&fleet, deployment.weights);
-    for row in placement::start(&fleet, &placed, START) {
+    for row in placement::start_moves(&fleet, &placed, START) {
         let row = Instance {
             state: State::Serving,
             ..row
--- a/crates/report/src/series.rs
+++ b/crates/report/src/series.rs
@@ -44,7 +44,9 @@
             if let Some(point) = row.pool.as_ref().and_then(|pool| now.get_mut(pool)) {
                 point.serving += u32::from(serves);
             }
-            if let Some(point) = placement::home(fleet, row).and_then(|pool| now.get_mut(pool)) {
+            if let Some(point) =
+                placement::effective_pool(fleet, row).and_then(|pool| now.get_mut(pool))
+            {
                 point.held += 1;
             }
         }
