--- a/crates/fleet/src/measure.rs
+++ b/crates/fleet/src/measure.rs
@@ -7,7 +7,7 @@
 //!   the worst loss with the best possible spread, plus the headroom for planned work
 //!   ([`crate::placement::target`]).
 //! * Moves: changes of an instance from one pool to another.
-//! * Roll-out time: from the start of a wave to its end ([`rollout`]).
+//! * Roll-out time: from the start of a wave to its end ([`rollout_duration`]).
 
 use crate::{
     placement::{self, Weights, target},
@@ -88,7 +88,7 @@
 
     fn add_period(&mut self, fleet: &Fleet, period: Duration) {
         let slot_hours = f64::from(SLOTS) * period.as_secs_f64() / SECONDS_PER_HOUR;
-        let bounds = bounds(fleet, self.weights);
+        let bounds = lower_bounds(fleet, self.weights);
         for (pool, members) in members_by_pool(fleet) {
             let Some(budget) = fleet.budgets.get(pool) else {
                 continue;
@@ -120,7 +120,7 @@
 
 /// Slot-hours over `period` of the members that the pools of `fleet` have beyond the promised
 /// number.
-pub fn buffer(fleet: &Fleet, period: Duration) -> f64 {
+pub fn buffer_slot_hours(fleet: &Fleet, period: Duration) -> f64 {
     let surplus = members_by_pool(fleet).into_iter().map(|(pool, members)| {
         let promised = fleet.budgets.get(pool).map_or(0, |budget| budget.promised);
         f64::from(members.saturating_sub(promised))
@@ -129,7 +129,7 @@
 }
 
 /// The smallest number of members that each pool needs beyond the promised number.
-pub fn bounds(fleet: &Fleet, weights: Weights) -> BTreeMap<&id::Pool, u32> {
+pub fn lower_bounds(fleet: &Fleet, weights: Weights) -> BTreeMap<&id::Pool, u32> {
     let mut racks = BTreeMap::<_, u32>::new();
     let mut zones = BTreeMap::<_, u32>::new();
     for row in fleet.rows.values() {
@@ -158,6 +158,6 @@
 }
 
 /// Duration of a wave, until `now` if it has not ended.
-pub fn rollout(wave: &wave::Row, now: Instant) -> Duration {
+pub fn rollout_duration(wave: &wave::Row, now: Instant) -> Duration {
     wave.ended.unwrap_or(now).since(wave.started)
 }
--- a/crates/fleet/src/wave/plan.rs
+++ b/crates/fleet/src/wave/plan.rs
@@ -81,7 +81,7 @@
     Ok(Plan {
         batches,
         rollout_seconds: rollout.as_secs(),
-        buffer_slot_hours: measure::buffer(&projected, rollout),
+        buffer_slot_hours: measure::buffer_slot_hours(&projected, rollout),
         moves: placed.drains(),
         fits_window: order.window.closes.is_none_or(|closes| end <= closes),
     })
--- a/crates/fleet/tests/all/waves.rs
+++ b/crates/fleet/tests/all/waves.rs
@@ -86,7 +86,7 @@
 
 fn minutes(cluster: &Cluster) -> f64 {
     let wave = cluster.wave.as_ref().expect("it was begun");
-    measure::rollout(wave, cluster.now()).as_secs_f64() / 60.0
+    measure::rollout_duration(wave, cluster.now()).as_secs_f64() / 60.0
 }
 
 /// Without faults, every instance is rebooted once, nothing moves, and time and buffer are within
@@ -224,7 +224,7 @@
     assert!(draining.count() <= 1);
     assert!(cluster.reboots <= 1);
     assert_eq!(cluster.breaches, []);
-    let wait = measure::rollout(cluster.wave.as_ref().expect("begun"), cluster.now());
+    let wait = measure::rollout_duration(cluster.wave.as_ref().expect("begun"), cluster.now());
     assert!(wait > Duration::from_secs(4_000));
 }
 
--- a/crates/report/src/wave.rs
+++ b/crates/report/src/wave.rs
@@ -4,7 +4,7 @@
 use primroseroute_domain::{id, instance::Purpose, time::Instant};
 use primroseroute_fleet::{
     Fleet,
-    measure::{Cost, Meter, rollout},
+    measure::{Cost, Meter, rollout_duration},
     placement::Weights,
     wave,
 };
@@ -121,7 +121,7 @@
             started: self.row.started,
             ended: self.row.ended,
             cost,
-            rollout_seconds: rollout(&self.row, period.to).as_secs_f64(),
+            rollout_seconds: rollout_duration(&self.row, period.to).as_secs_f64(),
             maintained: self.maintained,
             pools: self.pools,
         }
--- a/tests/all/report.rs
+++ b/tests/all/report.rs
@@ -11,7 +11,7 @@
     time::{Clock, SystemClock},
 };
 use primroseroute_fleet::{
-    measure::rollout,
+    measure::rollout_duration,
     wave::{Limits, Order, Scope, State, Window},
 };
 use primroseroute_ledger::key;
@@ -125,7 +125,7 @@
     assert_eq!(wave.pools, ["stay".parse()?].into());
     let known = site.any().admin.waves().await?.remove(0).row.value;
     assert_eq!((wave.started, wave.ended), (known.started, known.ended));
-    let took = rollout(&known, known.started).as_secs_f64();
+    let took = rollout_duration(&known, known.started).as_secs_f64();
     assert!((wave.rollout_seconds - took).abs() < 1e-9, "{wave:?}");
     let stay = found.pools[&"stay".parse()?];
     let rest = found.pools[&"rest".parse()?];
