--- a/crates/controller/tests/all/waves/judge.rs
+++ b/crates/controller/tests/all/waves/judge.rs
@@ -8,7 +8,7 @@
 };
 use primroseroute_fleet::{
     Fleet,
-    check::{self, Breach, Moment, View},
+    check::{self, Breach, FleetSnapshot, View},
 };
 use primroseroute_ledger::{Versioned, key};
 use primroseroute_platform::table::Write;
@@ -64,14 +64,14 @@
         }
     }
 
-    fn moment(&self, at: Instant, epoch: Instant) -> Moment {
+    fn moment(&self, at: Instant, epoch: Instant) -> FleetSnapshot {
         let since = at.saturating_duration_since(epoch);
         let budgets: BTreeMap<id::Pool, Budget> = Fleet::budgets(self.templates.values());
         let known = self
             .lost
             .iter()
             .filter(|(_, since)| at.duration_since(**since) > KNOWN_AFTER);
-        Moment {
+        FleetSnapshot {
             at: time::Instant::default().after(since),
             rows: self.rows.values().cloned().collect(),
             budgets,
@@ -105,7 +105,7 @@
     events.sort_by_key(|(at, rank, _)| (*at, *rank));
 
     let mut state = State::default();
-    let mut before: Option<Moment> = None;
+    let mut before: Option<FleetSnapshot> = None;
     let mut breaches = Vec::new();
     for (at, _, event) in events {
         match event {
--- a/crates/demo/src/judge/fleet.rs
+++ b/crates/demo/src/judge/fleet.rs
@@ -11,7 +11,7 @@
     time::Instant,
 };
 use primroseroute_fleet::{
-    check::{self, Moment},
+    check::{self, FleetSnapshot},
     wave,
 };
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,7 +33,7 @@
 pub(super) fn judge(events: &[Event], breaches: &mut Vec<Breach>) -> Fleet {
     let mut found = Fleet::default();
     let mut table = Table::default();
-    let mut before: Option<Moment> = None;
+    let mut before: Option<FleetSnapshot> = None;
     for event in events {
         let Event::Changed(change) = event else {
             continue;
@@ -111,12 +111,12 @@
         self.waves.extend(change.waves.clone());
     }
 
-    fn moment(&self) -> Moment {
-        Moment {
+    fn moment(&self) -> FleetSnapshot {
+        FleetSnapshot {
             at: self.at,
             rows: self.rows.values().cloned().collect(),
             budgets: self.budgets.clone(),
-            ..Moment::default()
+            ..FleetSnapshot::default()
         }
     }
 
--- a/crates/fleet/src/check.rs
+++ b/crates/fleet/src/check.rs
@@ -1,7 +1,7 @@
 //! Independent checker of the invariants I1 and I2 over a history of rows and views.
 //!
-//! It shares no code with the planner: it recounts the rows of every [`Moment`] from the
-//! definitions of the invariants. Tests of any crate record moments and pass them to [`history`].
+//! It shares no code with the planner: it recounts the rows of every [`FleetSnapshot`] from the
+//! definitions of the invariants. Tests of any crate record snapshots and pass them to [`history`].
 //!
 //! * I1: an instance has one row, and no two of the table and the entries' views send requests to
 //!   it, or have requests in flight on it, for different pools.
@@ -29,7 +29,7 @@
 
 /// The state of the fleet after one transaction or event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Moment {
+pub struct FleetSnapshot {
     /// Time of the transaction or event.
     pub at: Instant,
     /// All rows of the table; a list, so that a duplicate row is detected.
@@ -93,19 +93,19 @@
     },
 }
 
-/// All breaches in `moments`, which must be in chronological order.
-pub fn history<'a>(moments: impl IntoIterator<Item = &'a Moment>) -> Vec<Breach> {
+/// All breaches in `snapshots`, which must be in chronological order.
+pub fn history<'a>(snapshots: impl IntoIterator<Item = &'a FleetSnapshot>) -> Vec<Breach> {
     let mut breaches = Vec::new();
-    let mut before: Option<&Moment> = None;
-    for moment in moments {
-        breaches.extend(step(before, moment));
-        before = Some(moment);
+    let mut before: Option<&FleetSnapshot> = None;
+    for snapshot in snapshots {
+        breaches.extend(step(before, snapshot));
+        before = Some(snapshot);
     }
     breaches
 }
 
-/// All breaches at `after`, given the preceding moment `before`.
-pub fn step(before: Option<&Moment>, after: &Moment) -> Vec<Breach> {
+/// All breaches at `after`, given the preceding snapshot `before`.
+pub fn step(before: Option<&FleetSnapshot>, after: &FleetSnapshot) -> Vec<Breach> {
     let mut breaches = one_pool(after);
     let Some(before) = before else {
         return breaches;
@@ -118,12 +118,12 @@
     breaches
 }
 
-fn one_pool(moment: &Moment) -> Vec<Breach> {
-    let at = moment.at;
+fn one_pool(snapshot: &FleetSnapshot) -> Vec<Breach> {
+    let at = snapshot.at;
     let mut breaches = Vec::new();
     let mut used: BTreeMap<&id::Instance, BTreeSet<&id::Pool>> = BTreeMap::new();
     let mut rows = BTreeSet::new();
-    for row in &moment.rows {
+    for row in &snapshot.rows {
         if !rows.insert(&row.id) {
             breaches.push(Breach::DoubledRow {
                 at,
@@ -134,7 +134,7 @@
             used.entry(&row.id).or_default().insert(pool);
         }
     }
-    for view in moment.views.values() {
+    for view in snapshot.views.values() {
         for (instance, pool) in view.sends.iter().chain(&view.in_flight) {
             used.entry(instance).or_default().insert(pool);
         }
@@ -158,7 +158,7 @@
 }
 
 /// Whether planned work took a serving instance out of `pool` between `before` and `after`.
-fn takes_out(before: &Moment, after: &Moment, pool: &id::Pool) -> bool {
+fn takes_out(before: &FleetSnapshot, after: &FleetSnapshot, pool: &id::Pool) -> bool {
     let served: BTreeSet<_> = before
         .rows
         .iter()
@@ -171,9 +171,9 @@
         .any(|row| served.contains(&row.id) && is_planned(row))
 }
 
-fn budget_holds(moment: &Moment, pool: &id::Pool, budget: &Budget) -> Vec<Breach> {
-    let at = moment.at;
-    let members: Vec<_> = moment
+fn budget_holds(snapshot: &FleetSnapshot, pool: &id::Pool, budget: &Budget) -> Vec<Breach> {
+    let at = snapshot.at;
+    let members: Vec<_> = snapshot
         .rows
         .iter()
         .filter(|row| row.pool.as_ref() == Some(pool))
@@ -186,7 +186,7 @@
     }
     let serving = || members.iter().filter(|row| row.state == State::Serving);
     let believed: Vec<_> = serving()
-        .filter(|row| !moment.known.contains(&row.id))
+        .filter(|row| !snapshot.known.contains(&row.id))
         .collect();
     let left = survivors(&believed, budget.survive);
     if left < budget.promised {
@@ -195,9 +195,9 @@
     }
     let unknown: Vec<_> = believed
         .iter()
-        .filter(|row| moment.down.contains(&row.id))
+        .filter(|row| snapshot.down.contains(&row.id))
         .collect();
-    let truly = count(serving().filter(|row| !moment.down.contains(&row.id)));
+    let truly = count(serving().filter(|row| !snapshot.down.contains(&row.id)));
     // A budget covers one undetected loss of the failure domain that it names, not more.
     let guarded = usize::from(budget.survive != Survive::Nothing);
     let domains: BTreeSet<_> = unknown
--- a/crates/fleet/tests/all/check.rs
+++ b/crates/fleet/tests/all/check.rs
@@ -2,7 +2,7 @@
 
 use crate::fixture::{budget, draining, name, serving};
 use primroseroute_domain::{account::Survive, id, instance::Purpose, instance::Row};
-use primroseroute_fleet::check::{Breach, Moment, View, history};
+use primroseroute_fleet::check::{Breach, FleetSnapshot, View, history};
 use std::collections::BTreeSet;
 
 fn members() -> Vec<Row> {
@@ -11,11 +11,11 @@
         .collect()
 }
 
-fn moment(rows: Vec<Row>) -> Moment {
-    Moment {
+fn snapshot(rows: Vec<Row>) -> FleetSnapshot {
+    FleetSnapshot {
         rows,
         budgets: [(name("p"), budget(2, 1, Survive::Rack))].into(),
-        ..Moment::default()
+        ..FleetSnapshot::default()
     }
 }
 
@@ -29,14 +29,14 @@
 
 fn one_departure_is_fine() {
     let rows = members();
-    let after = moment(drained(&rows, &[0]));
-    assert_eq!(history([&moment(rows), &after]), []);
+    let after = snapshot(drained(&rows, &[0]));
+    assert_eq!(history([&snapshot(rows), &after]), []);
 }
 
 fn two_departures_break_the_margin_and_the_count() {
     let rows = members();
-    let after = moment(drained(&rows, &[0, 1]));
-    let found = history([&moment(rows), &after]);
+    let after = snapshot(drained(&rows, &[0, 1]));
+    let found = history([&snapshot(rows), &after]);
     let pool: id::Pool = name("p");
     let at = after.at;
     let absent = Breach::MaxAbsent {
@@ -51,21 +51,21 @@
 fn unplanned_loss_alone_is_no_breach() {
     let rows = members();
     let lost: BTreeSet<id::Instance> = rows.iter().take(3).map(|row| row.id.clone()).collect();
-    let after = Moment {
+    let after = FleetSnapshot {
         down: lost.clone(),
         known: lost,
-        ..moment(rows.clone())
+        ..snapshot(rows.clone())
     };
-    assert_eq!(history([&moment(rows), &after]), []);
+    assert_eq!(history([&snapshot(rows), &after]), []);
 }
 
 fn planned_step_after_a_known_loss_is_a_breach() {
     let rows = members();
     let lost: BTreeSet<id::Instance> = [rows[3].id.clone()].into();
-    let with_loss = |rows| Moment {
+    let with_loss = |rows| FleetSnapshot {
         down: lost.clone(),
         known: lost.clone(),
-        ..moment(rows)
+        ..snapshot(rows)
     };
     let after = with_loss(drained(&rows, &[0]));
     let found = history([&with_loss(rows), &after]);
@@ -88,11 +88,11 @@
         })
         .collect();
     let down: BTreeSet<id::Instance> = crowded.iter().skip(1).map(|row| row.id.clone()).collect();
-    let after = Moment {
+    let after = FleetSnapshot {
         down,
-        ..moment(drained(&crowded, &[0]))
+        ..snapshot(drained(&crowded, &[0]))
     };
-    let found = history([&moment(crowded), &after]);
+    let found = history([&snapshot(crowded), &after]);
     let promise = Breach::Promise {
         at: after.at,
         pool: name("p"),
@@ -107,21 +107,21 @@
         in_flight: [(row.id.clone(), name("p"))].into(),
         ..View::default()
     };
-    let moment = Moment {
+    let snapshot = FleetSnapshot {
         views: [(name("e0"), view)].into(),
-        ..moment(vec![row.clone()])
+        ..snapshot(vec![row.clone()])
     };
     let two = Breach::TwoPools {
-        at: moment.at,
+        at: snapshot.at,
         instance: row.id,
         pools: [name("p"), name("q")].into(),
     };
-    assert_eq!(history([&moment]), [two]);
+    assert_eq!(history([&snapshot]), [two]);
 }
 
 fn doubled_row() {
     let row = serving("i0", "p", "r0", "z");
-    let found = history([&moment(vec![row.clone(), row.clone()])]);
+    let found = history([&snapshot(vec![row.clone(), row.clone()])]);
     let doubled = Breach::DoubledRow {
         at: row.since,
         instance: row.id,
--- a/crates/fleet/tests/all/cluster/controller.rs
+++ b/crates/fleet/tests/all/cluster/controller.rs
@@ -3,7 +3,7 @@
 use super::{Cluster, Policy};
 use primroseroute_domain::instance::{Purpose, Row, State};
 use primroseroute_fleet::{
-    check::{self, Moment},
+    check::{self, FleetSnapshot},
     lifecycle::{self, Action, Input, Limits},
     placement, wave,
 };
@@ -111,7 +111,7 @@
             .filter(|id| !self.is_up(id))
             .cloned()
             .collect();
-        let moment = Moment {
+        let snapshot = FleetSnapshot {
             at: self.now(),
             rows: self.fleet.rows.values().cloned().collect(),
             budgets: self.fleet.budgets.clone(),
@@ -119,8 +119,8 @@
             known: self.fleet.absent.clone(),
             views: self.views.clone(),
         };
-        let found = check::step(self.last.as_ref(), &moment);
+        let found = check::step(self.last.as_ref(), &snapshot);
         self.breaches.extend(found);
-        self.last = Some(moment);
+        self.last = Some(snapshot);
     }
 }
--- a/crates/fleet/tests/all/cluster/mod.rs
+++ b/crates/fleet/tests/all/cluster/mod.rs
@@ -1,8 +1,8 @@
 //! In-memory cluster: applies the decisions' actions to rows, with faults chosen by a seed.
 //!
 //! A tick is ten seconds. In each tick the platform advances, entries may take the newest view, and
-//! the controller takes one step from the rows alone. Every transaction is one [`Moment`], and the
-//! checker compares each with the previous one.
+//! the controller takes one step from the rows alone. Every transaction is one [`FleetSnapshot`],
+//! and the checker compares each with the previous one.
 
 mod controller;
 
@@ -15,7 +15,7 @@
 };
 use primroseroute_fleet::{
     Fleet,
-    check::{Breach, Moment, View},
+    check::{Breach, FleetSnapshot, View},
     lifecycle::{self, Checks, Entry},
     measure::Meter,
     placement, wave,
@@ -82,7 +82,7 @@
     entries: Vec<Entry>,
     views: BTreeMap<id::Entry, View>,
     pub tick: u64,
-    last: Option<Moment>,
+    last: Option<FleetSnapshot>,
     pub breaches: Vec<Breach>,
     pub meter: Meter,
     pub reboots: u32,
--- a/crates/fleet/tests/all/wave.rs
+++ b/crates/fleet/tests/all/wave.rs
@@ -13,7 +13,7 @@
 };
 use primroseroute_fleet::{
     Fleet,
-    check::{self, Moment},
+    check::{self, FleetSnapshot},
     placement::{self, Weights},
     wave::{Action, Command, Limits, Order, Row, Scope, State as WaveState, Window, plan, step},
 };
@@ -285,19 +285,19 @@
 }
 
 fn breaches(fleet: &Fleet, leaving: &[&Instance]) -> usize {
-    let moment = |rows: Vec<Instance>| Moment {
+    let snapshot = |rows: Vec<Instance>| FleetSnapshot {
         rows,
         budgets: fleet.budgets.clone(),
         down: fleet.absent.clone(),
         known: fleet.absent.clone(),
-        ..Moment::default()
+        ..FleetSnapshot::default()
     };
     let mut after = fleet.rows.clone();
     for row in leaving {
         after.insert(row.id.clone(), (*row).clone());
     }
-    let before = moment(fleet.rows.values().cloned().collect());
-    check::history([&before, &moment(after.into_values().collect())]).len()
+    let before = snapshot(fleet.rows.values().cloned().collect());
+    check::history([&before, &snapshot(after.into_values().collect())]).len()
 }
 
 /// By the independent checker, a step's batch breaks no budget, and no further instance could
