--- a/crates/fleet/src/wave/plan.rs
+++ b/crates/fleet/src/wave/plan.rs
@@ -203,7 +203,7 @@
     let mut elapsed = Duration::ZERO;
     let mut done = 0;
     loop {
-        let out = select(projected, &wave, order.limits.width(done));
+        let out = select(projected, &wave, order.limits.max_concurrent(done));
         let ids: Vec<_> = out.into_iter().map(|row| row.id.clone()).collect();
         if ids.is_empty() {
             return batches;
--- a/crates/fleet/src/wave/row.rs
+++ b/crates/fleet/src/wave/row.rs
@@ -90,7 +90,7 @@
     }
 
     /// Maximum number of instances out at a time after `done` have come back well.
-    pub fn width(&self, done: u32) -> u32 {
+    pub fn max_concurrent(&self, done: u32) -> u32 {
         let grown = self
             .first
             .max(1)
--- a/crates/fleet/src/wave/step.rs
+++ b/crates/fleet/src/wave/step.rs
@@ -56,8 +56,8 @@
 }
 
 fn take_out(fleet: &Fleet, wave: &Row, progress: &Progress, now: Instant) -> Vec<Action> {
-    let width = wave.order.limits.width(progress.recent);
-    let most = width.saturating_sub(progress.out);
+    let max_concurrent = wave.order.limits.max_concurrent(progress.recent);
+    let most = max_concurrent.saturating_sub(progress.out);
     let leaving = select(fleet, wave, most);
     if leaving.is_empty() && progress.out == 0 {
         return unblock_or_explain(fleet, wave, now);
