--- a/crates/fleet/tests/all/cluster/mod.rs
+++ b/crates/fleet/tests/all/cluster/mod.rs
@@ -43,7 +43,7 @@
     /// Probability per tick of a random operator command.
     pub operator: u32,
     /// Probability per tick that an entry misses a view.
-    pub silent_entry: u32,
+    pub missed_view: u32,
     /// Lag of the platform's list in ticks.
     pub lag: usize,
     /// Tick in which a whole rack is lost for an hour.
@@ -145,8 +145,8 @@
     }
 
     /// Stops all entries from taking new views.
-    pub fn silence_entries(&mut self) {
-        self.faults.silent_entry = 1_000;
+    pub fn stop_view_updates(&mut self) {
+        self.faults.missed_view = 1_000;
     }
 
     /// Repairs every machine and releases the instances that operators hold.
@@ -234,7 +234,7 @@
     /// Entries take the newest view and send requests, which may last into later ticks.
     fn serve(&mut self) {
         for index in 0..self.entries.len() {
-            let misses = self.happens(self.faults.silent_entry);
+            let misses = self.happens(self.faults.missed_view);
             let entry = &mut self.entries[index];
             let view = self.views.entry(entry.id.clone()).or_default();
             if !misses {
--- a/crates/fleet/tests/all/lifecycle.rs
+++ b/crates/fleet/tests/all/lifecycle.rs
@@ -199,7 +199,7 @@
 
 /// The controller is partitioned from the workers: every check fails at once while callers are
 /// served. Quarantining all workers would refuse every caller. A single failure is still taken out.
-fn all_failing_together_doubts_the_checks() {
+fn common_failure_makes_checks_unreliable() {
     let rows: Vec<_> = (0..6)
         .map(|i| serving(&format!("i{i}"), "a", "r", "z"))
         .collect();
@@ -217,7 +217,7 @@
 /// An instance is gone while one entry still has an old view that sends to its address. The row
 /// must stay until that entry has seen it leave, or the name could be reused in another pool while
 /// the old view is in use.
-fn gone_row_stays_until_everybody_knows() {
+fn gone_row_stays_until_all_entries_acknowledge() {
     let row = with(draining(one(), Purpose::Leave), State::Leaving);
     let mut fixture = Fixture::of(&row).list(Phase::Gone, 1);
     assert_eq!(fixture.step(), [Action::Delete { id: name("i0") }]);
@@ -279,10 +279,10 @@
 /// A paused controller may still request that reboot, so it must happen before the instance serves.
 fn marked_reboot_comes_before_serving() {
     let quarantined = with(in_wave(), State::Quarantined);
-    let owed = Fixture::of(&quarantined).check(5, 0).mark(1);
+    let pending = Fixture::of(&quarantined).check(5, 0).mark(1);
     let id = quarantined.id.clone();
-    assert_eq!(owed.step(), [Action::Reboot { id, boots: 1 }]);
-    let rebooted = owed.list(Phase::Live, 2);
+    assert_eq!(pending.step(), [Action::Reboot { id, boots: 1 }]);
+    let rebooted = pending.list(Phase::Live, 2);
     assert_eq!(
         first_written(&rebooted.step()),
         Some((State::Probation, Some("a")))
@@ -344,14 +344,14 @@
     unread_registrations_stop_the_move: no_entries_stop_the_move();
     restarted_controller_reboots_once: reboot_is_asked_under_one_count();
     reboot_is_marked_first: drained_wave_marks_before_it_reboots();
-    old_mark_is_forgotten: stale_mark_does_not_count_as_maintained();
+    old_mark_is_deleted: stale_mark_does_not_count_as_maintained();
     late_reboot_is_a_failure_until_it_is_back: late_reboot_is_quarantined_and_counted_when_back();
-    cut_off_checker_quarantines_nothing: all_failing_together_doubts_the_checks();
-    gone_row_waits_for_entries: gone_row_stays_until_everybody_knows();
+    partitioned_checker_quarantines_nothing: common_failure_makes_checks_unreliable();
+    gone_row_waits_for_entries: gone_row_stays_until_all_entries_acknowledge();
     arrival_passes_probation: arrival_is_checked_first();
-    mark_is_forgotten_after_its_reboot: mark_ends_with_its_maintenance();
+    mark_is_deleted_after_its_reboot: mark_ends_with_its_maintenance();
     spare_ends_its_maintenance: spare_is_done_when_its_checks_are_good();
-    owed_reboot_comes_before_serving: marked_reboot_comes_before_serving();
+    pending_reboot_comes_before_serving: marked_reboot_comes_before_serving();
     quarantine_by_an_operator_lasts: operators_quarantine_stays();
     platform_takes_an_instance: leaving_instance_drains_first();
     orders_have_numbered_refusals: orders_are_refused_with_their_codes();
--- a/crates/fleet/tests/all/placement.rs
+++ b/crates/fleet/tests/all/placement.rs
@@ -285,7 +285,7 @@
 }
 
 /// Places all workers of the deployment in `folder`, starting with spares only.
-fn first_day(folder: &str) -> String {
+fn initial_placement(folder: &str) -> String {
     let deployment = deployment::read(folder);
     let mut fleet = deployment.fleet;
     let plan = plan(&fleet, deployment.weights);
@@ -378,20 +378,20 @@
     small_fleets_against_exhaustive_search: small_cases_are_near_the_best();
     plan_breaks_no_budget_on_the_way: no_step_breaks_a_budget();
     steps_together_break_no_budget: steps_that_begin_together_keep_budgets();
-    gojo_beds_first_day: expect_test::expect![[r"
+    gojo_beds_initial_placement: expect_test::expect![[r"
         gojo-backoffice: 8 members, 7 after the worst loss, 5 promised
         gojo-core: 12 members, 11 after the worst loss, 9 promised
         habesha-stay: 9 members, 8 after the worst loss, 6 promised
         lalibela-rest: 9 members, 8 after the worst loss, 6 promised
         merkato-beds: 11 members, 10 after the worst loss, 8 promised
-    "]].assert_eq(&first_day(BOTH[0]));
-    ikeoluwa_first_day: expect_test::expect![[r"
+    "]].assert_eq(&initial_placement(BOTH[0]));
+    ikeoluwa_initial_placement: expect_test::expect![[r"
         assess-hub: 9 members, 8 after the worst loss, 5 promised
         cert-office: 12 members, 11 after the worst loss, 8 promised
         gatepass: 11 members, 7 after the worst loss, 6 promised
         lookup-desk: 9 members, 8 after the worst loss, 5 promised
         staff-admin: 8 members, 7 after the worst loss, 4 promised
-    "]].assert_eq(&first_day(BOTH[1]));
+    "]].assert_eq(&initial_placement(BOTH[1]));
     spare_replaces_a_lost_instance: lost_instance_is_replaced_by_a_spare();
     reboot_causes_no_move: rebooting_instance_is_not_replaced();
     deleted_pool_gives_by_moves: pool_without_a_template_gives_by_moves();
--- a/crates/fleet/tests/all/wave.rs
+++ b/crates/fleet/tests/all/wave.rs
@@ -71,7 +71,7 @@
 }
 
 /// Dry run of a wave over a newly placed deployment.
-fn rehearsal(folder: &str) -> String {
+fn dry_run(folder: &str) -> String {
     let deployment = deployment::read(folder);
     let mut fleet = deployment.fleet;
     let placed = placement::plan(&fleet, deployment.weights);
@@ -181,7 +181,7 @@
 
 /// A wave stops while one of its instances drains and another reboots. The draining instance has
 /// not been rebooted and serves again; the rebooting instance comes back through its own lifecycle.
-fn stopped_wave_gives_back(state: WaveState) {
+fn stopped_wave_releases_drains(state: WaveState) {
     let mut fleet = pool_of(6, 2, 2);
     let ours = Purpose::Wave(name("w"));
     *row(&mut fleet, "i0") = draining(row(&mut fleet, "i0").clone(), ours.clone());
@@ -240,7 +240,7 @@
     assert_eq!(put(&step(&fleet, &read, START)).len(), 2);
 }
 
-fn stuck_wave_says_why_once() {
+fn stuck_wave_stores_its_reason_once() {
     let fleet = pool_of(4, 3, 1);
     let actions = step(&fleet, &running(), START);
     let [Action::Wave(wave)] = &*actions else {
@@ -368,19 +368,19 @@
 
 cases! {
     badly_spread_pool_gets_a_spare: badly_spread();
-    gojo_beds_rehearsal: expect_test::expect!["batches [1, 2, 4, 8, 13, 10, 10, 4], 4800 s, 160.0 slot-hours, 0 moves"].assert_eq(&rehearsal(BOTH[0]));
-    ikeoluwa_rehearsal: expect_test::expect!["batches [1, 2, 4, 8, 16, 13, 6, 1, 1], 5400 s, 252.0 slot-hours, 0 moves"].assert_eq(&rehearsal(BOTH[1]));
+    gojo_beds_dry_run: expect_test::expect!["batches [1, 2, 4, 8, 13, 10, 10, 4], 4800 s, 160.0 slot-hours, 0 moves"].assert_eq(&dry_run(BOTH[0]));
+    ikeoluwa_dry_run: expect_test::expect!["batches [1, 2, 4, 8, 16, 13, 6, 1, 1], 5400 s, 252.0 slot-hours, 0 moves"].assert_eq(&dry_run(BOTH[1]));
     impossible_wave: impossible_waves_say_what_would_allow_them();
     overlapping_wave: overlapping_waves_are_refused();
     commands: commands_follow_the_state();
     window: window_bounds_the_wave();
-    aborted_wave_lets_drains_serve: stopped_wave_gives_back(WaveState::Aborted);
-    halted_wave_lets_drains_serve: stopped_wave_gives_back(WaveState::Halted);
+    aborted_wave_lets_drains_serve: stopped_wave_releases_drains(WaveState::Aborted);
+    halted_wave_lets_drains_serve: stopped_wave_releases_drains(WaveState::Halted);
     first_failure_halts: assert_eq!(after_failures(1, 0), Some(WaveState::Halted));
     failures_together_halt: assert_eq!(after_failures(2, 8), Some(WaveState::Halted));
     few_among_many_do_not_halt: assert_eq!(after_failures(2, 9), None);
     failures_apart_do_not_halt: failures_far_apart_do_not_halt();
     successor_needs_only_the_row: row_alone_is_enough();
-    stuck_wave_explains_itself: stuck_wave_says_why_once();
+    stuck_wave_stores_its_reason: stuck_wave_stores_its_reason_once();
     batches_against_the_checker: batches_are_safe_and_full();
 }
--- a/crates/fleet/tests/all/waves.rs
+++ b/crates/fleet/tests/all/waves.rs
@@ -91,7 +91,7 @@
 
 /// Without faults, every instance is rebooted once, nothing moves, and time and buffer are within
 /// bounds. Compared with one instance at a time and with the whole fleet at once.
-fn against_the_naive_ways(folder: &str) {
+fn compare_with_baseline_policies(folder: &str) {
     let calm = Faults {
         lag: 2,
         ..Faults::default()
@@ -142,7 +142,7 @@
             bad_reboot: 20,
             restart: 20,
             operator: 5,
-            silent_entry: 200,
+            missed_view: 200,
             lag: usize::try_from(seed % 7).expect("small"),
             rack_lost: Some(40 + 3 * seed),
         };
@@ -205,7 +205,7 @@
 
 /// The entries never take a new view, so the first drain is never acknowledged. The wave must wait
 /// for it while all other instances continue to serve.
-fn silent_entries_stop_the_wave_and_not_serving(folder: &str) {
+fn unresponsive_entries_stop_the_wave_and_not_serving(folder: &str) {
     let mut cluster = Cluster::new(
         &deployment::read(folder),
         Policy::Product,
@@ -214,7 +214,7 @@
     );
     assert!(cluster.run(200, settled));
     cluster.wave = Some(Row::begin(order(Limits::default()), cluster.now()));
-    cluster.silence_entries();
+    cluster.stop_view_updates();
     cluster.run(500, |_| false);
     let draining = cluster
         .fleet
@@ -229,11 +229,11 @@
 }
 
 cases! {
-    gojo_beds_against_the_naive_ways: against_the_naive_ways(BOTH[0]);
-    ikeoluwa_against_the_naive_ways: against_the_naive_ways(BOTH[1]);
+    gojo_beds_against_baseline_policies: compare_with_baseline_policies(BOTH[0]);
+    ikeoluwa_against_baseline_policies: compare_with_baseline_policies(BOTH[1]);
     gojo_beds_under_faults: faulty(BOTH[0]);
     ikeoluwa_under_faults: faulty(BOTH[1]);
     bad_image_stops_the_wave: bad_image_halts_at_the_first(BOTH[0]);
     half_bad_image_stops_the_wave: half_bad_image_halts_early(BOTH[1]);
-    silent_entries_stop_the_wave: silent_entries_stop_the_wave_and_not_serving(BOTH[0]);
+    unresponsive_entries_stop_the_wave: unresponsive_entries_stop_the_wave_and_not_serving(BOTH[0]);
 }
