--- a/crates/fleet/src/lifecycle/commands.rs
+++ b/crates/fleet/src/lifecycle/commands.rs
@@ -158,8 +158,9 @@
 
 /// The spare `row` assigned to its first pool; it serves once its health checks pass.
 ///
-/// # Errors [`Code::IllegalTransition`] if the instance is not a spare, that is, in probation and
-/// in no pool.
+/// # Errors
+/// [`Code::IllegalTransition`] if the instance is not a spare, that is, in probation and in no
+/// pool.
 pub fn assign(row: &Row, pool: &id::Pool) -> Result<Row, Refusal> {
     if row.pool.is_some() || row.state != State::Probation {
         return Err(illegal(row, &format!("given to `{pool}`")));
--- a/crates/fleet/src/measure.rs
+++ b/crates/fleet/src/measure.rs
@@ -38,7 +38,7 @@
 pub struct Report {
     /// Cost of each pool.
     pub pools: BTreeMap<id::Pool, Cost>,
-    /// Slot-hours of spares, which belong to no pool.
+    /// Slot-hours of spares, which any pool may use.
     pub spare_slot_hours: f64,
 }
 
