--- a/crates/fleet/src/placement/order.rs
+++ b/crates/fleet/src/placement/order.rs
@@ -1,8 +1,8 @@
-//! From a board to an ordered plan, and from a plan to the steps that may begin now.
+//! Ordering of moves so that budgets hold, and selection of the moves that may begin now.
 
-use super::{Move, Plan, board::Board};
+use super::{Move, Plan, assignment::Assignment};
 use crate::{
-    budget::{self, Standing},
+    budget::{self, Availability},
     lifecycle,
     state::Fleet,
 };
@@ -13,71 +13,88 @@
 };
 use std::collections::BTreeMap;
 
-/// The moves of `board` in an order in which every budget holds at each step.
-pub(super) fn order(fleet: &Fleet, board: &Board) -> Plan {
+/// Plan with the moves of `assignment`, in an order in which every budget holds at each step.
+pub(super) fn ordered_plan(fleet: &Fleet, assignment: &Assignment) -> Plan {
     let (mut moves, mut waiting): (Vec<_>, Vec<_>) =
-        changes(fleet, board).partition(|step| step.from.is_none());
-    let mut standings = budget::standings(fleet);
+        changes(fleet, assignment).partition(|step| step.from.is_none());
+    let mut availability_by_pool = budget::availability_by_pool(fleet);
     for step in &moves {
-        join(&mut standings, &step.to, &fleet.rows[&step.instance]);
+        join(
+            &mut availability_by_pool,
+            &step.to,
+            &fleet.rows[&step.instance],
+        );
     }
     while let Some(index) = waiting
         .iter()
-        .position(|step| may_leave(fleet, &standings, step))
+        .position(|step| may_leave(fleet, &availability_by_pool, step))
     {
         let step = waiting.remove(index);
         let row = &fleet.rows[&step.instance];
-        if let Some(standing) = step.from.as_ref().and_then(|from| standings.get_mut(from)) {
-            standing.leave(row);
+        if let Some(availability) = step
+            .from
+            .as_ref()
+            .and_then(|from| availability_by_pool.get_mut(from))
+        {
+            availability.remove_member(row);
         }
-        join(&mut standings, &step.to, row);
+        join(&mut availability_by_pool, &step.to, row);
         moves.push(step);
     }
     Plan {
         moves,
-        unmet: unmet(board),
+        unmet: unmet(assignment),
         held_back: waiting.len(),
-        score: board.score(),
+        score: assignment.score(),
     }
 }
 
-fn changes<'a>(fleet: &'a Fleet, board: &'a Board) -> impl Iterator<Item = Move> + 'a {
-    board.pieces.iter().filter_map(move |piece| {
-        let to = piece.place.filter(|place| piece.origin != Some(*place))?;
+fn changes<'a>(fleet: &'a Fleet, assignment: &'a Assignment) -> impl Iterator<Item = Move> + 'a {
+    assignment.instances.iter().filter_map(move |instance| {
+        let to = instance
+            .assigned_pool
+            .filter(|assigned_pool| instance.original_pool != Some(*assigned_pool))?;
         Some(Move {
-            instance: piece.id.clone(),
-            // The row's pool, also where no template names it any more: leaving it takes a drain.
-            from: fleet.rows[&piece.id].pool.clone(),
-            to: board.pools[to].clone(),
+            instance: instance.id.clone(),
+            // The row's pool, even if no template names it any more: leaving it requires a drain.
+            from: fleet.rows[&instance.id].pool.clone(),
+            to: assignment.pool_ids[to].clone(),
         })
     })
 }
 
-fn unmet(board: &Board) -> BTreeMap<id::Pool, u32> {
-    let sides = board.pools.iter().zip(&board.sides);
-    sides
-        .map(|(pool, side)| (pool.clone(), side.unmet()))
+fn unmet(assignment: &Assignment) -> BTreeMap<id::Pool, u32> {
+    let pools = assignment.pool_ids.iter().zip(&assignment.pools);
+    pools
+        .map(|(pool, pool_state)| (pool.clone(), pool_state.unmet()))
         .filter(|(_, unmet)| *unmet > 0)
         .collect()
 }
 
-fn join(standings: &mut BTreeMap<id::Pool, Standing>, pool: &id::Pool, row: &Row) {
-    standings.entry(pool.clone()).or_default().join(row);
+fn join(availability_by_pool: &mut BTreeMap<id::Pool, Availability>, pool: &id::Pool, row: &Row) {
+    availability_by_pool
+        .entry(pool.clone())
+        .or_default()
+        .add_member(row);
 }
 
-fn may_leave(fleet: &Fleet, standings: &BTreeMap<id::Pool, Standing>, step: &Move) -> bool {
+fn may_leave(
+    fleet: &Fleet,
+    availability_by_pool: &BTreeMap<id::Pool, Availability>,
+    step: &Move,
+) -> bool {
     let row = &fleet.rows[&step.instance];
     let Some(from) = &step.from else { return true };
-    match (standings.get(from), fleet.budgets.get(from)) {
-        (Some(standing), Some(budget)) => standing.may_leave(row, budget).is_ok(),
-        // A pool that no template names promises nothing.
+    match (availability_by_pool.get(from), fleet.budgets.get(from)) {
+        (Some(availability), Some(budget)) => availability.check_disruption(row, budget).is_ok(),
+        // A pool that no template names has no budget.
         _ => true,
     }
 }
 
-/// The rows of the moves of `plan` that may begin now, all together.
-pub fn start(fleet: &Fleet, plan: &Plan, now: Instant) -> Vec<Row> {
-    let mut standings = budget::standings(fleet);
+/// New rows for all moves of `plan` that may begin together now.
+pub fn start_moves(fleet: &Fleet, plan: &Plan, now: Instant) -> Vec<Row> {
+    let mut availability_by_pool = budget::availability_by_pool(fleet);
     let mut rows = Vec::new();
     for step in &plan.moves {
         let Some(row) = fleet.rows.get(&step.instance) else {
@@ -85,12 +102,16 @@
         };
         let begun = match &step.from {
             None => lifecycle::assign(row, &step.to),
-            Some(_) if !may_leave(fleet, &standings, step) => continue,
+            Some(_) if !may_leave(fleet, &availability_by_pool, step) => continue,
             Some(_) => lifecycle::drain(row, Purpose::Move(step.to.clone()), now),
         };
         let Ok(begun) = begun else { continue };
-        if let Some(standing) = step.from.as_ref().and_then(|from| standings.get_mut(from)) {
-            standing.take_out(row);
+        if let Some(availability) = step
+            .from
+            .as_ref()
+            .and_then(|from| availability_by_pool.get_mut(from))
+        {
+            availability.start_disruption(row);
         }
         rows.push(begun);
     }
--- a/crates/fleet/tests/all/cluster/controller.rs
+++ b/crates/fleet/tests/all/cluster/controller.rs
@@ -1,9 +1,9 @@
-//! The controller's half of the loop: calls the decisions and applies their actions.
+//! The controller of the in-memory cluster: calls the decisions and applies their actions.
 
 use super::{Cluster, Policy};
 use primroseroute_domain::instance::{Purpose, Row, State};
 use primroseroute_fleet::{
-    check::{self, Moment},
+    check::{self, FleetSnapshot},
     lifecycle::{self, Action, Input, Limits},
     placement, wave,
 };
@@ -56,7 +56,8 @@
         self.write(rows);
     }
 
-    /// The naive way: drains whatever serves and is not maintained, and ends as the product does.
+    /// Baseline policy: drains every serving instance that is not maintained, and ends the wave as
+    /// the product does.
     fn whole_fleet(&mut self, wave: &wave::Row) {
         if wave::progress(&self.fleet, wave).is_finished() {
             let actions = wave::step(&self.fleet, wave, self.now());
@@ -86,11 +87,11 @@
 
     pub(super) fn place(&mut self) {
         let plan = placement::plan(&self.fleet, self.weights);
-        let rows = placement::start(&self.fleet, &plan, self.now());
+        let rows = placement::start_moves(&self.fleet, &plan, self.now());
         self.write(rows);
     }
 
-    /// One transaction.
+    /// Writes `rows` in one transaction.
     pub(super) fn write(&mut self, rows: Vec<Row>) {
         if rows.is_empty() {
             return;
@@ -110,7 +111,7 @@
             .filter(|id| !self.is_up(id))
             .cloned()
             .collect();
-        let moment = Moment {
+        let snapshot = FleetSnapshot {
             at: self.now(),
             rows: self.fleet.rows.values().cloned().collect(),
             budgets: self.fleet.budgets.clone(),
@@ -118,8 +119,8 @@
             known: self.fleet.absent.clone(),
             views: self.views.clone(),
         };
-        let found = check::step(self.last.as_ref(), &moment);
+        let found = check::step(self.last.as_ref(), &snapshot);
         self.breaches.extend(found);
-        self.last = Some(moment);
+        self.last = Some(snapshot);
     }
 }
--- a/crates/fleet/tests/all/placement.rs
+++ b/crates/fleet/tests/all/placement.rs
@@ -1,4 +1,4 @@
-//! Placement against exhaustive search on small fleets, and on the example deployments.
+//! Placement, compared with exhaustive search on small fleets, and on the example deployments.
 
 use crate::{
     deployment::{self, BOTH},
@@ -12,25 +12,25 @@
 };
 use primroseroute_fleet::{
     Fleet, budget as budgets, lifecycle,
-    placement::{Plan, Weights, plan, start, target},
+    placement::{Plan, Weights, plan, start_moves, target},
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where each instance is: the naive twin's whole state.
-type Places = BTreeMap<id::Instance, Option<id::Pool>>;
+/// The pool of each instance, in the reference implementation.
+type Assignment = BTreeMap<id::Instance, Option<id::Pool>>;
 
-/// What the naive twin compares, in the order of the objective, spread left out.
+/// Score of the reference implementation, in the order of the objectives, without the spread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Worth {
+struct ReferenceScore {
     unmet: usize,
     short: usize,
     cost: usize,
     moves: usize,
 }
 
-fn naive_left(members: &[&Row], survive: Survive) -> usize {
+fn reference_survivors(members: &[&Row], survive: Survive) -> usize {
     let domain = |row: &Row| match survive {
         Survive::Nothing => String::new(),
         Survive::Rack => row.rack.to_string(),
@@ -48,13 +48,13 @@
     members.len() - lost
 }
 
-fn worth(
+fn reference_score(
     fleet: &Fleet,
-    places: &Places,
+    assignment: &Assignment,
     targets: &BTreeMap<id::Pool, u32>,
     weights: Weights,
-) -> Worth {
-    let mut total = Worth {
+) -> ReferenceScore {
+    let mut total = ReferenceScore {
         unmet: 0,
         short: 0,
         cost: 0,
@@ -64,14 +64,14 @@
         let members: Vec<_> = fleet
             .rows
             .values()
-            .filter(|row| places[&row.id].as_ref() == Some(pool))
+            .filter(|row| assignment[&row.id].as_ref() == Some(pool))
             .collect();
-        let left = naive_left(&members, budget.survive);
+        let left = reference_survivors(&members, budget.survive);
         total.unmet += (budget.promised as usize).saturating_sub(left);
         total.short += (targets[pool] as usize).saturating_sub(members.len());
         total.cost += weights.buffer as usize * members.len();
     }
-    let moved = |row: &&Row| row.pool.is_some() && places[&row.id] != row.pool;
+    let moved = |row: &&Row| row.pool.is_some() && assignment[&row.id] != row.pool;
     total.moves = fleet.rows.values().filter(moved).count();
     total.cost += weights.moves as usize * total.moves;
     total
@@ -93,38 +93,38 @@
         .collect()
 }
 
-/// The best of all assignments; a member that serves may move, and never becomes a spare.
-fn exhaustive(fleet: &Fleet, weights: Weights) -> Worth {
+/// Score of the best of all assignments. A serving member may move but never becomes a spare.
+fn exhaustive(fleet: &Fleet, weights: Weights) -> ReferenceScore {
     let targets = targets(fleet, weights);
     let rows: Vec<_> = fleet.rows.values().collect();
     let pools: Vec<_> = fleet.budgets.keys().cloned().collect();
     let choices = pools.len() + 1;
     let all = 0..choices.pow(u32::try_from(rows.len()).expect("a small fleet"));
     let assignments = all.filter_map(|mut code| {
-        let mut places = Places::new();
+        let mut assignment = Assignment::new();
         for row in &rows {
             let pool = pools.get(code % choices).cloned();
             code /= choices;
             if pool.is_none() && row.pool.is_some() {
                 return None;
             }
-            places.insert(row.id.clone(), pool);
+            assignment.insert(row.id.clone(), pool);
         }
-        Some(worth(fleet, &places, &targets, weights))
+        Some(reference_score(fleet, &assignment, &targets, weights))
     });
     assignments.min().expect("at least one assignment")
 }
 
-fn after(fleet: &Fleet, plan: &Plan) -> Places {
-    let mut places: Places = fleet
+fn after(fleet: &Fleet, plan: &Plan) -> Assignment {
+    let mut assignment: Assignment = fleet
         .rows
         .values()
         .map(|row| (row.id.clone(), row.pool.clone()))
         .collect();
     for step in &plan.moves {
-        places.insert(step.instance.clone(), Some(step.to.clone()));
+        assignment.insert(step.instance.clone(), Some(step.to.clone()));
     }
-    places
+    assignment
 }
 
 fn random_fleet(rng: &mut ChaCha8Rng, size: usize, racks: usize, pools: usize) -> Fleet {
@@ -158,7 +158,7 @@
 
 fn small_cases_are_near_the_best() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let (mut ours_moves, mut best_moves, mut same, mut met) = (0, 0, 0, 0);
+    let (mut plan_moves, mut best_moves, mut optimal, mut optimal_deficits) = (0, 0, 0, 0);
     let cases = 400;
     for case in 0..cases {
         let weights = Weights {
@@ -169,41 +169,45 @@
         let fleet = random_fleet(&mut rng, 7, 4, 2);
         let best = exhaustive(&fleet, weights);
         let plan = plan(&fleet, weights);
-        let ours = worth(
+        let actual = reference_score(
             &fleet,
             &after(&fleet, &plan),
             &targets(&fleet, weights),
             weights,
         );
         assert!(
-            ours >= best,
-            "better than the best of all: {ours:?} {best:?}"
+            actual >= best,
+            "better than exhaustive search: {actual:?} {best:?}"
         );
         if plan.held_back == 0 {
-            let said = (plan.score.unmet as usize, plan.score.short as usize);
-            assert_eq!((ours.unmet, ours.short), said, "the plan says what it does");
+            let planned = (plan.score.unmet as usize, plan.score.short as usize);
+            assert_eq!(
+                (actual.unmet, actual.short),
+                planned,
+                "the plan's score matches its moves"
+            );
         }
-        same += u32::from(ours == best);
-        if (ours.unmet, ours.short) == (best.unmet, best.short) {
-            met += 1;
-            ours_moves += ours.moves;
+        optimal += u32::from(actual == best);
+        if (actual.unmet, actual.short) == (best.unmet, best.short) {
+            optimal_deficits += 1;
+            plan_moves += actual.moves;
             best_moves += best.moves;
         }
     }
     println!(
-        "placement: {same} of {cases} the best of all, {met} as much met, moves {ours_moves} to {best_moves}"
+        "placement: {optimal} of {cases} optimal, {optimal_deficits} with optimal deficits, {plan_moves} moves against {best_moves}"
     );
     assert!(
-        same * 100 >= cases * 97,
-        "{same} of {cases} are the best of all"
+        optimal * 100 >= cases * 97,
+        "{optimal} of {cases} are optimal"
     );
     assert!(
-        ours_moves * 10 <= best_moves * 11,
-        "{ours_moves} moves to {best_moves}"
+        plan_moves * 10 <= best_moves * 11,
+        "{plan_moves} moves against {best_moves}"
     );
 }
 
-/// Replays a plan one move at a time and counts anew after each.
+/// Applies a plan one move at a time and checks the budget before each.
 fn no_step_breaks_a_budget() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let mut drains = 0;
@@ -220,10 +224,13 @@
         drains += plan.drains();
         for step in &plan.moves {
             if let Some(from) = &step.from {
-                assert!(budgets::room(&fleet, from).len() <= 2);
-                let standing = &budgets::standings(&fleet)[from];
+                assert!(budgets::allowed_disruptions(&fleet, from).len() <= 2);
+                let availability = &budgets::availability_by_pool(&fleet)[from];
                 let row = &fleet.rows[&step.instance];
-                assert_eq!(standing.may_leave(row, &fleet.budgets[from]), Ok(()));
+                assert_eq!(
+                    availability.check_disruption(row, &fleet.budgets[from]),
+                    Ok(())
+                );
             }
             let row = fleet
                 .rows
@@ -249,62 +256,62 @@
                 rollout: 1,
             },
         );
-        let held = |fleet: &Fleet, pool: &id::Pool| {
+        let survivors = |fleet: &Fleet, pool: &id::Pool| {
             let members: Vec<_> = fleet
                 .rows
                 .values()
                 .filter(|row| row.pool.as_ref() == Some(pool) && row.state == State::Serving)
                 .collect();
-            naive_left(&members, fleet.budgets[pool].survive)
+            reference_survivors(&members, fleet.budgets[pool].survive)
         };
         let sources: BTreeSet<_> = plan
             .moves
             .iter()
             .filter_map(|step| step.from.clone())
             .collect();
-        let begun = start(&fleet, &plan, Instant(1));
-        let drained: BTreeSet<_> = begun
+        let started = start_moves(&fleet, &plan, Instant(1));
+        let drained: BTreeSet<_> = started
             .iter()
             .filter(|row| row.state == State::Draining)
             .filter_map(|row| row.pool.clone())
             .collect();
-        for row in begun {
+        for row in started {
             fleet.rows.insert(row.id.clone(), row);
         }
         for pool in sources.intersection(&drained) {
-            assert!(held(&fleet, pool) >= fleet.budgets[pool].promised as usize);
+            assert!(survivors(&fleet, pool) >= fleet.budgets[pool].promised as usize);
         }
     }
 }
 
-/// Places every worker of `folder` from nothing, as on the first day of the move.
-fn first_day(folder: &str) -> String {
+/// Places all workers of the deployment in `folder`, starting with spares only.
+fn initial_placement(folder: &str) -> String {
     let deployment = deployment::read(folder);
     let mut fleet = deployment.fleet;
     let plan = plan(&fleet, deployment.weights);
     assert_eq!(plan.unmet, BTreeMap::new());
-    for row in start(&fleet, &plan, Instant(1)) {
+    for row in start_moves(&fleet, &plan, Instant(1)) {
         let row = Row {
             state: State::Serving,
             ..row
         };
         fleet.rows.insert(row.id.clone(), row);
     }
-    let standings = budgets::standings(&fleet);
-    let lines = standings.iter().map(|(pool, standing)| {
+    let availability_by_pool = budgets::availability_by_pool(&fleet);
+    let lines = availability_by_pool.iter().map(|(pool, availability)| {
         let budget = fleet.budgets[pool];
-        let left = standing.left(budget.survive);
+        let left = availability.survivors(budget.survive);
         format!(
             "{pool}: {} members, {left} after the worst loss, {} promised\n",
-            standing.present(),
+            availability.present(),
             budget.promised
         )
     });
     lines.collect()
 }
 
-/// An instance of a full pool quarantines; a spare takes its place without a drain. When the
-/// instance is back, its pool has one too many, which stays: a move would buy nothing.
+/// An instance of a pool at its target is quarantined, and a spare replaces it without a drain.
+/// When the instance is back, the pool keeps the surplus member: moving it would gain nothing.
 fn lost_instance_is_replaced_by_a_spare() {
     let rows = (0..4).map(|i| serving(&format!("i{i}"), "p", &format!("r{i}"), "z"));
     let rows: Vec<_> = rows
@@ -317,18 +324,18 @@
     let replaced = plan(&fleet, Weights::default());
     assert_eq!(replaced.moves.len(), 1);
     assert_eq!(replaced.drains(), 0);
-    for row in start(&fleet, &replaced, Instant(1)) {
+    for row in start_moves(&fleet, &replaced, Instant(1)) {
         fleet.rows.insert(row.id.clone(), row);
     }
-    // The spare is still in its checks; a second call must not give the pool another.
+    // The spare is still in probation; a second call must not assign another one to the pool.
     assert_eq!(plan(&fleet, Weights::default()).moves, []);
     let lost = fleet.rows.get_mut(&name("i0")).expect("a member");
     lost.state = State::Serving;
     assert_eq!(plan(&fleet, Weights::default()).moves, []);
 }
 
-/// A wave reboots an instance, and the platform lists it as rebooting. It is not lost: taken so,
-/// the pool got a spare or another pool's member for each instance of a wave, a move each time.
+/// A wave reboots an instance, and the platform lists it as rebooting. It is not lost. When it was
+/// treated as lost, the pool got a spare or a member of another pool for each instance of a wave.
 fn rebooting_instance_is_not_replaced() {
     let rows = (0..4).map(|i| serving(&format!("i{i}"), "p", &format!("r{i}"), "z"));
     let rows = rows.chain([spare("s", "r9", "z")]).collect();
@@ -340,20 +347,20 @@
 }
 
 /// A template is deleted while its instances serve. They keep their pool until they have drained
-/// for another, as any move; nothing takes them for spares that could be given away at once.
+/// for another one, as in any move, and are not treated as spares that can be assigned at once.
 fn pool_without_a_template_gives_by_moves() {
     let rows = (0..4).map(|i| serving(&format!("i{i}"), "old", &format!("r{i}"), "z"));
     let fleet = fleet(rows.collect(), vec![("p", budget(2, 1, Survive::Rack))]);
     let plan = plan(&fleet, Weights::default());
     assert_eq!(plan.drains(), 4);
-    let begun = start(&fleet, &plan, Instant(1));
-    assert!(begun.iter().all(|row| row.state == State::Draining));
-    assert!(begun.iter().all(|row| row.pool == Some(name("old"))));
+    let started = start_moves(&fleet, &plan, Instant(1));
+    assert!(started.iter().all(|row| row.state == State::Draining));
+    assert!(started.iter().all(|row| row.pool == Some(name("old"))));
     let spare = lifecycle::assign(&fleet.rows[&name("i0")], &name("p"));
     assert!(spare.is_err());
 }
 
-/// Weights decide whether a surplus member moves or a spare is held.
+/// Number of drains under `weights`, where a surplus member can move or a spare can be assigned.
 fn weights_decide(weights: Weights) -> usize {
     let rows = (0..6).map(|i| serving(&format!("i{i}"), "p", &format!("r{i}"), "z"));
     let other = (0..3).map(|i| serving(&format!("j{i}"), "q", &format!("r{i}"), "z"));
@@ -371,20 +378,20 @@
     small_fleets_against_exhaustive_search: small_cases_are_near_the_best();
     plan_breaks_no_budget_on_the_way: no_step_breaks_a_budget();
     steps_together_break_no_budget: steps_that_begin_together_keep_budgets();
-    gojo_beds_first_day: expect_test::expect![[r"
+    gojo_beds_initial_placement: expect_test::expect![[r"
         gojo-backoffice: 8 members, 7 after the worst loss, 5 promised
         gojo-core: 12 members, 11 after the worst loss, 9 promised
         habesha-stay: 9 members, 8 after the worst loss, 6 promised
         lalibela-rest: 9 members, 8 after the worst loss, 6 promised
         merkato-beds: 11 members, 10 after the worst loss, 8 promised
-    "]].assert_eq(&first_day(BOTH[0]));
-    ikeoluwa_first_day: expect_test::expect![[r"
+    "]].assert_eq(&initial_placement(BOTH[0]));
+    ikeoluwa_initial_placement: expect_test::expect![[r"
         assess-hub: 9 members, 8 after the worst loss, 5 promised
         cert-office: 12 members, 11 after the worst loss, 8 promised
         gatepass: 11 members, 7 after the worst loss, 6 promised
         lookup-desk: 9 members, 8 after the worst loss, 5 promised
         staff-admin: 8 members, 7 after the worst loss, 4 promised
-    "]].assert_eq(&first_day(BOTH[1]));
+    "]].assert_eq(&initial_placement(BOTH[1]));
     spare_replaces_a_lost_instance: lost_instance_is_replaced_by_a_spare();
     reboot_causes_no_move: rebooting_instance_is_not_replaced();
     deleted_pool_gives_by_moves: pool_without_a_template_gives_by_moves();
--- a/crates/fleet/tests/all/wave.rs
+++ b/crates/fleet/tests/all/wave.rs
@@ -1,4 +1,4 @@
-//! One wave's plan, steps, orders and refusals.
+//! Plan, steps, commands and refusals of a single wave.
 
 use crate::{
     deployment::{self, BOTH},
@@ -13,7 +13,7 @@
 };
 use primroseroute_fleet::{
     Fleet,
-    check::{self, Moment},
+    check::{self, FleetSnapshot},
     placement::{self, Weights},
     wave::{Action, Command, Limits, Order, Row, Scope, State as WaveState, Window, plan, step},
 };
@@ -21,7 +21,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
 
-/// All of these waves began at this instant.
+/// Start time of the waves in these tests.
 const START: Instant = Instant(1_000_000);
 
 fn order(scope: Scope) -> Order {
@@ -70,12 +70,12 @@
     refusal.to_string()
 }
 
-/// The dry run over a deployment on its first day.
-fn rehearsal(folder: &str) -> String {
+/// Dry run of a wave over a newly placed deployment.
+fn dry_run(folder: &str) -> String {
     let deployment = deployment::read(folder);
     let mut fleet = deployment.fleet;
     let placed = placement::plan(&fleet, deployment.weights);
-    for row in placement::start(&fleet, &placed, START) {
+    for row in placement::start_moves(&fleet, &placed, START) {
         let row = Instance {
             state: State::Serving,
             ..row
@@ -179,9 +179,9 @@
     );
 }
 
-/// A wave is aborted while one of its instances drains and one reboots. The one that drains has
-/// not been touched and serves again; the one that reboots comes back by itself.
-fn stopped_wave_gives_back(state: WaveState) {
+/// A wave stops while one of its instances drains and another reboots. The draining instance has
+/// not been rebooted and serves again; the rebooting instance comes back through its own lifecycle.
+fn stopped_wave_releases_drains(state: WaveState) {
     let mut fleet = pool_of(6, 2, 2);
     let ours = Purpose::Wave(name("w"));
     *row(&mut fleet, "i0") = draining(row(&mut fleet, "i0").clone(), ours.clone());
@@ -197,7 +197,8 @@
     );
 }
 
-/// Where `failed` instances failed and `well` came back at the same time, among many pending.
+/// State of a wave after `failed` instances failed and `well` came back at the same time, with many
+/// still pending.
 fn after_failures(failed: usize, well: usize) -> Option<WaveState> {
     let mut fleet = pool_of(60, 2, 50);
     for index in 0..failed + well {
@@ -213,7 +214,7 @@
     wave_after(&step(&fleet, &running(), START))
 }
 
-/// Two fail in half a day among many that come back: they have nothing to do with each other.
+/// Two failures eleven hours apart are unrelated and must not halt the wave.
 fn failures_far_apart_do_not_halt() {
     let mut fleet = pool_of(60, 2, 50);
     for (index, since) in [(0, 1_000_000), (1, 40_000_000)] {
@@ -227,8 +228,8 @@
     assert_ne!(state, Some(WaveState::Halted));
 }
 
-/// A controller dies after any step; its successor reads the wave's row back from JSON and must
-/// take the same step.
+/// A controller may die after any step. Its successor reads the wave's row from JSON and must take
+/// the same step.
 fn row_alone_is_enough() {
     let mut fleet = pool_of(9, 3, 3);
     row(&mut fleet, "i0").maintained = Some(START);
@@ -239,7 +240,7 @@
     assert_eq!(put(&step(&fleet, &read, START)).len(), 2);
 }
 
-fn stuck_wave_says_why_once() {
+fn stuck_wave_stores_its_reason_once() {
     let fleet = pool_of(4, 3, 1);
     let actions = step(&fleet, &running(), START);
     let [Action::Wave(wave)] = &*actions else {
@@ -284,22 +285,23 @@
 }
 
 fn breaches(fleet: &Fleet, leaving: &[&Instance]) -> usize {
-    let moment = |rows: Vec<Instance>| Moment {
+    let snapshot = |rows: Vec<Instance>| FleetSnapshot {
         rows,
         budgets: fleet.budgets.clone(),
         down: fleet.absent.clone(),
         known: fleet.absent.clone(),
-        ..Moment::default()
+        ..FleetSnapshot::default()
     };
     let mut after = fleet.rows.clone();
     for row in leaving {
         after.insert(row.id.clone(), (*row).clone());
     }
-    let before = moment(fleet.rows.values().cloned().collect());
-    check::history([&before, &moment(after.into_values().collect())]).len()
+    let before = snapshot(fleet.rows.values().cloned().collect());
+    check::history([&before, &snapshot(after.into_values().collect())]).len()
 }
 
-/// The checker is the twin: what a step takes out breaks nothing, and nothing more could go.
+/// By the independent checker, a step's batch breaks no budget, and no further instance could
+/// leave.
 fn batches_are_safe_and_full() {
     let mut rng = ChaCha8Rng::seed_from_u64(4);
     let mut left = 0;
@@ -322,17 +324,18 @@
             let all: Vec<_> = leaving.iter().copied().chain([&more]).collect();
             assert!(
                 breaches(&fleet, &all) > 0,
-                "case {case}: {} could go too",
+                "case {case}: {} could leave too",
                 row.id
             );
         }
     }
-    assert!(left > 400, "only {left} left");
+    assert!(left > 400, "only {left} instances left their pools");
 }
 
-/// Losses have left a pool with five members in one zone and three in each of two others: its
-/// promise of six survives a zone, but none of the six outside the fullest zone can ever leave. A
-/// spare stands ready in another zone. The wave must take it for the pool and go on, not wait.
+/// Losses have left a pool with five members in one zone and three in each of two others. Its
+/// promise of six survives the loss of a zone, but none of the six outside the fullest zone can
+/// ever leave. A spare is available in another zone. The wave must assign it to the pool instead of
+/// waiting.
 fn badly_spread() {
     let zones = [
         "z0", "z0", "z0", "z0", "z0", "z1", "z1", "z1", "z2", "z2", "z2",
@@ -365,19 +368,19 @@
 
 cases! {
     badly_spread_pool_gets_a_spare: badly_spread();
-    gojo_beds_rehearsal: expect_test::expect!["batches [1, 2, 4, 8, 13, 10, 10, 4], 4800 s, 160.0 slot-hours, 0 moves"].assert_eq(&rehearsal(BOTH[0]));
-    ikeoluwa_rehearsal: expect_test::expect!["batches [1, 2, 4, 8, 16, 13, 6, 1, 1], 5400 s, 252.0 slot-hours, 0 moves"].assert_eq(&rehearsal(BOTH[1]));
+    gojo_beds_dry_run: expect_test::expect!["batches [1, 2, 4, 8, 13, 10, 10, 4], 4800 s, 160.0 slot-hours, 0 moves"].assert_eq(&dry_run(BOTH[0]));
+    ikeoluwa_dry_run: expect_test::expect!["batches [1, 2, 4, 8, 16, 13, 6, 1, 1], 5400 s, 252.0 slot-hours, 0 moves"].assert_eq(&dry_run(BOTH[1]));
     impossible_wave: impossible_waves_say_what_would_allow_them();
     overlapping_wave: overlapping_waves_are_refused();
     commands: commands_follow_the_state();
     window: window_bounds_the_wave();
-    aborted_wave_lets_drains_serve: stopped_wave_gives_back(WaveState::Aborted);
-    halted_wave_lets_drains_serve: stopped_wave_gives_back(WaveState::Halted);
+    aborted_wave_lets_drains_serve: stopped_wave_releases_drains(WaveState::Aborted);
+    halted_wave_lets_drains_serve: stopped_wave_releases_drains(WaveState::Halted);
     first_failure_halts: assert_eq!(after_failures(1, 0), Some(WaveState::Halted));
     failures_together_halt: assert_eq!(after_failures(2, 8), Some(WaveState::Halted));
     few_among_many_do_not_halt: assert_eq!(after_failures(2, 9), None);
     failures_apart_do_not_halt: failures_far_apart_do_not_halt();
     successor_needs_only_the_row: row_alone_is_enough();
-    stuck_wave_explains_itself: stuck_wave_says_why_once();
+    stuck_wave_stores_its_reason: stuck_wave_stores_its_reason_once();
     batches_against_the_checker: batches_are_safe_and_full();
 }
