--- a/crates/backoff/tests/all/main.rs
+++ b/crates/backoff/tests/all/main.rs
@@ -97,7 +97,7 @@
 fn range() -> Range {
     Range {
         table: "table".into(),
-        part: "".into(),
+        partition: "".into(),
         from: None,
         to: None,
     }
--- a/crates/cell/src/row/mod.rs
+++ b/crates/cell/src/row/mod.rs
@@ -160,18 +160,18 @@
 impl ControlKey {
     /// Parses a location; `None` if this system didn't write it.
     pub fn of(place: &Place) -> Option<Self> {
-        if place.part.starts_with(MEMBERS) {
+        if place.partition.starts_with(MEMBERS) {
             Some(Self::Member(Name::clone(&place.key)))
         } else if &*place.key == OWNER {
-            Some(Self::Owner(Name::clone(&place.part)))
+            Some(Self::Owner(Name::clone(&place.partition)))
         } else if &*place.key == DESIRED_WORKERS {
-            Some(Self::DesiredWorkers(Name::clone(&place.part)))
+            Some(Self::DesiredWorkers(Name::clone(&place.partition)))
         } else if &*place.key == ORDERS {
-            Some(Self::Orders(Name::clone(&place.part)))
+            Some(Self::Orders(Name::clone(&place.partition)))
         } else {
             let group = place.key.strip_prefix(ANSWER)?;
             Some(Self::Answer {
-                pool: Name::clone(&place.part),
+                pool: Name::clone(&place.partition),
                 group: group.into(),
             })
         }
--- a/crates/cell/tests/all/rows.rs
+++ b/crates/cell/tests/all/rows.rs
@@ -105,9 +105,10 @@
     let mut ids: BTreeMap<String, usize> = BTreeMap::new();
     for number in 0..320_u64 {
         let member = row::member(&format!("entry-{number}"));
-        *members.entry(member.part.to_string()).or_default() += 1;
+        *members.entry(member.partition.to_string()).or_default() += 1;
         let id = JobId::parse(&format!("{number:016x}")).expect("16 digits");
-        *ids.entry(row::claim(&id).part.to_string()).or_default() += 1;
+        *ids.entry(row::claim(&id).partition.to_string())
+            .or_default() += 1;
     }
     assert!(
         members.len() == 8 && members.values().all(|count| *count <= 80),
--- a/crates/owner/src/control.rs
+++ b/crates/owner/src/control.rs
@@ -96,7 +96,7 @@
         let reads = chunk.iter().map(|part| {
             let range = Range {
                 table: table.into(),
-                part: Name::clone(part),
+                partition: Name::clone(part),
                 from: None,
                 to: None,
             };
--- a/crates/platform/src/rows.rs
+++ b/crates/platform/src/rows.rs
@@ -15,17 +15,17 @@
     /// Table.
     pub table: Name,
     /// Partition; a transaction is confined to one.
-    pub part: Name,
+    pub partition: Name,
     /// Key within the partition, in byte order.
     pub key: Name,
 }
 
 impl Place {
     /// Creates a place from its three components.
-    pub fn new(table: &str, part: &str, key: &str) -> Self {
+    pub fn new(table: &str, partition: &str, key: &str) -> Self {
         Self {
             table: table.into(),
-            part: part.into(),
+            partition: partition.into(),
             key: key.into(),
         }
     }
@@ -79,7 +79,7 @@
     /// Table.
     pub table: Name,
     /// Partition.
-    pub part: Name,
+    pub partition: Name,
     /// Inclusive lower bound, if any.
     pub from: Option<Name>,
     /// Exclusive upper bound, if any.
@@ -133,7 +133,7 @@
     let to = successor(&place.key);
     let range = Range {
         table: place.table,
-        part: place.part,
+        partition: place.partition,
         from: Some(place.key),
         to: Some(to),
     };
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -80,7 +80,7 @@
         let inside = self.rows.values().filter(|row| {
             let place = &row.place;
             place.table == range.table
-                && place.part == range.part
+                && place.partition == range.partition
                 && range.from.as_ref().is_none_or(|from| place.key >= *from)
                 && range.to.as_ref().is_none_or(|to| place.key < *to)
         });
--- a/tests/site/takeover.rs
+++ b/tests/site/takeover.rs
@@ -283,7 +283,7 @@
     let place = row::owner(POOL);
     let range = Range {
         table: Name::clone(&place.table),
-        part: Name::clone(&place.part),
+        partition: Name::clone(&place.partition),
         from: None,
         to: None,
     };
