--- a/crates/cell/benches/turn.rs
+++ b/crates/cell/benches/turn.rs
@@ -6,7 +6,7 @@
 use fixture::join;
 use primroseroute_cell::{Cell, Limits, Order, Outcome, row::Accepted};
 use primroseroute_domain::work::{Demand, End, Job, JobId, Name, Step, TaskId};
-use primroseroute_platform::worker::{Ended, Look, Running};
+use primroseroute_platform::worker::{Ended, Running, WorkerStatus};
 use std::collections::BTreeMap;
 
 /// Numbers of workers of a large pool today, and of one that has borrowed workers from its neighbours.
@@ -50,7 +50,7 @@
         }
     }
 
-    fn response(&self, now: u64) -> Look {
+    fn response(&self, now: u64) -> WorkerStatus {
         let running = self.running.iter().map(|(task, (run, _ends))| Running {
             task: task.clone(),
             run: *run,
@@ -58,7 +58,7 @@
             percent: 50,
             load: 0,
         });
-        Look {
+        WorkerStatus {
             born: 1,
             clock_ms: now,
             running: running.collect(),
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -12,7 +12,7 @@
     worker::{Origin, Run, StartState, StopState, Worker},
 };
 use primroseroute_domain::work::{JobId, Name, State, Step, StepId, TaskId};
-use primroseroute_platform::worker::{Ended, Look, Refusal};
+use primroseroute_platform::worker::{Ended, Refusal, WorkerStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A pool's jobs and workers, as known to their owner.
@@ -228,7 +228,11 @@
     }
 
     /// The ended runs of a worker status that weren't recorded before.
-    pub fn new_ends<'a>(&self, worker: &Name, status: &'a Look) -> impl Iterator<Item = &'a Ended> {
+    pub fn new_ends<'a>(
+        &self,
+        worker: &Name,
+        status: &'a WorkerStatus,
+    ) -> impl Iterator<Item = &'a Ended> {
         let worker = self.workers.get(worker);
         let same_incarnation = worker.filter(|worker| worker.incarnation == status.born);
         let seen = same_incarnation.map_or(0, |worker| worker.last_end);
@@ -239,7 +243,7 @@
     pub fn apply_status(
         &mut self,
         worker: &Name,
-        status: &Look,
+        status: &WorkerStatus,
         sent_at: Millis,
         now: Millis,
         wall_ms: u64,
--- a/crates/cell/src/incarnation.rs
+++ b/crates/cell/src/incarnation.rs
@@ -14,7 +14,7 @@
     worker::{Origin, StartState, StopState, Termination},
 };
 use primroseroute_domain::work::{Name, TaskId};
-use primroseroute_platform::worker::Look;
+use primroseroute_platform::worker::WorkerStatus;
 use std::collections::BTreeSet;
 
 /// Determines which incarnation of a worker has answered a status poll. Returns whether it is the
@@ -22,7 +22,7 @@
 pub(crate) fn identify(
     cell: &mut Cell,
     id: &Name,
-    status: &Look,
+    status: &WorkerStatus,
     sent_at: Millis,
     now: Millis,
     wall_ms: u64,
@@ -54,7 +54,7 @@
 /// rows have no tag. A run whose job was accepted before this incarnation began, and which the
 /// status doesn't list, was placed in an earlier one, unless the previous owner never came to send
 /// its start.
-fn lose_earlier_runs(cell: &mut Cell, id: &Name, status: &Look, now: Millis, wall_ms: u64) {
+fn lose_earlier_runs(cell: &mut Cell, id: &Name, status: &WorkerStatus, now: Millis, wall_ms: u64) {
     let (jobs, Some(worker)) = (&cell.jobs, cell.workers.get(id)) else {
         return;
     };
@@ -80,7 +80,7 @@
 fn begin_next(
     cell: &mut Cell,
     id: &Name,
-    status: &Look,
+    status: &WorkerStatus,
     sent_at: Millis,
     now: Millis,
     wall_ms: u64,
@@ -139,7 +139,7 @@
 }
 
 /// The runs that a status lists.
-fn listed_runs(status: &Look) -> BTreeSet<(&TaskId, u32)> {
+fn listed_runs(status: &WorkerStatus) -> BTreeSet<(&TaskId, u32)> {
     let running = status
         .running
         .iter()
--- a/crates/cell/src/status.rs
+++ b/crates/cell/src/status.rs
@@ -9,7 +9,7 @@
     worker::{Origin, Run, StartState, StopState},
 };
 use primroseroute_domain::work::{End, Name, State, Step, TaskId};
-use primroseroute_platform::worker::{Ended, Look, Running};
+use primroseroute_platform::worker::{Ended, Running, WorkerStatus};
 use std::collections::BTreeMap;
 
 /// Maximum number of ended runs that one status lists: a full list may be incomplete.
@@ -18,7 +18,7 @@
 pub(crate) fn apply(
     cell: &mut Cell,
     id: &Name,
-    status: &Look,
+    status: &WorkerStatus,
     sent_at: Millis,
     now: Millis,
     wall_ms: u64,
--- a/crates/cell/tests/all/fixture.rs
+++ b/crates/cell/tests/all/fixture.rs
@@ -8,7 +8,7 @@
 use primroseroute_domain::work::{Demand, End, Job, JobId, Name, Step, TaskId};
 use primroseroute_platform::{
     site::Worker,
-    worker::{Ended, Look, Running},
+    worker::{Ended, Running, WorkerStatus},
 };
 use std::collections::BTreeMap;
 
@@ -231,7 +231,7 @@
             percent: *percent,
             load: self.tail_latencies.get(task).copied().unwrap_or(0),
         });
-        let response = Look {
+        let response = WorkerStatus {
             born: 1,
             clock_ms: self.now,
             running: running.collect(),
--- a/crates/cell/tests/all/incarnation.rs
+++ b/crates/cell/tests/all/incarnation.rs
@@ -8,7 +8,7 @@
     Cause, EndsCursor, EvacuationReason, Order, Outcome, RoundOutput, row::IncarnationTag,
 };
 use primroseroute_domain::work::{End, JobId, Name};
-use primroseroute_platform::worker::{Ended, Look, Running};
+use primroseroute_platform::worker::{Ended, Running, WorkerStatus};
 
 cases! {
     /// Guards against taking ends of a new incarnation for old ones.
@@ -56,16 +56,16 @@
 }
 
 /// An empty poll response of the incarnation that booted at `born`.
-fn response(born: u64) -> Look {
-    Look {
+fn response(born: u64) -> WorkerStatus {
+    WorkerStatus {
         born,
-        ..Look::default()
+        ..WorkerStatus::default()
     }
 }
 
 /// A poll response of the next incarnation that shows the first run of a job's first task.
-fn running_response(id: &JobId, percent: u32) -> Look {
-    Look {
+fn running_response(id: &JobId, percent: u32) -> WorkerStatus {
+    WorkerStatus {
         running: vec![Running {
             task: task(id, 0, 0),
             run: 1,
@@ -77,7 +77,7 @@
     }
 }
 
-fn deliver(fixture: &mut Fixture, response: &Look) {
+fn deliver(fixture: &mut Fixture, response: &WorkerStatus) {
     let now = fixture.now;
     fixture
         .cell
@@ -129,7 +129,7 @@
     let id = fixture.accept(job(vec![step(1, 1_000)]));
     assert_eq!(starts(&fixture.round().orders).len(), 1);
     fixture.now += 100;
-    let with_end = Look {
+    let with_end = WorkerStatus {
         ended: vec![end(&id, 1, 1)],
         ..response(NEXT_BOOT)
     };
--- a/crates/cell/tests/all/pace.rs
+++ b/crates/cell/tests/all/pace.rs
@@ -6,7 +6,7 @@
 };
 use primroseroute_cell::Order;
 use primroseroute_domain::work::Step;
-use primroseroute_platform::worker::{Look, Running};
+use primroseroute_platform::worker::{Running, WorkerStatus};
 
 cases! {
     filler_is_throttled_before_the_latency_target_is_reached_and_released_again => throttled();
@@ -37,7 +37,7 @@
             percent: 100,
             load,
         };
-        let response = Look {
+        let response = WorkerStatus {
             born: 1,
             clock_ms: fixture.now,
             running: vec![running(&serving, tail_latency), running(&filler, 500)],
--- a/crates/jobs/benches/plan.rs
+++ b/crates/jobs/benches/plan.rs
@@ -1,12 +1,12 @@
-//! Time of one plan by the number of instances: `cargo bench -p primroseroute-jobs`.
+//! Duration of one plan by the number of instances: `cargo bench -p primroseroute-jobs`.
 
 use criterion::{BatchSize, BenchmarkId, Criterion};
 use primroseroute_domain::{id, time::Instant};
-use primroseroute_jobs::{Availability, Board, Kind, Limits, Row, Worker};
+use primroseroute_jobs::{Availability, Kind, Limits, Row, Scheduler, Worker};
 use primroseroute_platform::task::{Phase, Report, Resources};
 use std::{collections::BTreeMap, hint::black_box, time::Duration};
 
-/// Accounts and pools of the size of two years from now, for 1,200 workers.
+/// Numbers of accounts and pools expected in two years, for 1,200 workers.
 const ACCOUNTS: u32 = 140;
 const WORKERS_PER_POOL: u32 = 5;
 const JOBS_PER_WORKER: u32 = 8;
@@ -34,7 +34,7 @@
         .collect()
 }
 
-fn board(count: u32) -> Board {
+fn scheduler(count: u32) -> Scheduler {
     let row = |n: u32| {
         Row::submit(
             name(&format!("j{n}")),
@@ -49,20 +49,20 @@
             Instant(u64::from(n)),
         )
     };
-    // No bound on kinds without proof, so that one plan fills everything.
+    // No limit on unproven kinds, so that one plan fills all instances.
     let limits = Limits {
         faults: u32::MAX,
         ..Limits::default()
     };
-    Board::open(
+    Scheduler::restore(
         limits,
         (0..count * JOBS_PER_WORKER).map(row),
         Duration::ZERO,
     )
 }
 
-/// Every run reports, so that the next plan has to renew, learn and check all of them.
-fn reports(board: &Board) -> Vec<Report> {
+/// Reports on every run, so that the next plan has to renew, update and check all of them.
+fn reports(scheduler: &Scheduler) -> Vec<Report> {
     let report = |row: &Row| {
         let instance = row.state.instance()?.clone();
         Some(Report {
@@ -75,7 +75,7 @@
             as_of: Instant(1),
         })
     };
-    board.rows().filter_map(report).collect()
+    scheduler.rows().filter_map(report).collect()
 }
 
 fn main() {
@@ -84,10 +84,11 @@
     let at = Instant(1_000);
     for count in SIZES {
         let workers = workers(count);
-        let empty = board(count);
+        let empty = scheduler(count);
         criterion.bench_with_input(BenchmarkId::new("fill", count), &count, |bench, _| {
-            let plan =
-                |mut board: Board| black_box(board.plan(Duration::ZERO, at, &workers, &weights));
+            let plan = |mut scheduler: Scheduler| {
+                black_box(scheduler.plan(Duration::ZERO, at, &workers, &weights))
+            };
             bench.iter_batched(|| empty.clone(), plan, BatchSize::LargeInput);
         });
         let mut busy = empty.clone();
@@ -100,9 +101,9 @@
         );
         let later = Duration::from_secs(5);
         criterion.bench_with_input(BenchmarkId::new("steady", count), &count, |bench, _| {
-            let plan = |mut board: Board| {
-                board.report(&reports, later);
-                black_box(board.plan(later, at, &workers, &weights))
+            let plan = |mut scheduler: Scheduler| {
+                scheduler.apply_reports(&reports, later);
+                black_box(scheduler.plan(later, at, &workers, &weights))
             };
             bench.iter_batched(|| busy.clone(), plan, BatchSize::LargeInput);
         });
--- a/crates/owner/src/lease.rs
+++ b/crates/owner/src/lease.rs
@@ -5,7 +5,7 @@
 use primroseroute_backoff::Retry;
 use primroseroute_cell::{EndsCursor, Limits, Millis};
 use primroseroute_domain::work::Name;
-use primroseroute_platform::worker::{Hold, Look, Seen, Target, Workers};
+use primroseroute_platform::worker::{LeaseRenewal, PollOutcome, Target, WorkerStatus, Workers};
 use std::{
     collections::{BTreeMap, VecDeque},
     sync::Arc,
@@ -105,14 +105,14 @@
         let mut answers = false;
         loop {
             let (answer, renews) = self.look(answers).await;
-            let answered = matches!(answer, Some(Seen::Look(_)));
+            let answered = matches!(answer, Some(PollOutcome::Status(_)));
             if answers && !answered {
                 self.fence.raise();
             }
             answers = answered;
             match answer {
-                Some(Seen::Look(look)) => {
-                    retry.succeeded();
+                Some(PollOutcome::Status(look)) => {
+                    retry.reset();
                     let newest = look.ended.last().map(|ended| ended.number);
                     match newest {
                         Some(newest) => self.until_committed(look.born, newest).await,
@@ -121,16 +121,16 @@
                         None => {}
                     }
                 }
-                Some(Seen::Gone) => {
+                Some(PollOutcome::Gone) => {
                     let worker = Name::clone(&self.target.id);
                     self.send(Event::Replaced(worker));
                     return;
                 }
-                Some(Seen::Refused(refusal)) => {
+                Some(PollOutcome::Refused(refusal)) => {
                     log::debug!(worker = &*self.target.id, refusal:? = refusal; "look refused");
-                    retry.wait().await;
+                    retry.sleep().await;
                 }
-                None => retry.wait().await,
+                None => retry.sleep().await,
             }
         }
     }
@@ -143,7 +143,7 @@
 
     /// Looks once, and renews the lease if `renew` says so and the worker's clock is known; the
     /// answer, and whether it renewed.
-    async fn look(&mut self, renew: bool) -> (Option<Seen>, bool) {
+    async fn look(&mut self, renew: bool) -> (Option<PollOutcome>, bool) {
         let confirmed = *self.confirmed.borrow();
         let lease = self.limits.lease;
         let reading = self.readings.at(confirmed).filter(|_clock| renew);
@@ -155,10 +155,10 @@
                 lapses_at: confirmed + self.limits.max_local_span(lease),
             });
         }
-        let hold = Hold {
+        let hold = LeaseRenewal {
             deadline_ms: deadline,
             token: self.fence.token(),
-            seen: self.committed(renew),
+            acknowledged: self.committed(renew),
             wait: if deadline.is_some() {
                 WAIT
             } else {
@@ -166,18 +166,18 @@
             },
         };
         let sent_at = self.clock.now();
-        let answer = match self.workers.hold(&self.target, hold).await {
-            Ok(Seen::Look(look)) => {
+        let answer = match self.workers.renew(&self.target, hold).await {
+            Ok(PollOutcome::Status(look)) => {
                 let now = self.clock.now();
                 self.answered(look.born, now);
                 self.readings.add(look.clock_ms, now);
                 self.send(Event::Look {
                     worker: Name::clone(&self.target.id),
-                    look: Look::clone(&look),
+                    look: WorkerStatus::clone(&look),
                     sent_at,
                     at: now,
                 });
-                Some(Seen::Look(look))
+                Some(PollOutcome::Status(look))
             }
             Ok(other) => Some(other),
             Err(error) => {
@@ -249,15 +249,15 @@
         // A look that was sent in the millisecond of the stop's answer may have been sent before it.
         sleep(NEXT).await;
         let sent_at = self.clock.now();
-        let hold = Hold {
+        let hold = LeaseRenewal {
             deadline_ms: None,
             token: self.fence.token(),
-            seen: 0,
+            acknowledged: 0,
             wait: Duration::ZERO,
         };
         let worker = Name::clone(&self.target.id);
-        let look = match self.workers.hold(&self.target, hold).await {
-            Ok(Seen::Look(look)) => look,
+        let look = match self.workers.renew(&self.target, hold).await {
+            Ok(PollOutcome::Status(look)) => look,
             other => {
                 log::debug!(worker = &*worker, answer:? = other; "glance failed");
                 return;
