--- a/crates/standin/src/backend/count.rs
+++ b/crates/standin/src/backend/count.rs
@@ -1,26 +1,26 @@
-//! What a backend server counts.
+//! Counters of a backend server.
 
 use parking_lot::Mutex;
 use std::{collections::BTreeMap, sync::Arc};
 
-/// Counts of one backend server.
+/// Counters of one backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
     /// Requests executed.
     pub executions: u64,
-    /// Requests executed more than once under one idempotency key, beyond the first time.
+    /// Repeated executions under an idempotency key that was executed before.
     pub doubled: u64,
-    /// Requests refused without execution.
+    /// Requests rejected without execution.
     pub refused: u64,
-    /// Requests under execution now.
+    /// Requests executing now.
     pub running: u32,
-    /// Most requests ever under execution at the same time.
+    /// Highest number of requests that ever executed at the same time.
     pub highest: u32,
-    /// Executions that began while every slot was taken.
+    /// Executions that began while every slot was in use.
     pub overruns: u64,
-    /// Connections open now.
+    /// Open connections.
     pub connections: u32,
-    /// Connections closed at once, because there were too many.
+    /// Connections closed at once because the limit was reached.
     pub turned_away: u64,
 }
 
@@ -30,17 +30,17 @@
     keys: BTreeMap<Arc<str>, u64>,
 }
 
-/// The counts under a lock.
+/// Shared counters and the limits they are checked against.
 #[derive(Debug)]
-pub(super) struct Ledger {
+pub(super) struct Counters {
     slots: u32,
-    connections: u32,
+    max_connections: u32,
     state: Mutex<State>,
 }
 
-/// One execution under way.
+/// Guard of one execution; dropping it ends the execution.
 #[derive(Debug)]
-pub(super) struct Slot(Arc<Ledger>);
+pub(super) struct Slot(Arc<Counters>);
 
 impl Drop for Slot {
     fn drop(&mut self) {
@@ -48,9 +48,9 @@
     }
 }
 
-/// One open connection.
+/// Guard of one open connection.
 #[derive(Debug)]
-pub(super) struct Connection(Arc<Ledger>);
+pub(super) struct Connection(Arc<Counters>);
 
 impl Drop for Connection {
     fn drop(&mut self) {
@@ -58,11 +58,11 @@
     }
 }
 
-impl Ledger {
-    pub(super) fn new(slots: u32, connections: u32) -> Self {
+impl Counters {
+    pub(super) fn new(slots: u32, max_connections: u32) -> Self {
         Self {
             slots,
-            connections,
+            max_connections,
             state: Mutex::default(),
         }
     }
@@ -75,14 +75,14 @@
         self.state.lock().keys.get(key).copied().unwrap_or(0)
     }
 
-    pub(super) fn refuse(&self) {
+    pub(super) fn count_refusal(&self) {
         self.state.lock().count.refused += 1;
     }
 
-    /// Opens a connection, if there is room for one more.
-    pub(super) fn connect(self: &Arc<Self>) -> Option<Connection> {
+    /// Counts a new connection; none if the limit is reached.
+    pub(super) fn open_connection(self: &Arc<Self>) -> Option<Connection> {
         let count = &mut self.state.lock().count;
-        if count.connections >= self.connections {
+        if count.connections >= self.max_connections {
             count.turned_away += 1;
             return None;
         }
@@ -90,8 +90,8 @@
         Some(Connection(Arc::clone(self)))
     }
 
-    /// Begins one execution.
-    pub(super) fn execute(self: &Arc<Self>, key: Option<&str>) -> Slot {
+    /// Counts the begin of an execution under an idempotency key, if it has one.
+    pub(super) fn begin_execution(self: &Arc<Self>, key: Option<&str>) -> Slot {
         let mut state = self.state.lock();
         let State { count, keys } = &mut *state;
         count.executions += 1;
--- a/crates/standin/src/backend/mod.rs
+++ b/crates/standin/src/backend/mod.rs
@@ -1,25 +1,26 @@
-//! A backend server on loopback that counts what it executes and misbehaves on demand.
+//! A backend server on loopback that counts its executions and can be made to misbehave.
 //!
-//! It speaks HTTP/1. Every request that it has read whole counts as executed, whatever becomes of
-//! the answer, except under [`Mode::FailAll`] and for [`HEALTH_PATH`]. The answer names the request
-//! that it belongs to in [`REQUEST_ID`], in its body too, so that a test sees whose answer it got.
+//! It speaks HTTP/1. Every request that was received completely counts as executed, whether or not
+//! its response arrives, except under [`Mode::FailAll`] and for [`HEALTH_PATH`]. The response
+//! repeats the request's [`REQUEST_ID`] in the header and the body, so that a test can detect a
+//! response that was delivered to the wrong request.
 
-mod answer;
 mod count;
+mod response;
 mod wire;
 
 pub use count::Count;
 
 use crate::listen::Listener;
-use answer::Answer;
 use bytes::Bytes;
-use count::Ledger;
+use count::Counters;
 use http::{HeaderMap, Method, Request, Response, StatusCode};
 use http_body_util::BodyExt;
 use hyper::{body::Incoming, server::conn::http1, service::service_fn};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use parking_lot::Mutex;
 use primroseroute_domain::instance::{CONNECTIONS, SLOTS};
+use response::PreparedResponse;
 use std::{
     fmt, io,
     net::SocketAddr,
@@ -32,67 +33,68 @@
 use tokio::{net::TcpStream, time::sleep};
 use tokio_util::sync::CancellationToken;
 
-/// Header by which a request names itself; the answer repeats it.
+/// Header with the id of a request; the response repeats it.
 pub const REQUEST_ID: &str = "x-request-id";
 
-/// Header that asks for an answer of this many bytes.
+/// Request header: size of the response body in bytes.
 pub const ANSWER_BYTES: &str = "x-answer-bytes";
 
-/// Header that asks for the request's own body back.
+/// Request header: the response body repeats the request body.
 pub const ECHO: &str = "x-echo";
 
-/// Header of the answer: bytes of the request's body that arrived.
+/// Response header: bytes of the request body that arrived.
 pub const BODY_BYTES: &str = "x-body-bytes";
 
-/// Header of the answer: the name of the backend server.
+/// Response header: the name of the backend server.
 pub const BACKEND: &str = "x-backend";
 
-/// Header by which callers make a request repeatable; executions are counted by it.
+/// Request header with the idempotency key; executions are counted by it.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Path of the health check, which executes nothing and takes no slot.
+/// Path of the health check, which counts no execution and uses no slot.
 pub const HEALTH_PATH: &str = "/healthz";
 
-/// What the backend server does with requests.
+/// How the backend server handles requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Executes and answers.
+    /// Executes and responds.
     Ok,
-    /// The same, but each execution takes this much longer.
+    /// Like `Ok`, but each execution takes this much longer.
     Slow(Duration),
-    /// Executes nothing and answers 503 at once.
+    /// Executes nothing and responds with 503 at once.
     FailAll,
-    /// Executes, then closes the connection without an answer, health checks too.
+    /// Executes, then closes the connection without a response; health checks included.
     Reset,
-    /// The same, but health checks are answered.
+    /// Like `Reset`, but health checks succeed.
     ResetRequests,
-    /// Executes, and answers this much later, when the slot is free again.
+    /// Executes, frees the slot and responds this much later.
     Late(Duration),
-    /// Executes, promises more bytes than it sends, and closes.
+    /// Executes, announces a larger content length than it sends, and closes the connection.
     Truncated,
-    /// Executes, answers in chunks and closes before the last one.
+    /// Executes, responds with chunked encoding and closes the connection before the last chunk.
     TruncatedChunks,
-    /// Executes and answers with bytes that are no HTTP.
+    /// Executes and responds with bytes that are not HTTP.
     Garbage,
 }
 
-/// How the backend server is made.
+/// Configuration of a backend server.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Its name, which answers show.
+    /// Its name, sent in the [`BACKEND`] header.
     pub name: Arc<str>,
-    /// Requests that it may execute at the same time; more are executed too, and counted.
+    /// Requests that may execute at the same time. Requests beyond that are executed too, and
+    /// counted as overruns.
     pub slots: u32,
-    /// Connections that it takes; more are closed at once.
+    /// Limit of open connections; further ones are closed at once.
     pub connections: u32,
-    /// How long an execution takes.
+    /// Duration of an execution.
     pub delay: Duration,
-    /// What it does at first.
+    /// Initial mode.
     pub mode: Mode,
 }
 
 impl Default for Options {
-    /// The brief's slots and connections, and no delay.
+    /// The slots and connections of every instance, and no delay.
     fn default() -> Self {
         Self {
             name: "backend".into(),
@@ -109,8 +111,8 @@
     name: Arc<str>,
     delay: Mutex<Duration>,
     mode: Mutex<Mode>,
-    ledger: Arc<Ledger>,
-    /// Ends the executions under way.
+    counters: Arc<Counters>,
+    /// Ends running executions.
     stopped: CancellationToken,
 }
 
@@ -130,7 +132,7 @@
 }
 
 impl Backend {
-    /// Listens on `address`, where port 0 takes any free one, and serves.
+    /// Listens on `address`, where port 0 selects any free port, and serves.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -139,43 +141,43 @@
             name: options.name,
             delay: Mutex::new(options.delay),
             mode: Mutex::new(options.mode),
-            ledger: Arc::new(Ledger::new(options.slots, options.connections)),
+            counters: Arc::new(Counters::new(options.slots, options.connections)),
             stopped: CancellationToken::new(),
         });
-        let connections = Arc::clone(&shared);
+        let connection_shared = Arc::clone(&shared);
         let listener = Listener::bind(address, move |stream| {
-            serve(stream, Arc::clone(&connections))
+            serve(stream, Arc::clone(&connection_shared))
         })
         .await?;
         Ok(Self { shared, listener })
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Changes what it does with requests from now on.
+    /// Changes how it handles requests from now on.
     pub fn set_mode(&self, mode: Mode) {
         *self.shared.mode.lock() = mode;
     }
 
-    /// Changes how long an execution takes.
+    /// Changes the duration of an execution.
     pub fn set_delay(&self, delay: Duration) {
         *self.shared.delay.lock() = delay;
     }
 
-    /// What it counted so far.
+    /// The counters so far.
     pub fn count(&self) -> Count {
-        self.shared.ledger.count()
+        self.shared.counters.count()
     }
 
-    /// How often requests with this idempotency key were executed.
+    /// Number of executions under this idempotency key.
     pub fn executions(&self, key: &str) -> u64 {
-        self.shared.ledger.executions(key)
+        self.shared.counters.executions(key)
     }
 
-    /// Stops at once: the listener and every connection are closed, whatever is under way.
+    /// Closes the listener and every connection at once and ends running executions.
     pub fn stop(&self) {
         self.listener.stop();
         self.shared.stopped.cancel();
@@ -189,7 +191,7 @@
 }
 
 async fn serve(stream: TcpStream, shared: Arc<Shared>) {
-    let Some(_connection) = shared.ledger.connect() else {
+    let Some(_connection) = shared.counters.open_connection() else {
         return;
     };
     let garbled = Arc::new(AtomicBool::new(false));
@@ -197,9 +199,9 @@
     let service = service_fn(move |request| {
         let shared = Arc::clone(&shared);
         let garbled = Arc::clone(&garbled);
-        async move { shared.answer(request, &garbled).await }
+        async move { shared.handle(request, &garbled).await }
     });
-    // A connection that ends in an error is what some modes are for.
+    // Some modes end the connection with an error on purpose.
     drop(
         http1::Builder::new()
             .timer(TokioTimer::new())
@@ -208,16 +210,16 @@
     );
 }
 
-/// What the backend server read of a request.
+/// A request that was received completely.
 #[derive(Debug)]
-struct Asked {
+struct ReceivedRequest {
     method: Method,
     path: String,
     headers: HeaderMap,
     body: Bytes,
 }
 
-impl Asked {
+impl ReceivedRequest {
     async fn read(request: Request<Incoming>) -> Result<Self, hyper::Error> {
         let (head, body) = request.into_parts();
         Ok(Self {
@@ -234,56 +236,59 @@
 }
 
 impl Shared {
-    async fn answer(
+    async fn handle(
         &self,
         request: Request<Incoming>,
         garbled: &AtomicBool,
-    ) -> Result<Response<answer::Body>, answer::Broken> {
-        let asked = Asked::read(request).await?;
+    ) -> Result<Response<response::Body>, response::Aborted> {
+        let received = ReceivedRequest::read(request).await?;
         let mode = *self.mode.lock();
         if mode == Mode::FailAll {
-            self.ledger.refuse();
-            return Ok(Answer::to(&asked, &self.name).status(StatusCode::SERVICE_UNAVAILABLE));
+            self.counters.count_refusal();
+            return Ok(PreparedResponse::new(&received, &self.name)
+                .with_status(StatusCode::SERVICE_UNAVAILABLE));
         }
-        if asked.path != HEALTH_PATH {
-            self.execute(&asked, mode).await;
+        if received.path != HEALTH_PATH {
+            self.execute(&received, mode).await;
         }
-        let answer = Answer::to(&asked, &self.name);
+        let response = PreparedResponse::new(&received, &self.name);
         match mode {
-            Mode::Ok | Mode::Slow(_) | Mode::FailAll => Ok(answer.whole()),
+            Mode::Ok | Mode::Slow(_) | Mode::FailAll => Ok(response.complete()),
             Mode::Late(later) => {
                 sleep(later).await;
-                Ok(answer.whole())
+                Ok(response.complete())
             }
-            Mode::ResetRequests if asked.path == HEALTH_PATH => Ok(answer.whole()),
-            Mode::Reset | Mode::ResetRequests => Err(answer::Broken),
-            Mode::Truncated => Ok(answer.truncated()),
-            Mode::TruncatedChunks => Ok(answer.truncated_chunks()),
+            Mode::ResetRequests if received.path == HEALTH_PATH => Ok(response.complete()),
+            Mode::Reset | Mode::ResetRequests => Err(response::Aborted),
+            Mode::Truncated => Ok(response.truncated()),
+            Mode::TruncatedChunks => Ok(response.truncated_chunks()),
             Mode::Garbage => {
                 garbled.store(true, Ordering::Relaxed);
-                Ok(answer.whole())
+                Ok(response.complete())
             }
         }
     }
 
-    async fn execute(&self, asked: &Asked, mode: Mode) {
-        let slot = self.ledger.execute(asked.header(IDEMPOTENCY_KEY));
-        let slower = match mode {
-            Mode::Slow(slower) => slower,
+    async fn execute(&self, received: &ReceivedRequest, mode: Mode) {
+        let slot = self
+            .counters
+            .begin_execution(received.header(IDEMPOTENCY_KEY));
+        let extra = match mode {
+            Mode::Slow(extra) => extra,
             _ => Duration::ZERO,
         };
-        let delay = *self.delay.lock() + slower;
+        let delay = *self.delay.lock() + extra;
         if delay.is_zero() {
             return;
         }
-        // A caller that gives up closes the connection, and the library drops its request. A real
-        // execution goes on and keeps its slot, so this one has a task of its own.
+        // A caller that gives up closes the connection, and hyper drops the request's future. A real
+        // execution continues and keeps its slot, so it runs in a task of its own.
         let stopped = self.stopped.clone();
         let execution = tokio::spawn(async move {
             let _slot = slot;
             stopped.run_until_cancelled(sleep(delay)).await;
         });
-        // It neither panics nor is aborted, unless the runtime shuts down.
+        // The task neither panics nor is aborted, unless the runtime shuts down.
         drop(execution.await);
     }
 }
--- a/crates/standin/src/backend/wire.rs
+++ b/crates/standin/src/backend/wire.rs
@@ -1,4 +1,4 @@
-//! A byte stream that can garble what is written.
+//! A byte stream that can corrupt what is written.
 
 use std::{
     io,
@@ -14,8 +14,8 @@
     net::TcpStream,
 };
 
-/// Sets the top bit of each garbled byte, which no HTTP head contains.
-const GARBLE: u8 = 0x80;
+/// The top bit, set in each garbled byte; no byte of an HTTP head has it set.
+const GARBLE_MASK: u8 = 0x80;
 
 /// A connection whose written bytes are garbled while the flag is set.
 #[derive(Debug)]
@@ -49,8 +49,8 @@
         if !self.garbled.load(Ordering::Relaxed) {
             return Pin::new(&mut self.inner).poll_write(cx, buf);
         }
-        // Each byte is garbled by itself, so a partial write needs no memory of the rest.
-        let garbled: Vec<u8> = buf.iter().map(|byte| byte | GARBLE).collect();
+        // Each byte is garbled independently, so a partial write needs no state for the rest.
+        let garbled: Vec<u8> = buf.iter().map(|byte| byte | GARBLE_MASK).collect();
         Pin::new(&mut self.inner).poll_write(cx, &garbled)
     }
 
--- a/crates/standin/src/listen.rs
+++ b/crates/standin/src/listen.rs
@@ -1,4 +1,4 @@
-//! A listener whose connections end with it.
+//! A TCP listener that closes its connections when it stops.
 
 use std::{io, net::SocketAddr};
 use tokio::{
@@ -10,11 +10,11 @@
 #[derive(Debug)]
 pub(crate) struct Listener {
     address: SocketAddr,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
 impl Listener {
-    /// Listens on `address` and gives every connection to `serve`.
+    /// Listens on `address` and passes every connection to `serve`.
     pub(crate) async fn bind<F>(
         address: SocketAddr,
         serve: impl Fn(TcpStream) -> F + Send + 'static,
@@ -25,7 +25,7 @@
         let listener = TcpListener::bind(address).await?;
         Ok(Self {
             address: listener.local_addr()?,
-            accepting: tokio::spawn(accept(listener, serve)),
+            accept_task: tokio::spawn(accept(listener, serve)),
         })
     }
 
@@ -33,9 +33,9 @@
         self.address
     }
 
-    /// Closes the listener and every connection, whatever is under way.
+    /// Closes the listener and every connection, including those with a request in progress.
     pub(crate) fn stop(&self) {
-        self.accepting.abort();
+        self.accept_task.abort();
     }
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Takes connections; the set ends the connections' tasks when this one ends.
+/// Accepts connections. Their tasks are aborted with this one, because that drops the `JoinSet`.
 async fn accept<F>(listener: TcpListener, serve: impl Fn(TcpStream) -> F)
 where
     F: Future<Output = ()> + Send + 'static,
@@ -55,8 +55,8 @@
         tokio::select! {
             accepted = listener.accept() => {
                 let Ok((stream, _)) = accepted else { continue };
-                // Without this, an answer of several writes waits for the client's delayed
-                // acknowledgement. A socket that refuses it is closed already.
+                // Without TCP_NODELAY, a response of several writes waits for the client's delayed
+                // acknowledgement. Setting it fails only on a socket that is already closed.
                 drop(stream.set_nodelay(true));
                 connections.spawn(serve(stream));
             }
--- a/crates/standin/src/platform/gate.rs
+++ b/crates/standin/src/platform/call.rs
@@ -1,8 +1,8 @@
-//! The stages that every call passes, and the faults that can end it at each.
+//! The stages that every call passes, and the faults that can end it at each stage.
 
 use super::{
     Platform, Shared,
-    fault::{Fate, Faults, Outage},
+    fault::{CallFault, Faults, Outage},
     tally::{Kind, Tally},
 };
 use parking_lot::Mutex;
@@ -11,7 +11,7 @@
 use std::{panic::resume_unwind, sync::Arc, time::Duration};
 use tokio::time::{Instant, sleep};
 
-/// One caller, or the whole platform: its faults and what it called.
+/// Faults and tally of one caller, or of the whole platform.
 pub(super) struct Caller {
     tag: Arc<str>,
     pub(super) faults: Faults,
@@ -36,28 +36,28 @@
     }
 }
 
-/// What a call costs of the rate limits.
+/// Cost of a call against the rate limits.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Cost {
-    /// Nothing.
+    /// No cost.
     Free,
-    /// As many reads as rows come back, at least one.
+    /// One read per returned row, at least one.
     Reads,
-    /// This many writes.
+    /// This number of writes.
     Writes(u64),
 }
 
-/// What a call did.
-pub(super) struct Done<T> {
+/// Effect of a call.
+pub(super) struct Effect<T> {
     /// Its answer.
     pub(super) answer: T,
-    /// Rows that it read or wrote.
+    /// Rows read or written.
     pub(super) rows: u64,
     /// Bytes in those rows.
     pub(super) bytes: u64,
 }
 
-impl<T> Done<T> {
+impl<T> Effect<T> {
     pub(super) fn of(answer: T) -> Self {
         Self {
             answer,
@@ -67,13 +67,13 @@
     }
 }
 
-async fn pause(duration: Duration) {
+async fn sleep_nonzero(duration: Duration) {
     if !duration.is_zero() {
         sleep(duration).await;
     }
 }
 
-fn lost(kind: Kind) -> Error {
+fn no_response(kind: Kind) -> Error {
     if kind.mutates() {
         Error::Unknown("the answer did not arrive".to_owned())
     } else {
@@ -82,18 +82,18 @@
 }
 
 impl Platform {
-    /// Passes one call through all stages; `effect` happens at one instant.
+    /// Passes one call through all stages; `effect` is atomic.
     pub(super) async fn call<T: Send + 'static>(
         &self,
         kind: Kind,
         cost: Cost,
-        effect: impl FnOnce(&Shared) -> Result<Done<T>, Error> + Send + 'static,
+        effect: impl FnOnce(&Shared) -> Result<Effect<T>, Error> + Send + 'static,
     ) -> Result<T, Error> {
         self.count(|tally| tally.call(kind));
         let result = if kind.mutates() {
-            self.pass_detached(kind, cost, effect).await
+            self.run_detached(kind, cost, effect).await
         } else {
-            self.pass(kind, cost, effect).await
+            self.run_stages(kind, cost, effect).await
         };
         if result.is_err() {
             self.count(|tally| tally.fail(kind));
@@ -101,57 +101,59 @@
         result
     }
 
-    /// Passes a mutating call through all stages, even if its caller gives it up on the way.
+    /// Passes a mutating call through all stages, even if its caller drops the future meanwhile.
     ///
-    /// A caller that drops the future, as a timeout does, stops waiting; over a network, the call
-    /// that it has sent still arrives and takes effect. Without the task of its own it would vanish
-    /// here, and tests would never see an effect that comes after the timeout.
-    async fn pass_detached<T: Send + 'static>(
+    /// A caller that drops the future, for example on a timeout, stops waiting; over a network, the
+    /// request that it sent still arrives and takes effect. Without a separate task the call would
+    /// be cancelled here, and tests would never see an effect that comes after a timeout.
+    async fn run_detached<T: Send + 'static>(
         &self,
         kind: Kind,
         cost: Cost,
-        effect: impl FnOnce(&Shared) -> Result<Done<T>, Error> + Send + 'static,
+        effect: impl FnOnce(&Shared) -> Result<Effect<T>, Error> + Send + 'static,
     ) -> Result<T, Error> {
         let platform = self.clone();
-        let call = tokio::spawn(async move { platform.pass(kind, cost, effect).await });
+        let call = tokio::spawn(async move { platform.run_stages(kind, cost, effect).await });
         match call.await {
             Ok(result) => result,
-            Err(ended) if ended.is_panic() => resume_unwind(ended.into_panic()),
-            // The runtime shuts down.
-            Err(_) => Err(lost(kind)),
+            Err(error) if error.is_panic() => resume_unwind(error.into_panic()),
+            // The runtime is shutting down.
+            Err(_) => Err(no_response(kind)),
         }
     }
 
-    async fn pass<T: Send + 'static>(
+    async fn run_stages<T: Send + 'static>(
         &self,
         kind: Kind,
         cost: Cost,
-        effect: impl FnOnce(&Shared) -> Result<Done<T>, Error> + Send + 'static,
+        effect: impl FnOnce(&Shared) -> Result<Effect<T>, Error> + Send + 'static,
     ) -> Result<T, Error> {
-        self.stand_outage(kind).await?;
+        self.check_outage(kind).await?;
         let half = self.latency() / 2;
-        pause(half).await;
-        self.stand_outage(kind).await?;
+        sleep_nonzero(half).await;
+        self.check_outage(kind).await?;
         if let Cost::Writes(rows) = cost {
-            self.admit(|faults, now| faults.admits_writes(rows, now))?;
+            self.check_rate(|faults, now| faults.admits_writes(rows, now))?;
         }
-        let fate = self.scopes().find_map(|scope| scope.faults.fate(kind));
-        let result = match fate {
-            Some(Fate::RequestLost) => Err(lost(kind)),
-            Some(Fate::Late(delay)) => {
+        let fault = self
+            .scopes()
+            .find_map(|scope| scope.faults.next_call_fault(kind));
+        let result = match fault {
+            Some(CallFault::RequestLost) => Err(no_response(kind)),
+            Some(CallFault::Late(delay)) => {
                 self.apply_later(kind, delay, effect);
-                Err(lost(kind))
+                Err(no_response(kind))
             }
-            Some(Fate::AnswerLost) => self.apply(kind, effect).and(Err(lost(kind))),
+            Some(CallFault::ResponseLost) => self.apply(kind, effect).and(Err(no_response(kind))),
             None => self.apply(kind, effect),
         };
         if let (Cost::Reads, Ok(done)) = (cost, &result) {
-            self.admit(|faults, now| faults.admits_reads(done.rows.max(1), now))?;
+            self.check_rate(|faults, now| faults.admits_reads(done.rows.max(1), now))?;
         }
-        pause(half).await;
-        // An outage that began after the effect takes the answer with it.
+        sleep_nonzero(half).await;
+        // An outage that began after the effect also loses the response.
         if self.outage().is_some() {
-            return Err(lost(kind));
+            return Err(no_response(kind));
         }
         result.map(|done| done.answer)
     }
@@ -159,8 +161,8 @@
     fn apply<T>(
         &self,
         kind: Kind,
-        effect: impl FnOnce(&Shared) -> Result<Done<T>, Error>,
-    ) -> Result<Done<T>, Error> {
+        effect: impl FnOnce(&Shared) -> Result<Effect<T>, Error>,
+    ) -> Result<Effect<T>, Error> {
         let done = effect(&self.shared)?;
         self.count(|tally| tally.effect(kind, done.rows, done.bytes));
         Ok(done)
@@ -170,17 +172,17 @@
         &self,
         kind: Kind,
         delay: Duration,
-        effect: impl FnOnce(&Shared) -> Result<Done<T>, Error> + Send + 'static,
+        effect: impl FnOnce(&Shared) -> Result<Effect<T>, Error> + Send + 'static,
     ) {
         let platform = self.clone();
         tokio::spawn(async move {
             sleep(delay).await;
-            // Nobody waits for the answer.
+            // No caller waits for the response.
             drop(platform.apply(kind, effect));
         });
     }
 
-    /// The whole platform and the caller; once where they are the same.
+    /// The whole platform and this handle's caller, or the platform alone if they are the same.
     fn scopes(&self) -> impl Iterator<Item = &Arc<Caller>> {
         let own = (!Arc::ptr_eq(&self.caller, &self.shared.root)).then_some(&self.caller);
         std::iter::once(&self.shared.root).chain(own)
@@ -196,18 +198,18 @@
         self.scopes().find_map(|scope| scope.faults.outage())
     }
 
-    async fn stand_outage(&self, kind: Kind) -> Result<(), Error> {
+    async fn check_outage(&self, kind: Kind) -> Result<(), Error> {
         match self.outage() {
             None => Ok(()),
             Some(Outage::Refuse) => Err(Error::Unavailable("outage".to_owned())),
             Some(Outage::Hang(duration)) => {
-                pause(duration).await;
-                Err(lost(kind))
+                sleep_nonzero(duration).await;
+                Err(no_response(kind))
             }
         }
     }
 
-    fn admit(&self, admits: impl Fn(&Faults, Instant) -> bool) -> Result<(), Error> {
+    fn check_rate(&self, admits: impl Fn(&Faults, Instant) -> bool) -> Result<(), Error> {
         let now = Instant::now();
         if self.scopes().all(|scope| admits(&scope.faults, now)) {
             Ok(())
--- a/crates/standin/src/platform/fault.rs
+++ b/crates/standin/src/platform/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that are set while the platform runs.
+//! Faults that are injected while the platform runs.
 
 use super::{Options, tally::Kind};
 use parking_lot::Mutex;
@@ -9,27 +9,27 @@
 };
 use tokio::time::Instant;
 
-/// How an outage looks to callers.
+/// What callers observe during an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
-    /// Every call is refused at once as unavailable.
+    /// Every call fails at once as unavailable.
     Refuse,
     /// Every call hangs for this long and then fails without effect: a read as unavailable, a
-    /// mutating call as unknown, since its caller cannot tell.
+    /// mutating call as unknown, since its caller cannot know whether it took effect.
     Hang(Duration),
 }
 
-/// What the table and the object store take together.
+/// Rate limits shared by the table and the object store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rates {
-    /// Rows written a second; a transaction costs one for each row, at least one.
+    /// Rows written per second; a transaction costs one per row, at least one.
     pub writes: u32,
-    /// Rows read a second; a scan costs one for each row, at least one.
+    /// Rows read per second; a scan costs one per row, at least one.
     pub reads: u32,
 }
 
 impl Default for Rates {
-    /// The brief's "several hundred writes and about two thousand reads a second".
+    /// The specified capacity: several hundred writes and about two thousand reads per second.
     fn default() -> Self {
         Self {
             writes: 600,
@@ -38,18 +38,18 @@
     }
 }
 
-/// What happens to one mutating call whose answer its caller never gets.
+/// Fault of one mutating call whose response never reaches its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Fate {
-    /// It takes effect; the answer is lost.
-    AnswerLost,
-    /// It never takes effect.
+pub(super) enum CallFault {
+    /// The call takes effect; the response is lost.
+    ResponseLost,
+    /// The call never takes effect.
     RequestLost,
-    /// It takes effect this much later, under the conditions that hold then.
+    /// The call takes effect this much later; its conditions are evaluated then.
     Late(Duration),
 }
 
-/// A token bucket that holds at most one second's worth.
+/// A token bucket that holds at most the tokens of one second.
 #[derive(Debug)]
 struct Bucket {
     tokens: f64,
@@ -64,29 +64,30 @@
         }
     }
 
-    /// Takes `cost`; a cost above the whole bucket passes when the bucket is full, and leaves debt.
+    /// Takes `cost` tokens if there are enough. A cost above the bucket's size is admitted when the
+    /// bucket is full, and leaves the balance negative.
     fn take(&mut self, rate: u32, cost: u64, now: Instant) -> bool {
         let rate = f64::from(rate);
         let gained = now.saturating_duration_since(self.at).as_secs_f64() * rate;
         self.tokens = (self.tokens + gained).min(rate);
         self.at = now;
         let cost = cost as f64;
-        let passes = rate > 0.0 && self.tokens >= cost.min(rate);
-        if passes {
+        let admitted = rate > 0.0 && self.tokens >= cost.min(rate);
+        if admitted {
             self.tokens -= cost;
         }
-        passes
+        admitted
     }
 }
 
 #[derive(Debug)]
-struct Limit {
+struct RateLimits {
     rates: Rates,
     writes: Bucket,
     reads: Bucket,
 }
 
-impl Limit {
+impl RateLimits {
     fn new(rates: Rates) -> Self {
         let now = Instant::now();
         Self {
@@ -102,8 +103,8 @@
     latency: Duration,
     jitter: Duration,
     outage: Option<Outage>,
-    limit: Option<Limit>,
-    fates: BTreeMap<Kind, VecDeque<Fate>>,
+    limit: Option<RateLimits>,
+    call_faults: BTreeMap<Kind, VecDeque<CallFault>>,
 }
 
 /// The faults of the whole platform or of one caller; clones share them.
@@ -126,51 +127,53 @@
         faults
     }
 
-    /// Sets the latency of each call: `fixed`, and uniform `jitter` on top.
+    /// Sets the latency of each call: `fixed` plus a uniform share of `jitter`.
     pub fn set_latency(&self, fixed: Duration, jitter: Duration) {
         let mut state = self.state.lock();
         state.latency = fixed;
         state.jitter = jitter;
     }
 
-    /// Begins an outage, or ends it with none. Calls under way when it begins lose their answers.
+    /// Starts an outage; `None` ends it. Calls in flight when it starts lose their responses.
     pub fn set_outage(&self, outage: Option<Outage>) {
         self.state.lock().outage = outage;
     }
 
-    /// Limits the rates, from full buckets of one second's worth; none for no limit, 0 for no call.
+    /// Sets the rate limits, starting with full buckets. `None` removes the limits; a rate of 0
+    /// rejects every call.
     pub fn set_rates(&self, rates: Option<Rates>) {
-        self.state.lock().limit = rates.map(Limit::new);
+        self.state.lock().limit = rates.map(RateLimits::new);
     }
 
-    /// Loses the answers of the next `count` calls of `kind` after they took effect.
+    /// Drops the responses of the next `count` calls of `kind` after they took effect.
     pub fn lose_answers(&self, kind: Kind, count: usize) {
-        self.push(kind, Fate::AnswerLost, count);
+        self.push(kind, CallFault::ResponseLost, count);
     }
 
-    /// Loses the next `count` calls of `kind` before they take effect; the callers cannot tell.
+    /// Drops the next `count` calls of `kind` before they take effect; to their callers this looks
+    /// like a lost response.
     pub fn lose_requests(&self, kind: Kind, count: usize) {
-        self.push(kind, Fate::RequestLost, count);
+        self.push(kind, CallFault::RequestLost, count);
     }
 
-    /// Loses the answers of the next `count` calls of `kind`, which take effect `later`.
+    /// Drops the responses of the next `count` calls of `kind`, which take effect after `later`.
     ///
-    /// Their conditions are evaluated then.
+    /// Their conditions are evaluated at that time.
     pub fn delay_effects(&self, kind: Kind, count: usize, later: Duration) {
-        self.push(kind, Fate::Late(later), count);
+        self.push(kind, CallFault::Late(later), count);
     }
 
-    /// Ends every fault but the latency and the rates.
+    /// Clears every fault except the latency and the rate limits.
     pub fn clear(&self) {
         let mut state = self.state.lock();
         state.outage = None;
-        state.fates.clear();
+        state.call_faults.clear();
     }
 
-    fn push(&self, kind: Kind, fate: Fate, count: usize) {
+    fn push(&self, kind: Kind, fault: CallFault, count: usize) {
         let mut state = self.state.lock();
-        let fates = state.fates.entry(kind).or_default();
-        fates.extend(std::iter::repeat_n(fate, count));
+        let call_faults = state.call_faults.entry(kind).or_default();
+        call_faults.extend(std::iter::repeat_n(fault, count));
     }
 
     pub(super) fn latency(&self) -> (Duration, Duration) {
@@ -182,8 +185,8 @@
         self.state.lock().outage
     }
 
-    pub(super) fn fate(&self, kind: Kind) -> Option<Fate> {
-        self.state.lock().fates.get_mut(&kind)?.pop_front()
+    pub(super) fn next_call_fault(&self, kind: Kind) -> Option<CallFault> {
+        self.state.lock().call_faults.get_mut(&kind)?.pop_front()
     }
 
     pub(super) fn admits_writes(&self, rows: u64, now: Instant) -> bool {
--- a/crates/standin/src/platform/fleet.rs
+++ b/crates/standin/src/platform/fleet.rs
@@ -1,8 +1,8 @@
-//! The lagging list of instances, and reboots.
+//! The list of instances, which lags behind their actual state, and reboots.
 
 use super::{
     Platform, Shared,
-    gate::{Cost, Done},
+    call::{Cost, Effect},
     tally::Kind,
 };
 use async_trait::async_trait;
@@ -14,16 +14,16 @@
 use std::{collections::BTreeMap, fmt, sync::Arc, time::Duration};
 use tokio::time::Instant;
 
-/// How an instance's reboots go.
+/// Behaviour of an instance's reboots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reboot {
-    /// It is back after this long.
+    /// The reboot completes after this time.
     Takes(Duration),
-    /// It never comes back.
+    /// The reboot never completes.
     Hangs,
 }
 
-/// What an instance was from an instant on; none where it was not listed.
+/// State of an instance from a point in time on; none if it was not listed.
 #[derive(Debug)]
 struct Version {
     from: Instant,
@@ -34,12 +34,12 @@
 struct History {
     versions: Vec<Version>,
     reboot: Option<Reboot>,
-    back_at: Option<Instant>,
+    reboot_ends_at: Option<Instant>,
     leaving: bool,
 }
 
 impl History {
-    fn truth(&self) -> Option<&Listed> {
+    fn current(&self) -> Option<&Listed> {
         self.versions.last()?.listed.as_ref()
     }
 
@@ -50,19 +50,19 @@
 
     fn push(&mut self, from: Instant, listed: Option<Listed>, lag: Duration) {
         self.versions.push(Version { from, listed });
-        let shown = |next: &Version| next.from + lag <= from;
-        while self.versions.get(1).is_some_and(shown) {
+        let superseded = |next: &Version| next.from + lag <= from;
+        while self.versions.get(1).is_some_and(superseded) {
             self.versions.remove(0);
         }
     }
 
-    /// Finishes a reboot that is due.
-    fn settle(&mut self, now: Instant, lag: Duration) {
-        let Some(due) = self.back_at.filter(|due| *due <= now) else {
+    /// Completes a reboot that is due.
+    fn finish_due_reboot(&mut self, now: Instant, lag: Duration) {
+        let Some(due) = self.reboot_ends_at.filter(|due| *due <= now) else {
             return;
         };
-        self.back_at = None;
-        let Some(mut listed) = self.truth().cloned() else {
+        self.reboot_ends_at = None;
+        let Some(mut listed) = self.current().cloned() else {
             return;
         };
         listed.boots += 1;
@@ -91,39 +91,39 @@
         }
     }
 
-    fn settle(&mut self, now: Instant) {
+    fn finish_due_reboots(&mut self, now: Instant) {
         for history in self.instances.values_mut() {
-            history.settle(now, self.lag);
+            history.finish_due_reboot(now, self.lag);
         }
     }
 
-    /// What the instance is doing now; none where the platform does not know it.
+    /// Current phase of the instance; none if the platform does not know it.
     pub(super) fn phase(&mut self, id: &id::Instance, now: Instant) -> Option<Phase> {
         let history = self.instances.get_mut(id)?;
-        history.settle(now, self.lag);
-        history.truth().map(|listed| listed.phase)
+        history.finish_due_reboot(now, self.lag);
+        history.current().map(|listed| listed.phase)
     }
 
     fn set_phase(&mut self, id: &id::Instance, phase: Phase, now: Instant) {
         let Some(history) = self.instances.get_mut(id) else {
             return;
         };
-        history.settle(now, self.lag);
-        let Some(mut listed) = history.truth().cloned() else {
+        history.finish_due_reboot(now, self.lag);
+        let Some(mut listed) = history.current().cloned() else {
             return;
         };
         listed.phase = phase;
         history.leaving = phase == Phase::Leaving;
-        history.back_at = None;
+        history.reboot_ends_at = None;
         history.push(now, Some(listed), self.lag);
     }
 
-    /// Whether the call began a reboot.
+    /// Starts a reboot unless one is running or `boots` is outdated; returns whether it started one.
     fn reboot(&mut self, id: &id::Instance, boots: u64, now: Instant) -> Result<bool, Error> {
         let unknown = || Error::Invalid(format!("no instance `{id}`"));
         let history = self.instances.get_mut(id).ok_or_else(unknown)?;
-        history.settle(now, self.lag);
-        let mut listed = history.truth().cloned().ok_or_else(unknown)?;
+        history.finish_due_reboot(now, self.lag);
+        let mut listed = history.current().cloned().ok_or_else(unknown)?;
         match listed.phase {
             Phase::Gone => return Err(unknown()),
             Phase::Rebooting => return Ok(false),
@@ -131,7 +131,7 @@
             Phase::Live | Phase::Leaving => {}
         }
         listed.phase = Phase::Rebooting;
-        history.back_at = match history.reboot.unwrap_or(self.reboot) {
+        history.reboot_ends_at = match history.reboot.unwrap_or(self.reboot) {
             Reboot::Takes(duration) => Some(now + duration),
             Reboot::Hangs => None,
         };
@@ -140,7 +140,7 @@
     }
 
     fn list(&mut self, now: Instant) -> Vec<Listed> {
-        self.settle(now);
+        self.finish_due_reboots(now);
         let lag = self.lag;
         let at = now.checked_sub(lag).unwrap_or(now);
         self.instances
@@ -151,7 +151,7 @@
     }
 }
 
-/// The instances of the platform, changed as the platform would change them.
+/// Control of the simulated instances.
 #[derive(Clone)]
 pub struct Fleet {
     shared: Arc<Shared>,
@@ -168,29 +168,29 @@
         Self { shared }
     }
 
-    /// Adds an instance, or replaces what is said of it.
+    /// Adds an instance, or replaces its state.
     pub fn add(&self, listed: Listed) {
         let mut fleet = self.shared.fleet.lock();
         let lag = fleet.lag;
         let history = fleet.instances.entry(listed.id.clone()).or_default();
         history.leaving = listed.phase == Phase::Leaving;
-        history.back_at = None;
+        history.reboot_ends_at = None;
         history.push(Instant::now(), Some(listed), lag);
     }
 
-    /// Takes an instance off the list altogether; its tasks stop.
+    /// Removes an instance from the list; its tasks stop.
     pub fn remove(&self, id: &id::Instance) {
         let now = Instant::now();
         let mut fleet = self.shared.fleet.lock();
         let lag = fleet.lag;
         if let Some(history) = fleet.instances.get_mut(id) {
-            history.back_at = None;
+            history.reboot_ends_at = None;
             history.push(now, None, lag);
         }
         self.shared.tasks.lock().stop_on(id, now);
     }
 
-    /// Sets what an instance is doing; a stop of the instance stops its tasks.
+    /// Sets the phase of an instance; its tasks stop if it is gone or rebooting.
     pub fn set_phase(&self, id: &id::Instance, phase: Phase) {
         let now = Instant::now();
         let mut fleet = self.shared.fleet.lock();
@@ -200,12 +200,12 @@
         }
     }
 
-    /// Sets how far the list lags behind, at once.
+    /// Changes the age of the list, effective immediately.
     pub fn set_lag(&self, lag: Duration) {
         self.shared.fleet.lock().lag = lag;
     }
 
-    /// Sets how the next reboots of `id` go.
+    /// Sets the behaviour of later reboots of `id`.
     pub fn set_reboot(&self, id: &id::Instance, reboot: Reboot) {
         let mut fleet = self.shared.fleet.lock();
         if let Some(history) = fleet.instances.get_mut(id) {
@@ -213,12 +213,12 @@
         }
     }
 
-    /// The list without its lag.
+    /// The instances as they are now, without the lag of the list.
     pub fn truth(&self) -> Vec<Listed> {
         let mut fleet = self.shared.fleet.lock();
-        fleet.settle(Instant::now());
-        let truths = fleet.instances.values().filter_map(History::truth);
-        truths.cloned().collect()
+        fleet.finish_due_reboots(Instant::now());
+        let current = fleet.instances.values().filter_map(History::current);
+        current.cloned().collect()
     }
 }
 
@@ -230,7 +230,7 @@
             let mut fleet = shared.fleet.lock();
             let instances = fleet.list(now);
             let as_of = shared.wall(now.checked_sub(fleet.lag).unwrap_or(now));
-            Ok(Done {
+            Ok(Effect {
                 rows: instances.len() as u64,
                 bytes: 0,
                 answer: List { as_of, instances },
@@ -247,7 +247,7 @@
             if fleet.reboot(&id, boots, now)? {
                 shared.tasks.lock().stop_on(&id, now);
             }
-            Ok(Done::of(()))
+            Ok(Effect::of(()))
         })
         .await
     }
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,21 +1,22 @@
-//! The platform in memory: table, object store, instance list and tasks, with settable faults.
+//! The platform in memory: table, object store, instance list and tasks, with fault injection.
 //!
-//! A call passes the same stages as over a network: the request's half of the latency, the rate
-//! limit, the effect at one instant, the answer's half of the latency. [`fault::Faults`] can end a
-//! call at each stage, and the caller gets the error that it would conclude from there.
+//! A call passes the same stages as over a network: half of the latency for the request, the rate
+//! limit, the effect at one instant, half of the latency for the response. [`fault::Faults`] can
+//! end a call at each stage; the caller then gets the error that a real client would report.
 //!
-//! Lock order: fleet, then tasks. Every other lock is taken alone, and none is held over an await.
+//! Lock order: fleet, then tasks. No other lock is taken while one is held, and none is held across
+//! an await.
 
+mod call;
 pub mod fault;
 pub mod fleet;
-mod gate;
 mod object;
 pub mod table;
 pub mod tally;
 pub mod task;
 
+use call::Caller;
 use fault::Faults;
-use gate::Caller;
 use parking_lot::Mutex;
 use primroseroute_domain::time;
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng};
@@ -23,32 +24,32 @@
 use tally::Tally;
 use tokio::time::Instant;
 
-/// Name of the handle that [`Platform::open`] returns, in tallies.
+/// Name in tallies of the handle that [`Platform::open`] returns.
 pub const ROOT: &str = "root";
 
 /// How the platform behaves before any fault is set.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Latency of each call, both ways together.
+    /// Round-trip latency of each call.
     pub latency: Duration,
-    /// Further latency, uniform from zero to this.
+    /// Upper bound of the uniformly distributed latency that is added to each call.
     pub jitter: Duration,
-    /// Limits on the table and the object store together; none for no limit.
+    /// Rate limits shared by the table and the object store; unlimited if none.
     pub rates: Option<fault::Rates>,
-    /// How far the list of instances lags behind.
+    /// Age of the list of instances.
     pub list_lag: Duration,
-    /// How long a reboot takes.
+    /// Duration of a reboot.
     pub reboot: Duration,
-    /// How far the reports of tasks lag behind.
+    /// Age of the reports of tasks.
     pub report_lag: Duration,
-    /// What a task does that has no script of its own.
+    /// Behaviour of tasks whose job has no script.
     pub script: task::Script,
-    /// The wall-clock instant of `open`.
+    /// Wall-clock time at which the platform opens.
     pub epoch: time::Instant,
 }
 
 impl Default for Options {
-    /// No latency, no lag, the brief's rates, and reboots of 60 s.
+    /// No latency, no lag, the default rate limits and reboots of 60 s.
     fn default() -> Self {
         Self {
             latency: Duration::ZERO,
@@ -76,7 +77,7 @@
 }
 
 impl Shared {
-    /// The wall-clock instant `at`, by the platform's clock.
+    /// Converts `at` to the platform's wall clock.
     fn wall(&self, at: Instant) -> time::Instant {
         self.epoch.after(at.saturating_duration_since(self.opened))
     }
@@ -84,8 +85,9 @@
 
 /// A handle on the platform; it implements every trait of the platform, and clones are cheap.
 ///
-/// The handle that [`Platform::open`] returns stands for the whole: its faults hit every caller and
-/// its tally counts them all. A handle from [`Platform::client`] is one caller's.
+/// The handle that [`Platform::open`] returns is for the whole platform: its faults apply to every
+/// caller, and its tally counts the calls of all. A handle from [`Platform::client`] belongs to one
+/// caller.
 #[derive(Clone)]
 pub struct Platform {
     shared: Arc<Shared>,
@@ -119,7 +121,7 @@
         }
     }
 
-    /// The handle of the caller `tag`; the same tag is the same caller.
+    /// The handle of the caller `tag`; handles with the same tag share faults and tally.
     pub fn client(&self, tag: &str) -> Self {
         let mut callers = self.shared.callers.lock();
         let caller = callers
@@ -131,17 +133,18 @@
         }
     }
 
-    /// The faults of this handle: of every caller for the whole, else of the one caller.
+    /// The faults of this handle's caller; on the handle for the whole platform, of every caller.
     pub fn faults(&self) -> &Faults {
         &self.caller.faults
     }
 
-    /// What was called through this handle, or through any where it is the whole.
+    /// Counts the calls of this handle's caller; on the handle for the whole platform, of every
+    /// caller.
     pub fn tally(&self) -> Tally {
         self.caller.tally()
     }
 
-    /// The tallies of all callers by tag.
+    /// The tallies of all callers, by tag.
     pub fn tallies(&self) -> BTreeMap<Arc<str>, Tally> {
         let callers = self.shared.callers.lock();
         callers
@@ -150,17 +153,17 @@
             .collect()
     }
 
-    /// The instances, to be changed as the platform would.
+    /// Control of the simulated instances.
     pub fn fleet(&self) -> fleet::Fleet {
         fleet::Fleet::new(Arc::clone(&self.shared))
     }
 
-    /// The tasks, to be scripted and inspected.
+    /// Control and inspection of the simulated tasks.
     pub fn tasks(&self) -> task::Ledger {
         task::Ledger::new(Arc::clone(&self.shared))
     }
 
-    /// The platform's wall clock.
+    /// Current time of the platform's wall clock.
     pub fn now(&self) -> time::Instant {
         self.shared.wall(Instant::now())
     }
--- a/crates/standin/src/platform/object.rs
+++ b/crates/standin/src/platform/object.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Platform,
-    gate::{Cost, Done},
+    call::{Cost, Effect},
     tally::Kind,
 };
 use async_trait::async_trait;
@@ -18,7 +18,7 @@
         self.call(Kind::PutObject, Cost::Writes(1), move |shared| {
             let bytes = (name.len() + value.len()) as u64;
             shared.objects.lock().insert(name, value);
-            Ok(Done {
+            Ok(Effect {
                 answer: (),
                 rows: 1,
                 bytes,
@@ -31,7 +31,7 @@
         let name = name.to_owned();
         self.call(Kind::GetObject, Cost::Reads, move |shared| {
             let value = shared.objects.lock().get(name.as_str()).cloned();
-            Ok(Done {
+            Ok(Effect {
                 rows: u64::from(value.is_some()),
                 bytes: value.as_ref().map_or(0, |value| value.len() as u64),
                 answer: value,
@@ -49,7 +49,7 @@
                 .take_while(|(name, _)| name.starts_with(prefix.as_str()))
                 .map(|(name, _)| Arc::clone(name))
                 .collect();
-            Ok(Done {
+            Ok(Effect {
                 rows: names.len() as u64,
                 bytes: names.iter().map(|name| name.len() as u64).sum(),
                 answer: names,
--- a/crates/standin/src/platform/table.rs
+++ b/crates/standin/src/platform/table.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Platform,
-    gate::{Cost, Done},
+    call::{Cost, Effect},
     tally::Kind,
 };
 use async_trait::async_trait;
@@ -21,16 +21,16 @@
     journal: Option<Vec<Entry>>,
 }
 
-/// A transaction that took effect.
+/// A committed transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// When it took effect, whenever its answer came, if any.
+    /// When it took effect, regardless of when or whether its response arrived.
     pub at: Instant,
-    /// What it wrote.
+    /// Its writes.
     pub writes: Vec<Write>,
 }
 
-fn weigh(key: &Key, value: &Bytes) -> u64 {
+fn row_bytes(key: &Key, value: &Bytes) -> u64 {
     (key.len() + value.len()) as u64
 }
 
@@ -101,20 +101,20 @@
 }
 
 impl Platform {
-    /// Keeps every transaction from now on, for a test that looks at the order of effects.
+    /// Records every transaction from now on, for tests that check the order of effects.
     pub fn keep_journal(&self) {
         self.shared.rows.lock().journal = Some(Vec::new());
     }
 
-    /// The transactions that took effect since the journal is kept, in their order.
+    /// The transactions that took effect since [`Self::keep_journal`], in order.
     pub fn journal(&self) -> Vec<Entry> {
         self.shared.rows.lock().journal.clone().unwrap_or_default()
     }
 }
 
-fn bytes_of(txn: &Txn) -> u64 {
+fn txn_bytes(txn: &Txn) -> u64 {
     let each = txn.writes.iter().map(|write| match write {
-        Write::Put(key, value) => weigh(key, value),
+        Write::Put(key, value) => row_bytes(key, value),
         Write::Delete(key) => key.len() as u64,
     });
     each.sum()
@@ -126,9 +126,11 @@
         let key = Key::clone(key);
         self.call(Kind::Read, Cost::Reads, move |shared| {
             let row = shared.rows.lock().row(&key);
-            Ok(Done {
+            Ok(Effect {
                 rows: u64::from(row.is_some()),
-                bytes: row.as_ref().map_or(0, |row| weigh(&row.key, &row.value)),
+                bytes: row
+                    .as_ref()
+                    .map_or(0, |row| row_bytes(&row.key, &row.value)),
                 answer: row,
             })
         })
@@ -138,12 +140,12 @@
     async fn scan(&self, scan: Scan) -> Result<Page, Error> {
         self.call(Kind::Scan, Cost::Reads, move |shared| {
             let page = shared.rows.lock().scan(&scan);
-            Ok(Done {
+            Ok(Effect {
                 rows: page.rows.len() as u64,
                 bytes: page
                     .rows
                     .iter()
-                    .map(|row| weigh(&row.key, &row.value))
+                    .map(|row| row_bytes(&row.key, &row.value))
                     .sum(),
                 answer: page,
             })
@@ -153,11 +155,11 @@
 
     async fn commit(&self, txn: Txn) -> Result<Commit, Error> {
         let rows = txn.writes.len() as u64;
-        let bytes = bytes_of(&txn);
+        let bytes = txn_bytes(&txn);
         self.call(Kind::Commit, Cost::Writes(rows.max(1)), move |shared| {
             let answer = shared.rows.lock().commit(txn);
             let wrote = matches!(answer, Commit::Committed(_));
-            Ok(Done {
+            Ok(Effect {
                 answer,
                 rows: if wrote { rows } else { 0 },
                 bytes: if wrote { bytes } else { 0 },
--- a/crates/standin/src/platform/tally.rs
+++ b/crates/standin/src/platform/tally.rs
@@ -1,4 +1,4 @@
-//! Counts of calls, rows and bytes by kind of call.
+//! Counts calls, rows and bytes by kind of call.
 
 use std::collections::BTreeMap;
 
@@ -36,7 +36,7 @@
 }
 
 impl Kind {
-    /// Whether the call can change anything, so that a lost answer leaves its caller unsure.
+    /// Whether the call can have an effect, so that a lost response leaves its outcome unknown.
     pub fn mutates(self) -> bool {
         !matches!(
             self,
@@ -50,20 +50,20 @@
     }
 }
 
-/// What was called of one kind.
+/// Counts for one kind of call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Calls, however they ended.
+    /// All calls, successful or not.
     pub calls: u64,
-    /// Calls that ended in an error.
+    /// Calls that returned an error.
     pub failed: u64,
-    /// Rows read, or rows written; those of calls that took effect.
+    /// Rows read or written by calls that took effect.
     pub rows: u64,
     /// Bytes of keys and values in those rows.
     pub bytes: u64,
 }
 
-/// Counts by kind.
+/// Counts by kind of call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     counts: BTreeMap<Kind, Count>,
@@ -75,7 +75,7 @@
         self.counts.get(&kind).copied().unwrap_or_default()
     }
 
-    /// All kinds that were called, with their counts.
+    /// Every kind that was called, with its counts.
     pub fn kinds(&self) -> impl Iterator<Item = (Kind, Count)> + '_ {
         self.counts.iter().map(|(kind, count)| (*kind, *count))
     }
--- a/crates/standin/src/platform/task/work.rs
+++ b/crates/standin/src/platform/task/execution.rs
@@ -1,4 +1,4 @@
-//! The work of each start: progress, lease, checkpoints.
+//! Execution of each start: progress, lease, checkpoints.
 
 use super::{Ending, Run, Script};
 use primroseroute_domain::{id, time};
@@ -9,32 +9,32 @@
 use std::{collections::BTreeMap, time::Duration};
 use tokio::time::Instant;
 
-/// How long a report of an ended task is kept.
+/// How long an ended task is still reported.
 const RETENTION: Duration = Duration::from_secs(600);
 
 #[derive(Debug)]
-pub(super) struct Work {
+pub(super) struct Execution {
     pub(super) run: Run,
     resources: Resources,
     script: Script,
     lease_end: Instant,
-    /// The part done at `since`, which grows by `speed` over the script's length.
+    /// Share of the script's length that was done at `since`; it grows in proportion to `speed`.
     done: f64,
     since: Instant,
     speed: f64,
-    /// What the checkpoints held, from an instant on.
+    /// Time of each checkpoint, and the progress saved in it.
     checkpoints: Vec<(Instant, f64)>,
 }
 
-impl Work {
+impl Execution {
     fn progress(&self, at: Instant) -> f64 {
         let spent = at.saturating_duration_since(self.since).as_secs_f64();
         let length = self.script.length.as_secs_f64().max(f64::MIN_POSITIVE);
         (self.done + spent * self.speed / length).min(1.0)
     }
 
-    /// When the work is through, at today's speed.
-    fn through_at(&self) -> Option<Instant> {
+    /// When the execution completes at the current speed.
+    fn completes_at(&self) -> Option<Instant> {
         if self.script.ending == Ending::Never || self.speed <= 0.0 {
             return None;
         }
@@ -42,12 +42,12 @@
         Some(self.since + left.div_f64(self.speed))
     }
 
-    fn settle(&mut self, now: Instant) {
+    fn finish_if_due(&mut self, now: Instant) {
         if self.run.ended.is_some() {
             return;
         }
-        let through = self.through_at().filter(|at| *at <= self.lease_end);
-        let (at, phase) = match (through, self.script.ending) {
+        let completed = self.completes_at().filter(|at| *at <= self.lease_end);
+        let (at, phase) = match (completed, self.script.ending) {
             (Some(at), Ending::Failed) => (at, Phase::Failed),
             (Some(at), _) => (at, Phase::Done),
             (None, _) => (self.lease_end, Phase::Stopped),
@@ -58,7 +58,7 @@
     }
 
     pub(super) fn stop(&mut self, now: Instant) {
-        self.settle(now);
+        self.finish_if_due(now);
         self.run.ended.get_or_insert((now, Phase::Stopped));
     }
 
@@ -72,9 +72,9 @@
         self.checkpoints.push((now, self.progress(now)));
     }
 
-    fn kept(&self, at: Instant) -> f64 {
-        let held = self.checkpoints.iter().rev().find(|(from, _)| *from <= at);
-        held.map_or(0.0, |(_, part)| *part)
+    fn saved_progress(&self, at: Instant) -> f64 {
+        let latest = self.checkpoints.iter().rev().find(|(from, _)| *from <= at);
+        latest.map_or(0.0, |(_, progress)| *progress)
     }
 
     pub(super) fn report(&self, at: Instant, as_of: time::Instant) -> Option<Report> {
@@ -96,7 +96,7 @@
             token: self.run.token,
             phase: ended.map_or(Phase::Running, |(_, phase)| phase),
             usage,
-            checkpoint: self.kept(at),
+            checkpoint: self.saved_progress(at),
             as_of,
         })
     }
@@ -108,7 +108,7 @@
     script: Script,
     pub(super) jobs: BTreeMap<id::Job, Script>,
     pub(super) instances: BTreeMap<id::Instance, Ending>,
-    pub(super) work: Vec<Work>,
+    pub(super) executions: Vec<Execution>,
 }
 
 impl State {
@@ -118,20 +118,20 @@
             script,
             jobs: BTreeMap::new(),
             instances: BTreeMap::new(),
-            work: Vec::new(),
+            executions: Vec::new(),
         }
     }
 
-    pub(super) fn settle(&mut self, now: Instant) {
-        for work in &mut self.work {
-            work.settle(now);
+    pub(super) fn finish_due_runs(&mut self, now: Instant) {
+        for execution in &mut self.executions {
+            execution.finish_if_due(now);
         }
     }
 
     pub(in crate::platform) fn stop_on(&mut self, instance: &id::Instance, now: Instant) {
-        for work in &mut self.work {
-            if work.run.instance == *instance {
-                work.stop(now);
+        for execution in &mut self.executions {
+            if execution.run.instance == *instance {
+                execution.stop(now);
             }
         }
     }
@@ -145,9 +145,13 @@
     }
 
     pub(super) fn start(&mut self, start: Start, now: Instant) -> Result<(), Error> {
-        self.settle(now);
-        let own = || self.work.iter().filter(|work| work.run.job == start.job);
-        if let Some(newest) = own().max_by_key(|work| work.run.token) {
+        self.finish_due_runs(now);
+        let own = || {
+            self.executions
+                .iter()
+                .filter(|execution| execution.run.job == start.job)
+        };
+        if let Some(newest) = own().max_by_key(|execution| execution.run.token) {
             if newest.run.token == start.token && newest.run.instance == start.instance {
                 return Ok(());
             }
@@ -158,9 +162,11 @@
                 )));
             }
         }
-        let kept = own().map(|work| work.kept(now)).fold(0.0, f64::max);
+        let saved = own()
+            .map(|execution| execution.saved_progress(now))
+            .fold(0.0, f64::max);
         let script = self.script_of(&start);
-        self.work.push(Work {
+        self.executions.push(Execution {
             run: Run {
                 job: start.job,
                 instance: start.instance,
@@ -171,26 +177,28 @@
             resources: start.resources,
             script,
             lease_end: now + start.lease,
-            done: kept,
+            done: saved,
             since: now,
             speed: 1.0,
-            checkpoints: vec![(now, kept)],
+            checkpoints: vec![(now, saved)],
         });
         Ok(())
     }
 
-    /// The running start of `job` with `token`.
+    /// The execution of the start of `job` with `token`, if it is still running.
     pub(super) fn running(
         &mut self,
         job: &id::Job,
         token: Token,
         now: Instant,
-    ) -> Result<&mut Work, Error> {
-        self.settle(now);
-        self.work
+    ) -> Result<&mut Execution, Error> {
+        self.finish_due_runs(now);
+        self.executions
             .iter_mut()
-            .find(|work| {
-                work.run.job == *job && work.run.token == token && work.run.ended.is_none()
+            .find(|execution| {
+                execution.run.job == *job
+                    && execution.run.token == token
+                    && execution.run.ended.is_none()
             })
             .ok_or_else(|| Error::Invalid(format!("start {} of `{job}` does not run", token.0)))
     }
@@ -202,8 +210,9 @@
         lease: Duration,
         now: Instant,
     ) -> Result<(), Error> {
-        let newer = |work: &Work| work.run.job == *job && work.run.token > token;
-        if self.work.iter().any(newer) {
+        let newer =
+            |execution: &Execution| execution.run.job == *job && execution.run.token > token;
+        if self.executions.iter().any(newer) {
             return Err(Error::Invalid(format!(
                 "start {} of `{job}` was followed by a newer one",
                 token.0
--- a/crates/standin/src/platform/task/mod.rs
+++ b/crates/standin/src/platform/task/mod.rs
@@ -1,17 +1,17 @@
-//! Tasks under leases, with scripted endings and lagging reports.
+//! Tasks under leases, with scripted ends and lagging reports.
 //!
-//! The platform promises little: a start with a newer token is taken even while an older start of
-//! the job still runs elsewhere, until that one's lease lapses or it is stopped. It is the
-//! starter's duty to wait, and [`Ledger::overlaps`] shows where it did not. An older start can no
-//! longer be renewed.
+//! The platform does not prevent overlapping runs: a start with a newer token is accepted even while
+//! an older start of the job still runs elsewhere, which it does until its lease expires or it is
+//! stopped. Waiting for that is up to the caller that starts the task; [`Ledger::overlaps`] returns
+//! the cases where it did not wait. The lease of an older start can no longer be renewed.
 
-mod work;
+mod execution;
 
-pub(super) use work::State;
+pub(super) use execution::State;
 
 use super::{
     Platform, Shared,
-    gate::{Cost, Done},
+    call::{Cost, Effect},
     tally::Kind,
 };
 use async_trait::async_trait;
@@ -24,30 +24,30 @@
 use std::{fmt, sync::Arc, time::Duration};
 use tokio::time::Instant;
 
-/// How a task ends when it is left to run.
+/// How a task ends if nothing stops it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// It is done.
+    /// It succeeds.
     Done,
     /// It fails.
     Failed,
-    /// It never ends by itself.
+    /// It runs until it is stopped.
     Never,
 }
 
-/// What a task truly does, whatever was declared.
+/// Actual behaviour of a task, which may differ from what its start declares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Script {
-    /// The whole work at full speed.
+    /// Run time of the whole task at full speed.
     pub length: Duration,
-    /// What it uses at full speed; none for just what was declared.
+    /// Resources used at full speed; the declared ones if none.
     pub usage: Option<Resources>,
     /// How it ends.
     pub ending: Ending,
 }
 
 impl Default for Script {
-    /// Ten seconds of work, sizes as declared, and a good end.
+    /// Ten seconds of work, resources as declared, and success.
     fn default() -> Self {
         Self {
             length: Duration::from_secs(10),
@@ -57,18 +57,18 @@
     }
 }
 
-/// One run of a job, as it truly was.
+/// Actual history of one run of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
     /// The job.
     pub job: id::Job,
-    /// Where it ran.
+    /// The instance that it ran on.
     pub instance: id::Instance,
-    /// The start.
+    /// The fencing token of its start.
     pub token: Token,
     /// When it began.
     pub began: Instant,
-    /// When and how it ended; none while it runs.
+    /// When it ended, and its final phase; none while it runs.
     pub ended: Option<(Instant, Phase)>,
 }
 
@@ -79,16 +79,16 @@
     }
 }
 
-/// Two runs of one job at the same time.
+/// Two runs of one job that were active at the same time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Overlap {
     /// The run that began first.
     pub first: Run,
-    /// The run that began while the first still ran.
+    /// The run that began while the first was still active.
     pub second: Run,
 }
 
-/// What the platform knows of tasks; a test scripts and inspects them here.
+/// Control and inspection of the simulated tasks, for tests.
 #[derive(Clone)]
 pub struct Ledger {
     shared: Arc<Shared>,
@@ -105,12 +105,12 @@
         Self { shared }
     }
 
-    /// Sets what later starts of `job` do.
+    /// Sets the behaviour of later starts of `job`.
     pub fn script_job(&self, job: id::Job, script: Script) {
         self.shared.tasks.lock().jobs.insert(job, script);
     }
 
-    /// Sets how every later start on `instance` ends; none for as the job's script says.
+    /// Sets how every later start on `instance` ends; `None` returns to the job's script.
     pub fn script_instance(&self, instance: id::Instance, ending: Option<Ending>) {
         let mut tasks = self.shared.tasks.lock();
         match ending {
@@ -119,19 +119,23 @@
         };
     }
 
-    /// Sets how far the reports lag behind.
+    /// Sets the age of the reports.
     pub fn set_lag(&self, lag: Duration) {
         self.shared.tasks.lock().lag = lag;
     }
 
-    /// Every run so far, in the order of their starts.
+    /// All runs so far, in the order of their starts.
     pub fn runs(&self) -> Vec<Run> {
         let mut tasks = self.shared.tasks.lock();
-        tasks.settle(Instant::now());
-        tasks.work.iter().map(|work| work.run.clone()).collect()
+        tasks.finish_due_runs(Instant::now());
+        tasks
+            .executions
+            .iter()
+            .map(|execution| execution.run.clone())
+            .collect()
     }
 
-    /// Every two runs of one job that were ever under way at the same time.
+    /// All pairs of runs of one job that were active at the same time.
     pub fn overlaps(&self) -> Vec<Overlap> {
         let runs = self.runs();
         let mut overlaps = Vec::new();
@@ -151,14 +155,14 @@
 }
 
 impl Platform {
-    /// Passes a call on tasks through the stages.
+    /// Passes a call about tasks through the stages of every call.
     async fn task_call(
         &self,
         kind: Kind,
         change: impl FnOnce(&mut State, Instant) -> Result<(), Error> + Send + 'static,
     ) -> Result<(), Error> {
         self.call(kind, Cost::Free, move |shared| {
-            change(&mut shared.tasks.lock(), Instant::now()).map(Done::of)
+            change(&mut shared.tasks.lock(), Instant::now()).map(Effect::of)
         })
         .await
     }
@@ -174,7 +178,7 @@
                 let detail = format!("instance `{}` runs nothing now", start.instance);
                 return Err(Error::Invalid(detail));
             }
-            shared.tasks.lock().start(start, now).map(Done::of)
+            shared.tasks.lock().start(start, now).map(Effect::of)
         })
         .await
     }
@@ -190,8 +194,8 @@
     async fn checkpoint(&self, job: &id::Job, token: Token) -> Result<(), Error> {
         let job = job.clone();
         self.task_call(Kind::CheckpointTask, move |tasks, now| {
-            let work = tasks.running(&job, token, now)?;
-            work.checkpoint(now);
+            let execution = tasks.running(&job, token, now)?;
+            execution.checkpoint(now);
             Ok(())
         })
         .await
@@ -212,8 +216,8 @@
     async fn stop(&self, job: &id::Job, token: Token) -> Result<(), Error> {
         let job = job.clone();
         self.task_call(Kind::StopTask, move |tasks, now| {
-            if let Ok(work) = tasks.running(&job, token, now) {
-                work.stop(now);
+            if let Ok(execution) = tasks.running(&job, token, now) {
+                execution.stop(now);
             }
             Ok(())
         })
@@ -224,15 +228,15 @@
         self.call(Kind::TaskReports, Cost::Free, |shared| {
             let now = Instant::now();
             let mut tasks = shared.tasks.lock();
-            tasks.settle(now);
+            tasks.finish_due_runs(now);
             let at = now.checked_sub(tasks.lag).unwrap_or(now);
             let as_of = shared.wall(at);
             let reports: Vec<_> = tasks
-                .work
+                .executions
                 .iter()
-                .filter_map(|work| work.report(at, as_of))
+                .filter_map(|execution| execution.report(at, as_of))
                 .collect();
-            Ok(Done {
+            Ok(Effect {
                 rows: reports.len() as u64,
                 bytes: 0,
                 answer: reports,
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,7 +1,7 @@
-//! A platform over HTTP, for the client of `primroseroute-platform`.
+//! Serves a platform over HTTP, for the client of `primroseroute-platform`.
 //!
-//! Faults are those of the platform behind it: a call that it ends as unknown gets no answer at
-//! all, its connection is closed.
+//! Faults are those injected into the platform: a call that ends with `Error::Unknown` gets no
+//! response, and its connection is closed.
 
 use crate::{listen::Listener, platform::Platform};
 use bytes::Bytes;
@@ -27,7 +27,7 @@
 }
 
 impl Server {
-    /// Listens on `address`, where port 0 takes any free one, and offers `platform`.
+    /// Listens on `address`, where port 0 selects any free port, and serves `platform`.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -37,43 +37,43 @@
         Ok(Self { listener })
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// The URL that a client opens.
+    /// The base URL for clients.
     pub fn url(&self) -> String {
         format!("http://{}", self.address())
     }
 
-    /// Stops at once: the listener and every connection are closed, whatever is under way.
+    /// Closes the listener and every connection at once, including those with a call in progress.
     pub fn stop(&self) {
         self.listener.stop();
     }
 }
 
-/// The call ends without an answer.
+/// Makes hyper close the connection without a response.
 #[derive(Debug)]
-struct Unanswered;
+struct ResponseDropped;
 
-impl fmt::Display for Unanswered {
+impl fmt::Display for ResponseDropped {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer is lost")
+        f.write_str("response dropped by an injected fault")
     }
 }
 
-impl std::error::Error for Unanswered {}
+impl std::error::Error for ResponseDropped {}
 
-impl From<hyper::Error> for Unanswered {
+impl From<hyper::Error> for ResponseDropped {
     fn from(_: hyper::Error) -> Self {
         Self
     }
 }
 
 async fn serve(stream: TcpStream, platform: Platform) {
-    let service = service_fn(move |request| answer(request, platform.clone()));
-    // A connection that ends in an error is how a lost answer looks.
+    let service = service_fn(move |request| handle(request, platform.clone()));
+    // A lost response ends the connection with an error.
     drop(
         http1::Builder::new()
             .timer(TokioTimer::new())
@@ -82,10 +82,10 @@
     );
 }
 
-async fn answer(
+async fn handle(
     request: Request<Incoming>,
     platform: Platform,
-) -> Result<Response<Full<Bytes>>, Unanswered> {
+) -> Result<Response<Full<Bytes>>, ResponseDropped> {
     let (head, body) = request.into_parts();
     let body = body.collect().await?.to_bytes();
     let caller = head.headers.get(wire::CALLER);
@@ -93,14 +93,14 @@
         Some(name) => platform.client(name),
         None => platform,
     };
-    let answer = dispatch(&platform, head.uri.path(), &body).await;
-    respond(answer)
+    let result = dispatch(&platform, head.uri.path(), &body).await;
+    respond(result)
 }
 
-fn respond(answer: Result<Vec<u8>, Error>) -> Result<Response<Full<Bytes>>, Unanswered> {
-    let (status, body) = match answer {
+fn respond(result: Result<Vec<u8>, Error>) -> Result<Response<Full<Bytes>>, ResponseDropped> {
+    let (status, body) = match result {
         Ok(body) => (StatusCode::OK, body.into()),
-        Err(Error::Unknown(_)) => return Err(Unanswered),
+        Err(Error::Unknown(_)) => return Err(ResponseDropped),
         Err(Error::Throttled) => (StatusCode::TOO_MANY_REQUESTS, Bytes::new()),
         Err(Error::Invalid(detail)) => (StatusCode::BAD_REQUEST, detail.into()),
         Err(Error::Unavailable(detail)) => (StatusCode::SERVICE_UNAVAILABLE, detail.into()),
@@ -114,7 +114,7 @@
     Ok(response)
 }
 
-/// Reads a call of type `C` from `body` and answers with what `run` gives.
+/// Decodes a call of type `C` from `body`, executes it with `run` and encodes its answer.
 async fn run<C: Call, F>(body: &[u8], run: impl FnOnce(C) -> F) -> Result<Vec<u8>, Error>
 where
     F: Future<Output = Result<C::Answer, Error>>,
@@ -134,7 +134,7 @@
     }
 }
 
-fn no_call(path: &str) -> Result<Vec<u8>, Error> {
+fn unknown_path(path: &str) -> Result<Vec<u8>, Error> {
     Err(Error::Invalid(format!("no call at `{path}`")))
 }
 
@@ -148,7 +148,7 @@
         }
         Scan::PATH => run(body, async |c: Scan| p.scan(c).await.map(wire::Page::from)).await,
         wire::Txn::PATH => run(body, async |c: wire::Txn| p.commit(c.into()).await).await,
-        _ => no_call(path),
+        _ => unknown_path(path),
     }
 }
 
@@ -172,7 +172,7 @@
             })
             .await
         }
-        _ => no_call(path),
+        _ => unknown_path(path),
     }
 }
 
@@ -187,7 +187,7 @@
         wire::Reboot::PATH => {
             run(body, async |c: wire::Reboot| p.reboot(&c.id, c.boots).await).await
         }
-        _ => no_call(path),
+        _ => unknown_path(path),
     }
 }
 
@@ -214,6 +214,6 @@
         }
         wire::Stop::PATH => run(body, async |c: wire::Stop| p.stop(&c.job, c.token).await).await,
         wire::Reports::PATH => run(body, async |_: wire::Reports| p.reports().await).await,
-        _ => no_call(path),
+        _ => unknown_path(path),
     }
 }
--- a/crates/standin/src/site/caller/mod.rs
+++ b/crates/standin/src/site/caller/mod.rs
@@ -1,4 +1,4 @@
-//! One entry's way to the site: how its calls fare, and its calls to the store.
+//! One entry's client of the site: the faults of its calls, and its calls to the store.
 
 mod site;
 mod workers;
@@ -18,8 +18,8 @@
 /// Table of owners and heartbeats.
 const CONTROL: &str = "control";
 
-/// How the names of the tables of accepted jobs begin.
-const JOBS: &str = "jobs-";
+/// Prefix of the names of the tables of accepted jobs.
+const JOBS_PREFIX: &str = "jobs-";
 
 /// Timeout of a call to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -27,10 +27,10 @@
 /// Timeout of an order to a worker.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How often a call of a process that stands still looks whether it goes on.
-const THAW: Duration = Duration::from_millis(10);
+/// How often a call of a suspended process checks whether the process was resumed.
+const RESUME_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// One entry's way to the site; clones are the same entry.
+/// One entry's client of the site; clones belong to the same entry.
 #[derive(Clone)]
 pub struct Caller {
     name: Name,
@@ -45,10 +45,10 @@
     }
 }
 
-/// What becomes of an order or a commit.
-enum Fate {
-    Answered,
-    Lost,
+/// How an order or a commit is delivered.
+enum Delivery {
+    Responded,
+    ResponseLost,
     Late(Duration),
 }
 
@@ -57,7 +57,7 @@
         Self { name, shared }
     }
 
-    /// The name that [`super::World::conduct`] knows it by.
+    /// The name to pass to [`super::World::conduct`].
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -67,8 +67,8 @@
         state.conduct.get(&self.name).copied().unwrap_or_default()
     }
 
-    /// Waits while the process stands still; forever where it is gone.
-    pub(super) async fn alive(&self) {
+    /// Waits while the process is suspended; forever if it has terminated.
+    pub(super) async fn wait_until_running(&self) {
         loop {
             let conduct = self.conduct();
             if conduct.dead {
@@ -77,51 +77,52 @@
             if !conduct.frozen {
                 return;
             }
-            sleep(THAW).await;
+            sleep(RESUME_POLL_INTERVAL).await;
         }
     }
 
-    /// Half of a call's time.
-    pub(super) async fn travel(&self) {
+    /// Waits for half of a call's round-trip latency.
+    pub(super) async fn wait_half_latency(&self) {
         let conduct = self.conduct();
         sleep((self.shared.options.latency + conduct.delay) / 2).await;
     }
 
-    /// The way to the store.
-    pub(super) async fn to_store(&self) -> Result<(), Error> {
-        self.through(|conduct| conduct.store).await
+    /// Sends a request to the store.
+    pub(super) async fn send_to_store(&self) -> Result<(), Error> {
+        self.send(|conduct| conduct.store).await
     }
 
-    /// Whether the store takes one more read, by its rate.
+    /// Checks the store's rate limit for reads.
     pub(super) fn admit_read(&self) -> Result<(), Error> {
         self.shared.state.lock().reads.admit()
     }
 
-    /// The way to a table of the store.
-    async fn to_table(&self, table: &str) -> Result<(), Error> {
-        self.through(|conduct| match conduct.store {
+    /// Sends a read to a table of the store.
+    async fn send_to_table(&self, table: &str) -> Result<(), Error> {
+        self.send(|conduct| match conduct.store {
             Reach::Fine if table == CONTROL => conduct.control,
-            Reach::Fine if table.starts_with(JOBS) => conduct.jobs,
+            Reach::Fine if table.starts_with(JOBS_PREFIX) => conduct.jobs,
             store => store,
         })
         .await?;
         self.admit_read()
     }
 
-    /// The way to a table's feed.
-    async fn to_feed(&self, table: &str) -> Result<(), Error> {
+    /// Sends a request to a table's feed.
+    async fn send_to_feed(&self, table: &str) -> Result<(), Error> {
         if self.conduct().feeds == Reach::Fine {
-            self.to_table(table).await
+            self.send_to_table(table).await
         } else {
-            self.through(|conduct| conduct.feeds).await?;
+            self.send(|conduct| conduct.feeds).await?;
             self.admit_read()
         }
     }
 
-    pub(super) async fn through(&self, way: impl Fn(&Conduct) -> Reach) -> Result<(), Error> {
-        self.alive().await;
-        self.travel().await;
-        match way(&self.conduct()) {
+    /// Sends a request that is subject to one kind of fault.
+    pub(super) async fn send(&self, reach: impl Fn(&Conduct) -> Reach) -> Result<(), Error> {
+        self.wait_until_running().await;
+        self.wait_half_latency().await;
+        match reach(&self.conduct()) {
             Reach::Fine => Ok(()),
             Reach::Refused => Err(Error::Unavailable("503".into())),
             Reach::Throttled => Err(Error::Throttled),
@@ -132,60 +133,61 @@
         }
     }
 
-    pub(super) async fn back(&self) {
-        self.travel().await;
-        self.alive().await;
+    /// Receives the response.
+    pub(super) async fn receive(&self) {
+        self.wait_half_latency().await;
+        self.wait_until_running().await;
     }
 
-    fn chance(&self, share: f64) -> bool {
+    fn draw(&self, share: f64) -> bool {
         share > 0.0 && self.shared.state.lock().rng.random_bool(share)
     }
 
-    fn commit_fate(&self) -> Fate {
+    fn draw_commit_delivery(&self) -> Delivery {
         let conduct = self.conduct();
-        if self.chance(conduct.lost_commits) {
-            Fate::Lost
-        } else if self.chance(conduct.late_commits) {
-            Fate::Late(self.between(1_000, 6_000))
+        if self.draw(conduct.lost_commits) {
+            Delivery::ResponseLost
+        } else if self.draw(conduct.late_commits) {
+            Delivery::Late(self.random_duration(1_000, 6_000))
         } else {
-            Fate::Answered
+            Delivery::Responded
         }
     }
 
-    fn order_fate(&self, late: f64) -> Fate {
-        if self.chance(late) {
-            Fate::Late(self.between(2_000, 12_000))
+    fn draw_order_delivery(&self, late: f64) -> Delivery {
+        if self.draw(late) {
+            Delivery::Late(self.random_duration(2_000, 12_000))
         } else {
-            Fate::Answered
+            Delivery::Responded
         }
     }
 
-    fn between(&self, from: u64, to: u64) -> Duration {
+    fn random_duration(&self, from: u64, to: u64) -> Duration {
         let millis = self.shared.state.lock().rng.random_range(from..to);
         Duration::from_millis(millis)
     }
 
-    /// The way to a worker; whether this life of it answers.
-    pub(super) async fn to_worker(&self, target: &Target) -> Result<(), Error> {
-        self.alive().await;
-        self.travel().await;
-        let reaches = self.conduct().workers;
+    /// Sends a request to a worker; an error if nothing under its id can respond.
+    pub(super) async fn send_to_worker(&self, target: &Target) -> Result<(), Error> {
+        self.wait_until_running().await;
+        self.wait_half_latency().await;
+        let reach = self.conduct().workers;
         let found = {
             let state = self.shared.state.lock();
             let worker = state.workers.get(&target.id);
-            worker.is_some_and(|worker| worker.alive && !worker.cut)
+            worker.is_some_and(|worker| worker.alive && !worker.partitioned)
         };
-        if reaches == Reach::Refused {
+        if reach == Reach::Refused {
             return Err(Error::Unavailable("no connection".into()));
         }
-        if reaches == Reach::Silent || !found {
+        if reach == Reach::Silent || !found {
             sleep(ORDER_TIMEOUT).await;
             return Err(Error::Unknown("no answer".into()));
         }
         Ok(())
     }
 
-    /// Carries out an order, at once or late; `late` is the share of those that are late.
+    /// Executes an order, at once or late; `late` gives the share of late orders.
     pub(super) async fn order(
         &self,
         target: &Target,
@@ -193,9 +195,9 @@
         order: impl FnOnce(&mut State, u64) -> Answer + Send + 'static,
     ) -> Result<Answer, Error> {
         sleep(self.conduct().orders).await;
-        self.to_worker(target).await?;
-        match self.order_fate(late(&self.conduct())) {
-            Fate::Late(after) => {
+        self.send_to_worker(target).await?;
+        match self.draw_order_delivery(late(&self.conduct())) {
+            Delivery::Late(after) => {
                 let shared = Arc::clone(&self.shared);
                 tokio::spawn(async move {
                     sleep(after).await;
@@ -204,15 +206,15 @@
                 sleep(ORDER_TIMEOUT).await;
                 Err(Error::Unknown("no answer".into()))
             }
-            Fate::Answered | Fate::Lost => {
+            Delivery::Responded | Delivery::ResponseLost => {
                 let answer = self.shared.change(order);
-                self.back().await;
+                self.receive().await;
                 Ok(answer)
             }
         }
     }
 
-    /// Waits until `ready` gives something, for `wait` at most.
+    /// Waits until `ready` returns a value, at most for `wait`.
     pub(super) async fn wait_for<T>(
         &self,
         wait: Duration,
@@ -227,8 +229,8 @@
             if let Some(found) = ready(&self.shared.state.lock()) {
                 return Some(found);
             }
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() || timeout(left, changed).await.is_err() {
+            let remaining = until.saturating_duration_since(Instant::now());
+            if remaining.is_zero() || timeout(remaining, changed).await.is_err() {
                 return ready(&self.shared.state.lock());
             }
         }
@@ -238,12 +240,12 @@
 #[async_trait]
 impl Rows for Caller {
     async fn commit(&self, txn: Txn) -> Result<Commit, Error> {
-        let way = |conduct: &Conduct| {
+        let reach = |conduct: &Conduct| {
             let mut places = txn.conditions.iter().map(|(place, _version)| place);
             let mut puts = txn.puts.iter().map(|(place, _value)| place);
             let of_control = |place: &Place| &*place.table == CONTROL;
             let control = places.any(of_control) || puts.any(of_control);
-            let ways = [
+            let reaches = [
                 conduct.store,
                 conduct.commits,
                 if control {
@@ -252,62 +254,62 @@
                     Reach::Fine
                 },
             ];
-            let closed = ways.into_iter().find(|way| *way != Reach::Fine);
-            closed.unwrap_or_default()
+            let first_fault = reaches.into_iter().find(|reach| *reach != Reach::Fine);
+            first_fault.unwrap_or_default()
         };
-        self.through(way).await.map_err(|error| {
-            // Silence proves nothing about a call that changes something.
-            if way(&self.conduct()) == Reach::Silent {
+        self.send(reach).await.map_err(|error| {
+            // Without a response, the outcome of a mutating call is unknown.
+            if reach(&self.conduct()) == Reach::Silent {
                 Error::Unknown("no answer".into())
             } else {
                 error
             }
         })?;
-        match self.commit_fate() {
-            Fate::Answered => {
+        match self.draw_commit_delivery() {
+            Delivery::Responded => {
                 let result = self.shared.change(|state, _now| state.store.commit(&txn));
-                self.back().await;
+                self.receive().await;
                 Ok(result)
             }
-            Fate::Lost => {
+            Delivery::ResponseLost => {
                 self.shared.change(|state, _now| state.store.commit(&txn));
                 sleep(STORE_TIMEOUT).await;
-                self.alive().await;
+                self.wait_until_running().await;
                 Err(Error::Unknown("no answer".into()))
             }
-            Fate::Late(after) => {
+            Delivery::Late(after) => {
                 let shared = Arc::clone(&self.shared);
                 tokio::spawn(async move {
                     sleep(after).await;
                     shared.change(|state, _now| state.store.commit(&txn));
                 });
                 sleep(STORE_TIMEOUT).await;
-                self.alive().await;
+                self.wait_until_running().await;
                 Err(Error::Unknown("no answer".into()))
             }
         }
     }
 
     async fn read(&self, range: Range) -> Result<Page, Error> {
-        if range.table.starts_with(JOBS) && self.conduct().job_reads != Reach::Fine {
-            self.through(|conduct| conduct.job_reads).await?;
+        if range.table.starts_with(JOBS_PREFIX) && self.conduct().job_reads != Reach::Fine {
+            self.send(|conduct| conduct.job_reads).await?;
         }
-        self.to_table(&range.table).await?;
+        self.send_to_table(&range.table).await?;
         let page = self.shared.state.lock().store.read(&range);
         sleep(self.conduct().reads).await;
-        self.back().await;
+        self.receive().await;
         Ok(page)
     }
 
     async fn feed(&self, table: &str, after: Version, wait: Duration) -> Result<Feed<Row>, Error> {
-        self.to_feed(table).await?;
-        let news = self.wait_for(wait, |state| state.store.feed(table, after));
-        let news = news.await.unwrap_or(Feed::Changes {
+        self.send_to_feed(table).await?;
+        let changes = self.wait_for(wait, |state| state.store.feed(table, after));
+        let changes = changes.await.unwrap_or(Feed::Changes {
             items: Vec::new(),
             next: after,
             complete: true,
         });
-        self.back().await;
-        Ok(news)
+        self.receive().await;
+        Ok(changes)
     }
 }
--- a/crates/standin/src/site/caller/site.rs
+++ b/crates/standin/src/site/caller/site.rs
@@ -1,4 +1,4 @@
-//! An entry's calls on what the platform tells, and on instances.
+//! An entry's calls about workers, instructions, waves and instances.
 
 use super::Caller;
 use crate::site::{Reach, State, journal::Event};
@@ -15,7 +15,7 @@
 #[async_trait]
 impl Site for Caller {
     async fn workers(&self) -> Result<(Vec<Registration>, Version), Error> {
-        self.to_registry().await?;
+        self.send_to_registry().await?;
         self.admit_read()?;
         let (all, version) = {
             let state = self.shared.state.lock();
@@ -25,7 +25,7 @@
             }
             (all, state.store.version())
         };
-        self.back().await;
+        self.receive().await;
         Ok((all.into_values().collect(), version))
     }
 
@@ -34,21 +34,21 @@
         after: Version,
         wait: Duration,
     ) -> Result<Feed<Registration>, Error> {
-        self.to_registry().await?;
+        self.send_to_registry().await?;
         self.admit_read()?;
-        let news = self.wait_for(wait, |state| since(state, &state.registrations, after));
-        let news = news.await.unwrap_or(Feed::Changes {
+        let changes = self.wait_for(wait, |state| since(state, &state.registrations, after));
+        let changes = changes.await.unwrap_or(Feed::Changes {
             items: Vec::new(),
             next: after,
             complete: true,
         });
-        // A call that waited while the way was closed brings nothing.
-        self.to_registry().await?;
-        Ok(news)
+        // A fault that was injected while the call waited also loses its response.
+        self.send_to_registry().await?;
+        Ok(changes)
     }
 
     async fn instructions(&self) -> Result<(Vec<Instruction>, Version), Error> {
-        self.to_store().await?;
+        self.send_to_store().await?;
         self.admit_read()?;
         let (all, version) = {
             let state = self.shared.state.lock();
@@ -56,7 +56,7 @@
             let all: Vec<Instruction> = all.map(|(_version, item)| item.clone()).collect();
             (all, state.store.version())
         };
-        self.back().await;
+        self.receive().await;
         Ok((all, version))
     }
 
@@ -65,31 +65,31 @@
         after: Version,
         wait: Duration,
     ) -> Result<Feed<Instruction>, Error> {
-        self.to_store().await?;
+        self.send_to_store().await?;
         self.admit_read()?;
-        let news = self.wait_for(wait, |state| since(state, &state.instructions, after));
-        let news = news.await.unwrap_or(Feed::Changes {
+        let changes = self.wait_for(wait, |state| since(state, &state.instructions, after));
+        let changes = changes.await.unwrap_or(Feed::Changes {
             items: Vec::new(),
             next: after,
             complete: true,
         });
-        self.back().await;
-        Ok(news)
+        self.receive().await;
+        Ok(changes)
     }
 
     async fn report_wave(&self, number: u64, complete: bool) -> Result<(), Error> {
-        self.to_store().await?;
+        self.send_to_store().await?;
         self.shared.change(|state, _now| {
             let known = state.waves.entry(number).or_default();
             *known |= complete;
         });
-        self.back().await;
+        self.receive().await;
         Ok(())
     }
 
     async fn instances(&self) -> Result<Vec<Instance>, Error> {
-        self.alive().await;
-        self.travel().await;
+        self.wait_until_running().await;
+        self.wait_half_latency().await;
         let all = self
             .shared
             .state
@@ -99,7 +99,7 @@
             .cloned()
             .collect();
         sleep(self.conduct().lists).await;
-        self.back().await;
+        self.receive().await;
         Ok(all)
     }
 
@@ -109,10 +109,10 @@
         wave: u64,
         holder: &LeaseHolder,
     ) -> Result<OrderOutcome, Error> {
-        self.to_instances().await;
+        self.send_to_instances().await;
         let done = (wave, Name::clone(instance));
         if self.shared.state.lock().maintained.contains(&done) {
-            self.back().await;
+            self.receive().await;
             return Ok(OrderOutcome::Taken);
         }
         let pool = self.shared.change(|state, _now| {
@@ -124,7 +124,7 @@
         };
         self.shared.state.lock().maintained.insert(done);
         self.take_down(instance, pool, InstanceState::Maintenance, holder);
-        self.back().await;
+        self.receive().await;
         Ok(OrderOutcome::Taken)
     }
 
@@ -134,7 +134,7 @@
         pool: &Name,
         holder: &LeaseHolder,
     ) -> Result<OrderOutcome, Error> {
-        self.to_instances().await;
+        self.send_to_instances().await;
         let up = self.shared.change(|state, _now| {
             let known = state.instances.get(instance);
             known.is_some_and(|known| known.state == InstanceState::Up)
@@ -143,15 +143,15 @@
             return Ok(OrderOutcome::Busy);
         }
         self.take_down(instance, Name::clone(pool), InstanceState::Moving, holder);
-        self.back().await;
+        self.receive().await;
         Ok(OrderOutcome::Taken)
     }
 }
 
 impl Caller {
-    /// The way to the registrations of workers.
-    async fn to_registry(&self) -> Result<(), Error> {
-        self.through(|conduct| {
+    /// Sends a request about the registrations of workers.
+    async fn send_to_registry(&self) -> Result<(), Error> {
+        self.send(|conduct| {
             if conduct.store == Reach::Fine {
                 conduct.registry
             } else {
@@ -161,14 +161,14 @@
         .await
     }
 
-    /// The way of an order to the instances.
-    async fn to_instances(&self) {
-        self.alive().await;
+    /// Sends an order to an instance.
+    async fn send_to_instances(&self) {
+        self.wait_until_running().await;
         sleep(self.conduct().instance_orders).await;
-        self.travel().await;
+        self.wait_half_latency().await;
     }
 
-    /// Ends an instance's life, and begins the next one in `pool` a while later.
+    /// Takes an instance down, and brings it up in `pool` after the maintenance time.
     fn take_down(
         &self,
         instance: &Name,
@@ -179,10 +179,10 @@
         self.shared.change(|state, now| {
             state
                 .journal
-                .add(ordered(now, instance, &pool, meanwhile, holder));
+                .add(order_event(now, instance, &pool, meanwhile, holder));
             let worker = state.instances[instance].worker.clone();
             if let Some(worker) = worker {
-                state.kill(&worker, now);
+                state.terminate(&worker, now);
                 state.unregister(&worker);
             }
             if let Some(known) = state.instances.get_mut(instance) {
@@ -194,13 +194,13 @@
         let instance = Name::clone(instance);
         tokio::spawn(async move {
             sleep(shared.options.maintenance).await;
-            shared.change(|state, now| state.revive(&instance, now));
+            shared.change(|state, now| state.start_worker(&instance, now));
         });
     }
 }
 
-/// An order as the journal keeps it.
-fn ordered(
+/// The journal's event for an order.
+fn order_event(
     at: u64,
     instance: &Name,
     pool: &Name,
@@ -228,9 +228,9 @@
     }
 }
 
-/// Changes after a version; none yet if there are none.
+/// Changes after a version; `None` if there are none yet.
 fn since<T: Clone>(state: &State, all: &[(Version, T)], after: Version) -> Option<Feed<T>> {
-    if after < state.store.floor() {
+    if after < state.store.compacted_version() {
         return Some(Feed::Compacted);
     }
     let newer = all.iter().filter(|(version, _item)| *version > after);
--- a/crates/standin/src/site/caller/workers.rs
+++ b/crates/standin/src/site/caller/workers.rs
@@ -16,23 +16,22 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Time of a question, and of each worker that it names.
-const ADVICE: (Duration, Duration) = (Duration::from_millis(30), Duration::from_millis(1));
+/// Response time of the advice service: for a request, and for each worker that it names.
+const ADVICE_TIME: (Duration, Duration) = (Duration::from_millis(30), Duration::from_millis(1));
 
-/// How long a ticket is valid.
-const VALID: Duration = Duration::from_secs(3);
+const TICKET_VALIDITY: Duration = Duration::from_secs(3);
 
 #[async_trait]
 impl Advisor for Caller {
     async fn advise(&self, step: &StepId, workers: &[Name]) -> Result<Advice, Error> {
-        self.alive().await;
-        self.travel().await;
+        self.wait_until_running().await;
+        self.wait_half_latency().await;
         if self.conduct().advice != Reach::Fine {
             return Err(Error::Unavailable("503".into()));
         }
-        let (decide, each) = ADVICE;
+        let (decide, each) = ADVICE_TIME;
         sleep(decide + each * u32::try_from(workers.len()).unwrap_or(u32::MAX)).await;
-        let until = self.shared.now() + millis(VALID);
+        let until = self.shared.now() + millis(TICKET_VALIDITY);
         let step = step.to_string();
         let allowed = workers.iter().filter(|worker| is_allowed(worker));
         let tickets = allowed.map(|worker| {
@@ -46,10 +45,10 @@
             (worker, ticket)
         });
         let tickets = tickets.collect();
-        self.back().await;
+        self.receive().await;
         Ok(Advice {
             tickets,
-            valid: VALID,
+            valid: TICKET_VALIDITY,
         })
     }
 }
@@ -81,8 +80,8 @@
     ) -> Result<Answer, Error> {
         let id = Name::clone(&target.id);
         let task = task.clone();
-        let takes = millis(self.shared.options.stop);
-        let in_time = self.shared.now() + millis(ORDER_TIMEOUT);
+        let duration = millis(self.shared.options.stop);
+        let timely_until = self.shared.now() + millis(ORDER_TIMEOUT);
         let order = move |state: &mut State, now| {
             let State {
                 workers, journal, ..
@@ -91,8 +90,8 @@
                 Some(worker) if worker.alive => {
                     let stop = Stop {
                         token,
-                        takes,
-                        late: now > in_time,
+                        duration,
+                        late: now > timely_until,
                     };
                     worker.stop((&task, run), stop, now, journal)
                 }
@@ -103,7 +102,7 @@
     }
 
     async fn renew(&self, target: &Target, renewal: LeaseRenewal) -> Result<PollOutcome, Error> {
-        self.to_worker(target).await?;
+        self.send_to_worker(target).await?;
         let id = Name::clone(&target.id);
         let longest = millis(self.shared.options.longest_lease);
         let renewed = self.shared.change(|state, now| {
@@ -121,35 +120,38 @@
         };
         let until = Instant::now() + renewal.wait;
         loop {
-            let (news, next) = self.shared.change(|state, _now| {
+            let (ready, next) = self.shared.change(|state, _now| {
                 let worker = &state.workers[&id];
-                let over = !worker.alive || worker.info.born != born;
-                (worker.has_news() || over, worker.next_end())
+                let terminated = !worker.alive || worker.info.born != born;
+                (
+                    worker.has_unacknowledged_ends() || terminated,
+                    worker.next_end_at(),
+                )
             });
-            if news || Instant::now() >= until {
+            if ready || Instant::now() >= until {
                 break;
             }
             let next = next.map(|at| self.shared.start + Duration::from_millis(at));
             let wake = next.unwrap_or(until).min(until);
-            // A change may bring an end forward, such as a stop.
-            let pace = Instant::now() + Duration::from_millis(50);
+            // A run may end earlier than expected, for example by a stop.
+            let next_check = Instant::now() + Duration::from_millis(50);
             sleep_until(
-                wake.min(pace)
+                wake.min(next_check)
                     .max(Instant::now() + Duration::from_millis(1)),
             )
             .await;
         }
-        let (look, alive) = self.shared.change(|state, now| {
+        let (status, reachable) = self.shared.change(|state, now| {
             let worker = &state.workers[&id];
-            let lives = worker.alive && worker.info.born == born;
-            (worker.look(now), lives && !worker.cut)
+            let running = worker.alive && worker.info.born == born;
+            (worker.status(now), running && !worker.partitioned)
         });
-        if !alive {
+        if !reachable {
             sleep(ORDER_TIMEOUT).await;
             return Err(Error::Unknown("no answer".into()));
         }
-        self.back().await;
-        Ok(PollOutcome::Status(look))
+        self.receive().await;
+        Ok(PollOutcome::Status(status))
     }
 
     async fn throttle(
--- a/crates/standin/src/site/check/cancelled.rs
+++ b/crates/standin/src/site/check/cancelled.rs
@@ -1,16 +1,16 @@
-//! Runs of cancelled jobs that nobody stops.
+//! Runs of cancelled jobs that are not stopped.
 
-use super::{Breach, CANCEL_WITHIN, Sent};
+use super::{Breach, CANCEL_TIMEOUT_MS, Sent};
 use crate::site::journal::{Event, Journal};
 use primroseroute_domain::work::{Name, TaskId};
 use std::collections::BTreeMap;
 
-/// Runs that are under way although their job was cancelled, and nothing was wrong for as long as hearing of that and stopping
-/// them may take.
+/// Runs that continue although their job was cancelled, and no fault was active for the time that it may take to learn of the
+/// cancel and to stop them.
 ///
-/// A start of such a job is judged where it begins. A run that had begun before shows itself by no event, only by an end that
-/// doesn't come.
-pub(super) fn run_on(sent: &Sent, journal: &Journal) -> Vec<Breach> {
+/// A start after the cancel is checked when it happens. A run that had begun before it is shown by no event, only by the
+/// absence of its end.
+pub(super) fn overlong_runs(sent: &Sent, journal: &Journal) -> Vec<Breach> {
     let mut open: BTreeMap<(&Name, &TaskId, u32), u64> = BTreeMap::new();
     let mut breaches = Vec::new();
     for event in &journal.events {
@@ -31,28 +31,28 @@
                 run,
                 ..
             } => {
-                if let Some(begun) = open.remove(&(worker, task, *run)) {
-                    breaches.extend(judged(sent, task, begun, *at));
+                if let Some(started) = open.remove(&(worker, task, *run)) {
+                    breaches.extend(judge(sent, task, started, *at));
                 }
             }
             _ => {}
         }
     }
-    let left = open.into_iter();
+    let unended = open.into_iter();
     breaches.extend(
-        left.filter_map(|((_worker, task, _run), begun)| judged(sent, task, begun, u64::MAX)),
+        unended.filter_map(|((_worker, task, _run), started)| judge(sent, task, started, u64::MAX)),
     );
     breaches
 }
 
-/// Judges a run from `begun` to `ended`.
-fn judged(sent: &Sent, task: &TaskId, begun: u64, ended: u64) -> Option<Breach> {
+/// The breach by a run from `started` to `ended`, if it is one.
+fn judge(sent: &Sent, task: &TaskId, started: u64, ended: u64) -> Option<Breach> {
     let cancelled = *sent.cancelled.get(&task.job)?;
-    let within = CANCEL_WITHIN + sent.stop;
+    let within = CANCEL_TIMEOUT_MS + sent.stop;
     let mut due = sent.calm.iter().filter_map(|calm| {
         let due = calm.start.max(cancelled) + within;
         calm.contains(&due).then_some(due)
     });
-    let at = due.find(|due| begun <= *due && *due < ended)?;
+    let at = due.find(|due| started <= *due && *due < ended)?;
     Some(Breach::RunsOn(task.clone(), at))
 }
--- a/crates/standin/src/site/check/mod.rs
+++ b/crates/standin/src/site/check/mod.rs
@@ -1,59 +1,59 @@
-//! Judges a journal: knows what callers sent and what workers saw, and nothing of the entries.
+//! Checks a journal against what callers submitted, without any knowledge of the entries.
 
 mod breach;
 mod cancelled;
-mod room;
-mod steps;
+mod capacity;
+mod readiness;
 
 pub use breach::Breach;
 
 use super::journal::{Event, Journal};
+use capacity::WorkerLoads;
 use primroseroute_domain::work::{End, Job, JobId, Name, TaskId};
-use room::Rooms;
+use readiness::StepReadiness;
 use std::{
     collections::{BTreeMap, BTreeSet},
     ops::Range,
 };
-use steps::Steps;
 
-/// What callers sent and were told.
+/// What callers submitted and which answers they got.
 #[derive(Clone, Debug, Default)]
 pub struct Sent {
-    /// All jobs that were sent.
+    /// All submitted jobs.
     pub jobs: BTreeMap<JobId, Job>,
-    /// Those whose every submission was refused for good.
+    /// Jobs whose submissions were all refused with a final answer.
     pub refused: BTreeSet<JobId>,
-    /// When the cancel of a job was acknowledged to its caller, in milliseconds since the site began.
+    /// When the cancel of a job was acknowledged to its caller, in milliseconds since the site opened.
     pub cancelled: BTreeMap<JobId, u64>,
-    /// Those of which a cancel was sent.
+    /// Jobs for which a cancel was submitted.
     pub cancel_sent: BTreeSet<JobId>,
-    /// Failed runs after which a task has failed.
+    /// Number of failed runs after which a task has failed.
     pub max_attempts: usize,
-    /// Stretches without any disruption, from some seconds after the last one, in milliseconds since the site began.
+    /// Periods without any disruption, each from some seconds after the last one, in milliseconds since the site opened.
     pub calm: Vec<Range<u64>>,
-    /// Time that a worker takes to stop a run, in milliseconds.
+    /// Time from a stop order to the end of the run, in milliseconds.
     pub stop: u64,
 }
 
-/// Longest time from the acknowledgement of a job's cancel to the last start of its work, in milliseconds: the
-/// shortest that callers are promised anywhere.
-const CANCEL_WITHIN: u64 = 3_000;
+/// Longest time from the acknowledgement of a job's cancel to the last start of one of its tasks: the shortest that is
+/// guaranteed to callers anywhere.
+const CANCEL_TIMEOUT_MS: u64 = 3_000;
 
-/// Least time between the orders of two entries to one instance, in milliseconds.
-const HOLDER_PAUSE: u64 = 3_000;
+/// Minimum time between the orders of two entries to one instance.
+const MIN_HANDOVER_MS: u64 = 3_000;
 
-/// Workers that a task has crashed after which it has to be given up.
-const CRASHES: u32 = 3;
+/// Number of workers that a task may crash before it has to be given up.
+const MAX_CRASHED_WORKERS: u32 = 3;
 
-/// Starts of such a task that are one too many.
+/// Number of starts after those crashes at which a task is in breach.
 const STARTS_AFTER_CRASHES: u32 = 3;
 
-/// What was seen of a task that crashes the workers that start it.
+/// History of a task that crashes the workers on which it starts.
 #[derive(Clone, Copy, Default)]
-struct Crashing {
-    workers: u32,
-    /// Starts since it has crashed as many as prove it.
-    starts: u32,
+struct CrashHistory {
+    crashes: u32,
+    /// Starts since it crashed [`MAX_CRASHED_WORKERS`] workers.
+    later_starts: u32,
 }
 
 /// An order to an instance.
@@ -67,27 +67,27 @@
 #[derive(Default)]
 struct Judge<'a> {
     running: BTreeMap<&'a TaskId, BTreeSet<(&'a Name, u32)>>,
-    steps: Steps<'a>,
-    rooms: Rooms<'a>,
+    readiness: StepReadiness<'a>,
+    workers: WorkerLoads<'a>,
     done: BTreeSet<&'a TaskId>,
     acknowledged: BTreeSet<&'a TaskId>,
     failures: BTreeMap<&'a TaskId, usize>,
-    crashing: BTreeMap<&'a TaskId, Crashing>,
+    crashing: BTreeMap<&'a TaskId, CrashHistory>,
     /// Ends of each worker, in the order of their numbers, with their times.
     ends: BTreeMap<&'a Name, Vec<(&'a TaskId, End, u64)>>,
-    noted: BTreeMap<&'a Name, usize>,
-    /// When the lease of a worker last lapsed.
-    lapsed: BTreeMap<&'a Name, u64>,
-    /// Starts of tasks that were done, of which the end may be acknowledged yet.
-    again: BTreeMap<&'a TaskId, Vec<u64>>,
+    acknowledged_ends: BTreeMap<&'a Name, usize>,
+    /// When the lease of a worker last expired.
+    lease_expired_at: BTreeMap<&'a Name, u64>,
+    /// Repeated starts of successful tasks whose end may be acknowledged later.
+    restarts: BTreeMap<&'a TaskId, Vec<u64>>,
     /// The last order to each instance.
     orders: BTreeMap<&'a Name, Order<'a>>,
-    /// When the last order to any instance came: what runs there ends at that moment.
-    ordered_at: Option<u64>,
+    /// When the last order to any instance was executed; it kills the runs on that instance at the same time.
+    last_order_at: Option<u64>,
     breaches: Vec<Breach>,
 }
 
-/// All breaches in a journal, in order.
+/// All breaches in a journal, in the order in which they were found.
 pub fn check(sent: &Sent, journal: &Journal) -> Vec<Breach> {
     let mut judge = Judge::default();
     for event in &journal.events {
@@ -106,7 +106,7 @@
                 late,
                 ..
             } => judge.stopping(sent, (*at, *late), worker, task),
-            Event::Draining { worker, .. } => judge.steps.draining(worker),
+            Event::Draining { worker, .. } => judge.readiness.draining(worker),
             Event::Ended {
                 at,
                 worker,
@@ -122,12 +122,12 @@
                 at,
                 worker,
                 capacity,
-            } => judge.rooms.resized(*at, worker, *capacity),
-            Event::Crashed { task, .. } => judge.crashing.entry(task).or_default().workers += 1,
+            } => judge.workers.resized(*at, worker, *capacity),
+            Event::Crashed { task, .. } => judge.crashing.entry(task).or_default().crashes += 1,
             Event::Lapsed { at, worker } => {
-                judge.lapsed.insert(worker, *at);
+                judge.lease_expired_at.insert(worker, *at);
             }
-            Event::Noted { worker, number, .. } => judge.noted(worker, *number),
+            Event::Noted { worker, number, .. } => judge.acknowledge(worker, *number),
             Event::Maintained {
                 at,
                 instance,
@@ -150,7 +150,9 @@
             ),
         }
     }
-    judge.breaches.extend(cancelled::run_on(sent, journal));
+    judge
+        .breaches
+        .extend(cancelled::overlong_runs(sent, journal));
     judge.breaches
 }
 
@@ -175,7 +177,7 @@
             self.breaches.push(Breach::Refused(task.clone(), at));
         }
         let cancelled = sent.cancelled.get(&task.job);
-        if cancelled.is_some_and(|cancelled| at > cancelled + CANCEL_WITHIN) {
+        if cancelled.is_some_and(|cancelled| at > cancelled + CANCEL_TIMEOUT_MS) {
             self.breaches.push(Breach::Cancelled(task.clone(), at));
         }
         let running = self.running.entry(task).or_default();
@@ -183,14 +185,14 @@
             self.breaches.push(Breach::Overlap(task.clone(), at));
         }
         running.insert((worker, run));
-        if self.rooms.started(sent, at, worker, (task, run)) {
+        if self.workers.started(sent, at, worker, (task, run)) {
             self.breaches.push(Breach::Full(task.clone(), at));
         }
-        self.steps.started(task, at);
+        self.readiness.started(task, at);
         if self.acknowledged.contains(task) {
             self.breaches.push(Breach::AfterDone(task.clone(), at));
         } else if self.done.contains(task) {
-            self.again.entry(task).or_default().push(at);
+            self.restarts.entry(task).or_default().push(at);
         }
         if !self.is_due(job, task) {
             self.breaches.push(Breach::Early(task.clone(), at));
@@ -201,16 +203,16 @@
             self.breaches.push(Breach::Budget(task.clone(), at));
         }
         if let Some(crashing) = self.crashing.get_mut(task)
-            && crashing.workers >= CRASHES
+            && crashing.crashes >= MAX_CRASHED_WORKERS
         {
-            crashing.starts += 1;
-            if crashing.starts >= STARTS_AFTER_CRASHES {
+            crashing.later_starts += 1;
+            if crashing.later_starts >= STARTS_AFTER_CRASHES {
                 self.breaches.push(Breach::Crashes(task.clone(), at));
             }
         }
     }
 
-    /// A stop may end a task at work only while its step can miss it beside those that are away.
+    /// A stop may end a ready task only if its step can do without it in addition to those that are unavailable.
     fn stopping(
         &mut self,
         sent: &Sent,
@@ -219,8 +221,9 @@
         task: &'a TaskId,
     ) {
         let is_running = self.running.get(task).is_some_and(|runs| !runs.is_empty());
-        let breaks = is_running && !late && self.steps.breaks(sent, at, worker, task);
-        self.steps.stopped(task, at);
+        let breaks =
+            is_running && !late && self.readiness.stop_exceeds_limit(sent, at, worker, task);
+        self.readiness.stopped(task, at);
         if breaks {
             self.breaches.push(Breach::Away(task.clone(), at));
         }
@@ -231,12 +234,12 @@
         step.after.iter().all(|&earlier| {
             let count = job.steps[usize::from(earlier)].count;
             (0..count).all(|index| {
-                let before = TaskId {
+                let required = TaskId {
                     step: earlier,
                     index,
                     ..task.clone()
                 };
-                self.done.contains(&before)
+                self.done.contains(&required)
             })
         })
     }
@@ -252,8 +255,8 @@
         if let Some(running) = self.running.get_mut(task) {
             running.remove(&(worker, run));
         }
-        self.rooms.ended(worker, task, run);
-        self.steps.ended(sent, at, task, how);
+        self.workers.ended(worker, task, run);
+        self.readiness.ended(sent, at, task, how);
         let Some(how) = how else {
             return;
         };
@@ -263,58 +266,59 @@
         }
     }
 
-    /// Numbers of ends begin anew with each life, and what was listed and not acknowledged before never will be.
+    /// Each incarnation numbers its ends from one again, and ends of the previous one that were not acknowledged never will be.
     fn born(&mut self, worker: &'a Name) {
         self.ends.remove(worker);
-        self.noted.remove(worker);
-        self.lapsed.remove(worker);
+        self.acknowledged_ends.remove(worker);
+        self.lease_expired_at.remove(worker);
     }
 
-    /// An order to an instance must find nothing running there, but for work that nobody wants any more: it ends by that as
-    /// by a stop.
+    /// No run may be active on an instance when an order reaches it, except those of cancelled jobs, for which the order has
+    /// the effect of a stop.
     fn cut_off(&mut self, sent: &Sent, at: u64, task: &TaskId, how: Option<End>) {
-        let unwanted = sent.cancel_sent.contains(&task.job);
-        if how.is_none() && self.ordered_at == Some(at) && !unwanted {
+        let cancelled = sent.cancel_sent.contains(&task.job);
+        if how.is_none() && self.last_order_at == Some(at) && !cancelled {
             self.breaches.push(Breach::CutOff(task.clone(), at));
         }
     }
 
     fn ordered(&mut self, instance: &'a Name, order: Order<'a>) {
-        self.ordered_at = Some(order.at);
-        let Some(before) = self.orders.insert(instance, order) else {
+        self.last_order_at = Some(order.at);
+        let Some(previous) = self.orders.insert(instance, order) else {
             return;
         };
-        let turns = before.entry != order.entry && order.at < before.at + HOLDER_PAUSE;
-        let same = before.entry != order.entry && order.token == before.token;
-        if turns || same || order.token < before.token {
+        let too_soon = previous.entry != order.entry && order.at < previous.at + MIN_HANDOVER_MS;
+        let same_token = previous.entry != order.entry && order.token == previous.token;
+        if too_soon || same_token || order.token < previous.token {
             let instance = Name::clone(instance);
             self.breaches.push(Breach::Holders(instance, order.at));
         }
     }
 
-    /// Ends count as known to the entries once they are acknowledged, but for those after which the lease of their worker lapsed
-    /// before: their tasks may have been started elsewhere by then.
-    fn noted(&mut self, worker: &'a Name, number: u64) {
+    /// Acknowledged ends count as known to the entries, except those after which the lease of their worker expired before the
+    /// acknowledgement: their tasks may have been started elsewhere by then.
+    fn acknowledge(&mut self, worker: &'a Name, number: u64) {
         let number = usize::try_from(number).unwrap_or(usize::MAX);
-        let from = self.noted.get(worker).copied().unwrap_or(0);
+        let from = self.acknowledged_ends.get(worker).copied().unwrap_or(0);
         let ends = self.ends.get(worker).map_or(&[][..], Vec::as_slice);
-        let upto = number.min(ends.len());
-        let lapsed = self.lapsed.get(worker).copied();
-        let counted = ends[from.min(upto)..upto].iter();
-        let counted = counted.filter(|(_task, _how, at)| lapsed.is_none_or(|lapsed| lapsed < *at));
+        let until = number.min(ends.len());
+        let expired = self.lease_expired_at.get(worker).copied();
+        let counted = ends[from.min(until)..until].iter();
+        let counted =
+            counted.filter(|(_task, _how, at)| expired.is_none_or(|expired| expired < *at));
         for (task, how, at) in counted {
             match how {
                 End::Done => {
                     self.acknowledged.insert(task);
-                    let again = self.again.remove(task).unwrap_or_default();
-                    let after = again.into_iter().filter(|begun| begun >= at);
-                    let after = after.map(|begun| Breach::AfterDone((*task).clone(), begun));
-                    self.breaches.extend(after);
+                    let restarts = self.restarts.remove(task).unwrap_or_default();
+                    let late = restarts.into_iter().filter(|started| started >= at);
+                    let late = late.map(|started| Breach::AfterDone((*task).clone(), started));
+                    self.breaches.extend(late);
                 }
                 End::Failed => *self.failures.entry(task).or_default() += 1,
                 _ => {}
             }
         }
-        self.noted.insert(worker, from.max(upto));
+        self.acknowledged_ends.insert(worker, from.max(until));
     }
 }
--- a/crates/standin/src/site/journal.rs
+++ b/crates/standin/src/site/journal.rs
@@ -1,13 +1,13 @@
-//! What workers have seen.
+//! Events on workers and instances.
 
 use primroseroute_domain::work::{Demand, End, Name, TaskId};
 
-/// One thing that a worker has seen.
+/// One event on a worker or an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// It has begun a run.
+    /// A worker has started a run.
     Started {
-        /// When, in milliseconds since the site began.
+        /// When, in milliseconds since the site opened.
         at: u64,
         /// The worker.
         worker: Name,
@@ -15,10 +15,10 @@
         task: TaskId,
         /// The run.
         run: u32,
-        /// The payload that it was started with.
+        /// The payload given to the run.
         payload: Name,
     },
-    /// It has taken a stop of a run that is under way.
+    /// A worker has accepted the order to stop a run.
     Stopping {
         /// When.
         at: u64,
@@ -28,17 +28,17 @@
         task: TaskId,
         /// The run.
         run: u32,
-        /// Whether the order was held up on its way.
+        /// Whether the order was delayed on its way.
         late: bool,
     },
-    /// It has said that it is about to leave.
+    /// A worker has announced that it is draining.
     Draining {
         /// When.
         at: u64,
         /// The worker.
         worker: Name,
     },
-    /// A run is over.
+    /// A run has ended.
     Ended {
         /// When.
         at: u64,
@@ -48,23 +48,23 @@
         task: TaskId,
         /// The run.
         run: u32,
-        /// How; none where the worker's life ended with it.
+        /// How; none if the worker terminated.
         how: Option<End>,
     },
-    /// A worker's life has begun; a former one may have had the same id.
+    /// A worker incarnation has begun; an earlier one may have had the same id.
     Born {
         /// When.
         at: u64,
         /// The worker.
         worker: Name,
     },
-    /// A worker's room has changed.
+    /// A worker's capacity has changed.
     Resized {
         /// When.
         at: u64,
         /// The worker.
         worker: Name,
-        /// The room.
+        /// The new capacity.
         capacity: Demand,
     },
     /// A task has crashed the worker that started it.
@@ -76,9 +76,9 @@
         /// The task.
         task: TaskId,
     },
-    /// The lease of a worker had lapsed before it was renewed, whether anything ran there or not.
+    /// The lease of a worker had expired before it was renewed, whether or not anything ran there.
     Lapsed {
-        /// When it lapsed.
+        /// When it expired.
         at: u64,
         /// The worker.
         worker: Name,
@@ -92,20 +92,20 @@
         /// The number.
         number: u64,
     },
-    /// An instance was ordered to move to another pool.
+    /// An entry ordered an instance to move to another pool.
     Moved {
         /// When.
         at: u64,
         /// The instance.
         instance: Name,
-        /// Where to.
+        /// The target pool.
         to: Name,
         /// Who ordered it.
         entry: Name,
         /// The order's fencing token.
         token: u64,
     },
-    /// An instance was ordered to be maintained.
+    /// An entry ordered the maintenance of an instance.
     Maintained {
         /// When.
         at: u64,
@@ -118,7 +118,7 @@
     },
 }
 
-/// All that workers have seen, in order.
+/// All events, in the order in which they were recorded.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Journal {
     /// The events.
@@ -127,7 +127,7 @@
 
 impl Journal {
     pub(crate) fn add(&mut self, event: Event) {
-        log::debug!(event:? = event; "seen");
+        log::debug!(event:? = event; "worker event recorded");
         self.events.push(event);
     }
 
--- a/crates/standin/src/site/mod.rs
+++ b/crates/standin/src/site/mod.rs
@@ -1,14 +1,14 @@
-//! A site in memory: a partitioned table with a feed, workers with leases, instances, operators.
+//! A simulated site: a partitioned table with a feed, workers with leases, instances, operators.
 //!
-//! [`World`] is the site itself and what a test sets in it; [`Caller`] is one entry's way to it, and
-//! implements the traits of `primroseroute-platform`. Faults are set per caller ([`Conduct`]) and per
+//! [`World`] is the site itself, with its controls for tests; [`Caller`] is one entry's client of it, and
+//! implements the traits of `primroseroute-platform`. Faults are injected per caller ([`Conduct`]) and per
 //! worker. Time is tokio's, so all of it works under paused time; randomness comes from one seed.
 //!
-//! What a task does is written in its job's payload: a number of milliseconds of work, with `fails`
-//! after it for a run that ends as failed, or `crashes` for one that then crashes its worker; `lasts` for one that works
-//! until it is stopped, with `first-crashes` after it where the first task of each step crashes its worker at once.
+//! A job's payload sets the behaviour of its tasks. `<milliseconds>` runs for that time and succeeds; followed by
+//! `fails`, the run then ends as failed; followed by `crashes`, it then crashes its worker. `lasts` runs until it is
+//! stopped; followed by `first-crashes`, the first task of each step crashes its worker at once.
 //!
-//! [`Journal`] keeps what workers have seen; [`check`] judges it without any knowledge of the entries.
+//! [`Journal`] records the events on workers; [`check`] verifies them without any knowledge of the entries.
 
 mod caller;
 pub mod check;
@@ -30,7 +30,7 @@
 };
 use rand::RngExt;
 use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng};
-use rate::Rate;
+use rate::RateLimiter;
 use state::{Shared, State};
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -42,26 +42,26 @@
 use store::Store;
 use tokio::{sync::Notify, time::Instant};
 
-/// How a site behaves before any fault is set.
+/// How a site behaves before any fault is injected.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Source of all randomness.
+    /// Seed of all randomness.
     pub seed: u64,
-    /// Time of one call, both ways together.
+    /// Round-trip latency of one call.
     pub latency: Duration,
     /// Longest lease that workers grant.
     pub longest_lease: Duration,
-    /// How long maintenance or a move takes.
+    /// Duration of maintenance or of a move.
     pub maintenance: Duration,
-    /// Time from a worker's silence until its registration goes.
+    /// Time from a worker's crash until its registration is removed.
     pub registration: Duration,
-    /// Time that a worker takes to stop a run.
+    /// Time from a stop order to the end of the run.
     pub stop: Duration,
-    /// Time from a worker's crash by a task until its instance has the next life.
+    /// Time from a worker's crash by a task until its instance has a new worker incarnation.
     pub restart: Duration,
-    /// Share of crashed workers whose next life has the same id.
+    /// Share of crashed workers whose next incarnation has the same id.
     pub same_id: f64,
-    /// Reads and feeds that the store takes a second from all callers together; without it, all of them.
+    /// Rate limit of the store for reads and feeds of all callers together; unlimited if none.
     pub reads_per_second: Option<u32>,
 }
 
@@ -81,63 +81,63 @@
     }
 }
 
-/// Whether a caller reaches something.
+/// What becomes of a caller's requests to one target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reach {
-    /// It does.
+    /// They arrive.
     #[default]
     Fine,
-    /// It is turned away at once, and nothing is done.
+    /// They are rejected at once, without effect.
     Refused,
-    /// The same, for a rate that it doesn't keep.
+    /// They are rejected at once for exceeding a rate limit, without effect.
     Throttled,
-    /// Nothing comes back, and nothing is done.
+    /// They get no response and have no effect.
     Silent,
 }
 
-/// How one caller's calls fare.
+/// Faults of one caller's calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Conduct {
     /// Its calls to the store.
     pub store: Reach,
-    /// Its calls to the store that are about the table `control`, where the store fails in part.
+    /// Its calls to the store that concern the table `control`, to simulate a partial failure of the store.
     pub control: Reach,
-    /// Its commits, whatever becomes of other calls.
+    /// Its commits, independently of other calls.
     pub commits: Reach,
-    /// Its feeds, whatever becomes of other calls to the store.
+    /// Its feeds, independently of other calls to the store.
     pub feeds: Reach,
-    /// Its reads and feeds of accepted jobs and of cancels, whatever becomes of other calls to the store.
+    /// Its reads and feeds of accepted jobs and of cancels, independently of other calls to the store.
     pub jobs: Reach,
-    /// Its reads of accepted jobs and of cancels, whatever becomes of their feeds.
+    /// Its reads of accepted jobs and of cancels, independently of their feeds.
     pub job_reads: Reach,
-    /// Further time of each of its reads of the store: a thin link, or a process that gets little processor time.
+    /// Delay added to each of its reads of the store, as on a slow link or in a process that gets little processor time.
     pub reads: Duration,
-    /// Its calls about the registrations of workers, whatever becomes of other calls to the store.
+    /// Its calls about the registrations of workers, independently of other calls to the store.
     pub registry: Reach,
-    /// Further time from a list of instances until it comes: what it shows is that old.
+    /// Delay added to its lists of instances after they were read, so that they are this old when they arrive.
     pub lists: Duration,
     /// Its calls to workers.
     pub workers: Reach,
-    /// Its questions to the advice service.
+    /// Its requests to the advice service.
     pub advice: Reach,
-    /// Further time until its orders reach their workers.
+    /// Delay added before its orders reach their workers.
     pub orders: Duration,
-    /// Further time until its orders to instances reach the platform.
+    /// Delay added before its orders to instances reach the platform.
     pub instance_orders: Duration,
-    /// Share of its commits that are done and not answered.
+    /// Share of its commits that take effect and get no response.
     pub lost_commits: f64,
-    /// Share of its commits that aren't answered, and done one to six seconds later.
+    /// Share of its commits that get no response and take effect one to six seconds later.
     pub late_commits: f64,
-    /// Share of its orders to workers that aren't answered, and carried out two to twelve seconds
+    /// Share of its orders to workers that get no response and take effect two to twelve seconds
     /// later.
     pub late_orders: f64,
-    /// Share of its stops that fare like that, where other orders don't: calls on different connections overtake each other.
+    /// The same for its stops alone, because calls on different connections can overtake each other.
     pub late_stops: f64,
-    /// Further time of each of its calls.
+    /// Delay added to each of its calls.
     pub delay: Duration,
-    /// Whether its process is gone: no call of it goes out, and none comes back.
+    /// Whether its process has terminated: no call is sent, and no response is received.
     pub dead: bool,
-    /// Whether its process stands still: calls and answers wait until it goes on.
+    /// Whether its process is suspended: calls and responses wait until it resumes.
     pub frozen: bool,
 }
 
@@ -153,7 +153,7 @@
     }
 }
 
-/// A site; clones are the same site.
+/// A site; clones share the same site.
 #[derive(Clone)]
 pub struct World {
     shared: Arc<Shared>,
@@ -172,7 +172,7 @@
             options,
             rng: ChaCha8Rng::seed_from_u64(options.seed),
             store: Store::default(),
-            reads: Rate::new(options.reads_per_second),
+            reads: RateLimiter::new(options.reads_per_second),
             workers: BTreeMap::new(),
             instances: BTreeMap::new(),
             registrations: Vec::new(),
@@ -181,9 +181,9 @@
             maintained: BTreeSet::new(),
             conduct: BTreeMap::new(),
             journal: Journal::default(),
-            born: 0,
-            lives: BTreeMap::new(),
-            later: Vec::new(),
+            workers_created: 0,
+            last_workers: BTreeMap::new(),
+            scheduled: Vec::new(),
         };
         Self {
             shared: Arc::new(Shared {
@@ -195,29 +195,29 @@
         }
     }
 
-    /// One entry's way to the site.
+    /// One entry's client of the site.
     pub fn caller(&self, name: &str) -> Caller {
         Caller::new(name.into(), Arc::clone(&self.shared))
     }
 
-    /// Milliseconds since the site began.
+    /// Milliseconds since the site opened.
     pub fn now(&self) -> u64 {
         self.shared.now()
     }
 
-    /// Sets how the calls of `caller` fare.
+    /// Changes the faults of the calls of `caller`.
     pub fn conduct(&self, caller: &str, set: impl FnOnce(&mut Conduct)) {
         self.shared.change(|state, _now| {
             set(state.conduct.entry(caller.into()).or_default());
         });
     }
 
-    /// Reads and feeds of the store so far.
+    /// Counts of the reads and feeds of the store so far.
     pub fn reads(&self) -> Calls {
         self.shared.state.lock().reads.calls
     }
 
-    /// Adds an instance to `pool`; the id of its worker, which has none in a standby pool.
+    /// Adds an instance to `pool`. Returns the id of its worker; none in a standby pool, whose instances have no workers.
     pub fn add_instance(&self, name: &str, pool: &str) -> Option<Name> {
         self.shared.change(|state, now| {
             let name: Name = name.into();
@@ -228,12 +228,12 @@
                 worker: None,
             };
             state.instances.insert(Name::clone(&name), instance);
-            state.revive(&name, now);
+            state.start_worker(&name, now);
             state.instances[&name].worker.clone()
         })
     }
 
-    /// Writes what an operator says.
+    /// Publishes an operator's instruction.
     pub fn instruct(&self, instruction: Instruction) {
         self.shared.change(|state, _now| {
             let version = state.store.bump();
@@ -241,36 +241,36 @@
         });
     }
 
-    /// Drops the history of everything: feeds must read anew.
+    /// Compacts the history of all feeds, so that their readers must read the current state again.
     pub fn compact(&self) {
         self.shared.change(|state, _now| state.store.compact());
     }
 
-    /// Ends a worker's life without a word; its registration goes a while later.
+    /// Crashes a worker without notice; its registration is removed after [`Options::registration`].
     pub fn crash(&self, worker: &Name) {
         self.shared.change(|state, now| state.crash(worker, now));
     }
 
-    /// Gives an instance that is down its next life.
+    /// Restarts the worker of an instance that is down.
     pub fn restart(&self, instance: &Name) {
         self.shared
-            .change(|state, now| state.revive_after_crash(instance, now));
+            .change(|state, now| state.restart_worker(instance, now));
     }
 
-    /// Gives an instance that is down its next life, with the id of the worker that it had.
+    /// Restarts the worker of an instance that is down, under the worker id that it had.
     pub fn restart_as(&self, instance: &Name, worker: &Name) {
         self.shared
-            .change(|state, now| state.revive_as(instance, worker, now));
+            .change(|state, now| state.restart_worker_as(instance, worker, now));
     }
 
-    /// Cuts a worker off from all entries, or joins it again. It works on; its registration goes
-    /// after a while and comes back.
-    pub fn cut(&self, worker: &Name, is_cut: bool) {
+    /// Partitions a worker from all entries, or heals the partition. The worker continues to run; its registration is
+    /// removed, and restored when the partition heals.
+    pub fn cut(&self, worker: &Name, is_partitioned: bool) {
         self.shared.change(|state, _now| {
             if let Some(known) = state.workers.get_mut(worker) {
-                known.cut = is_cut;
+                known.partitioned = is_partitioned;
             }
-            if is_cut {
+            if is_partitioned {
                 state.unregister(worker);
             } else {
                 state.register(worker);
@@ -278,7 +278,7 @@
         });
     }
 
-    /// Lets a worker say that it is about to leave.
+    /// Makes a worker announce that it is draining.
     pub fn drain(&self, worker: &Name) {
         self.shared.change(|state, now| {
             if let Some(known) = state.workers.get_mut(worker) {
@@ -292,7 +292,7 @@
         });
     }
 
-    /// Changes a worker's room while it runs.
+    /// Changes a worker's capacity while it runs.
     pub fn resize(&self, worker: &Name, capacity: Demand) {
         self.shared.change(|state, now| {
             let Some(known) = state.workers.get_mut(worker) else {
@@ -304,21 +304,21 @@
                 worker: Name::clone(worker),
                 capacity,
             });
-            if known.alive && !known.cut {
+            if known.alive && !known.partitioned {
                 state.register(worker);
             }
         });
     }
 
-    /// The workers that live.
+    /// The ids of all running workers.
     pub fn workers(&self) -> Vec<Name> {
         self.shared.change(|state, _now| {
-            let alive = state.workers.iter().filter(|(_id, worker)| worker.alive);
-            alive.map(|(id, _worker)| Name::clone(id)).collect()
+            let running = state.workers.iter().filter(|(_id, worker)| worker.alive);
+            running.map(|(id, _worker)| Name::clone(id)).collect()
         })
     }
 
-    /// Where a worker listens.
+    /// Id and address of a worker.
     pub fn target(&self, worker: &Name) -> Target {
         self.shared.change(|state, _now| {
             let info = &state.workers[worker].info;
@@ -329,35 +329,35 @@
         })
     }
 
-    /// What workers have seen so far.
+    /// The events on workers so far.
     pub fn journal(&self) -> Journal {
         self.shared.change(|state, _now| state.journal.clone())
     }
 
-    /// The waves that were reported, and whether as complete.
+    /// The reported waves, and whether each was reported as complete.
     pub fn waves(&self) -> BTreeMap<u64, bool> {
         self.shared.change(|state, _now| state.waves.clone())
     }
 
-    /// The instances as they are.
+    /// The current state of the instances.
     pub fn instances(&self) -> Vec<Instance> {
         self.shared
             .change(|state, _now| state.instances.values().cloned().collect())
     }
 
-    /// A number from the site's randomness, below `bound`.
+    /// A random number below `bound` from the site's generator.
     pub fn random(&self, bound: u64) -> u64 {
         self.shared
             .change(|state, _now| state.rng.random_range(0..bound))
     }
 }
 
-/// Whether the policy of queues that need advice allows a worker: every other one.
+/// Whether the policy of queues that need advice allows a worker: those whose id ends in an even digit.
 pub fn is_allowed(worker: &Name) -> bool {
     worker.bytes().last().is_some_and(|last| last % 2 == 0)
 }
 
-/// What every worker has: sixteen cores and 64 GB.
+/// Initial capacity of every worker: 16 cores and 64 GB.
 pub const CAPACITY: Demand = Demand {
     cpu: 16_000,
     memory: 65_536,
@@ -370,7 +370,10 @@
 }
 
 pub(crate) fn labels(number: u64) -> BTreeSet<Name> {
-    /// Workers of one rack.
-    const RACK: u64 = 3;
-    ["a".into(), format!("r-{}", number / RACK).into()].into()
+    const WORKERS_PER_RACK: u64 = 3;
+    [
+        "a".into(),
+        format!("r-{}", number / WORKERS_PER_RACK).into(),
+    ]
+    .into()
 }
--- a/crates/standin/src/site/rate.rs
+++ b/crates/standin/src/site/rate.rs
@@ -1,31 +1,31 @@
-//! How many calls the store takes a second from all callers together.
+//! Rate limit of the store, shared by all callers.
 
 use primroseroute_platform::Error;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Span of calls that may come at once.
+/// Time whose tokens the bucket holds at most, as a limit on bursts.
 const BURST: Duration = Duration::from_millis(100);
 
-/// Calls of one kind.
+/// Counts of calls under the limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Calls {
-    /// Those that were carried out.
+    /// Admitted calls.
     pub taken: u64,
-    /// Those that were over the rate.
+    /// Calls rejected for exceeding the rate.
     pub refused: u64,
 }
 
-/// A token bucket; one without a rate takes all calls.
+/// A token bucket; without a rate it admits all calls.
 #[derive(Debug)]
-pub(crate) struct Rate {
+pub(crate) struct RateLimiter {
     per_second: Option<u32>,
     tokens: f64,
     filled_at: Instant,
     pub calls: Calls,
 }
 
-impl Rate {
+impl RateLimiter {
     pub(crate) fn new(per_second: Option<u32>) -> Self {
         Self {
             per_second,
@@ -38,9 +38,9 @@
     pub(crate) fn admit(&mut self) -> Result<(), Error> {
         if let Some(per_second) = self.per_second {
             let per_second = f64::from(per_second);
-            let most = (per_second * BURST.as_secs_f64()).max(1.0);
-            let filled = self.filled_at.elapsed().as_secs_f64() * per_second;
-            self.tokens = (self.tokens + filled).min(most);
+            let max_tokens = (per_second * BURST.as_secs_f64()).max(1.0);
+            let gained = self.filled_at.elapsed().as_secs_f64() * per_second;
+            self.tokens = (self.tokens + gained).min(max_tokens);
             self.filled_at = Instant::now();
             if self.tokens < 1.0 {
                 self.calls.refused += 1;
--- a/crates/standin/src/site/state.rs
+++ b/crates/standin/src/site/state.rs
@@ -1,9 +1,9 @@
-//! What the site consists of, and what happens there by itself.
+//! State of the site, and its changes over time.
 
 use super::{
     Conduct, Options,
     journal::{Event, Journal},
-    rate::Rate,
+    rate::RateLimiter,
     store::Store,
     worker::Worker,
 };
@@ -21,17 +21,17 @@
 };
 use tokio::{sync::Notify, time::Instant};
 
-/// A span in whole milliseconds.
+/// Converts a duration to whole milliseconds.
 pub(crate) fn millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// What follows a crash.
+/// A consequence of a crash that is due later.
 #[derive(Clone, Debug)]
-pub(crate) enum Later {
-    /// The registration of this worker goes.
+pub(crate) enum Scheduled {
+    /// Removes the registration of this worker.
     Unregister(Name),
-    /// This instance has its next life.
+    /// Restarts the worker of this instance.
     Restart(Name),
 }
 
@@ -39,21 +39,21 @@
     pub options: Options,
     pub rng: ChaCha8Rng,
     pub store: Store,
-    pub reads: Rate,
+    pub reads: RateLimiter,
     pub workers: BTreeMap<Name, Worker>,
     pub instances: BTreeMap<Name, Instance>,
     pub registrations: Vec<(Version, Registration)>,
     pub instructions: Vec<(Version, Instruction)>,
     pub waves: BTreeMap<u64, bool>,
-    /// Instances that were maintained for a wave: a further order for it has no effect.
+    /// Instances that were already maintained for a wave: repeated orders have no effect.
     pub maintained: BTreeSet<(u64, Name)>,
     pub conduct: BTreeMap<Name, Conduct>,
     pub journal: Journal,
-    pub born: u64,
-    /// The worker that each instance had last.
-    pub lives: BTreeMap<Name, Name>,
-    /// What follows crashes, with its time.
-    pub later: Vec<(u64, Later)>,
+    pub workers_created: u64,
+    /// The last worker of each instance.
+    pub last_workers: BTreeMap<Name, Name>,
+    /// Consequences of crashes, with their due times.
+    pub scheduled: Vec<(u64, Scheduled)>,
 }
 
 pub(crate) struct Shared {
@@ -64,12 +64,12 @@
 }
 
 impl Shared {
-    /// Milliseconds since the site began.
+    /// Milliseconds since the site opened.
     pub(crate) fn now(&self) -> u64 {
         millis(self.start.elapsed())
     }
 
-    /// Changes the state at this moment, and wakes those who wait for a change.
+    /// Advances the state to the current time, applies a change and wakes all waiting calls.
     pub(crate) fn change<T>(&self, change: impl FnOnce(&mut State, u64) -> T) -> T {
         let now = self.now();
         let result = {
@@ -83,7 +83,7 @@
 }
 
 impl State {
-    /// Brings all workers to `now`.
+    /// Advances all workers to `now`.
     pub(crate) fn advance(&mut self, now: u64) {
         let mut crashes = Vec::new();
         for (id, worker) in &mut self.workers {
@@ -95,20 +95,20 @@
         for (at, worker, task) in crashes {
             self.crash_by_task(at, &worker, task);
         }
-        let all = std::mem::take(&mut self.later).into_iter();
-        let (due, later): (Vec<_>, Vec<_>) = all.partition(|(at, _later)| *at <= now);
-        self.later = later;
-        for (at, later) in due {
-            match later {
-                Later::Unregister(worker) => self.unregister(&worker),
-                Later::Restart(instance) => self.restart(&instance, at),
+        let all = std::mem::take(&mut self.scheduled).into_iter();
+        let (due, rest): (Vec<_>, Vec<_>) = all.partition(|(at, _scheduled)| *at <= now);
+        self.scheduled = rest;
+        for (at, scheduled) in due {
+            match scheduled {
+                Scheduled::Unregister(worker) => self.unregister(&worker),
+                Scheduled::Restart(instance) => self.restart(&instance, at),
             }
         }
     }
 
     fn crash_by_task(&mut self, at: u64, worker: &Name, task: TaskId) {
-        let mut of = self.instances.values();
-        let instance = of.find(|known| known.worker.as_ref() == Some(worker));
+        let mut instances = self.instances.values();
+        let instance = instances.find(|known| known.worker.as_ref() == Some(worker));
         let instance = instance.map(|known| Name::clone(&known.name));
         self.journal.add(Event::Crashed {
             at,
@@ -116,24 +116,25 @@
             task,
         });
         self.crash(worker, at);
-        let back = at + millis(self.options.restart);
-        let restart = instance.map(|instance| (back, Later::Restart(instance)));
-        self.later.extend(restart);
+        let restart_at = at + millis(self.options.restart);
+        let restart = instance.map(|instance| (restart_at, Scheduled::Restart(instance)));
+        self.scheduled.extend(restart);
     }
 
-    /// Ends a worker's life without a word; its registration goes a while later.
+    /// Crashes a worker without notice; its registration is removed later.
     pub(crate) fn crash(&mut self, worker: &Name, at: u64) {
-        self.kill(worker, at);
-        let gone = at + millis(self.options.registration);
+        self.terminate(worker, at);
+        let unregister_at = at + millis(self.options.registration);
         let worker = Name::clone(worker);
-        self.later.push((gone, Later::Unregister(worker)));
+        self.scheduled
+            .push((unregister_at, Scheduled::Unregister(worker)));
     }
 
-    /// Gives an instance that is down its next life.
+    /// Restarts the worker of an instance, if the instance is down.
     fn restart(&mut self, instance: &Name, now: u64) {
         let down = self.instances.get(instance);
         if down.is_some_and(|known| known.state == InstanceState::Down) {
-            self.revive_after_crash(instance, now);
+            self.restart_worker(instance, now);
         }
     }
 
@@ -167,45 +168,48 @@
         standby.map(|pool| Name::clone(&pool.name)).collect()
     }
 
-    /// A new life of `instance` after a crash, which may have the id of the one before.
-    pub(crate) fn revive_after_crash(&mut self, instance: &Name, now: u64) {
+    /// Starts a worker on `instance` after a crash, sometimes under the id of the previous one.
+    pub(crate) fn restart_worker(&mut self, instance: &Name, now: u64) {
         let share = self.options.same_id;
         let same = share > 0.0 && self.rng.random_bool(share);
-        let last = self.lives.get(instance).map(Name::clone);
+        let last = self.last_workers.get(instance).map(Name::clone);
         match last.filter(|_id| same) {
-            Some(id) => self.revive_as(instance, &id, now),
-            None => self.revive(instance, now),
+            Some(id) => self.restart_worker_as(instance, &id, now),
+            None => self.start_worker(instance, now),
         }
     }
 
-    /// A new life of `instance` with the id, the place and the pool of the worker before.
-    pub(crate) fn revive_as(&mut self, instance: &Name, id: &Name, now: u64) {
-        let (Some(known), Some(before)) = (self.instances.get_mut(instance), self.workers.get(id))
+    /// Starts a new incarnation on `instance` with the id, address, labels and pool of the previous worker.
+    pub(crate) fn restart_worker_as(&mut self, instance: &Name, id: &Name, now: u64) {
+        let (Some(known), Some(previous)) =
+            (self.instances.get_mut(instance), self.workers.get(id))
         else {
             return;
         };
         known.state = InstanceState::Up;
         known.worker = Some(Name::clone(id));
-        let mut worker = before.reborn(now);
-        worker.slow = self.rng.random_range(0..20);
-        self.begin_life(instance, worker, now);
+        let mut worker = previous.next_incarnation(now);
+        worker.clock_lag_permille = self.rng.random_range(0..20);
+        self.begin_incarnation(instance, worker, now);
     }
 
-    fn begin_life(&mut self, instance: &Name, worker: Worker, now: u64) {
+    fn begin_incarnation(&mut self, instance: &Name, worker: Worker, now: u64) {
         let id = Name::clone(&worker.info.id);
         self.journal.add(Event::Born {
             at: now,
             worker: Name::clone(&id),
         });
-        self.lives.insert(Name::clone(instance), Name::clone(&id));
-        self.later
-            .retain(|(_at, later)| !matches!(later, Later::Unregister(worker) if *worker == id));
+        self.last_workers
+            .insert(Name::clone(instance), Name::clone(&id));
+        self.scheduled.retain(
+            |(_at, scheduled)| !matches!(scheduled, Scheduled::Unregister(worker) if *worker == id),
+        );
         self.workers.insert(Name::clone(&id), worker);
         self.register(&id);
     }
 
-    /// A new life of `instance`, whose worker registers at once; without one in a standby pool.
-    pub(crate) fn revive(&mut self, instance: &Name, now: u64) {
+    /// Brings `instance` up with a new worker, which registers at once; without a worker in a standby pool.
+    pub(crate) fn start_worker(&mut self, instance: &Name, now: u64) {
         let standby = self.standby();
         let Some(known) = self.instances.get_mut(instance) else {
             return;
@@ -215,19 +219,19 @@
             known.state = InstanceState::Up;
             return;
         }
-        self.born += 1;
-        let id: Name = format!("w-{}", self.born).into();
+        self.workers_created += 1;
+        let id: Name = format!("w-{}", self.workers_created).into();
         known.state = InstanceState::Up;
         known.worker = Some(Name::clone(&id));
-        let mut worker = Worker::new(&id, pool, now, self.born);
-        worker.slow = self.rng.random_range(0..20);
-        self.begin_life(instance, worker, now);
+        let mut worker = Worker::new(&id, pool, now, self.workers_created);
+        worker.clock_lag_permille = self.rng.random_range(0..20);
+        self.begin_incarnation(instance, worker, now);
     }
 
-    /// Ends the life of a worker.
-    pub(crate) fn kill(&mut self, id: &Name, now: u64) {
+    /// Terminates a worker and takes its instance down.
+    pub(crate) fn terminate(&mut self, id: &Name, now: u64) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.kill(id, now, &mut self.journal);
+            worker.terminate(id, now, &mut self.journal);
         }
         for instance in self.instances.values_mut() {
             if instance.worker.as_ref() == Some(id) {
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -6,14 +6,14 @@
 #[derive(Debug, Default)]
 pub(crate) struct Store {
     version: Version,
-    /// Versions up to this one have no history any more.
-    floor: Version,
+    /// Versions up to and including this one are no longer in the history.
+    compacted_version: Version,
     rows: BTreeMap<Place, Row>,
     history: Vec<Row>,
 }
 
 impl Store {
-    /// A new version, for a change of something else that shares the counter.
+    /// Allocates a version, also for changes outside the table that use the same counter.
     pub(crate) fn bump(&mut self) -> Version {
         self.version += 1;
         self.version
@@ -23,12 +23,12 @@
         self.version
     }
 
-    pub(crate) fn floor(&self) -> Version {
-        self.floor
+    pub(crate) fn compacted_version(&self) -> Version {
+        self.compacted_version
     }
 
     pub(crate) fn compact(&mut self) {
-        self.floor = self.version;
+        self.compacted_version = self.version;
         self.history.clear();
     }
 
@@ -46,8 +46,8 @@
             .iter()
             .map(|(place, _version)| self.current(place))
             .collect();
-        let wanted = txn.conditions.iter().map(|(_place, version)| *version);
-        let holds = current.iter().zip(wanted);
+        let expected = txn.conditions.iter().map(|(_place, version)| *version);
+        let holds = current.iter().zip(expected);
         if holds
             .into_iter()
             .any(|(row, version)| row.version != version)
@@ -91,9 +91,9 @@
         }
     }
 
-    /// Changes of `table` after a version; none yet if there are none.
+    /// Changes of `table` after a version; `None` if there are none yet.
     pub(crate) fn feed(&self, table: &str, after: Version) -> Option<Feed<Row>> {
-        if after < self.floor {
+        if after < self.compacted_version {
             return Some(Feed::Compacted);
         }
         let changes = self.history.iter();
--- a/crates/standin/src/site/worker.rs
+++ b/crates/standin/src/site/worker.rs
@@ -1,4 +1,4 @@
-//! One worker: runs under a lease, fences, ends that wait to be acknowledged.
+//! One worker: runs under a lease, fencing, and ended runs whose results wait to be acknowledged.
 
 use super::{
     CAPACITY, address,
@@ -12,11 +12,10 @@
 };
 use std::{collections::BTreeMap, fmt};
 
-/// Time of day at which a site begins, in milliseconds since 1970; entries of tests go by the same.
-const BORN: u64 = 1_000_000;
+/// Unix time at which a site opens, in milliseconds; entries of tests use the same.
+const OPENED_AT_MS: u64 = 1_000_000;
 
-/// Thousandths by which a clock may be slow are counted in these.
-const THOUSAND: u64 = 1_000;
+const PERMILLE: u64 = 1_000;
 
 #[derive(Clone, Debug)]
 #[expect(
@@ -25,12 +24,12 @@
 )]
 struct Run {
     run: u32,
-    begun: u64,
-    /// Whether it works until it is stopped.
-    lasting: bool,
-    /// When it ends, and how; not known of one that lasts before it is stopped.
+    started_at: u64,
+    /// Whether it runs until it is stopped.
+    long_running: bool,
+    /// When it ends, and how; none for a long-running one that has not been stopped.
     ends: Option<(u64, End)>,
-    /// When it crashes its worker.
+    /// When it crashes its worker, if it does.
     crashes_at: Option<u64>,
 }
 
@@ -38,9 +37,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Stop {
     pub token: u64,
-    /// Time until the run is over, in milliseconds.
-    pub takes: u64,
-    /// Whether the order was held up on its way.
+    /// Time until the run ends, in milliseconds.
+    pub duration: u64,
+    /// Whether the order was delayed on its way.
     pub late: bool,
 }
 
@@ -49,41 +48,42 @@
     pub info: site::Worker,
     pub alive: bool,
     /// Whether no entry reaches it.
-    pub cut: bool,
-    /// Thousandths by which its clock is slow.
-    pub slow: u64,
-    born: u64,
-    /// What its clock showed then.
-    clock: u64,
+    pub partitioned: bool,
+    /// Thousandths by which its clock runs slow.
+    pub clock_lag_permille: u64,
+    started_at: u64,
+    /// What its clock showed at its start.
+    clock_at_start: u64,
     token: u64,
     /// End of the lease on its own clock.
-    lease: u64,
+    lease_expires_at: u64,
     runs: BTreeMap<TaskId, Run>,
     /// Highest run of each task that was stopped or has ended here.
-    past: BTreeMap<TaskId, u32>,
+    last_runs: BTreeMap<TaskId, u32>,
     ended: Vec<Ended>,
-    next: u64,
-    /// What the life before would have refused, while nobody has reached this one.
-    before: Option<Refused>,
+    next_end: u64,
+    /// What the previous incarnation would refuse, until a call with a newer token reaches this one.
+    previous: Option<Previous>,
 }
 
-/// What a life refuses: nobody could keep it from the next one before it is reached.
+/// What an incarnation refuses. The next one refuses it too until an entry reaches it: before that, nobody can keep
+/// delayed calls to the earlier one from it.
 #[derive(Clone, Debug)]
-struct Refused {
+struct Previous {
     token: u64,
-    /// What its clock would show, less the site's time.
-    clock: i64,
-    past: BTreeMap<TaskId, u32>,
+    /// Difference between its clock and the site's time.
+    clock_offset: i64,
+    last_runs: BTreeMap<TaskId, u32>,
 }
 
-/// What a payload asks for.
+/// Behaviour that a payload asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Work {
-    /// To work until it is stopped.
-    Lasts,
-    /// To end like this after so many milliseconds.
+    /// Runs until it is stopped.
+    LongRunning,
+    /// Ends like this after this number of milliseconds.
     Ends(u64, End),
-    /// To crash the worker after so many milliseconds.
+    /// Crashes the worker after this number of milliseconds.
     Crashes(u64),
 }
 
@@ -97,7 +97,7 @@
             return if crashes {
                 Self::Crashes(0)
             } else {
-                Self::Lasts
+                Self::LongRunning
             };
         };
         match second {
@@ -113,7 +113,7 @@
         Self {
             info: site::Worker {
                 id: Name::clone(id),
-                born: BORN + now,
+                born: OPENED_AT_MS + now,
                 pool,
                 address: address(number),
                 zone: "zone".into(),
@@ -122,61 +122,61 @@
                 labels: labels(number),
             },
             alive: true,
-            cut: false,
-            slow: 0,
-            born: now,
-            clock: now * 7,
+            partitioned: false,
+            clock_lag_permille: 0,
+            started_at: now,
+            clock_at_start: now * 7,
             token: 0,
-            lease: 0,
+            lease_expires_at: 0,
             runs: BTreeMap::new(),
-            past: BTreeMap::new(),
+            last_runs: BTreeMap::new(),
             ended: Vec::new(),
-            next: 1,
-            before: None,
+            next_end: 1,
+            previous: None,
         }
     }
 
-    /// The next life under the same id, which knows nothing of this one.
-    pub(crate) fn reborn(&self, now: u64) -> Self {
+    /// The next incarnation under the same id, which has no state of this one.
+    pub(crate) fn next_incarnation(&self, now: u64) -> Self {
         let mut next = Self::new(&self.info.id, Name::clone(&self.info.pool), now, 0);
         next.info = site::Worker {
             born: next.info.born,
             draining: false,
             ..self.info.clone()
         };
-        next.clock = 0;
-        next.before = Some(Refused {
+        next.clock_at_start = 0;
+        next.previous = Some(Previous {
             token: self.token,
-            clock: i64::try_from(self.clock(now)).unwrap_or(i64::MAX)
+            clock_offset: i64::try_from(self.clock(now)).unwrap_or(i64::MAX)
                 - i64::try_from(now).unwrap_or(i64::MAX),
-            past: self.past.clone(),
+            last_runs: self.last_runs.clone(),
         });
         next
     }
 
-    /// What its clock shows; it begins at a number of its own.
+    /// What its clock shows; its zero is unrelated to the site's time.
     pub(crate) fn clock(&self, now: u64) -> u64 {
-        let passed = now - self.born;
-        self.clock + passed - passed * self.slow / THOUSAND
+        let passed = now - self.started_at;
+        self.clock_at_start + passed - passed * self.clock_lag_permille / PERMILLE
     }
 
-    /// The site's time at which its clock shows `clock`, at the latest.
-    fn when(&self, clock: u64) -> u64 {
-        let passed = clock.saturating_sub(self.clock);
-        self.born + passed * THOUSAND / (THOUSAND - self.slow)
+    /// The latest site time at which its clock shows `clock`.
+    fn site_time(&self, clock: u64) -> u64 {
+        let passed = clock.saturating_sub(self.clock_at_start);
+        self.started_at + passed * PERMILLE / (PERMILLE - self.clock_lag_permille)
     }
 
-    /// Lets everything happen that happens by itself until `now`.
+    /// Ends the runs that complete, or whose lease expires, by `now`.
     pub(crate) fn advance(&mut self, id: &Name, now: u64, journal: &mut Journal) {
         if !self.alive {
             return;
         }
-        let lapses = self.when(self.lease);
+        let expires = self.site_time(self.lease_expires_at);
         let mut due: Vec<(u64, TaskId, End)> = Vec::new();
         for (task, run) in &self.runs {
             match run.ends {
-                Some((at, how)) if at <= now && at <= lapses => due.push((at, task.clone(), how)),
-                _ if lapses < now => due.push((lapses, task.clone(), End::Lapsed)),
+                Some((at, how)) if at <= now && at <= expires => due.push((at, task.clone(), how)),
+                _ if expires < now => due.push((expires, task.clone(), End::Lapsed)),
                 _ => {}
             }
         }
@@ -186,7 +186,7 @@
         }
     }
 
-    /// When one of its runs crashes it, by `now`, and the task of that run.
+    /// The first crash by one of its runs until `now`: its time and the task.
     pub(crate) fn crash_by(&self, now: u64) -> Option<(u64, TaskId)> {
         let runs = self.runs.iter().filter(|_run| self.alive);
         let crashes = runs.filter_map(|(task, run)| Some((run.crashes_at?, task)));
@@ -198,16 +198,16 @@
         let Some(run) = self.runs.remove(task) else {
             return;
         };
-        let past = self.past.entry(task.clone()).or_default();
-        *past = (*past).max(run.run);
+        let last = self.last_runs.entry(task.clone()).or_default();
+        *last = (*last).max(run.run);
         self.ended.push(Ended {
-            number: self.next,
+            number: self.next_end,
             task: task.clone(),
             run: run.run,
             how,
             checkpoint: None,
         });
-        self.next += 1;
+        self.next_end += 1;
         journal.add(Event::Ended {
             at,
             worker: Name::clone(id),
@@ -217,7 +217,7 @@
         });
     }
 
-    pub(crate) fn kill(&mut self, id: &Name, now: u64, journal: &mut Journal) {
+    pub(crate) fn terminate(&mut self, id: &Name, now: u64, journal: &mut Journal) {
         self.alive = false;
         for (task, run) in std::mem::take(&mut self.runs) {
             journal.add(Event::Ended {
@@ -230,9 +230,10 @@
         }
     }
 
+    /// Records a call's fencing token; returns whether the call is fenced off by a newer one.
     fn fenced(&mut self, token: u64) -> bool {
         let fenced = token < self.token;
-        self.before.take_if(|before| token > before.token);
+        self.previous.take_if(|previous| token > previous.token);
         self.token = self.token.max(token);
         fenced
     }
@@ -244,10 +245,10 @@
         now: u64,
         journal: &mut Journal,
     ) -> Answer {
-        if let Some(before) = &self.before {
-            let past = before.past.get(&start.task).copied().unwrap_or(0);
-            let clock = now.saturating_add_signed(before.clock);
-            if start.token < before.token || start.run <= past || start.deadline_ms < clock {
+        if let Some(previous) = &self.previous {
+            let last = previous.last_runs.get(&start.task).copied().unwrap_or(0);
+            let clock = now.saturating_add_signed(previous.clock_offset);
+            if start.token < previous.token || start.run <= last || start.deadline_ms < clock {
                 return Answer::Refused(Refusal::Old);
             }
         }
@@ -257,27 +258,27 @@
         if start.deadline_ms < self.clock(now) {
             return Answer::Refused(Refusal::Late);
         }
-        self.extend(start.deadline_ms, longest, now);
+        self.extend_lease(start.deadline_ms, longest, now);
         if needs_ticket(&start.payload) && !self.has_ticket(start, now) {
             return Answer::Refused(Refusal::Ticket);
         }
-        let past = self.past.get(&start.task).copied().unwrap_or(0);
+        let last = self.last_runs.get(&start.task).copied().unwrap_or(0);
         let known = self.runs.get(&start.task).map(|run| run.run);
         if known == Some(start.run) {
             return Answer::Done;
         }
-        if past >= start.run || known.is_some_and(|known| known > start.run) {
+        if last >= start.run || known.is_some_and(|known| known > start.run) {
             return Answer::Refused(Refusal::Old);
         }
         let (ends, crashes_at) = match Work::of(&start.payload, &start.task) {
-            Work::Lasts => (None, None),
+            Work::LongRunning => (None, None),
             Work::Ends(millis, how) => (Some((now + millis, how)), None),
             Work::Crashes(millis) => (None, Some(now + millis)),
         };
         let run = Run {
             run: start.run,
-            begun: now,
-            lasting: ends.is_none() && crashes_at.is_none(),
+            started_at: now,
+            long_running: ends.is_none() && crashes_at.is_none(),
             ends,
             crashes_at,
         };
@@ -300,7 +301,7 @@
         })
     }
 
-    /// Takes a stop.
+    /// Handles an order to stop a run.
     pub(crate) fn stop(
         &mut self,
         (task, run): (&TaskId, u32),
@@ -308,18 +309,18 @@
         now: u64,
         journal: &mut Journal,
     ) -> Answer {
-        let takes = stop.takes;
+        let duration = stop.duration;
         if self.fenced(stop.token) {
             return Answer::Refused(Refusal::Fenced);
         }
-        let past = self.past.entry(task.clone()).or_default();
-        *past = (*past).max(run);
+        let last = self.last_runs.entry(task.clone()).or_default();
+        *last = (*last).max(run);
         if let Some(known) = self.runs.get_mut(task)
             && known.run <= run
         {
-            let by_itself = known.ends.map_or(u64::MAX, |(at, _how)| at);
-            if now + takes < by_itself {
-                known.ends = Some((now + takes, End::Stopped));
+            let ends_at = known.ends.map_or(u64::MAX, |(at, _how)| at);
+            if now + duration < ends_at {
+                known.ends = Some((now + duration, End::Stopped));
                 journal.add(Event::Stopping {
                     at: now,
                     worker: Name::clone(&self.info.id),
@@ -332,46 +333,47 @@
         Answer::Done
     }
 
-    /// Lets the lease hold until its clock shows `deadline`; a lease that is longer than `longest` is shortened to that.
-    fn extend(&mut self, deadline: u64, longest: u64, now: u64) {
-        let most = self.clock(now) + longest;
-        self.lease = self.lease.max(deadline.min(most));
+    /// Extends the lease to `deadline` on the worker's clock, at most by `longest` from now.
+    fn extend_lease(&mut self, deadline: u64, longest: u64, now: u64) {
+        let latest = self.clock(now) + longest;
+        self.lease_expires_at = self.lease_expires_at.max(deadline.min(latest));
     }
 
-    /// Takes in a renewal; whether it was accepted.
+    /// Handles a lease renewal; returns whether it was accepted.
     pub(crate) fn renew(
         &mut self,
-        hold: &LeaseRenewal,
+        renewal: &LeaseRenewal,
         longest: u64,
         now: u64,
         journal: &mut Journal,
     ) -> bool {
-        if self.fenced(hold.token) {
+        if self.fenced(renewal.token) {
             return false;
         }
-        let lapsed_at = self.when(self.lease);
-        if lapsed_at < now {
+        let expired_at = self.site_time(self.lease_expires_at);
+        if expired_at < now {
             journal.add(Event::Lapsed {
-                at: lapsed_at,
+                at: expired_at,
                 worker: Name::clone(&self.info.id),
             });
         }
-        if let Some(deadline) = hold.deadline_ms {
-            self.extend(deadline, longest, now);
+        if let Some(deadline) = renewal.deadline_ms {
+            self.extend_lease(deadline, longest, now);
         }
-        let before = self.ended.len();
-        self.ended.retain(|ended| ended.number > hold.acknowledged);
-        if self.ended.len() < before {
+        let pending = self.ended.len();
+        self.ended
+            .retain(|ended| ended.number > renewal.acknowledged);
+        if self.ended.len() < pending {
             journal.add(Event::Noted {
                 at: now,
                 worker: Name::clone(&self.info.id),
-                number: hold.acknowledged,
+                number: renewal.acknowledged,
             });
         }
         true
     }
 
-    pub(crate) fn look(&self, now: u64) -> WorkerStatus {
+    pub(crate) fn status(&self, now: u64) -> WorkerStatus {
         let running = self.runs.iter().map(|(task, run)| Running {
             task: task.clone(),
             run: run.run,
@@ -387,23 +389,23 @@
         }
     }
 
-    pub(crate) fn has_news(&self) -> bool {
+    pub(crate) fn has_unacknowledged_ends(&self) -> bool {
         !self.ended.is_empty()
     }
 
-    /// When the next run ends by itself.
-    pub(crate) fn next_end(&self) -> Option<u64> {
+    /// When the next run ends.
+    pub(crate) fn next_end_at(&self) -> Option<u64> {
         let ends = self.runs.values().filter_map(|run| run.ends);
         ends.map(|(at, _how)| at).min()
     }
 }
 
-/// Whether a payload is of a queue whose starts need a ticket.
+/// Whether a payload belongs to a queue whose starts need a ticket.
 fn needs_ticket(payload: &str) -> bool {
     payload.ends_with("advised")
 }
 
-/// A ticket in plain text.
+/// A ticket in plain text: `<step>/<worker>/<end of validity>`.
 #[derive(Debug)]
 pub(crate) struct Ticket<'a> {
     pub step: &'a str,
@@ -428,19 +430,19 @@
     }
 }
 
-/// A lasting task is at work half a second after its start.
-pub(super) const STARTUP: u64 = 500;
+/// Time from the start of a long-running task until it is ready, in milliseconds.
+pub(super) const STARTUP_MS: u64 = 500;
 
-/// Share of its work that a run has done. A lasting run that is being stopped is shown at work until it ends.
+/// Progress of a run. A long-running run that is being stopped is reported as ready until it ends.
 fn percent(run: &Run, now: u64) -> u32 {
-    let passed = now - run.begun;
+    let passed = now - run.started_at;
     match run.ends {
-        _ if run.lasting && passed >= STARTUP => 100,
-        _ if run.lasting => 0,
+        _ if run.long_running && passed >= STARTUP_MS => 100,
+        _ if run.long_running => 0,
         None => 0,
         Some((at, _how)) => {
-            let whole = (at - run.begun).max(1);
-            u32::try_from(passed * 100 / whole).unwrap_or(100).min(99)
+            let total = (at - run.started_at).max(1);
+            u32::try_from(passed * 100 / total).unwrap_or(100).min(99)
         }
     }
 }
--- a/crates/standin/tests/all/backend.rs
+++ b/crates/standin/tests/all/backend.rs
@@ -1,4 +1,4 @@
-//! The backend server's modes, seen by a client that reads raw bytes.
+//! The backend server's modes, observed by a client that reads raw bytes.
 
 use expect_test::{Expect, expect};
 use primroseroute_standin::backend::{Backend, Mode, Options};
@@ -27,7 +27,7 @@
 async fn ask(backend: &Backend, extra: &str) -> Vec<u8> {
     let mut stream = TcpStream::connect(backend.address())
         .await
-        .expect("it listens");
+        .expect("the server listens");
     let request = format!(
         "POST /hold HTTP/1.1\r\nhost: b\r\nx-request-id: r1\r\nidempotency-key: k1\r\n\
          content-length: 3\r\n{extra}\r\nbed"
@@ -37,7 +37,7 @@
         .await
         .expect("the request fits the socket");
     let mut answer = Vec::new();
-    // A reset is one of the ends that a test may look for.
+    // Some tests expect a reset, so an error is no failure here.
     drop(stream.read_to_end(&mut answer).await);
     answer
 }
@@ -110,7 +110,7 @@
     let backend = in_mode(Mode::ResetRequests).await;
     let mut stream = TcpStream::connect(backend.address())
         .await
-        .expect("it listens");
+        .expect("the server listens");
     stream
         .write_all(b"GET /healthz HTTP/1.1\r\nhost: b\r\nconnection: close\r\n\r\n")
         .await
@@ -119,7 +119,7 @@
     stream
         .read_to_string(&mut answer)
         .await
-        .expect("the answer comes whole");
+        .expect("the response is complete");
     assert!(answer.starts_with("HTTP/1.1 200 OK"), "{answer}");
 }
 
@@ -181,7 +181,7 @@
     assert_eq!(backend.count().doubled, 1);
 }
 
-/// Waits until `count` requests are under execution.
+/// Waits until `count` requests are executing.
 async fn running(backend: &Backend, count: u32) {
     while backend.count().running != count {
         tokio::task::yield_now().await;
@@ -190,7 +190,7 @@
 
 #[tokio::test]
 async fn counts_overruns_of_slots() {
-    // Three requests are in two slots at once, so one execution began without a free slot.
+    // Three requests execute at once with two slots, so one execution began without a free slot.
     let delay = Duration::from_secs(3600);
     let backend = bind(Options {
         slots: 2,
@@ -216,8 +216,8 @@
 
 #[tokio::test]
 async fn execution_outlives_its_caller() {
-    // The caller gives up and closes its connection while its request executes. The execution goes
-    // on and keeps its slot, so the next request overruns the one slot.
+    // The caller closes its connection while its request executes. The execution continues and keeps
+    // its slot, so the next request overruns the only slot.
     let delay = Duration::from_secs(3600);
     let backend = bind(Options {
         slots: 1,
@@ -226,7 +226,7 @@
     })
     .await;
     tokio::select! {
-        answer = ask(&backend, "") => panic!("answered too early: {answer:?}"),
+        answer = ask(&backend, "") => panic!("response too early: {answer:?}"),
         () = running(&backend, 1) => {}
     }
     while backend.count().connections != 0 {
@@ -234,14 +234,14 @@
     }
     assert_eq!(backend.count().running, 1);
     tokio::select! {
-        answer = ask(&backend, "") => panic!("answered too early: {answer:?}"),
+        answer = ask(&backend, "") => panic!("response too early: {answer:?}"),
         () = running(&backend, 2) => {}
     }
     assert_eq!(backend.count().overruns, 1);
 }
 
 #[tokio::test]
-async fn turns_connections_away() {
+async fn rejects_connections_over_the_limit() {
     let backend = bind(Options {
         connections: 1,
         ..Options::default()
@@ -249,12 +249,12 @@
     .await;
     let mut first = TcpStream::connect(backend.address())
         .await
-        .expect("it listens");
+        .expect("the server listens");
     first
         .write_all(b"GET /healthz HTTP/1.1\r\nhost: b\r\n\r\n")
         .await
-        .expect("it reads");
-    assert_eq!(first.read_u8().await.expect("it answers"), b'H');
+        .expect("the request fits the socket");
+    assert_eq!(first.read_u8().await.expect("the server responds"), b'H');
     assert_eq!(text(&backend, "").await, "");
     assert_eq!(
         (backend.count().turned_away, backend.count().executions),
--- a/crates/standin/tests/all/client.rs
+++ b/crates/standin/tests/all/client.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP: every call, and what each end of a call proves.
+//! The platform over HTTP: every call, and the result that the client returns for each kind of failure.
 
 use crate::{
     fleet::{listed, name},
@@ -27,10 +27,10 @@
 };
 use std::{net::SocketAddr, time::Duration};
 
-/// Far longer than any call here takes; no verdict depends on it.
+/// Far longer than any call here takes; no assertion depends on it.
 const LONG: Duration = Duration::from_secs(60);
 
-/// Short, for calls that are never answered.
+/// Short, for calls that never get a response.
 const SHORT: Duration = Duration::from_millis(50);
 
 fn loopback() -> SocketAddr {
@@ -66,7 +66,7 @@
     client.commit(writes(vec![put("a", "1")])).await
 }
 
-/// A write must end as unknown and a read as unavailable.
+/// A write must fail as unknown and a read as unavailable.
 async fn proves_nothing(client: &Client) {
     let written = write(client).await;
     assert!(matches!(written, Err(Error::Unknown(_))), "{written:?}");
@@ -170,8 +170,8 @@
 
 #[tokio::test]
 async fn lost_answer_is_unknown_and_not_repeated() {
-    // The commit takes effect, then its connection closes. The caller hears "unknown"; the client
-    // must not send the call again by itself.
+    // The commit takes effect, then its connection closes. The caller gets `Unknown`; the client must
+    // not retry the call on its own.
     let platform = open();
     let server = serve(&platform).await;
     let client = client(server.url(), LONG);
@@ -180,10 +180,10 @@
     let lost = write(&client).await;
     assert!(matches!(lost, Err(Error::Unknown(_))), "{lost:?}");
     let row = client.read(&"a".into()).await.expect("no fault is set");
-    assert_eq!(row.expect("it was written").revision, Revision(2));
+    assert_eq!(row.expect("the row was written").revision, Revision(2));
 }
 
-/// Names each case and the way the server misbehaves after it has read the call.
+/// Declares a test per case: how the server misbehaves after it has received the call.
 macro_rules! proves_nothing {
     ($($name:ident => $mode:expr, executes $executes:literal;)*) => {$(
         #[tokio::test]
@@ -206,15 +206,15 @@
 
 #[tokio::test]
 async fn timeout_proves_nothing() {
-    // The server has the call and does not answer. The write must not be taken for refused.
+    // The server has received the call and does not respond. The write must not count as rejected.
     let backend = misbehaving(Mode::Ok, 60 * LONG).await;
     proves_nothing(&client(format!("http://{}", backend.address()), SHORT)).await;
 }
 
 #[tokio::test]
 async fn late_answer_is_not_taken_for_the_next() {
-    // A caller gives a read up, and its answer arrives while the next read, over the same client,
-    // waits. The next read must get its own answer.
+    // A caller drops a read, and its response arrives while the next read waits on the same client.
+    // The next read must get its own response.
     let platform = open();
     let rows = vec![put("a", "1"), put("b", "2")];
     platform
@@ -232,7 +232,7 @@
     let key = "a".into();
     tokio::select! {
         () = arrived => {}
-        early = client.read(&key) => panic!("answered before it arrived: {early:?}"),
+        early = client.read(&key) => panic!("response before the call arrived: {early:?}"),
     }
     platform.faults().set_latency(8 * SHORT, Duration::ZERO);
     let row = client.read(&"b".into()).await.expect("no fault is set");
--- a/crates/standin/tests/all/faults.rs
+++ b/crates/standin/tests/all/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the platform: what the caller hears, and what became of its call.
+//! Faults of the platform: the result that the caller gets, and the actual effect of its call.
 
 use crate::{
     cases,
@@ -19,7 +19,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 async fn answer_lost() {
-    // The caller hears "unknown". The commit took effect first; only its answer was lost.
+    // The caller gets `Unknown`. The commit took effect; only its response was lost.
     let platform = open();
     platform.faults().lose_answers(Kind::Commit, 1);
     let lost = platform.commit(writes(vec![put("a", "1")])).await;
@@ -28,7 +28,7 @@
 }
 
 async fn request_lost() {
-    // The caller hears just the same. The commit never arrived, and never will.
+    // The caller gets the same error, but the commit never arrives.
     let platform = open();
     platform.faults().lose_requests(Kind::Commit, 1);
     let lost = platform.commit(writes(vec![put("a", "1")])).await;
@@ -38,8 +38,8 @@
 }
 
 async fn late_effect() {
-    // Two commits are late, each on the condition that its row is absent. Meanwhile somebody else
-    // writes one of the rows, so one late commit takes effect and the other must not.
+    // Two commits are delayed, each on the condition that its row is absent. Meanwhile another commit
+    // writes one of the rows, so one delayed commit takes effect and the other must not.
     let platform = open();
     platform.faults().delay_effects(Kind::Commit, 2, 5 * SECOND);
     for key in ["a", "b"] {
@@ -60,9 +60,9 @@
     assert_eq!(value(&platform, "b").await.as_deref(), Some("early"));
 }
 
-async fn given_up() {
-    // The caller gives its commit up while the request is under way. The commit arrives and takes
-    // effect all the same.
+async fn abandoned() {
+    // The caller drops its commit while the request is in flight. The commit still arrives and takes
+    // effect.
     let platform = open();
     platform.faults().set_latency(2 * SECOND, Duration::ZERO);
     let commit = platform.commit(writes(vec![put("a", "1")]));
@@ -71,7 +71,7 @@
 }
 
 async fn outage_of_one() {
-    // One entry is cut off: its calls are refused without effect, while the others' go through.
+    // One entry has an outage: its calls fail without effect, while those of others succeed.
     let platform = open();
     let (one, two) = (platform.client("entry-1"), platform.client("entry-2"));
     one.faults().set_outage(Some(Outage::Refuse));
@@ -84,7 +84,7 @@
 }
 
 async fn hanging() {
-    // Calls hang for the set time. A reader knows that it lost nothing; a writer cannot tell.
+    // Calls hang for the configured time. A read fails as unavailable; the outcome of a write is unknown.
     let platform = open();
     platform.faults().set_outage(Some(Outage::Hang(3 * SECOND)));
     let start = Instant::now();
@@ -98,7 +98,7 @@
 }
 
 async fn outage_in_flight() {
-    // The outage begins between the effect and the answer, so the answer is lost with it.
+    // The outage begins between the effect and the response, so the response is lost.
     let platform = open();
     platform.faults().set_latency(2 * SECOND, Duration::ZERO);
     let writer = platform.clone();
@@ -112,7 +112,7 @@
 }
 
 async fn rates() {
-    // More rows are written than a second allows; the rest is refused until the bucket refills.
+    // Writes beyond the rate limit are throttled until the bucket refills.
     let platform = open();
     platform.faults().set_rates(Some(Rates {
         writes: 10,
@@ -151,7 +151,7 @@
         "{taken:?}"
     );
     taken.dedup();
-    assert!(taken.len() > 10, "the jitter is no jitter: {taken:?}");
+    assert!(taken.len() > 10, "the latency does not vary: {taken:?}");
 }
 
 async fn tallies() {
@@ -199,9 +199,9 @@
     lost_answer_hides_an_effect => answer_lost();
     lost_request_has_no_effect => request_lost();
     late_commit_evaluates_conditions_when_it_lands => late_effect();
-    given_up_commit_takes_effect => given_up();
+    abandoned_commit_takes_effect => abandoned();
     outage_of_one_client_spares_the_others => outage_of_one();
-    hanging_outage_leaves_writers_unsure => hanging();
+    hanging_outage_leaves_writes_unknown => hanging();
     outage_in_flight_loses_the_answer => outage_in_flight();
     rates_limit_rows => rates();
     latency_is_fixed_plus_jitter => latency();
--- a/crates/standin/tests/all/fleet.rs
+++ b/crates/standin/tests/all/fleet.rs
@@ -1,4 +1,4 @@
-//! The lagging list and reboots.
+//! The lag of the list of instances, and reboots.
 
 use crate::{cases, table::open};
 use primroseroute_domain::id;
@@ -36,7 +36,7 @@
 }
 
 async fn lag() {
-    // The list shows an instance, its leaving and its end only after the lag.
+    // The list shows an instance, its leaving phase and its removal only after the lag.
     let platform = open();
     let fleet = platform.fleet();
     fleet.set_lag(10 * SECOND);
@@ -55,7 +55,7 @@
 }
 
 async fn reboot() {
-    // The first answer is lost, so the caller repeats the call; the instance reboots once.
+    // The first response is lost, so the caller repeats the call; the instance reboots only once.
     let platform = open();
     let fleet = platform.fleet();
     fleet.add(listed("w1"));
--- a/crates/standin/tests/all/judge.rs
+++ b/crates/standin/tests/all/judge.rs
@@ -1,4 +1,4 @@
-//! The judge of histories finds what is broken, in journals written by hand.
+//! The history checker finds each breach in handwritten journals.
 
 use crate::cases;
 use primroseroute_domain::work::{Demand, End, Job, JobId, Name, Step, TaskId};
@@ -10,18 +10,18 @@
 cases! {
     /// A third start of a task after it has crashed three workers.
     third_start_after_three_crashes_is_found => async { crashes() };
-    /// A start that brings a worker over its room.
-    start_beyond_a_room_is_found => async { room() };
-    /// A room that has shrunk, before it had to be known.
-    room_that_has_just_shrunk_does_not_count => async { shrunk() };
-    /// A start after the end of a run in a worker's second life.
-    start_after_an_end_in_a_next_life_is_found => async { next_life() };
-    /// A stop beside a task of the step that an order has ended and that isn't at work again.
-    stop_beside_a_stopped_task_is_found => async { beside_stopped() };
-    /// A stop beside a task that was at work again after an order, and was then lost for another cause.
-    stop_beside_a_task_that_was_just_lost_is_not_held => async { beside_lost() };
-    /// An end that was listed by another life than the one that acknowledgements reach.
-    end_of_a_life_that_is_over_is_not_acknowledged => async { other_life() };
+    /// A start that exceeds a worker's capacity.
+    start_beyond_the_capacity_is_found => async { over_capacity() };
+    /// A start beyond a reduced capacity that the entries need not know yet.
+    capacity_that_was_just_reduced_is_not_enforced => async { reduced_capacity() };
+    /// A start after the task succeeded in a worker's second incarnation.
+    start_after_an_end_in_the_next_incarnation_is_found => async { next_incarnation() };
+    /// A stop while another task of the step was stopped by an order and is not ready again.
+    stop_while_another_task_is_stopped_is_found => async { while_other_stopped() };
+    /// A stop while another task, which was ready again after an order, was then lost for another cause.
+    stop_while_another_task_was_just_lost_is_allowed => async { while_other_lost() };
+    /// An end listed by another incarnation than the one that the acknowledgement reaches.
+    end_of_a_terminated_incarnation_is_not_acknowledged => async { other_incarnation() };
 }
 
 const WORKER: &str = "w-1";
@@ -85,7 +85,7 @@
     }
 }
 
-fn judged(events: Vec<Event>) -> Vec<Breach> {
+fn breaches(events: Vec<Event>) -> Vec<Breach> {
     check(&sent(), &Journal { events })
 }
 
@@ -101,24 +101,24 @@
         });
         events.push(ended(at + 5, 0, run, None));
     }
-    assert_eq!(judged(events), vec![Breach::Crashes(task(0), 6_000)]);
+    assert_eq!(breaches(events), vec![Breach::Crashes(task(0), 6_000)]);
 }
 
-fn room() {
+fn over_capacity() {
     let events = (0..5).map(|index| started(100, index, 1)).collect();
-    assert_eq!(judged(events), vec![Breach::Full(task(4), 100)]);
+    assert_eq!(breaches(events), vec![Breach::Full(task(4), 100)]);
 }
 
-fn shrunk() {
+fn reduced_capacity() {
     let resized = Event::Resized {
         at: 10_000,
         worker: worker(),
         capacity: Demand { cpu: 0, ..CAPACITY },
     };
     let before = vec![resized.clone(), started(14_000, 0, 1)];
-    assert_eq!(judged(before), Vec::new());
+    assert_eq!(breaches(before), Vec::new());
     let after = vec![resized, started(15_000, 0, 1)];
-    assert_eq!(judged(after), vec![Breach::Full(task(0), 15_000)]);
+    assert_eq!(breaches(after), vec![Breach::Full(task(0), 15_000)]);
 }
 
 fn born(at: u64) -> Event {
@@ -128,7 +128,7 @@
     }
 }
 
-fn noted(at: u64, number: u64) -> Event {
+fn acknowledged(at: u64, number: u64) -> Event {
     Event::Noted {
         at,
         worker: worker(),
@@ -136,37 +136,37 @@
     }
 }
 
-fn next_life() {
+fn next_incarnation() {
     let events = vec![
         born(0),
         started(100, 0, 1),
         ended(600, 0, 1, Some(End::Done)),
-        noted(700, 1),
+        acknowledged(700, 1),
         born(5_000),
         started(5_100, 1, 1),
         ended(5_600, 1, 1, Some(End::Done)),
-        noted(5_700, 1),
+        acknowledged(5_700, 1),
         started(6_000, 1, 2),
     ];
-    assert_eq!(judged(events), vec![Breach::AfterDone(task(1), 6_000)]);
+    assert_eq!(breaches(events), vec![Breach::AfterDone(task(1), 6_000)]);
 }
 
-fn other_life() {
+fn other_incarnation() {
     let events = vec![
         born(0),
         started(100, 0, 1),
         ended(600, 0, 1, Some(End::Done)),
         born(5_000),
-        noted(5_100, 1),
+        acknowledged(5_100, 1),
         started(6_000, 0, 2),
     ];
-    assert_eq!(judged(events), Vec::new());
+    assert_eq!(breaches(events), Vec::new());
 }
 
-/// What two tasks of a step that may miss one break in a history; the first was stopped at 2,000 ms.
-fn away(events: Vec<Event>) -> Vec<Breach> {
+/// Breaches in a history of two tasks of a step of which one may be unavailable; the first was stopped at 2,000 ms.
+fn breaches_after_stop(events: Vec<Event>) -> Vec<Breach> {
     let mut sent = sent();
-    let job = sent.jobs.get_mut(&id()).expect("it was sent");
+    let job = sent.jobs.get_mut(&id()).expect("the job was submitted");
     job.steps[0] = Step {
         count: 2,
         lasting: true,
@@ -194,25 +194,28 @@
     }
 }
 
-fn beside_stopped() {
+fn while_other_stopped() {
     let found = vec![Breach::Away(task(1), 2_600)];
-    assert_eq!(away(vec![stopping(2_600, 1, 1)]), found);
-    // Its next run ends before it is at work, and so does the one after that.
+    assert_eq!(breaches_after_stop(vec![stopping(2_600, 1, 1)]), found);
+    // Neither of its next two runs becomes ready before it ends or the stop comes.
     let lost_early = vec![
         ended(2_300, 0, 2, None),
         started(2_400, 0, 3),
         stopping(2_600, 1, 1),
     ];
-    assert_eq!(away(lost_early), found);
+    assert_eq!(breaches_after_stop(lost_early), found);
 }
 
-fn beside_lost() {
+fn while_other_lost() {
     let lost = vec![
         ended(4_000, 0, 2, None),
         started(4_500, 0, 3),
         stopping(4_600, 1, 1),
     ];
-    assert_eq!(away(lost), Vec::new());
+    assert_eq!(breaches_after_stop(lost), Vec::new());
     let for_long = vec![ended(4_000, 0, 2, None), stopping(8_500, 1, 1)];
-    assert_eq!(away(for_long), vec![Breach::Away(task(1), 8_500)]);
+    assert_eq!(
+        breaches_after_stop(for_long),
+        vec![Breach::Away(task(1), 8_500)]
+    );
 }
--- a/crates/standin/tests/all/main.rs
+++ b/crates/standin/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the stand-ins: that they fail in the ways that they promise.
+//! Tests of the simulated platform, backend server and history checker, above all of their faults.
 
 mod backend;
 mod client;
@@ -8,7 +8,7 @@
 mod table;
 mod tasks;
 
-/// Names each case, which runs under paused time.
+/// Declares a test per case, which runs under paused time.
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident => $body:expr;)*) => {$(
         $(#[$doc])*
--- a/crates/standin/tests/all/tasks.rs
+++ b/crates/standin/tests/all/tasks.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// Token, phase and end in seconds of each run.
+/// Token, phase and end (in seconds since the first start) of each run.
 fn runs(platform: &Platform) -> String {
     let runs = platform.tasks().runs();
     let first = runs[0].began;
@@ -51,7 +51,7 @@
 }
 
 async fn leases() {
-    // The holder renews once, then falls silent; the task stops when the lease lapses.
+    // The holder renews once and then stops; the task stops when the lease expires.
     let platform = open();
     platform
         .start(start("w1", 1))
@@ -68,8 +68,9 @@
 }
 
 async fn tokens() {
-    // A paused controller wakes up and starts the job with its old token: refused. A controller
-    // that starts it anew without waiting for the old lease makes two runs at once: it shows.
+    // A controller that resumes after a pause and starts the job with its old token is rejected. A
+    // controller that starts the job again without waiting for the old lease causes two overlapping
+    // runs, which are reported.
     let platform = open();
     assert_eq!(platform.start(start("w1", 2)).await, Ok(()));
     assert_eq!(platform.start(start("w1", 2)).await, Ok(()));
@@ -88,7 +89,7 @@
 }
 
 async fn checkpoints() {
-    // Half the work is checkpointed, then the task is stopped; the next start does the other half.
+    // The task is stopped after a checkpoint at half of the work; the next start does the other half.
     let platform = open();
     assert_eq!(platform.start(start("w1", 1)).await, Ok(()));
     tokio::time::sleep(4 * SECOND).await;
@@ -97,7 +98,7 @@
     platform
         .renew(&job(), Token(1), 60 * SECOND)
         .await
-        .expect("it runs");
+        .expect("the task runs");
     tokio::time::sleep(Duration::from_millis(1200)).await;
     assert_eq!(platform.checkpoint(&job(), Token(1)).await, Ok(()));
     let reports = platform.reports().await.expect("no fault is set");
@@ -110,7 +111,7 @@
 }
 
 async fn scripts_and_lag() {
-    // The job takes four times what was declared and fails; a report says so only after the lag.
+    // The job uses four times the declared cores and fails; the reports show it only after the lag.
     let platform = open();
     let tasks = platform.tasks();
     tasks.set_lag(3 * SECOND);
@@ -155,7 +156,7 @@
 }
 
 cases! {
-    lease_lapses_without_renewal => leases();
+    lease_expires_without_renewal => leases();
     tokens_fence_and_overlaps_show => tokens();
     next_start_goes_on_from_the_checkpoint => checkpoints();
     scripts_differ_from_declared_and_reports_lag => scripts_and_lag();
