--- a/crates/standin/src/platform/call.rs
+++ b/crates/standin/src/platform/call.rs
@@ -49,7 +49,7 @@
 
 /// Effect of a call.
 pub(super) struct Effect<T> {
-    /// Its answer.
+    /// The value returned to the caller.
     pub(super) answer: T,
     /// Rows read or written.
     pub(super) rows: u64,
--- a/crates/standin/src/platform/task/execution.rs
+++ b/crates/standin/src/platform/task/execution.rs
@@ -149,7 +149,7 @@
         let own = || {
             self.executions
                 .iter()
-                .filter(|execution| execution.run.job == start.job)
+                .filter(|old| old.run.job == start.job)
         };
         if let Some(newest) = own().max_by_key(|execution| execution.run.token) {
             if newest.run.token == start.token && newest.run.instance == start.instance {
--- a/crates/standin/src/site/check/capacity.rs
+++ b/crates/standin/src/site/check/capacity.rs
@@ -55,9 +55,9 @@
         let first = before
             .last()
             .map_or(CAPACITY, |(_from, capacity)| *capacity);
-        recent.iter().fold(first, |largest, (_from, capacity)| {
-            largest.larger(*capacity)
-        })
+        recent
+            .iter()
+            .fold(first, |most, (_from, capacity)| most.larger(*capacity))
     }
 }
 
--- a/crates/standin/tests/all/backend.rs
+++ b/crates/standin/tests/all/backend.rs
@@ -264,7 +264,7 @@
 
 #[tokio::test]
 async fn stop_is_abrupt() {
-    // The server stops while a request executes; its connection closes without an answer.
+    // The server stops while a request executes; its connection closes without a response.
     let delay = Duration::from_secs(3600);
     let backend = bind(Options {
         delay,
