--- a/crates/standin/src/platform/task/execution.rs
+++ b/crates/standin/src/platform/task/execution.rs
@@ -108,7 +108,7 @@
     script: Script,
     pub(super) jobs: BTreeMap<id::Job, Script>,
     pub(super) instances: BTreeMap<id::Instance, Ending>,
-    pub(super) executions: Vec<Execution>,
+    pub(super) runs: Vec<Execution>,
 }
 
 impl State {
@@ -118,18 +118,18 @@
             script,
             jobs: BTreeMap::new(),
             instances: BTreeMap::new(),
-            executions: Vec::new(),
+            runs: Vec::new(),
         }
     }
 
     pub(super) fn finish_due_runs(&mut self, now: Instant) {
-        for execution in &mut self.executions {
+        for execution in &mut self.runs {
             execution.finish_if_due(now);
         }
     }
 
     pub(in crate::platform) fn stop_on(&mut self, instance: &id::Instance, now: Instant) {
-        for execution in &mut self.executions {
+        for execution in &mut self.runs {
             if execution.run.instance == *instance {
                 execution.stop(now);
             }
@@ -146,11 +146,7 @@
 
     pub(super) fn start(&mut self, start: Start, now: Instant) -> Result<(), Error> {
         self.finish_due_runs(now);
-        let own = || {
-            self.executions
-                .iter()
-                .filter(|old| old.run.job == start.job)
-        };
+        let own = || self.runs.iter().filter(|old| old.run.job == start.job);
         if let Some(newest) = own().max_by_key(|execution| execution.run.token) {
             if newest.run.token == start.token && newest.run.instance == start.instance {
                 return Ok(());
@@ -166,7 +162,7 @@
             .map(|execution| execution.saved_progress(now))
             .fold(0.0, f64::max);
         let script = self.script_of(&start);
-        self.executions.push(Execution {
+        self.runs.push(Execution {
             run: Run {
                 job: start.job,
                 instance: start.instance,
@@ -193,7 +189,7 @@
         now: Instant,
     ) -> Result<&mut Execution, Error> {
         self.finish_due_runs(now);
-        self.executions
+        self.runs
             .iter_mut()
             .find(|execution| {
                 execution.run.job == *job
@@ -212,7 +208,7 @@
     ) -> Result<(), Error> {
         let newer =
             |execution: &Execution| execution.run.job == *job && execution.run.token > token;
-        if self.executions.iter().any(newer) {
+        if self.runs.iter().any(newer) {
             return Err(Error::Invalid(format!(
                 "start {} of `{job}` was followed by a newer one",
                 token.0
--- a/crates/standin/src/platform/task/mod.rs
+++ b/crates/standin/src/platform/task/mod.rs
@@ -129,7 +129,7 @@
         let mut tasks = self.shared.tasks.lock();
         tasks.finish_due_runs(Instant::now());
         tasks
-            .executions
+            .runs
             .iter()
             .map(|execution| execution.run.clone())
             .collect()
@@ -232,7 +232,7 @@
             let at = now.checked_sub(tasks.lag).unwrap_or(now);
             let as_of = shared.wall(at);
             let reports: Vec<_> = tasks
-                .executions
+                .runs
                 .iter()
                 .filter_map(|execution| execution.report(at, as_of))
                 .collect();
