--- a/crates/standin/src/site/caller/mod.rs
+++ b/crates/standin/src/site/caller/mod.rs
@@ -3,7 +3,7 @@
 mod site;
 mod workers;
 
-use super::{Conduct, Reach, Shared, State};
+use super::{CallerFaults, Reach, Shared, State};
 use async_trait::async_trait;
 use primroseroute_domain::work::Name;
 use primroseroute_platform::{
@@ -57,24 +57,24 @@
         Self { name, shared }
     }
 
-    /// The name to pass to [`super::World::conduct`].
+    /// The name to pass to [`super::World::update_faults`].
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    pub(super) fn conduct(&self) -> Conduct {
+    pub(super) fn faults(&self) -> CallerFaults {
         let state = self.shared.state.lock();
-        state.conduct.get(&self.name).copied().unwrap_or_default()
+        state.faults.get(&self.name).copied().unwrap_or_default()
     }
 
     /// Waits while the process is suspended; forever if it has terminated.
     pub(super) async fn wait_until_running(&self) {
         loop {
-            let conduct = self.conduct();
-            if conduct.dead {
+            let faults = self.faults();
+            if faults.dead {
                 pending::<()>().await;
             }
-            if !conduct.frozen {
+            if !faults.frozen {
                 return;
             }
             sleep(RESUME_POLL_INTERVAL).await;
@@ -83,13 +83,13 @@
 
     /// Waits for half of a call's round-trip latency.
     pub(super) async fn wait_half_latency(&self) {
-        let conduct = self.conduct();
-        sleep((self.shared.options.latency + conduct.delay) / 2).await;
+        let faults = self.faults();
+        sleep((self.shared.options.latency + faults.delay) / 2).await;
     }
 
     /// Sends a request to the store.
     pub(super) async fn send_to_store(&self) -> Result<(), Error> {
-        self.send(|conduct| conduct.store).await
+        self.send(|faults| faults.store).await
     }
 
     /// Checks the store's rate limit for reads.
@@ -99,9 +99,9 @@
 
     /// Sends a read to a table of the store.
     async fn send_to_table(&self, table: &str) -> Result<(), Error> {
-        self.send(|conduct| match conduct.store {
-            Reach::Fine if table == CONTROL => conduct.control,
-            Reach::Fine if table.starts_with(JOBS_PREFIX) => conduct.jobs,
+        self.send(|faults| match faults.store {
+            Reach::Fine if table == CONTROL => faults.control,
+            Reach::Fine if table.starts_with(JOBS_PREFIX) => faults.jobs,
             store => store,
         })
         .await?;
@@ -110,19 +110,19 @@
 
     /// Sends a request to a table's feed.
     async fn send_to_feed(&self, table: &str) -> Result<(), Error> {
-        if self.conduct().feeds == Reach::Fine {
+        if self.faults().feeds == Reach::Fine {
             self.send_to_table(table).await
         } else {
-            self.send(|conduct| conduct.feeds).await?;
+            self.send(|faults| faults.feeds).await?;
             self.admit_read()
         }
     }
 
     /// Sends a request that is subject to one kind of fault.
-    pub(super) async fn send(&self, reach: impl Fn(&Conduct) -> Reach) -> Result<(), Error> {
+    pub(super) async fn send(&self, reach: impl Fn(&CallerFaults) -> Reach) -> Result<(), Error> {
         self.wait_until_running().await;
         self.wait_half_latency().await;
-        match reach(&self.conduct()) {
+        match reach(&self.faults()) {
             Reach::Fine => Ok(()),
             Reach::Refused => Err(Error::Unavailable("503".into())),
             Reach::Throttled => Err(Error::Throttled),
@@ -144,10 +144,10 @@
     }
 
     fn draw_commit_delivery(&self) -> Delivery {
-        let conduct = self.conduct();
-        if self.draw(conduct.lost_commits) {
+        let faults = self.faults();
+        if self.draw(faults.lost_commits) {
             Delivery::ResponseLost
-        } else if self.draw(conduct.late_commits) {
+        } else if self.draw(faults.late_commits) {
             Delivery::Late(self.random_duration(1_000, 6_000))
         } else {
             Delivery::Responded
@@ -171,7 +171,7 @@
     pub(super) async fn send_to_worker(&self, target: &Target) -> Result<(), Error> {
         self.wait_until_running().await;
         self.wait_half_latency().await;
-        let reach = self.conduct().workers;
+        let reach = self.faults().workers;
         let found = {
             let state = self.shared.state.lock();
             let worker = state.workers.get(&target.id);
@@ -191,12 +191,12 @@
     pub(super) async fn order(
         &self,
         target: &Target,
-        late: impl FnOnce(&Conduct) -> f64,
+        late: impl FnOnce(&CallerFaults) -> f64,
         order: impl FnOnce(&mut State, u64) -> Answer + Send + 'static,
     ) -> Result<Answer, Error> {
-        sleep(self.conduct().orders).await;
+        sleep(self.faults().orders).await;
         self.send_to_worker(target).await?;
-        match self.draw_order_delivery(late(&self.conduct())) {
+        match self.draw_order_delivery(late(&self.faults())) {
             Delivery::Late(after) => {
                 let shared = Arc::clone(&self.shared);
                 tokio::spawn(async move {
@@ -240,26 +240,22 @@
 #[async_trait]
 impl Rows for Caller {
     async fn commit(&self, txn: Txn) -> Result<Commit, Error> {
-        let reach = |conduct: &Conduct| {
+        let reach = |faults: &CallerFaults| {
             let mut places = txn.conditions.iter().map(|(place, _version)| place);
             let mut puts = txn.puts.iter().map(|(place, _value)| place);
             let of_control = |place: &Place| &*place.table == CONTROL;
             let control = places.any(of_control) || puts.any(of_control);
             let reaches = [
-                conduct.store,
-                conduct.commits,
-                if control {
-                    conduct.control
-                } else {
-                    Reach::Fine
-                },
+                faults.store,
+                faults.commits,
+                if control { faults.control } else { Reach::Fine },
             ];
             let first_fault = reaches.into_iter().find(|reach| *reach != Reach::Fine);
             first_fault.unwrap_or_default()
         };
         self.send(reach).await.map_err(|error| {
             // Without a response, the outcome of a mutating call is unknown.
-            if reach(&self.conduct()) == Reach::Silent {
+            if reach(&self.faults()) == Reach::Silent {
                 Error::Unknown("no answer".into())
             } else {
                 error
@@ -291,12 +287,12 @@
     }
 
     async fn read(&self, range: Range) -> Result<Page, Error> {
-        if range.table.starts_with(JOBS_PREFIX) && self.conduct().job_reads != Reach::Fine {
-            self.send(|conduct| conduct.job_reads).await?;
+        if range.table.starts_with(JOBS_PREFIX) && self.faults().job_reads != Reach::Fine {
+            self.send(|faults| faults.job_reads).await?;
         }
         self.send_to_table(&range.table).await?;
         let page = self.shared.state.lock().store.read(&range);
-        sleep(self.conduct().reads).await;
+        sleep(self.faults().reads).await;
         self.receive().await;
         Ok(page)
     }
--- a/crates/standin/src/site/caller/site.rs
+++ b/crates/standin/src/site/caller/site.rs
@@ -98,7 +98,7 @@
             .values()
             .cloned()
             .collect();
-        sleep(self.conduct().lists).await;
+        sleep(self.faults().lists).await;
         self.receive().await;
         Ok(all)
     }
@@ -151,11 +151,11 @@
 impl Caller {
     /// Sends a request about the registrations of workers.
     async fn send_to_registry(&self) -> Result<(), Error> {
-        self.send(|conduct| {
-            if conduct.store == Reach::Fine {
-                conduct.registry
+        self.send(|faults| {
+            if faults.store == Reach::Fine {
+                faults.registry
             } else {
-                conduct.store
+                faults.store
             }
         })
         .await
@@ -164,7 +164,7 @@
     /// Sends an order to an instance.
     async fn send_to_instances(&self) {
         self.wait_until_running().await;
-        sleep(self.conduct().instance_orders).await;
+        sleep(self.faults().instance_orders).await;
         self.wait_half_latency().await;
     }
 
--- a/crates/standin/src/site/caller/workers.rs
+++ b/crates/standin/src/site/caller/workers.rs
@@ -2,7 +2,7 @@
 
 use super::{Caller, ORDER_TIMEOUT};
 use crate::site::{
-    Conduct, Reach, State, is_allowed,
+    CallerFaults, Reach, State, is_allowed,
     state::millis,
     worker::{Stop, Ticket},
 };
@@ -26,7 +26,7 @@
     async fn advise(&self, step: &StepId, workers: &[Name]) -> Result<Advice, Error> {
         self.wait_until_running().await;
         self.wait_half_latency().await;
-        if self.conduct().advice != Reach::Fine {
+        if self.faults().advice != Reach::Fine {
             return Err(Error::Unavailable("503".into()));
         }
         let (decide, each) = ADVICE_TIME;
@@ -68,7 +68,7 @@
                 _ => Answer::Gone,
             }
         };
-        self.order(target, Conduct::late_order, order).await
+        self.order(target, CallerFaults::late_order, order).await
     }
 
     async fn stop(
@@ -98,7 +98,7 @@
                 _ => Answer::Gone,
             }
         };
-        self.order(target, Conduct::late_stop, order).await
+        self.order(target, CallerFaults::late_stop, order).await
     }
 
     async fn renew(&self, target: &Target, renewal: LeaseRenewal) -> Result<PollOutcome, Error> {
@@ -163,6 +163,6 @@
         _token: u64,
     ) -> Result<Answer, Error> {
         let order = |_state: &mut State, _now| Answer::Done;
-        self.order(target, Conduct::late_order, order).await
+        self.order(target, CallerFaults::late_order, order).await
     }
 }
--- a/crates/standin/src/site/mod.rs
+++ b/crates/standin/src/site/mod.rs
@@ -1,7 +1,7 @@
 //! A simulated site: a partitioned table with a feed, workers with leases, instances, operators.
 //!
 //! [`World`] is the site itself, with its controls for tests; [`Caller`] is one entry's client of it, and
-//! implements the traits of `primroseroute-platform`. Faults are injected per caller ([`Conduct`]) and per
+//! implements the traits of `primroseroute-platform`. Faults are injected per caller ([`CallerFaults`]) and per
 //! worker. Time is tokio's, so all of it works under paused time; randomness comes from one seed.
 //!
 //! A job's payload sets the behaviour of its tasks. `<milliseconds>` runs for that time and succeeds; followed by
@@ -97,7 +97,7 @@
 
 /// Faults of one caller's calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Conduct {
+pub struct CallerFaults {
     /// Its calls to the store.
     pub store: Reach,
     /// Its calls to the store that concern the table `control`, to simulate a partial failure of the store.
@@ -141,7 +141,7 @@
     pub frozen: bool,
 }
 
-impl Conduct {
+impl CallerFaults {
     /// Share of its orders other than stops that are late.
     pub(crate) fn late_order(&self) -> f64 {
         self.late_orders
@@ -179,7 +179,7 @@
             instructions: Vec::new(),
             waves: BTreeMap::new(),
             maintained: BTreeSet::new(),
-            conduct: BTreeMap::new(),
+            faults: BTreeMap::new(),
             journal: Journal::default(),
             workers_created: 0,
             last_workers: BTreeMap::new(),
@@ -206,9 +206,9 @@
     }
 
     /// Changes the faults of the calls of `caller`.
-    pub fn conduct(&self, caller: &str, set: impl FnOnce(&mut Conduct)) {
+    pub fn update_faults(&self, caller: &str, set: impl FnOnce(&mut CallerFaults)) {
         self.shared.change(|state, _now| {
-            set(state.conduct.entry(caller.into()).or_default());
+            set(state.faults.entry(caller.into()).or_default());
         });
     }
 
--- a/crates/standin/src/site/state.rs
+++ b/crates/standin/src/site/state.rs
@@ -1,7 +1,7 @@
 //! State of the site, and its changes over time.
 
 use super::{
-    Conduct, Options,
+    CallerFaults, Options,
     journal::{Event, Journal},
     rate::RateLimiter,
     store::Store,
@@ -47,7 +47,7 @@
     pub waves: BTreeMap<u64, bool>,
     /// Instances that were already maintained for a wave: repeated orders have no effect.
     pub maintained: BTreeSet<(u64, Name)>,
-    pub conduct: BTreeMap<Name, Conduct>,
+    pub faults: BTreeMap<Name, CallerFaults>,
     pub journal: Journal,
     pub workers_created: u64,
     /// The last worker of each instance.
--- a/tests/site/accept.rs
+++ b/tests/site/accept.rs
@@ -92,7 +92,7 @@
 // or nothing certain: never that it was refused, since it runs.
 async fn lost_answer() -> Result<()> {
     let mut bed = Bed::open(4, 2, 3).await?;
-    bed.conduct_all(|conduct| conduct.lost_commits = 0.5);
+    bed.update_all_faults(|faults| faults.lost_commits = 0.5);
     let mut ids = Vec::new();
     for _job in 0..12 {
         let id = bed.id();
@@ -103,7 +103,7 @@
         );
         ids.push(id);
     }
-    bed.conduct_all(|conduct| conduct.lost_commits = 0.0);
+    bed.update_all_faults(|faults| faults.lost_commits = 0.0);
     for id in ids {
         bed.until("e-1", &id, State::Completed, 10).await?;
     }
@@ -115,11 +115,11 @@
 async fn late_commit() -> Result<()> {
     let mut bed = Bed::open(5, 2, 3).await?;
     let name = bed.bystander(POOL).await?;
-    bed.conduct(&name, |conduct| conduct.late_commits = 1.0);
+    bed.update_faults(&name, |faults| faults.late_commits = 1.0);
     let id = bed.id();
     let status = bed.send(&name, &id, &job("100", 1)).await;
     ensure!(status == StatusCode::GATEWAY_TIMEOUT, "{status}");
-    bed.conduct(&name, |conduct| conduct.late_commits = 0.0);
+    bed.update_faults(&name, |faults| faults.late_commits = 0.0);
     bed.until(&name, &id, State::Completed, 12).await?;
     bed.judge()
 }
@@ -128,12 +128,12 @@
 // a time to come back. The job must never run.
 async fn refused() -> Result<()> {
     let mut bed = Bed::open(6, 2, 3).await?;
-    bed.conduct("e-0", |conduct| conduct.store = Reach::Refused);
+    bed.update_faults("e-0", |faults| faults.store = Reach::Refused);
     let id = bed.id();
     let status = bed.send("e-0", &id, &job("100", 1)).await;
     ensure!(status == StatusCode::SERVICE_UNAVAILABLE, "{status}");
     bed.sent.refused.insert(id.clone());
-    bed.conduct("e-0", |conduct| conduct.store = Reach::Fine);
+    bed.update_faults("e-0", |faults| faults.store = Reach::Fine);
     seconds(10).await;
     ensure!(bed.state("e-1", &id).await == Err(StatusCode::GONE));
     bed.judge()
@@ -194,7 +194,7 @@
 async fn on_their_way() -> Result<()> {
     let mut bed = Bed::open(11, 2, 1).await?;
     let starts_take = std::time::Duration::from_secs(2);
-    bed.conduct_all(|conduct| conduct.orders = starts_take);
+    bed.update_all_faults(|faults| faults.orders = starts_take);
     let mut jobs = Vec::new();
     for _job in 0..2 {
         jobs.push(bed.submit("e-0", &job("4000", 4)).await?);
--- a/tests/site/advice.rs
+++ b/tests/site/advice.rs
@@ -79,12 +79,12 @@
     };
     let steady = bed.submit("e-0", &steady).await?;
     seconds(1).await;
-    bed.conduct_all(|conduct| conduct.advice = Reach::Refused);
+    bed.update_all_faults(|faults| faults.advice = Reach::Refused);
     let id = bed.submit("e-0", &advised("500", 4)).await?;
     seconds(5).await;
     ensure!(bed.state("e-0", &id).await == Ok(State::Pending));
     ensure!(bed.queued("e-0").await == 1);
-    bed.conduct_all(|conduct| conduct.advice = Reach::Fine);
+    bed.update_all_faults(|faults| faults.advice = Reach::Fine);
     bed.until("e-0", &id, State::Completed, 2).await?;
     policy_was_kept(&bed, &steady, 2)?;
     for index in 0..2 {
--- a/tests/site/bed/mod.rs
+++ b/tests/site/bed/mod.rs
@@ -19,7 +19,7 @@
     rows::Rows,
     site::{Codec, Configuration, Instruction, Site},
 };
-use primroseroute_standin::site::{Caller, Conduct, Options, World, check};
+use primroseroute_standin::site::{Caller, CallerFaults, Options, World, check};
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 use tokio::{
     sync::watch,
@@ -223,7 +223,7 @@
     pub(crate) fn start(&mut self, name: &str) {
         self.started += 1;
         self.world
-            .conduct(name, |conduct| *conduct = Conduct::default());
+            .update_faults(name, |faults| *faults = CallerFaults::default());
         // Calls of the killed process go by another name, and stay dead.
         let caller = self.world.caller(&format!("{name}#{}", self.started));
         let store = Backoff::new("store", self.started);
@@ -274,7 +274,8 @@
     /// Kills an entry's process: none of its calls goes out or comes back any more.
     pub(crate) fn kill(&mut self, name: &str) {
         let calls = self.calls(name);
-        self.world.conduct(&calls, |conduct| conduct.dead = true);
+        self.world
+            .update_faults(&calls, |faults| faults.dead = true);
         self.nodes.remove(name);
     }
 
@@ -286,14 +287,14 @@
     }
 
     /// Sets how the calls of an entry's newest process fare.
-    pub(crate) fn conduct(&self, name: &str, set: impl FnOnce(&mut Conduct)) {
-        self.world.conduct(&self.calls(name), set);
+    pub(crate) fn update_faults(&self, name: &str, set: impl FnOnce(&mut CallerFaults)) {
+        self.world.update_faults(&self.calls(name), set);
     }
 
     /// Sets how the calls of all entries fare.
-    pub(crate) fn conduct_all(&self, set: impl Fn(&mut Conduct)) {
+    pub(crate) fn update_all_faults(&self, set: impl Fn(&mut CallerFaults)) {
         for name in self.nodes.keys() {
-            self.conduct(name, &set);
+            self.update_faults(name, &set);
         }
     }
 
--- a/tests/site/cancel.rs
+++ b/tests/site/cancel.rs
@@ -8,7 +8,7 @@
 use http::StatusCode;
 use primroseroute_cell::row;
 use primroseroute_domain::work::{JobId, State};
-use primroseroute_standin::site::{Conduct, Reach};
+use primroseroute_standin::site::{CallerFaults, Reach};
 use std::time::Duration;
 
 cases! {
@@ -19,8 +19,8 @@
     cancel_stops_while_commits_wait => commits_wait();
     cancel_stops_while_a_commit_is_under_way => commit_under_way();
     cancel_of_a_job_whose_start_waits_for_its_commit => start_waits();
-    cancel_that_the_owner_hears_of_seconds_late => hears_late(|conduct| conduct.feeds = Reach::Silent);
-    cancel_that_the_owner_can_neither_follow_nor_read => hears_late(|conduct| conduct.jobs = Reach::Silent);
+    cancel_that_the_owner_hears_of_seconds_late => hears_late(|faults| faults.feeds = Reach::Silent);
+    cancel_that_the_owner_can_neither_follow_nor_read => hears_late(|faults| faults.jobs = Reach::Silent);
     cancel_that_an_owner_without_a_feed_reads => reads_in_place(Reach::Silent);
     cancel_that_an_owner_whose_feed_is_refused_reads => reads_in_place(Reach::Refused);
     cancel_while_a_successor_reads_the_pool => successor_reads();
@@ -66,11 +66,11 @@
 async fn late_start() -> Result<()> {
     let mut bed = Bed::open(53, 2, 4).await?;
     let owner = bed.owner(POOL).await?;
-    bed.conduct(&owner, |conduct| conduct.late_orders = 1.0);
+    bed.update_faults(&owner, |faults| faults.late_orders = 1.0);
     let id = bed.submit(&owner, &job("lasts", 3)).await?;
     seconds(1).await;
     ensure!(bed.cancel(&owner, &id).await == StatusCode::OK);
-    bed.conduct(&owner, |conduct| conduct.late_orders = 0.0);
+    bed.update_faults(&owner, |faults| faults.late_orders = 0.0);
     seconds(14).await;
     for index in 0..3 {
         ensure!(bed.running(&task(&id, 0, index)).is_empty());
@@ -96,7 +96,7 @@
     let other = bed.bystander(POOL).await?;
     let id = bed.submit(&other, &lasting(3)).await?;
     seconds(2).await;
-    bed.conduct(&owner, |conduct| conduct.late_commits = 1.0);
+    bed.update_faults(&owner, |faults| faults.late_commits = 1.0);
     ensure!(bed.cancel(&other, &id).await == StatusCode::OK);
     seconds(1).await;
     for index in 0..3 {
@@ -113,7 +113,7 @@
     let other = bed.bystander(POOL).await?;
     let id = bed.submit(&other, &lasting(3)).await?;
     seconds(2).await;
-    bed.conduct(&owner, |conduct| conduct.late_commits = 1.0);
+    bed.update_faults(&owner, |faults| faults.late_commits = 1.0);
     bed.submit(&other, &job("500", 4)).await?;
     tokio::time::sleep(Duration::from_millis(300)).await;
     ensure!(bed.cancel(&other, &id).await == StatusCode::OK);
@@ -130,12 +130,12 @@
     let mut bed = Bed::open(57, 2, 4).await?;
     let owner = bed.owner(POOL).await?;
     let other = bed.bystander(POOL).await?;
-    bed.conduct(&owner, |conduct| conduct.late_commits = 1.0);
+    bed.update_faults(&owner, |faults| faults.late_commits = 1.0);
     let id = bed.submit(&other, &job("500", 2)).await?;
     tokio::time::sleep(Duration::from_millis(300)).await;
     ensure!(bed.cancel(&other, &id).await == StatusCode::OK);
     seconds(1).await;
-    bed.conduct(&owner, |conduct| conduct.late_commits = 0.0);
+    bed.update_faults(&owner, |faults| faults.late_commits = 0.0);
     seconds(8).await;
     for index in 0..2 {
         let starts = bed.world.journal().starts(&task(&id, 0, index));
@@ -148,20 +148,20 @@
 // A task of a cancelled job was started four seconds after its caller was told that it is cancelled. The job waits for
 // room; its owner's feed brings nothing for seconds, while its commits go through; then room comes, and the owner
 // starts what it knows nothing against. Only the age of the commit was bound, not the age of what it rests on.
-async fn hears_late(deafen: impl FnOnce(&mut Conduct)) -> Result<()> {
+async fn hears_late(deafen: impl FnOnce(&mut CallerFaults)) -> Result<()> {
     let mut bed = Bed::open(58, 2, 1).await?;
     let owner = bed.owner(POOL).await?;
     let other = bed.bystander(POOL).await?;
     bed.submit(&other, &job("5000", 8)).await?;
     tokio::time::sleep(Duration::from_millis(300)).await;
     let waits = bed.submit(&other, &job("500", 4)).await?;
-    bed.conduct(&owner, deafen);
+    bed.update_faults(&owner, deafen);
     // The call that was on its way has come back by then.
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     let goes_on = bed.submit(&other, &job("500", 4)).await?;
     ensure!(bed.cancel(&other, &waits).await == StatusCode::OK);
     seconds(8).await;
-    bed.conduct(&owner, |conduct| *conduct = Conduct::default());
+    bed.update_faults(&owner, |faults| *faults = CallerFaults::default());
     seconds(2).await;
     bed.judge()?;
     ensure!(bed.state(&other, &waits).await == Ok(State::Cancelled));
@@ -177,7 +177,7 @@
     let other = bed.bystander(POOL).await?;
     let id = bed.submit(&other, &lasting(3)).await?;
     seconds(2).await;
-    bed.conduct(&owner, |conduct| conduct.feeds = feeds);
+    bed.update_faults(&owner, |faults| faults.feeds = feeds);
     seconds(3).await;
     let later = bed.submit(&other, &job("300", 2)).await?;
     ensure!(bed.cancel(&other, &id).await == StatusCode::OK);
@@ -198,14 +198,14 @@
     let owner = bed.owner(POOL).await?;
     let other = bed.bystander(POOL).await?;
     // Everything waits: none of the workers takes anything before the takeover.
-    bed.conduct(&owner, |conduct| conduct.workers = Reach::Refused);
+    bed.update_faults(&owner, |faults| faults.workers = Reach::Refused);
     let id = first_part(&mut bed);
     ensure!(bed.send(&other, &id, &job("500", 4)).await.is_success());
     seconds(1).await;
     let before = bed.token(POOL).await?;
     bed.kill(&owner);
     bed.start(&owner);
-    bed.conduct_all(|conduct| conduct.reads = Duration::from_millis(800));
+    bed.update_all_faults(|faults| faults.reads = Duration::from_millis(800));
     while bed.token(POOL).await? == before {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -227,7 +227,7 @@
     let before = bed.token(POOL).await?;
     bed.kill(&owner);
     bed.start(&owner);
-    bed.conduct_all(|conduct| conduct.reads = Duration::from_millis(350));
+    bed.update_all_faults(|faults| faults.reads = Duration::from_millis(350));
     while bed.token(POOL).await? == before {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -259,15 +259,15 @@
     let mut bed = Bed::open(60, 2, 4).await?;
     let owner = bed.owner(POOL).await?;
     let other = bed.bystander(POOL).await?;
-    bed.conduct(&owner, |conduct| {
-        conduct.commits = Reach::Refused;
-        conduct.late_stops = 1.0;
+    bed.update_faults(&owner, |faults| {
+        faults.commits = Reach::Refused;
+        faults.late_stops = 1.0;
     });
     let id = bed.submit(&other, &job("500", 2)).await?;
     tokio::time::sleep(Duration::from_millis(300)).await;
     ensure!(bed.cancel(&other, &id).await == StatusCode::OK);
     seconds(1).await;
-    bed.conduct(&owner, |conduct| conduct.commits = Reach::Fine);
+    bed.update_faults(&owner, |faults| faults.commits = Reach::Fine);
     seconds(8).await;
     for index in 0..2 {
         let starts = bed.world.journal().starts(&task(&id, 0, index));
@@ -284,7 +284,7 @@
     let owner = bed.owner(POOL).await?;
     let other = bed.bystander(POOL).await?;
     let slow = Duration::from_millis(800);
-    bed.conduct(&owner, |conduct| conduct.orders = slow);
+    bed.update_faults(&owner, |faults| faults.orders = slow);
     let id = bed.submit(&other, &job("500", 8)).await?;
     tokio::time::sleep(Duration::from_millis(300)).await;
     ensure!(bed.cancel(&other, &id).await == StatusCode::OK);
--- a/tests/site/crash.rs
+++ b/tests/site/crash.rs
@@ -275,15 +275,15 @@
 
 async fn late_starts() -> Result<()> {
     let mut bed = Bed::open(312, 3, 6).await?;
-    bed.conduct_all(|conduct| conduct.late_orders = 0.5);
+    bed.update_all_faults(|faults| faults.late_orders = 0.5);
     let id = bed.submit("e-0", &job(CRASHES, 1)).await?;
     until_crashes(&bed, &id, 1).await?;
     let owner = bed.owner(POOL).await?;
-    bed.conduct(&owner, |conduct| conduct.store = Reach::Silent);
+    bed.update_faults(&owner, |faults| faults.store = Reach::Silent);
     seconds(6).await;
-    bed.conduct(&owner, |conduct| conduct.store = Reach::Fine);
+    bed.update_faults(&owner, |faults| faults.store = Reach::Fine);
     seconds(6).await;
-    bed.conduct_all(|conduct| conduct.late_orders = 0.0);
+    bed.update_all_faults(|faults| faults.late_orders = 0.0);
     bed.until("e-0", &id, State::Failed, GIVEN_UP).await?;
     seconds(20).await;
     bed.judge()
--- a/tests/site/figures.rs
+++ b/tests/site/figures.rs
@@ -101,10 +101,10 @@
     let owner = bed.owner(POOL).await?;
     let other = bed.bystander(POOL).await?;
     bed.figures.take();
-    bed.conduct(&owner, |conduct| conduct.late_commits = 1.0);
+    bed.update_faults(&owner, |faults| faults.late_commits = 1.0);
     bed.submit(&other, &job("500", 1)).await?;
     sleep(AWHILE).await;
-    bed.conduct(&owner, |conduct| conduct.late_commits = 0.0);
+    bed.update_faults(&owner, |faults| faults.late_commits = 0.0);
     seconds(6).await;
     let longest = bed.figures.take();
     ensure!(bed.owner(POOL).await? == owner);
@@ -120,9 +120,9 @@
     let bed = Bed::open(103, 2, 3).await?;
     let owner = bed.owner(POOL).await?;
     bed.figures.take();
-    bed.conduct(&owner, |conduct| conduct.frozen = true);
+    bed.update_faults(&owner, |faults| faults.frozen = true);
     seconds(2).await;
-    bed.conduct(&owner, |conduct| conduct.frozen = false);
+    bed.update_faults(&owner, |faults| faults.frozen = false);
     seconds(1).await;
     let longest = bed.figures.take();
     ensure!(longest.read >= Duration::from_secs(2), "{longest:?}");
--- a/tests/site/forget.rs
+++ b/tests/site/forget.rs
@@ -32,15 +32,15 @@
     let id = bed.id();
     let id = finished(&mut bed, id, 500).await?;
     let owner = bed.owner(POOL).await?;
-    bed.conduct(&owner, |conduct| conduct.commits = Reach::Refused);
+    bed.update_faults(&owner, |faults| faults.commits = Reach::Refused);
     seconds(1).await;
-    bed.conduct(&owner, |conduct| conduct.commits = Reach::Fine);
+    bed.update_faults(&owner, |faults| faults.commits = Reach::Fine);
     seconds(2).await;
-    bed.conduct(&owner, |conduct| conduct.feeds = Reach::Refused);
+    bed.update_faults(&owner, |faults| faults.feeds = Reach::Refused);
     seconds(1).await;
     let other = bed.submit("e-0", &job("300", 1)).await?;
     bed.world.compact();
-    bed.conduct(&owner, |conduct| conduct.feeds = Reach::Fine);
+    bed.update_faults(&owner, |faults| faults.feeds = Reach::Fine);
     bed.until("e-1", &other, State::Completed, 5).await?;
     seconds(3).await;
     ensure!(bed.world.journal().starts(&task(&id, 0, 0)).len() == 1);
@@ -59,16 +59,16 @@
     };
     let id = finished(&mut bed, id, 1_000).await?;
     let owner = bed.owner(POOL).await?;
-    bed.conduct(&owner, |conduct| conduct.feeds = Reach::Refused);
+    bed.update_faults(&owner, |faults| faults.feeds = Reach::Refused);
     sleep(Duration::from_millis(800)).await;
     bed.submit("e-0", &job("300", 1)).await?;
     bed.world.compact();
-    bed.conduct(&owner, |conduct| {
-        conduct.feeds = Reach::Fine;
-        conduct.reads = Duration::from_millis(900);
+    bed.update_faults(&owner, |faults| {
+        faults.feeds = Reach::Fine;
+        faults.reads = Duration::from_millis(900);
     });
     seconds(12).await;
-    bed.conduct(&owner, |conduct| conduct.reads = Duration::ZERO);
+    bed.update_faults(&owner, |faults| faults.reads = Duration::ZERO);
     seconds(3).await;
     ensure!(bed.world.journal().starts(&task(&id, 0, 0)).len() == 1);
     bed.judge()
--- a/tests/site/herd.rs
+++ b/tests/site/herd.rs
@@ -77,10 +77,10 @@
 async fn return_of_the_store() -> Result<()> {
     let mut bed = open(62).await?;
     seconds(16).await;
-    bed.conduct_all(|conduct| conduct.store = Reach::Refused);
+    bed.update_all_faults(|faults| faults.store = Reach::Refused);
     seconds(5).await;
     bed.world.compact();
-    bed.conduct_all(|conduct| conduct.store = Reach::Fine);
+    bed.update_all_faults(|faults| faults.store = Reach::Fine);
     seconds(6).await;
     serves(&mut bed).await?;
     settles(&bed).await
@@ -89,12 +89,12 @@
 async fn feed_beside_reads() -> Result<()> {
     let mut bed = Bed::open(63, 2, 4).await?;
     let owner = bed.owner(POOL).await?;
-    bed.conduct(&owner, |conduct| {
-        conduct.feeds = Reach::Throttled;
-        conduct.job_reads = Reach::Throttled;
+    bed.update_faults(&owner, |faults| {
+        faults.feeds = Reach::Throttled;
+        faults.job_reads = Reach::Throttled;
     });
     seconds(4).await;
-    bed.conduct(&owner, |conduct| conduct.feeds = Reach::Fine);
+    bed.update_faults(&owner, |faults| faults.feeds = Reach::Fine);
     let id = bed.submit(&owner, &job("300", 2)).await?;
     bed.until(&owner, &id, State::Completed, 5).await?;
     bed.judge()
--- a/tests/site/lives.rs
+++ b/tests/site/lives.rs
@@ -100,7 +100,7 @@
 
 /// Shows the entries the registrations of workers, or hides them.
 fn registry(bed: &Bed, reach: Reach) {
-    bed.conduct_all(|conduct| conduct.registry = reach);
+    bed.update_all_faults(|faults| faults.registry = reach);
 }
 
 // A wave's instance was maintained at a predecessor's order, and is up again. The platform lists its new worker; the feed of
@@ -118,7 +118,7 @@
     let id = bed.submit("e-0", &job("3000", 4)).await?;
     seconds(2).await;
     let before = worker(&bed, &name).ok_or_else(|| eyre!("{name} isn't up"))?;
-    bed.conduct(&holder, |conduct| conduct.delay = HOLDER_DELAY);
+    bed.update_faults(&holder, |faults| faults.delay = HOLDER_DELAY);
     bed.world.instruct(wave_of(&name));
     until_row(&bed, row::wave(1), |progress: &Progress| {
         progress.active.get(&name) == Some(&Some(Name::clone(&before)))
@@ -175,7 +175,7 @@
     };
     let holder = bed.owner(&row::group(&name)).await?;
     bed.world.add_instance(&name, POOL);
-    bed.conduct(&holder, |conduct| conduct.delay = HOLDER_DELAY);
+    bed.update_faults(&holder, |faults| faults.delay = HOLDER_DELAY);
     bed.world
         .instruct(Instruction::Configuration(configuration(2, OTHER)));
     sleep(Duration::from_millis(500)).await;
@@ -209,15 +209,15 @@
     let other = bed.bystander(POOL).await?;
     let others = bed.submit(&other, &job("20000", 16)).await?;
     seconds(1).await;
-    bed.conduct(&owner, |conduct| conduct.lists = Duration::from_secs(5));
+    bed.update_faults(&owner, |faults| faults.lists = Duration::from_secs(5));
     sleep(Duration::from_millis(1_500)).await;
     bed.world.add_instance("n-0", POOL);
     let id = bed.submit(&other, &job("6000", 4)).await?;
     bed.until(&other, &id, State::Running, 1).await?;
     sleep(Duration::from_millis(100)).await;
-    bed.conduct(&owner, |conduct| conduct.workers = Reach::Silent);
+    bed.update_faults(&owner, |faults| faults.workers = Reach::Silent);
     sleep(Duration::from_millis(3_800)).await;
-    bed.conduct(&owner, |conduct| conduct.workers = Reach::Fine);
+    bed.update_faults(&owner, |faults| faults.workers = Reach::Fine);
     // Room for the tasks elsewhere.
     ensure!(bed.cancel(&other, &others).await.is_success());
     bed.until(&other, &id, State::Completed, 10).await?;
--- a/tests/site/maintain.rs
+++ b/tests/site/maintain.rs
@@ -178,11 +178,11 @@
     let off = off.filter(|known| &*known.pool == STANDBY);
     bed.world.instruct(wave(off.map(|known| known.name), 1));
     seconds(1).await;
-    bed.conduct(&owner, |conduct| conduct.control = Reach::Silent);
+    bed.update_faults(&owner, |faults| faults.control = Reach::Silent);
     seconds(14).await;
     let successor = bed.owner(STANDBY).await?;
     ensure!(successor != owner, "{owner} wasn't replaced");
-    bed.conduct(&owner, |conduct| conduct.control = Reach::Fine);
+    bed.update_faults(&owner, |faults| faults.control = Reach::Fine);
     seconds(30).await;
     ensure!(bed.world.waves().get(&1) == Some(&true), "not complete");
     bed.judge()
@@ -242,7 +242,7 @@
 // empty, takes the order for one that never came and counts it no more; another one begins, and then the order takes effect.
 async fn owner_stopped() -> Result<()> {
     let mut bed = Bed::open(66, 3, 8).await?;
-    bed.conduct_all(|conduct| conduct.instance_orders = Duration::from_millis(350));
+    bed.update_all_faults(|faults| faults.instance_orders = Duration::from_millis(350));
     bed.world.instruct(wave(own_instances(&bed), 1));
     for _stop in 0..4 {
         let owner = bed.owner(POOL).await?;
@@ -254,7 +254,7 @@
         bed.stop(&owner);
         seconds(3).await;
         bed.start(&owner);
-        bed.conduct_all(|conduct| conduct.instance_orders = Duration::from_millis(350));
+        bed.update_all_faults(|faults| faults.instance_orders = Duration::from_millis(350));
         seconds(1).await;
     }
     seconds(60).await;
--- a/tests/site/moves.rs
+++ b/tests/site/moves.rs
@@ -160,7 +160,7 @@
     seconds(5).await;
     let owner = bed.owner(STANDBY).await?;
     let caller = bed.bystander(STANDBY).await?;
-    bed.conduct(&owner, |conduct| conduct.frozen = true);
+    bed.update_faults(&owner, |faults| faults.frozen = true);
     for _job in 0..12 {
         bed.submit(&caller, &job("9000", 4)).await?;
     }
@@ -168,7 +168,7 @@
     let successor = bed.owner(STANDBY).await?;
     ensure!(successor != owner, "{owner} wasn't replaced");
     let thawed = bed.world.now();
-    bed.conduct(&owner, |conduct| conduct.frozen = false);
+    bed.update_faults(&owner, |faults| faults.frozen = false);
     seconds(12).await;
     let moves = moved(&bed);
     let late = moves
@@ -221,13 +221,13 @@
 async fn slow_store() -> Result<()> {
     let mut bed = Bed::open_with_standby(79, 2, 2).await?;
     seconds(5).await;
-    bed.conduct_all(|conduct| conduct.delay = Duration::from_millis(450));
+    bed.update_all_faults(|faults| faults.delay = Duration::from_millis(450));
     let slow_from = bed.world.now();
     for _job in 0..12 {
         bed.submit("e-0", &job("9000", 4)).await?;
     }
     let slow_until = bed.world.now();
-    bed.conduct_all(|conduct| conduct.delay = Duration::ZERO);
+    bed.update_all_faults(|faults| faults.delay = Duration::ZERO);
     for _job in 0..12 {
         bed.submit("e-0", &job("9000", 4)).await?;
     }
@@ -311,7 +311,7 @@
         for _job in 0..12 {
             bed.submit(&caller, &job("3000", 4)).await?;
         }
-        bed.conduct_all(|conduct| conduct.delay = Duration::from_millis(120));
+        bed.update_all_faults(|faults| faults.delay = Duration::from_millis(120));
         seconds(5).await;
         let moves = moved(&bed);
         ensure!(moves.iter().any(|(at, ..)| *at > killed), "{moves:?}");
--- a/tests/site/random/mixed.rs
+++ b/tests/site/random/mixed.rs
@@ -7,7 +7,7 @@
 use eyre::{Result, ensure};
 use primroseroute_domain::work::{Demand, Job, JobId, Name, Step};
 use primroseroute_platform::site::{Instruction, Wave};
-use primroseroute_standin::site::{CAPACITY, Conduct, Options, Reach};
+use primroseroute_standin::site::{CAPACITY, CallerFaults, Options, Reach};
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
     ops::RangeInclusive,
@@ -227,7 +227,7 @@
         match later {
             Later::Join(worker) => self.join(&worker),
             Later::Thaw(name) if bed.nodes.contains_key(&name) => {
-                bed.conduct(&name, |conduct| conduct.frozen = false);
+                bed.update_faults(&name, |faults| faults.frozen = false);
             }
             Later::Start(name) if !bed.nodes.contains_key(&name) => bed.start(&name),
             Later::Thaw(_) | Later::Start(_) => {}
@@ -299,24 +299,24 @@
                 self.after(seconds, Later::Start(name));
             }
             1 if is_up => {
-                bed.conduct(&name, |conduct| conduct.frozen = true);
+                bed.update_faults(&name, |faults| faults.frozen = true);
                 let seconds = 1 + self.draw(5);
                 self.after(seconds, Later::Thaw(name));
             }
-            2 if is_up => bed.conduct(&name, |conduct| conduct.store = Reach::Silent),
-            3 if is_up => bed.conduct(&name, |conduct| conduct.workers = Reach::Silent),
-            4 if is_up => bed.conduct(&name, |conduct| conduct.feeds = Reach::Silent),
-            5 if is_up => bed.conduct(&name, |conduct| conduct.reads = some),
-            6 if is_up => bed.conduct(&name, |conduct| conduct.orders = some / 3),
-            7 if is_up => bed.conduct(&name, |conduct| conduct.delay = some / 8),
-            8 => bed.conduct_all(|conduct| conduct.lists = some),
-            9 => bed.conduct_all(|conduct| conduct.late_stops = 0.3),
-            10 => bed.conduct_all(|conduct| conduct.late_orders = 0.2),
-            11 => bed.conduct_all(|conduct| {
-                conduct.lost_commits = 0.2;
-                conduct.late_commits = 0.1;
+            2 if is_up => bed.update_faults(&name, |faults| faults.store = Reach::Silent),
+            3 if is_up => bed.update_faults(&name, |faults| faults.workers = Reach::Silent),
+            4 if is_up => bed.update_faults(&name, |faults| faults.feeds = Reach::Silent),
+            5 if is_up => bed.update_faults(&name, |faults| faults.reads = some),
+            6 if is_up => bed.update_faults(&name, |faults| faults.orders = some / 3),
+            7 if is_up => bed.update_faults(&name, |faults| faults.delay = some / 8),
+            8 => bed.update_all_faults(|faults| faults.lists = some),
+            9 => bed.update_all_faults(|faults| faults.late_stops = 0.3),
+            10 => bed.update_all_faults(|faults| faults.late_orders = 0.2),
+            11 => bed.update_all_faults(|faults| {
+                faults.lost_commits = 0.2;
+                faults.late_commits = 0.1;
             }),
-            12 => bed.conduct_all(|conduct| conduct.delay = some / 5),
+            12 => bed.update_all_faults(|faults| faults.delay = some / 5),
             13 => bed.world.compact(),
             14 | 15 => {
                 let names = self.history.names.iter();
@@ -339,7 +339,7 @@
                 self.end_faults();
                 self.spell = Some((self.history.bed.world.now(), self.second + SPELL));
             }
-            _ => bed.conduct_all(|conduct| *conduct = Conduct::default()),
+            _ => bed.update_all_faults(|faults| *faults = CallerFaults::default()),
         }
     }
 
@@ -388,7 +388,7 @@
             }
         }
         let bed = &mut self.history.bed;
-        bed.conduct_all(|conduct| *conduct = Conduct::default());
+        bed.update_all_faults(|faults| *faults = CallerFaults::default());
         for name in self.history.names.clone() {
             if !bed.nodes.contains_key(&name) {
                 bed.start(&name);
--- a/tests/site/random/mod.rs
+++ b/tests/site/random/mod.rs
@@ -12,7 +12,7 @@
 use eyre::{Result, ensure};
 use http::StatusCode;
 use primroseroute_domain::work::{Job, JobId, Name, State, Step};
-use primroseroute_standin::site::{Conduct, Reach};
+use primroseroute_standin::site::{CallerFaults, Reach};
 use std::collections::BTreeSet;
 
 /// Histories of each batch.
@@ -267,21 +267,23 @@
         match self.draw(13) {
             0 if is_up => self.bed.kill(&name),
             1 | 2 if !is_up => self.bed.start(&name),
-            3 if is_up => self.bed.conduct(&name, |conduct| conduct.frozen = true),
+            3 if is_up => self.bed.update_faults(&name, |faults| faults.frozen = true),
             4 if is_up => self
                 .bed
-                .conduct(&name, |conduct| conduct.store = Reach::Silent),
+                .update_faults(&name, |faults| faults.store = Reach::Silent),
             5 if is_up => self
                 .bed
-                .conduct(&name, |conduct| conduct.store = Reach::Refused),
+                .update_faults(&name, |faults| faults.store = Reach::Refused),
             6 if is_up => self
                 .bed
-                .conduct(&name, |conduct| conduct.workers = Reach::Silent),
-            7 => self.bed.conduct_all(|conduct| {
-                conduct.lost_commits = 0.3;
-                conduct.late_commits = 0.1;
+                .update_faults(&name, |faults| faults.workers = Reach::Silent),
+            7 => self.bed.update_all_faults(|faults| {
+                faults.lost_commits = 0.3;
+                faults.late_commits = 0.1;
             }),
-            8 => self.bed.conduct_all(|conduct| conduct.late_orders = 0.3),
+            8 => self
+                .bed
+                .update_all_faults(|faults| faults.late_orders = 0.3),
             9 => self.bed.world.compact(),
             10 => {
                 // Tasks may have crashed all of them.
@@ -300,14 +302,14 @@
             }
             _ => self
                 .bed
-                .conduct_all(|conduct| *conduct = Conduct::default()),
+                .update_all_faults(|faults| *faults = CallerFaults::default()),
         }
     }
 
     /// Ends all faults, and starts what was killed.
     async fn calm(&mut self) {
         self.bed
-            .conduct_all(|conduct| *conduct = Conduct::default());
+            .update_all_faults(|faults| *faults = CallerFaults::default());
         for name in self.names.clone() {
             if !self.bed.nodes.contains_key(&name) {
                 self.bed.start(&name);
--- a/tests/site/reborn.rs
+++ b/tests/site/reborn.rs
@@ -119,11 +119,11 @@
 async fn late_start() -> Result<()> {
     for seed in 0..6 {
         let mut bed = Bed::open(410 + seed, 3, 2).await?;
-        bed.conduct_all(|conduct| conduct.late_orders = 1.0);
+        bed.update_all_faults(|faults| faults.late_orders = 1.0);
         let id = bed.submit("e-0", &job("4000", 4)).await?;
         sleep(Duration::from_millis(300)).await;
         let worker = Name::clone(&bed.workers_of(POOL)[0]);
-        bed.conduct_all(|conduct| conduct.late_orders = 0.0);
+        bed.update_all_faults(|faults| faults.late_orders = 0.0);
         renew(&bed, &worker, Duration::from_secs(BACK)).await?;
         bed.until("e-0", &id, State::Completed, 60).await?;
         seconds(15).await;
@@ -135,16 +135,16 @@
 async fn late_start_of_former_owner() -> Result<()> {
     for seed in 0..6 {
         let mut bed = Bed::open(420 + seed, 3, 2).await?;
-        bed.conduct_all(|conduct| conduct.late_orders = 1.0);
+        bed.update_all_faults(|faults| faults.late_orders = 1.0);
         let id = bed.submit("e-0", &job("4000", 4)).await?;
         sleep(Duration::from_millis(300)).await;
         let owner = bed.owner(POOL).await?;
-        bed.conduct(&owner, |conduct| conduct.store = Reach::Silent);
+        bed.update_faults(&owner, |faults| faults.store = Reach::Silent);
         let worker = Name::clone(&bed.workers_of(POOL)[0]);
         renew(&bed, &worker, Duration::from_secs(BACK)).await?;
-        bed.conduct_all(|conduct| {
-            conduct.late_orders = 0.0;
-            conduct.store = Reach::Fine;
+        bed.update_all_faults(|faults| {
+            faults.late_orders = 0.0;
+            faults.store = Reach::Fine;
         });
         bed.until("e-0", &id, State::Completed, 60).await?;
         seconds(15).await;
--- a/tests/site/store.rs
+++ b/tests/site/store.rs
@@ -34,9 +34,9 @@
     let lasting = bed.submit("e-0", &lasting(3)).await?;
     let short = bed.submit("e-0", &job("1500", 4)).await?;
     seconds(1).await;
-    bed.conduct_all(|conduct| conduct.store = Reach::Refused);
+    bed.update_all_faults(|faults| faults.store = Reach::Refused);
     seconds(4).await;
-    bed.conduct_all(|conduct| conduct.store = Reach::Fine);
+    bed.update_all_faults(|faults| faults.store = Reach::Fine);
     bed.until("e-1", &short, State::Completed, 3).await?;
     for index in 0..3 {
         let starts = bed.world.journal().starts(&task(&lasting, 0, index)).len();
@@ -47,9 +47,9 @@
 
 async fn silent() -> Result<()> {
     let mut bed = Bed::open(32, 3, 3).await?;
-    bed.conduct_all(|conduct| conduct.store = Reach::Silent);
+    bed.update_all_faults(|faults| faults.store = Reach::Silent);
     seconds(4).await;
-    bed.conduct_all(|conduct| conduct.store = Reach::Fine);
+    bed.update_all_faults(|faults| faults.store = Reach::Fine);
     seconds(2).await;
     let id = bed.submit("e-0", &job("300", 4)).await?;
     bed.until("e-1", &id, State::Completed, 3).await?;
@@ -64,14 +64,14 @@
     for _job in 0..6 {
         ids.push(bed.submit("e-0", &job("400", 4)).await?);
     }
-    bed.conduct_all(|conduct| {
-        conduct.lost_commits = 0.3;
-        conduct.late_commits = 0.1;
+    bed.update_all_faults(|faults| {
+        faults.lost_commits = 0.3;
+        faults.late_commits = 0.1;
     });
     seconds(10).await;
-    bed.conduct_all(|conduct| {
-        conduct.lost_commits = 0.0;
-        conduct.late_commits = 0.0;
+    bed.update_all_faults(|faults| {
+        faults.lost_commits = 0.0;
+        faults.late_commits = 0.0;
     });
     for id in ids {
         bed.until("e-1", &id, State::Completed, 20).await?;
@@ -138,7 +138,7 @@
     for _commit in 0..20 {
         rows.commit(put()).await?;
     }
-    world.conduct("e-0", |conduct| conduct.lost_commits = 1.0);
+    world.update_faults("e-0", |faults| faults.lost_commits = 1.0);
     let begin = Instant::now();
     let error = rows.commit(put()).await.err();
     ensure!(error.is_some_and(|error| error.may_have_applied()));
@@ -157,10 +157,10 @@
     let world = World::open(Options::default());
     let rows = Brisk::new(Arc::new(world.caller("e-0")));
     for loss in 0..8 {
-        world.conduct("e-0", |conduct| conduct.lost_commits = 0.0);
+        world.update_faults("e-0", |faults| faults.lost_commits = 0.0);
         rows.commit(put()).await?;
         rows.commit(put()).await?;
-        world.conduct("e-0", |conduct| conduct.lost_commits = 1.0);
+        world.update_faults("e-0", |faults| faults.lost_commits = 1.0);
         let begin = Instant::now();
         let error = rows.commit(put()).await.err();
         ensure!(error.is_some_and(|error| error.may_have_applied()));
@@ -176,7 +176,7 @@
     let world = World::open(Options::default());
     let rows = Brisk::new(Arc::new(world.caller("e-0")));
     rows.commit(put()).await?;
-    world.conduct("e-0", |conduct| conduct.delay = Duration::from_millis(700));
+    world.update_faults("e-0", |faults| faults.delay = Duration::from_millis(700));
     let mut answered = 0;
     for _commit in 0..6 {
         answered += usize::from(matches!(rows.commit(put()).await, Ok(Commit::Committed(_))));
--- a/tests/site/stories.rs
+++ b/tests/site/stories.rs
@@ -62,12 +62,12 @@
 async fn refused() -> Result<()> {
     capture();
     let mut bed = Bed::open(91, 3, 3).await?;
-    bed.conduct_all(|conduct| conduct.store = Reach::Refused);
+    bed.update_all_faults(|faults| faults.store = Reach::Refused);
     seconds(1).await;
     let id = bed.id();
     let status = bed.send("e-0", &id, &job("500", 1)).await;
     ensure!(status == StatusCode::SERVICE_UNAVAILABLE, "{status}");
-    bed.conduct_all(|conduct| conduct.store = Reach::Fine);
+    bed.update_all_faults(|faults| faults.store = Reach::Fine);
     seconds(1).await;
     let lines = captured();
     let own = about(&lines, &id);
@@ -204,10 +204,10 @@
     seconds(2).await;
     let owner = bed.owner(POOL).await?;
     let other = bed.bystander(POOL).await?;
-    bed.conduct(&owner, |conduct| conduct.frozen = true);
+    bed.update_faults(&owner, |faults| faults.frozen = true);
     ensure!(bed.cancel(&other, &id).await == StatusCode::OK);
     seconds(1).await;
-    bed.conduct(&owner, |conduct| conduct.frozen = false);
+    bed.update_faults(&owner, |faults| faults.frozen = false);
     seconds(1).await;
     let own = about(&captured(), &id);
     let cancel = first(&own, "cancel accepted")?;
@@ -227,12 +227,12 @@
     let mut bed = Bed::open(57, 2, 4).await?;
     let owner = bed.owner(POOL).await?;
     let other = bed.bystander(POOL).await?;
-    bed.conduct(&owner, |conduct| conduct.late_commits = 1.0);
+    bed.update_faults(&owner, |faults| faults.late_commits = 1.0);
     let id = bed.submit(&other, &job("500", 2)).await?;
     tokio::time::sleep(Duration::from_millis(300)).await;
     ensure!(bed.cancel(&other, &id).await == StatusCode::OK);
     seconds(1).await;
-    bed.conduct(&owner, |conduct| conduct.late_commits = 0.0);
+    bed.update_faults(&owner, |faults| faults.late_commits = 0.0);
     seconds(8).await;
     let own = about(&captured(), &id);
     let taken = first(&own, "cancel taken in")?;
--- a/tests/site/takeover.rs
+++ b/tests/site/takeover.rs
@@ -85,12 +85,12 @@
     let owner = bed.owner(POOL).await?;
     let other = bed.bystander(POOL).await?;
     let first = bed.submit(&other, &job("2000", 6)).await?;
-    bed.conduct(&owner, |conduct| conduct.store = Reach::Silent);
+    bed.update_faults(&owner, |faults| faults.store = Reach::Silent);
     let second = bed.submit(&other, &job("500", 6)).await?;
     bed.until(&other, &first, State::Completed, 15).await?;
     bed.until(&other, &second, State::Completed, 15).await?;
     ensure!(bed.owner(POOL).await? != owner, "nobody took the pool over");
-    bed.conduct(&owner, |conduct| conduct.store = Reach::Fine);
+    bed.update_faults(&owner, |faults| faults.store = Reach::Fine);
     seconds(5).await;
     bed.judge()
 }
@@ -105,10 +105,10 @@
     for _job in 0..4 {
         ids.push(bed.submit(&other, &job("700", 6)).await?);
     }
-    bed.conduct(&owner, |conduct| conduct.frozen = true);
+    bed.update_faults(&owner, |faults| faults.frozen = true);
     seconds(7).await;
     ids.push(bed.submit(&other, &job("700", 6)).await?);
-    bed.conduct(&owner, |conduct| conduct.frozen = false);
+    bed.update_faults(&owner, |faults| faults.frozen = false);
     for id in ids {
         bed.until(&other, &id, State::Completed, 20).await?;
     }
@@ -228,9 +228,9 @@
 async fn slow_store() -> Result<()> {
     let bed = Bed::open(27, 3, 3).await?;
     let owner = bed.owner(POOL).await?;
-    bed.conduct_all(|conduct| conduct.late_commits = 1.0);
+    bed.update_all_faults(|faults| faults.late_commits = 1.0);
     seconds(7).await;
-    bed.conduct_all(|conduct| conduct.late_commits = 0.0);
+    bed.update_all_faults(|faults| faults.late_commits = 0.0);
     seconds(8).await;
     let after = bed.owner(POOL).await?;
     ensure!(after == owner, "{after} took the pool of {owner}");
@@ -244,14 +244,14 @@
     let bed = Bed::open(30, 3, 3).await?;
     let owner = bed.owner(POOL).await?;
     let token = bed.token(POOL).await?;
-    bed.conduct_all(|conduct| conduct.commits = Reach::Refused);
+    bed.update_all_faults(|faults| faults.commits = Reach::Refused);
     seconds(6).await;
     // The owner comes last: those that get through before it would judge it.
     for name in bed.nodes.keys().filter(|name| **name != owner) {
-        bed.conduct(name, |conduct| conduct.commits = Reach::Fine);
+        bed.update_faults(name, |faults| faults.commits = Reach::Fine);
     }
     tokio::time::sleep(Duration::from_millis(1_200)).await;
-    bed.conduct(&owner, |conduct| conduct.commits = Reach::Fine);
+    bed.update_faults(&owner, |faults| faults.commits = Reach::Fine);
     seconds(8).await;
     let after = bed.token(POOL).await?;
     ensure!(after == token, "the pool was taken: {after} after {token}");
@@ -345,30 +345,30 @@
     let owner = bed.owner(POOL).await?;
     let other = bed.bystander(POOL).await?;
     let token = bed.token(POOL).await?;
-    bed.conduct(&other, |conduct| conduct.workers = Reach::Silent);
-    bed.conduct(&owner, |conduct| conduct.lost_commits = 1.0);
+    bed.update_faults(&other, |faults| faults.workers = Reach::Silent);
+    bed.update_faults(&owner, |faults| faults.lost_commits = 1.0);
     let id = bed.submit(&other, &job("300", 2)).await?;
     tokio::time::sleep(Duration::from_millis(60)).await;
-    bed.conduct(&owner, |conduct| {
-        conduct.lost_commits = 0.0;
-        conduct.store = Reach::Refused;
+    bed.update_faults(&owner, |faults| {
+        faults.lost_commits = 0.0;
+        faults.store = Reach::Refused;
     });
     while bed.token(POOL).await? == token {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    bed.conduct(&other, |conduct| conduct.commits = Reach::Refused);
+    bed.update_faults(&other, |faults| faults.commits = Reach::Refused);
     seconds(3).await;
-    bed.conduct(&owner, |conduct| {
-        conduct.store = Reach::Fine;
-        conduct.lost_commits = lost;
+    bed.update_faults(&owner, |faults| {
+        faults.store = Reach::Fine;
+        faults.lost_commits = lost;
     });
     seconds(1).await;
     let starts = bed.world.journal().starts(&task(&id, 0, 0));
     ensure!(starts.is_empty(), "{starts:?}");
-    bed.conduct(&owner, |conduct| conduct.lost_commits = 0.0);
-    bed.conduct(&other, |conduct| {
-        conduct.commits = Reach::Fine;
-        conduct.workers = Reach::Fine;
+    bed.update_faults(&owner, |faults| faults.lost_commits = 0.0);
+    bed.update_faults(&other, |faults| {
+        faults.commits = Reach::Fine;
+        faults.workers = Reach::Fine;
     });
     bed.until(&other, &id, State::Completed, 10).await?;
     bed.judge()
@@ -381,7 +381,7 @@
     let mut bed = Bed::open(30, 2, 3).await?;
     let id = bed.submit("e-0", &job("800", 2)).await?;
     tokio::time::sleep(Duration::from_millis(400)).await;
-    bed.conduct_all(|conduct| conduct.store = Reach::Refused);
+    bed.update_all_faults(|faults| faults.store = Reach::Refused);
     seconds(2).await;
     bed.kill("e-0");
     bed.kill("e-1");
--- a/tests/site/worker.rs
+++ b/tests/site/worker.rs
@@ -55,7 +55,7 @@
 // came first.
 async fn late_orders() -> Result<()> {
     let mut bed = Bed::open(43, 2, 4).await?;
-    bed.conduct_all(|conduct| conduct.late_orders = 0.3);
+    bed.update_all_faults(|faults| faults.late_orders = 0.3);
     let mut ids = Vec::new();
     for _job in 0..6 {
         ids.push(bed.submit("e-0", &job("600", 4)).await?);
@@ -75,11 +75,11 @@
     let mut bed = Bed::open(46, 2, 4).await?;
     for round in 0..4 {
         sleep(Duration::from_millis(1_000 + round * 230)).await;
-        bed.conduct_all(|conduct| conduct.late_orders = 1.0);
+        bed.update_all_faults(|faults| faults.late_orders = 1.0);
         let from = bed.world.now();
         let id = bed.submit("e-0", &job("200", 1)).await?;
         sleep(Duration::from_millis(200)).await;
-        bed.conduct_all(|conduct| conduct.late_orders = 0.0);
+        bed.update_all_faults(|faults| faults.late_orders = 0.0);
         bed.until("e-1", &id, State::Completed, 4).await?;
         let starts = bed.world.journal().starts(&task(&id, 0, 0));
         let waited = starts.first().map(|(_worker, at)| at - from);
