--- a/crates/standin/src/site/caller/mod.rs
+++ b/crates/standin/src/site/caller/mod.rs
@@ -194,7 +194,7 @@
         late: impl FnOnce(&CallerFaults) -> f64,
         order: impl FnOnce(&mut State, u64) -> Answer + Send + 'static,
     ) -> Result<Answer, Error> {
-        sleep(self.faults().orders).await;
+        sleep(self.faults().order_delay).await;
         self.send_to_worker(target).await?;
         match self.draw_order_delivery(late(&self.faults())) {
             Delivery::Late(after) => {
@@ -292,7 +292,7 @@
         }
         self.send_to_table(&range.table).await?;
         let page = self.shared.state.lock().store.read(&range);
-        sleep(self.faults().reads).await;
+        sleep(self.faults().read_delay).await;
         self.receive().await;
         Ok(page)
     }
--- a/crates/standin/src/site/caller/site.rs
+++ b/crates/standin/src/site/caller/site.rs
@@ -98,7 +98,7 @@
             .values()
             .cloned()
             .collect();
-        sleep(self.faults().lists).await;
+        sleep(self.faults().list_delay).await;
         self.receive().await;
         Ok(all)
     }
@@ -164,7 +164,7 @@
     /// Sends an order to an instance.
     async fn send_to_instances(&self) {
         self.wait_until_running().await;
-        sleep(self.faults().instance_orders).await;
+        sleep(self.faults().instance_order_delay).await;
         self.wait_half_latency().await;
     }
 
--- a/crates/standin/src/site/mod.rs
+++ b/crates/standin/src/site/mod.rs
@@ -111,19 +111,19 @@
     /// Its reads of accepted jobs and of cancels, independently of their feeds.
     pub job_reads: Reach,
     /// Delay added to each of its reads of the store, as on a slow link or in a process that gets little processor time.
-    pub reads: Duration,
+    pub read_delay: Duration,
     /// Its calls about the registrations of workers, independently of other calls to the store.
     pub registry: Reach,
     /// Delay added to its lists of instances after they were read, so that they are this old when they arrive.
-    pub lists: Duration,
+    pub list_delay: Duration,
     /// Its calls to workers.
     pub workers: Reach,
     /// Its requests to the advice service.
     pub advice: Reach,
     /// Delay added before its orders reach their workers.
-    pub orders: Duration,
+    pub order_delay: Duration,
     /// Delay added before its orders to instances reach the platform.
-    pub instance_orders: Duration,
+    pub instance_order_delay: Duration,
     /// Share of its commits that take effect and get no response.
     pub lost_commits: f64,
     /// Share of its commits that get no response and take effect one to six seconds later.
--- a/tests/site/accept.rs
+++ b/tests/site/accept.rs
@@ -194,7 +194,7 @@
 async fn on_their_way() -> Result<()> {
     let mut bed = Bed::open(11, 2, 1).await?;
     let starts_take = std::time::Duration::from_secs(2);
-    bed.update_all_faults(|faults| faults.orders = starts_take);
+    bed.update_all_faults(|faults| faults.order_delay = starts_take);
     let mut jobs = Vec::new();
     for _job in 0..2 {
         jobs.push(bed.submit("e-0", &job("4000", 4)).await?);
--- a/tests/site/cancel.rs
+++ b/tests/site/cancel.rs
@@ -205,7 +205,7 @@
     let before = bed.token(POOL).await?;
     bed.kill(&owner);
     bed.start(&owner);
-    bed.update_all_faults(|faults| faults.reads = Duration::from_millis(800));
+    bed.update_all_faults(|faults| faults.read_delay = Duration::from_millis(800));
     while bed.token(POOL).await? == before {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -227,7 +227,7 @@
     let before = bed.token(POOL).await?;
     bed.kill(&owner);
     bed.start(&owner);
-    bed.update_all_faults(|faults| faults.reads = Duration::from_millis(350));
+    bed.update_all_faults(|faults| faults.read_delay = Duration::from_millis(350));
     while bed.token(POOL).await? == before {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -284,7 +284,7 @@
     let owner = bed.owner(POOL).await?;
     let other = bed.bystander(POOL).await?;
     let slow = Duration::from_millis(800);
-    bed.update_faults(&owner, |faults| faults.orders = slow);
+    bed.update_faults(&owner, |faults| faults.order_delay = slow);
     let id = bed.submit(&other, &job("500", 8)).await?;
     tokio::time::sleep(Duration::from_millis(300)).await;
     ensure!(bed.cancel(&other, &id).await == StatusCode::OK);
--- a/tests/site/forget.rs
+++ b/tests/site/forget.rs
@@ -65,10 +65,10 @@
     bed.world.compact();
     bed.update_faults(&owner, |faults| {
         faults.feeds = Reach::Fine;
-        faults.reads = Duration::from_millis(900);
+        faults.read_delay = Duration::from_millis(900);
     });
     seconds(12).await;
-    bed.update_faults(&owner, |faults| faults.reads = Duration::ZERO);
+    bed.update_faults(&owner, |faults| faults.read_delay = Duration::ZERO);
     seconds(3).await;
     ensure!(bed.world.journal().starts(&task(&id, 0, 0)).len() == 1);
     bed.judge()
--- a/tests/site/lives.rs
+++ b/tests/site/lives.rs
@@ -209,7 +209,7 @@
     let other = bed.bystander(POOL).await?;
     let others = bed.submit(&other, &job("20000", 16)).await?;
     seconds(1).await;
-    bed.update_faults(&owner, |faults| faults.lists = Duration::from_secs(5));
+    bed.update_faults(&owner, |faults| faults.list_delay = Duration::from_secs(5));
     sleep(Duration::from_millis(1_500)).await;
     bed.world.add_instance("n-0", POOL);
     let id = bed.submit(&other, &job("6000", 4)).await?;
--- a/tests/site/maintain.rs
+++ b/tests/site/maintain.rs
@@ -242,7 +242,7 @@
 // empty, takes the order for one that never came and counts it no more; another one begins, and then the order takes effect.
 async fn owner_stopped() -> Result<()> {
     let mut bed = Bed::open(66, 3, 8).await?;
-    bed.update_all_faults(|faults| faults.instance_orders = Duration::from_millis(350));
+    bed.update_all_faults(|faults| faults.instance_order_delay = Duration::from_millis(350));
     bed.world.instruct(wave(own_instances(&bed), 1));
     for _stop in 0..4 {
         let owner = bed.owner(POOL).await?;
@@ -254,7 +254,7 @@
         bed.stop(&owner);
         seconds(3).await;
         bed.start(&owner);
-        bed.update_all_faults(|faults| faults.instance_orders = Duration::from_millis(350));
+        bed.update_all_faults(|faults| faults.instance_order_delay = Duration::from_millis(350));
         seconds(1).await;
     }
     seconds(60).await;
--- a/tests/site/random/mixed.rs
+++ b/tests/site/random/mixed.rs
@@ -306,10 +306,10 @@
             2 if is_up => bed.update_faults(&name, |faults| faults.store = Reach::Silent),
             3 if is_up => bed.update_faults(&name, |faults| faults.workers = Reach::Silent),
             4 if is_up => bed.update_faults(&name, |faults| faults.feeds = Reach::Silent),
-            5 if is_up => bed.update_faults(&name, |faults| faults.reads = some),
-            6 if is_up => bed.update_faults(&name, |faults| faults.orders = some / 3),
+            5 if is_up => bed.update_faults(&name, |faults| faults.read_delay = some),
+            6 if is_up => bed.update_faults(&name, |faults| faults.order_delay = some / 3),
             7 if is_up => bed.update_faults(&name, |faults| faults.delay = some / 8),
-            8 => bed.update_all_faults(|faults| faults.lists = some),
+            8 => bed.update_all_faults(|faults| faults.list_delay = some),
             9 => bed.update_all_faults(|faults| faults.late_stops = 0.3),
             10 => bed.update_all_faults(|faults| faults.late_orders = 0.2),
             11 => bed.update_all_faults(|faults| {
