--- a/crates/standin/src/site/mod.rs
+++ b/crates/standin/src/site/mod.rs
@@ -265,7 +265,7 @@
 
     /// Partitions a worker from all entries, or heals the partition. The worker continues to run; its registration is
     /// removed, and restored when the partition heals.
-    pub fn cut(&self, worker: &Name, is_partitioned: bool) {
+    pub fn set_partitioned(&self, worker: &Name, is_partitioned: bool) {
         self.shared.change(|state, _now| {
             if let Some(known) = state.workers.get_mut(worker) {
                 known.partitioned = is_partitioned;
--- a/tests/site/crash.rs
+++ b/tests/site/crash.rs
@@ -163,9 +163,9 @@
     let id = bed.submit("e-0", &job("12000", 1)).await?;
     for _cut in 0..5 {
         let on = until_running(&bed, &id).await?;
-        bed.world.cut(&on, true);
+        bed.world.set_partitioned(&on, true);
         seconds(9).await;
-        bed.world.cut(&on, false);
+        bed.world.set_partitioned(&on, false);
     }
     bed.until("e-0", &id, State::Completed, GIVEN_UP).await?;
     bed.judge()
@@ -186,10 +186,10 @@
         let workers = bed.world.workers();
         let index = usize::try_from(bed.world.random(workers.len() as u64))?;
         let worker = Name::clone(&workers[index]);
-        bed.world.cut(&worker, true);
+        bed.world.set_partitioned(&worker, true);
         seconds(4).await;
         if bed.world.workers().contains(&worker) {
-            bed.world.cut(&worker, false);
+            bed.world.set_partitioned(&worker, false);
         }
     }
     bed.until("e-0", &id, State::Failed, GIVEN_UP).await?;
@@ -258,7 +258,7 @@
     let id = bed.submit("e-0", &lasting(1)).await?;
     let mut on = until_running(&bed, &id).await?;
     for _cut in 0..5 {
-        bed.world.cut(&on, true);
+        bed.world.set_partitioned(&on, true);
         let elsewhere = |bed: &Bed| {
             let mut running = bed.running(&task(&id, 0, 0)).into_iter();
             running.find(|worker| *worker != on)
--- a/tests/site/lives.rs
+++ b/tests/site/lives.rs
@@ -234,8 +234,8 @@
 async fn comes_back() -> Result<()> {
     let mut bed = Bed::open(119, 2, 1).await?;
     let worker = worker(&bed, &"i-0".into()).ok_or_else(|| eyre!("no worker"))?;
-    bed.world.cut(&worker, true);
-    bed.world.cut(&worker, false);
+    bed.world.set_partitioned(&worker, true);
+    bed.world.set_partitioned(&worker, false);
     seconds(1).await;
     let id = bed.submit("e-0", &job("500", 1)).await?;
     bed.until("e-0", &id, State::Completed, 4).await?;
--- a/tests/site/random/mixed.rs
+++ b/tests/site/random/mixed.rs
@@ -240,7 +240,7 @@
     fn join(&mut self, worker: &Name) {
         let world = &self.history.bed.world;
         if self.cut.remove(worker) && world.workers().contains(worker) {
-            world.cut(worker, false);
+            world.set_partitioned(worker, false);
         }
     }
 
@@ -370,7 +370,7 @@
             if let Some(worker) = self.any_worker()
                 && self.cut.insert(Name::clone(&worker))
             {
-                self.history.bed.world.cut(&worker, true);
+                self.history.bed.world.set_partitioned(&worker, true);
                 self.after(seconds, Later::Join(worker));
             }
         }
--- a/tests/site/random/mod.rs
+++ b/tests/site/random/mod.rs
@@ -288,9 +288,9 @@
             10 => {
                 // Tasks may have crashed all of them.
                 if let Some(worker) = self.any_worker() {
-                    self.bed.world.cut(&worker, true);
+                    self.bed.world.set_partitioned(&worker, true);
                     seconds(2).await;
-                    self.bed.world.cut(&worker, false);
+                    self.bed.world.set_partitioned(&worker, false);
                 }
             }
             11 => {
--- a/tests/site/takeover.rs
+++ b/tests/site/takeover.rs
@@ -410,7 +410,7 @@
     let task = task(&id, 0, 0);
     let on = bed.running(&task);
     let cut_at = bed.world.now();
-    bed.world.cut(&on[0], true);
+    bed.world.set_partitioned(&on[0], true);
     seconds(14).await;
     let starts = bed.world.journal().starts(&task);
     ensure!(starts.len() == 2, "{starts:?}");
--- a/tests/site/worker.rs
+++ b/tests/site/worker.rs
@@ -39,13 +39,13 @@
     let id = bed.submit("e-0", &lasting(3)).await?;
     seconds(2).await;
     let first = bed.running(&task(&id, 0, 0));
-    bed.world.cut(&first[0], true);
+    bed.world.set_partitioned(&first[0], true);
     seconds(4).await;
     ensure!(bed.running(&task(&id, 0, 0)) == first);
     seconds(6).await;
     let now = bed.running(&task(&id, 0, 0));
     ensure!(now.len() == 1 && now != first, "{first:?}, then {now:?}");
-    bed.world.cut(&first[0], false);
+    bed.world.set_partitioned(&first[0], false);
     seconds(5).await;
     bed.judge()
 }
