--- a/crates/load/tests/all/runs.rs
+++ b/crates/load/tests/all/runs.rs
@@ -26,7 +26,7 @@
     assert_eq!(outcome.total().completed, 200);
     assert_eq!(backend.count().executions, 200);
     assert!(
-        backend.count().highest <= 4,
+        backend.count().max_running <= 4,
         "four callers have one request each"
     );
     let stay = outcome.accounts[&"stay".parse()?].completed;
@@ -79,7 +79,7 @@
     };
     let total = run(&plan).await?.total();
     assert_eq!(total.completed, 50);
-    assert_eq!(backend.count().highest, 1);
+    assert_eq!(backend.count().max_running, 1);
     assert!(
         total.latency(0.5) >= Duration::from_millis(400),
         "{:?}",
--- a/crates/standin/src/backend/count.rs
+++ b/crates/standin/src/backend/count.rs
@@ -15,13 +15,13 @@
     /// Requests executing now.
     pub running: u32,
     /// Highest number of requests that ever executed at the same time.
-    pub highest: u32,
+    pub max_running: u32,
     /// Executions that began while every slot was in use.
     pub overruns: u64,
     /// Open connections.
     pub connections: u32,
     /// Connections closed at once because the limit was reached.
-    pub turned_away: u64,
+    pub rejected_connections: u64,
 }
 
 #[derive(Debug, Default)]
@@ -83,7 +83,7 @@
     pub(super) fn open_connection(self: &Arc<Self>) -> Option<Connection> {
         let count = &mut self.state.lock().count;
         if count.connections >= self.max_connections {
-            count.turned_away += 1;
+            count.rejected_connections += 1;
             return None;
         }
         count.connections += 1;
@@ -96,7 +96,7 @@
         let State { count, keys } = &mut *state;
         count.executions += 1;
         count.running += 1;
-        count.highest = count.highest.max(count.running);
+        count.max_running = count.max_running.max(count.running);
         if count.running > self.slots {
             count.overruns += 1;
         }
--- a/crates/standin/tests/all/backend.rs
+++ b/crates/standin/tests/all/backend.rs
@@ -210,7 +210,10 @@
         ask(&backend, ""),
         ask(&backend, "")
     );
-    assert_eq!((count.executions, count.highest, count.overruns), (3, 3, 1));
+    assert_eq!(
+        (count.executions, count.max_running, count.overruns),
+        (3, 3, 1)
+    );
     running(&backend, 0).await;
 }
 
@@ -257,7 +260,10 @@
     assert_eq!(first.read_u8().await.expect("the server responds"), b'H');
     assert_eq!(text(&backend, "").await, "");
     assert_eq!(
-        (backend.count().turned_away, backend.count().executions),
+        (
+            backend.count().rejected_connections,
+            backend.count().executions
+        ),
         (1, 0)
     );
 }
--- a/tests/all/lend.rs
+++ b/tests/all/lend.rs
@@ -50,7 +50,7 @@
     end.store(true, Ordering::SeqCst);
     while callers.join_next().await.is_some() {}
     let count = worker.count();
-    assert!(count.highest <= 8, "{count:?}");
+    assert!(count.max_running <= 8, "{count:?}");
     assert_eq!(count.overruns, 0, "{count:?}");
     Ok(())
 }
