--- a/tests/site/crash.rs
+++ b/tests/site/crash.rs
@@ -163,9 +163,9 @@
     let id = bed.submit("e-0", &job("12000", 1)).await?;
     for _cut in 0..5 {
         let on = until_running(&bed, &id).await?;
-        bed.world.cut(&on, true);
+        bed.world.set_partitioned(&on, true);
         seconds(9).await;
-        bed.world.cut(&on, false);
+        bed.world.set_partitioned(&on, false);
     }
     bed.until("e-0", &id, State::Completed, GIVEN_UP).await?;
     bed.judge()
@@ -186,10 +186,10 @@
         let workers = bed.world.workers();
         let index = usize::try_from(bed.world.random(workers.len() as u64))?;
         let worker = Name::clone(&workers[index]);
-        bed.world.cut(&worker, true);
+        bed.world.set_partitioned(&worker, true);
         seconds(4).await;
         if bed.world.workers().contains(&worker) {
-            bed.world.cut(&worker, false);
+            bed.world.set_partitioned(&worker, false);
         }
     }
     bed.until("e-0", &id, State::Failed, GIVEN_UP).await?;
@@ -258,7 +258,7 @@
     let id = bed.submit("e-0", &lasting(1)).await?;
     let mut on = until_running(&bed, &id).await?;
     for _cut in 0..5 {
-        bed.world.cut(&on, true);
+        bed.world.set_partitioned(&on, true);
         let elsewhere = |bed: &Bed| {
             let mut running = bed.running(&task(&id, 0, 0)).into_iter();
             running.find(|worker| *worker != on)
@@ -275,15 +275,15 @@
 
 async fn late_starts() -> Result<()> {
     let mut bed = Bed::open(312, 3, 6).await?;
-    bed.conduct_all(|conduct| conduct.late_orders = 0.5);
+    bed.update_all_faults(|faults| faults.late_orders = 0.5);
     let id = bed.submit("e-0", &job(CRASHES, 1)).await?;
     until_crashes(&bed, &id, 1).await?;
     let owner = bed.owner(POOL).await?;
-    bed.conduct(&owner, |conduct| conduct.store = Reach::Silent);
+    bed.update_faults(&owner, |faults| faults.store = Reach::Silent);
     seconds(6).await;
-    bed.conduct(&owner, |conduct| conduct.store = Reach::Fine);
+    bed.update_faults(&owner, |faults| faults.store = Reach::Fine);
     seconds(6).await;
-    bed.conduct_all(|conduct| conduct.late_orders = 0.0);
+    bed.update_all_faults(|faults| faults.late_orders = 0.0);
     bed.until("e-0", &id, State::Failed, GIVEN_UP).await?;
     seconds(20).await;
     bed.judge()
