--- a/tests/site/accept.rs
+++ b/tests/site/accept.rs
@@ -1,4 +1,4 @@
-//! An accepted job is stored once; a refused one never runs.
+//! Submission of jobs: an accepted job is stored once, and a rejected one never runs.
 
 use crate::{
     bed::{Bed, OTHER, POOL, configuration, job, seconds, step, task},
@@ -20,9 +20,9 @@
     malformed_job_is_refused_for_good => malformed();
     unknown_job_is_gone => unknown();
     queue_counts_jobs_that_have_not_begun => counted();
-    /// Jobs count as begun while their starts are on their way.
+    /// Jobs that count as begun while their starts are in flight.
     queue_counts_jobs_whose_starts_are_on_their_way => on_their_way();
-    /// A job stays counted as queued while it runs and its pool commits nothing else.
+    /// A job that stays counted as queued while it runs, since its pool commits nothing else.
     queue_does_not_count_a_job_that_runs => not_counted();
 }
 
@@ -41,9 +41,9 @@
     bed.judge()
 }
 
-// The caller sends the same job twice at the same time, at two entries, as after a broken
-// connection. Both commits are conditional on the same absent row: one writes it, the other meets
-// it. Both callers are told that the job is accepted, and it runs once.
+// Guards against a job that runs twice because its caller sends it to two entries at the same time, as after a
+// broken connection. Both commits are conditional on the absence of the same row: one writes it, and the other
+// conflicts with it. Both calls are told that the job is accepted.
 async fn two_entries() -> Result<()> {
     let mut bed = Bed::open(2, 3, 3).await?;
     let id = bed.id();
@@ -71,9 +71,9 @@
     bed.judge()
 }
 
-// The caller's first attempt is accepted for one pool, and its answer is lost. A configuration
-// sends the queue to another pool; the caller sends the same id again. The id's row doesn't depend
-// on the pool, so the second attempt meets the first one's row, and the job stays one job.
+// Guards against a job that runs in two pools. The first attempt is accepted for one pool, and its response is
+// lost. A new configuration assigns the queue to another pool, and the caller sends the same id again. The row of
+// an id doesn't depend on the pool, so the second attempt conflicts with the row of the first.
 async fn moved_queue() -> Result<()> {
     let mut bed = Bed::open(3, 3, 2).await?;
     let id = bed.id();
@@ -88,8 +88,8 @@
     bed.judge()
 }
 
-// Half of all commits are done and not answered. The caller must be told that the job is accepted,
-// or nothing certain: never that it was refused, since it runs.
+// Guards against a rejection of a job that runs. Half of all commits are applied without a response. The caller
+// may be told that the job is accepted, or that the outcome is unknown, but never that it is rejected.
 async fn lost_answer() -> Result<()> {
     let mut bed = Bed::open(4, 2, 3).await?;
     bed.conduct_all(|conduct| conduct.lost_commits = 0.5);
@@ -110,8 +110,8 @@
     bed.judge()
 }
 
-// The store takes a commit seconds after the entry has given up on it. The job runs in the end, so
-// the caller must not have been told that it never will.
+// Guards against a rejection of a job that runs. The store applies a commit seconds after the entry has timed out,
+// and the job runs in the end, so the caller must not have been told that it never will.
 async fn late_commit() -> Result<()> {
     let mut bed = Bed::open(5, 2, 3).await?;
     let name = bed.bystander(POOL).await?;
@@ -124,8 +124,8 @@
     bed.judge()
 }
 
-// The store turns the entry away, which proves that nothing was written: the caller is refused with
-// a time to come back. The job must never run.
+// The store rejects the entry's calls, which proves that nothing was written: the caller gets a rejection that
+// invites a retry, and the job must never run.
 async fn refused() -> Result<()> {
     let mut bed = Bed::open(6, 2, 3).await?;
     bed.conduct("e-0", |conduct| conduct.store = Reach::Refused);
@@ -145,7 +145,7 @@
         after: vec![1],
         ..step(1)
     };
-    // 300 steps of 300 bytes stay under the limit of the body.
+    // 300 steps of 300 bytes are below the limit of the body size.
     let faulty = [
         Job {
             steps: vec![ahead, step(1)],
@@ -181,13 +181,13 @@
 
 async fn counted() -> Result<()> {
     let mut bed = Bed::open(9, 2, 1).await?;
-    // One worker has room for eight tasks; the third job and those after it wait.
+    // One worker has capacity for eight tasks, so the third job and later ones wait.
     for _job in 0..6 {
         bed.submit("e-0", &job("4000", 4)).await?;
     }
     seconds(2).await;
     let queued = bed.queued("e-1").await;
-    ensure!(queued == 4, "{queued} are said to wait");
+    ensure!(queued == 4, "{queued} jobs are reported as queued");
     Ok(())
 }
 
@@ -204,7 +204,7 @@
     let has_begun = |id: &JobId| !journal.starts(&task(id, 0, 0)).is_empty();
     ensure!(!jobs.iter().any(has_begun));
     let queued = bed.queued("e-1").await;
-    ensure!(queued == 2, "{queued} are said to wait");
+    ensure!(queued == 2, "{queued} jobs are reported as queued");
     Ok(())
 }
 
@@ -214,6 +214,6 @@
     seconds(3).await;
     ensure!(bed.state("e-1", &id).await == Ok(State::Running));
     let queued = bed.queued("e-1").await;
-    ensure!(queued == 0, "{queued} are said to wait");
+    ensure!(queued == 0, "{queued} jobs are reported as queued");
     Ok(())
 }
--- a/tests/site/advice.rs
+++ b/tests/site/advice.rs
@@ -1,4 +1,4 @@
-//! Queues whose policy only the advice service knows: their starts carry its tickets.
+//! Queues whose placement policy only the advice service knows: starts of their tasks carry its tickets.
 
 use crate::{
     bed::{Bed, POOL, configuration, job, lasting, seconds, task},
@@ -18,7 +18,7 @@
     queue_that_begins_to_need_tickets => begins();
 }
 
-/// A site whose queue needs tickets, after its configuration is in force.
+/// Opens a site whose queue needs tickets, and waits until its configuration is in effect.
 async fn open(seed: u64) -> Result<Bed> {
     let bed = Bed::open(seed, 3, 4).await?;
     need_tickets(&bed);
@@ -32,12 +32,12 @@
     bed.world.instruct(Instruction::Configuration(newer));
 }
 
-/// A job whose workers refuse a start without a valid ticket.
+/// A job whose workers reject starts without a valid ticket.
 fn advised(millis: &str, count: u16) -> Job {
     job(&format!("{millis} advised"), count)
 }
 
-/// Fails where a task of a job of one step started on a worker that the policy forbids.
+/// Checks that each task of a single-step job has started, and only on workers that the policy allows.
 fn policy_was_kept(bed: &Bed, id: &JobId, count: u16) -> Result<()> {
     for index in 0..count {
         let starts = bed.world.journal().starts(&task(id, 0, index));
@@ -49,7 +49,7 @@
     Ok(())
 }
 
-// Two of four workers may run the job. It runs there, and nowhere else.
+// The policy allows two of four workers. The job runs there, and nowhere else.
 async fn allowed_only() -> Result<()> {
     let mut bed = open(81).await?;
     let id = bed.submit("e-0", &advised("500", 12)).await?;
@@ -58,8 +58,8 @@
     bed.judge()
 }
 
-// Tasks for three rounds of two workers take longer than a ticket is valid: the later ones start with
-// new tickets.
+// Guards against starts with expired tickets: tasks for three rounds on two workers take longer than a ticket is
+// valid, so later ones start with new tickets.
 async fn asked_again() -> Result<()> {
     let mut bed = open(82).await?;
     let id = bed.submit("e-0", &advised("2500", 48)).await?;
@@ -68,8 +68,8 @@
     bed.judge()
 }
 
-// The advice service is away for seconds. Jobs of its queue wait, and go on when it is back; tasks that
-// run aren't touched.
+// The advice service is unavailable for seconds. Jobs of the queue wait, and proceed when it is back; running
+// tasks are not disturbed.
 async fn no_advice() -> Result<()> {
     let mut bed = open(83).await?;
     let last = lasting(2);
@@ -94,8 +94,8 @@
     bed.judge()
 }
 
-// The owner is killed between its question and the answer. Tickets are in no row: its successor asks
-// again.
+// The owner is killed between its request for advice and the response. Tickets are not stored in any row, so its
+// successor requests advice again.
 async fn successor() -> Result<()> {
     let mut bed = open(84).await?;
     let owner = bed.owner(POOL).await?;
@@ -108,8 +108,8 @@
     bed.judge()
 }
 
-// The queue asks for tickets only from a new configuration on, while a job of it waits for room. The
-// workers refuse starts without one from then on; the owner hears of it, and asks.
+// A new configuration makes the queue need tickets while one of its jobs waits for free capacity. From then on the
+// workers reject starts without a ticket; the owner learns that tickets are needed, and requests advice.
 async fn begins() -> Result<()> {
     let mut bed = Bed::open(85, 2, 4).await?;
     let filling = bed.submit("e-0", &job("2000", 32)).await?;
--- a/tests/site/bed/mod.rs
+++ b/tests/site/bed/mod.rs
@@ -1,4 +1,4 @@
-//! A small site with entries, gateways and callers.
+//! A simulated site with its entries, gateways and callers.
 
 mod seen;
 mod shapes;
@@ -26,25 +26,26 @@
     time::{sleep, timeout},
 };
 
-/// The pool that the queue `/stay/` belongs to at first.
+/// The pool that the queue `/stay/` is initially assigned to.
 pub(crate) const POOL: &str = "stay";
 
-/// Another pool.
+/// A second pool, to which tests reassign the queue.
 pub(crate) const OTHER: &str = "rest";
 
-/// The pool whose instances are switched off, on a site that has one.
+/// The standby pool, whose instances are switched off; not every site has one.
 pub(crate) const STANDBY: &str = "off";
 
-/// Failed runs after which a task has failed.
+/// Number of failed runs after which a task fails.
 pub(crate) const ATTEMPTS: u32 = 3;
 
-/// Usual strength of an entry, in thousandths of a core.
+/// Default CPU share of an entry, in thousandths of a core.
 const STRENGTH: u32 = 250;
 
-/// How long a caller waits for an answer; then it knows nothing, as after a gateway's timeout.
+/// How long a caller waits for a response. After that the outcome of its request is unknown to it, as after a
+/// gateway timeout.
 const CALLER_WAITS: Duration = Duration::from_secs(4);
 
-/// Bodies as plain JSON of the domain's types.
+/// Encodes request and response bodies as plain JSON of the domain types.
 #[derive(Debug)]
 struct Plain;
 
@@ -70,28 +71,28 @@
     }
 }
 
-/// One entry: its gateway, and the part that owns pools.
+/// One entry: its gateway, and the process that owns pools.
 pub(crate) struct Node {
     pub caller: Caller,
     pub entry: Entry,
     pub gateway: Arc<Gateway>,
 }
 
-/// The site, its entries, and what callers sent and were told.
+/// The simulated site, its entries, and a record of the callers' requests and the responses.
 pub(crate) struct Bed {
     pub world: World,
     pub nodes: BTreeMap<String, Node>,
     pub sent: check::Sent,
-    /// Jobs whose acceptance was confirmed to a caller.
+    /// Jobs whose acceptance has been confirmed to a caller.
     pub accepted: Vec<JobId>,
-    /// Strengths of entries, where they aren't the usual one.
+    /// CPU shares of the entries; [`STRENGTH`] for those that are absent.
     strengths: BTreeMap<String, u32>,
     started: u64,
     ids: u64,
     clock: Clock,
-    /// What all entries tell of their loops.
+    /// Metrics reported by the control loops of all entries.
     pub figures: Arc<Figures>,
-    /// Times that the platform sets, for all entries.
+    /// Time limits set by the platform, for all entries.
     pub bounds: watch::Sender<Bounds>,
 }
 
@@ -103,18 +104,19 @@
 }
 
 impl Bed {
-    /// A site with `entries` entries and `workers` workers in [`POOL`], after everything is owned.
+    /// Opens a site with `entries` entries and `workers` workers in [`POOL`], and waits until every pool has an
+    /// owner.
     pub(crate) async fn open(seed: u64, entries: usize, workers: usize) -> Result<Self> {
         Self::open_as(options(seed), entries, workers).await
     }
 
-    /// The same on a site that behaves as `options` say.
+    /// Like [`Bed::open`], on a site configured by `options`.
     pub(crate) async fn open_as(options: Options, entries: usize, workers: usize) -> Result<Self> {
         let strengths = vec![STRENGTH; entries];
         Self::open_on(configuration(1, POOL), options, &strengths, workers).await
     }
 
-    /// The same with workers that take `stop` to stop a run.
+    /// Like [`Bed::open`], with workers that take `stop` to stop a run.
     pub(crate) async fn open_with_slow_stops(
         seed: u64,
         entries: usize,
@@ -128,7 +130,7 @@
         Self::open_as(options, entries, workers).await
     }
 
-    /// The same with workers that are back after a crash under the ids that they had.
+    /// Like [`Bed::open`], with workers that restart under the same id after a crash.
     pub(crate) async fn open_with_same_ids(
         seed: u64,
         entries: usize,
@@ -141,7 +143,7 @@
         Self::open_as(options, entries, workers).await
     }
 
-    /// The same with entries of these strengths.
+    /// Like [`Bed::open`], with one entry per CPU share in `strengths`.
     pub(crate) async fn open_with_strengths(
         seed: u64,
         strengths: &[u32],
@@ -150,7 +152,7 @@
         Self::open_on(configuration(1, POOL), options(seed), strengths, workers).await
     }
 
-    /// The same with a pool of four more instances that are switched off.
+    /// Like [`Bed::open`], with a standby pool of four additional instances that are switched off.
     pub(crate) async fn open_with_standby(
         seed: u64,
         entries: usize,
@@ -160,7 +162,8 @@
         Self::open_mixed(options(seed), &strengths, workers).await
     }
 
-    /// The same with entries of these strengths, on a site that behaves as `options` say.
+    /// Like [`Bed::open_with_standby`], with one entry per CPU share in `strengths`, on a site configured by
+    /// `options`.
     pub(crate) async fn open_mixed(
         options: Options,
         strengths: &[u32],
@@ -219,12 +222,12 @@
         Ok(bed)
     }
 
-    /// Starts a process for the entry `name`, in place of one that was killed.
+    /// Starts a process for the entry `name`, replacing one that was stopped or killed.
     pub(crate) fn start(&mut self, name: &str) {
         self.started += 1;
         self.world
             .conduct(name, |conduct| *conduct = Conduct::default());
-        // Calls of the killed process go by another name, and stay dead.
+        // Each process has its own caller name, so calls of a killed one stay dead.
         let caller = self.world.caller(&format!("{name}#{}", self.started));
         let store = Backoff::new("store", self.started);
         let instances = Backoff::new("instances", self.started);
@@ -266,31 +269,31 @@
         );
     }
 
-    /// The name by which the newest process of an entry calls.
+    /// The caller name of an entry's newest process.
     pub(crate) fn calls(&self, name: &str) -> String {
         self.nodes[name].caller.name().to_owned()
     }
 
-    /// Kills an entry's process: none of its calls goes out or comes back any more.
+    /// Kills an entry's process: none of its calls is sent or answered any more.
     pub(crate) fn kill(&mut self, name: &str) {
         let calls = self.calls(name);
         self.world.conduct(&calls, |conduct| conduct.dead = true);
         self.nodes.remove(name);
     }
 
-    /// Tells an entry to stop; it gives up what it has meanwhile.
+    /// Shuts an entry down gracefully, in the background; it releases what it owns.
     pub(crate) fn stop(&mut self, name: &str) {
         if let Some(node) = self.nodes.remove(name) {
             tokio::spawn(node.entry.stop());
         }
     }
 
-    /// Sets how the calls of an entry's newest process fare.
+    /// Injects faults into the calls of an entry's newest process.
     pub(crate) fn conduct(&self, name: &str, set: impl FnOnce(&mut Conduct)) {
         self.world.conduct(&self.calls(name), set);
     }
 
-    /// Sets how the calls of all entries fare.
+    /// Injects faults into the calls of all entries.
     pub(crate) fn conduct_all(&self, set: impl Fn(&mut Conduct)) {
         for name in self.nodes.keys() {
             self.conduct(name, &set);
@@ -325,7 +328,7 @@
         (head.status, String::from_utf8_lossy(&bytes).into_owned())
     }
 
-    /// Submits a job under an id; the answer's status.
+    /// Submits a job with the given id; returns the response status.
     pub(crate) async fn send(&mut self, entry: &str, id: &JobId, job: &Job) -> StatusCode {
         self.sent.jobs.insert(id.clone(), job.clone());
         let body = serde_json::to_vec(job).expect("a job serializes");
@@ -338,7 +341,7 @@
         status
     }
 
-    /// Submits a job that must be accepted.
+    /// Submits a job with a new id; fails unless it is accepted.
     pub(crate) async fn submit(&mut self, entry: &str, job: &Job) -> Result<JobId> {
         let id = self.id();
         let status = self.send(entry, &id, job).await;
@@ -358,7 +361,7 @@
         status
     }
 
-    /// A job's state at an entry, or the status without one.
+    /// A job's state as reported by an entry, or the response status if that isn't a success.
     pub(crate) async fn state(&self, entry: &str, id: &JobId) -> Result<State, StatusCode> {
         let path = format!("/stay/{id}");
         let body = primroseroute_front::problem::full("");
@@ -376,7 +379,7 @@
         text.parse().unwrap_or(u64::MAX)
     }
 
-    /// Waits until a job has `state`, for `seconds` at most.
+    /// Waits until a job has `state`, for at most `seconds`.
     pub(crate) async fn until(
         &self,
         entry: &str,
@@ -393,19 +396,23 @@
             last = Some(shown);
             sleep(Duration::from_millis(100)).await;
         }
-        eyre::bail!("{id} isn't {state:?} after {seconds} s but {last:?}")
+        eyre::bail!("{id} is not {state:?} after {seconds} s, last response: {last:?}")
     }
 
-    /// The entry that owns a pool, by what the store says.
+    /// The entry that owns a pool, according to the store.
     pub(crate) async fn owner(&self, pool: &str) -> Result<String> {
         let row = self.owner_row(pool).await?;
         let value = row.and_then(|row| row.value).unwrap_or_default();
         let owner: primroseroute_cell::row::Owner = serde_json::from_slice(&value)?;
-        ensure!(!owner.released, "{pool} was given up by {}", owner.entry);
+        ensure!(
+            !owner.released,
+            "{pool} has been released by {}",
+            owner.entry
+        );
         Ok(owner.entry.to_string())
     }
 
-    /// The fencing token of a pool's owner: it changes with each takeover, also by the same entry.
+    /// The fencing token of a pool's owner. It changes with each takeover, even by the same entry.
     pub(crate) async fn token(&self, pool: &str) -> Result<u64> {
         let row = self.owner_row(pool).await?;
         row.map(|row| row.version)
@@ -419,19 +426,21 @@
         Ok(row)
     }
 
-    /// An entry that doesn't own a pool.
+    /// An entry that does not own `pool`.
     pub(crate) async fn bystander(&self, pool: &str) -> Result<String> {
         let owner = self.owner(pool).await?;
         let other = self.nodes.keys().find(|name| **name != owner);
-        other.cloned().ok_or_else(|| eyre::eyre!("no other entry"))
+        other
+            .cloned()
+            .ok_or_else(|| eyre::eyre!("no entry other than the owner"))
     }
 
-    /// Fails with the first broken promise.
+    /// Checks the guarantees to callers and workers; reports the first violation.
     pub(crate) fn judge(&self) -> Result<()> {
         let breaches = check::check(&self.sent, &self.world.journal());
         match breaches.first() {
             None => Ok(()),
-            Some(first) => eyre::bail!("{} breaches, the first: {first}", breaches.len()),
+            Some(first) => eyre::bail!("{} violations, first: {first}", breaches.len()),
         }
     }
 }
--- a/tests/site/bed/seen.rs
+++ b/tests/site/bed/seen.rs
@@ -1,4 +1,4 @@
-//! What a test sees of the site itself.
+//! Queries of the simulated site's state and event journal.
 
 use super::Bed;
 use eyre::{Result, eyre};
@@ -7,11 +7,11 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often a test looks for what it waits for.
+/// Interval at which a test checks a condition that it waits for.
 const PACE: Duration = Duration::from_millis(10);
 
 impl Bed {
-    /// Waits until `seen` gives something, for `seconds` at most.
+    /// Waits until `seen` returns a value, for at most `seconds`.
     pub(crate) async fn wait_for<T>(
         &self,
         what: &str,
@@ -24,7 +24,7 @@
             }
             sleep(PACE).await;
         }
-        Err(eyre!("{what} doesn't come in {seconds} s"))
+        Err(eyre!("{what} did not happen within {seconds} s"))
     }
 
     /// The workers of a pool's instances.
@@ -34,20 +34,20 @@
         own.filter_map(|known| known.worker).collect()
     }
 
-    /// The instance that a worker is a life of.
+    /// The instance that a worker runs on.
     pub(crate) fn instance_of(&self, worker: &Name) -> Option<Name> {
         let all = self.world.instances().into_iter();
         let mut of = all.filter(|known| known.worker.as_ref() == Some(worker));
         of.next().map(|known| known.name)
     }
 
-    /// Number of what workers have seen for which `holds`.
+    /// Number of journal events that satisfy `holds`.
     pub(crate) fn count(&self, holds: impl Fn(&Event) -> bool) -> usize {
         let events = self.world.journal().events;
         events.iter().filter(|event| holds(event)).count()
     }
 
-    /// Workers that run a task now, by the journal.
+    /// Workers that currently run a task, according to the journal.
     pub(crate) fn running(&self, task: &TaskId) -> Vec<Name> {
         let mut on: Vec<Name> = Vec::new();
         for event in self.world.journal().events {
--- a/tests/site/bed/shapes.rs
+++ b/tests/site/bed/shapes.rs
@@ -1,4 +1,4 @@
-//! Configurations and jobs of the tests.
+//! Builders of configurations and jobs.
 
 use super::{ATTEMPTS, OTHER, POOL, STANDBY};
 use primroseroute_domain::work::{Demand, Job, JobId, Step, TaskId};
@@ -34,7 +34,7 @@
     }
 }
 
-/// The same with a pool whose instances are switched off.
+/// Adds a standby pool, whose instances are switched off.
 pub(crate) fn with_standby(mut configuration: Configuration) -> Configuration {
     configuration.pools.push(Pool {
         name: STANDBY.into(),
@@ -58,7 +58,7 @@
     }
 }
 
-/// A job of one step whose tasks do what `payload` says.
+/// A single-step job whose tasks behave as `payload` says.
 pub(crate) fn job(payload: &str, count: u16) -> Job {
     Job {
         payload: payload.into(),
@@ -67,7 +67,7 @@
     }
 }
 
-/// A job of tasks that last, each on a worker of its own, one of which may be missed.
+/// A job of long-running tasks, each on a separate worker, at most one of which may be unavailable.
 pub(crate) fn lasting(count: u16) -> Job {
     let step = Step {
         lasting: true,
--- a/tests/site/cancel.rs
+++ b/tests/site/cancel.rs
@@ -1,4 +1,4 @@
-//! A cancel that was acknowledged is stored, and everything of its job stops.
+//! Cancels: an acknowledged cancel is stored, and all tasks of its job stop.
 
 use crate::{
     bed::{Bed, POOL, job, lasting, seconds, task},
@@ -42,8 +42,8 @@
     bed.judge()
 }
 
-// All entries lose power right after the cancel was acknowledged. Those that start find the cancel
-// in the store, and stop what the dead ones left running.
+// All entries are killed right after the cancel was acknowledged. The next one finds the cancel in the store, and
+// stops the runs that the previous entries left behind.
 async fn all_killed() -> Result<()> {
     let mut bed = Bed::open(52, 2, 4).await?;
     let id = bed.submit("e-0", &lasting(3)).await?;
@@ -61,8 +61,9 @@
     bed.judge()
 }
 
-// Starts of the job are on their way, unanswered, when it is cancelled. They land seconds later, and
-// their workers refuse them: their deadline has passed, or a stop of the run came first.
+// Guards against late starts of a cancelled job. Its starts are in flight, without a response, when it is
+// cancelled. They arrive seconds later, and their workers reject them: their deadline has passed, or a stop of the
+// run arrived first.
 async fn late_start() -> Result<()> {
     let mut bed = Bed::open(53, 2, 4).await?;
     let owner = bed.owner(POOL).await?;
@@ -88,8 +89,8 @@
     Ok(())
 }
 
-// The owner's commits get no answer for seconds, while it still hears of a cancel. What runs of the
-// job stops all the same: the cancel is stored, and stopping needs nothing more.
+// Guards against stops that wait for a commit. The owner's commits get no response for seconds, while it still
+// learns of a cancel. The job's runs stop all the same: the cancel is stored, and a stop requires nothing else.
 async fn commits_wait() -> Result<()> {
     let mut bed = Bed::open(55, 2, 4).await?;
     let owner = bed.owner(POOL).await?;
@@ -105,8 +106,8 @@
     bed.judge()
 }
 
-// The owner has sent a commit for another job and waits for its answer when the cancel comes. What
-// runs of the cancelled job stops at once: the loop takes the cancel in while it waits.
+// Guards against stops that wait for another job's commit. The owner waits for the response to it when the cancel
+// arrives. The runs of the cancelled job stop at once, since the control loop applies cancels while it waits.
 async fn commit_under_way() -> Result<()> {
     let mut bed = Bed::open(56, 2, 4).await?;
     let owner = bed.owner(POOL).await?;
@@ -124,8 +125,8 @@
     bed.judge()
 }
 
-// A job is cancelled while the commit of its first start gets no answer. Its stop goes out before the
-// start does, so that the worker refuses the start.
+// A job is cancelled while the commit of its first start gets no response. Its stop is sent before the start, so
+// that the worker rejects the start.
 async fn start_waits() -> Result<()> {
     let mut bed = Bed::open(57, 2, 4).await?;
     let owner = bed.owner(POOL).await?;
@@ -145,9 +146,10 @@
     bed.judge()
 }
 
-// A task of a cancelled job was started four seconds after its caller was told that it is cancelled. The job waits for
-// room; its owner's feed brings nothing for seconds, while its commits go through; then room comes, and the owner
-// starts what it knows nothing against. Only the age of the commit was bound, not the age of what it rests on.
+// Guards against starts after an acknowledged cancel: a task was started four seconds after it. The job waits for
+// free capacity; the owner's feed gets no response for seconds, while its commits succeed; then capacity is
+// available, and the owner starts the job without knowing of the cancel. Only the age of the commit was limited,
+// not the age of the data on which it is based.
 async fn hears_late(deafen: impl FnOnce(&mut Conduct)) -> Result<()> {
     let mut bed = Bed::open(58, 2, 1).await?;
     let owner = bed.owner(POOL).await?;
@@ -156,7 +158,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     let waits = bed.submit(&other, &job("500", 4)).await?;
     bed.conduct(&owner, deafen);
-    // The call that was on its way has come back by then.
+    // By then the feed call in flight has returned.
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     let goes_on = bed.submit(&other, &job("500", 4)).await?;
     ensure!(bed.cancel(&other, &waits).await == StatusCode::OK);
@@ -169,8 +171,9 @@
     Ok(())
 }
 
-// Tasks of a cancelled job ran on for as long as their owner's feed failed, while its commits and its looks went through, so that
-// nobody took its pool: the owner waited for the feed alone. It reads what it can't follow, once a second or two.
+// Guards against tasks of a cancelled job that run on for as long as their owner's feed fails. Its commits and
+// status polls succeeded, so that no entry took its pool over, and it waited for the feed alone. Now it reads what
+// it can't follow, every second or two.
 async fn reads_in_place(feeds: Reach) -> Result<()> {
     let mut bed = Bed::open(63, 2, 4).await?;
     let owner = bed.owner(POOL).await?;
@@ -190,14 +193,15 @@
     bed.judge()
 }
 
-// The same during a takeover. A weak successor takes seconds to read the pool's jobs; the cancel is stored just after
-// it has read the job's partition, and it then reads everything once more before it follows the feed. It starts
-// the job as soon as it has read it, and hears of the cancel seconds later.
+// Guards against a start of a cancelled job during a takeover. A successor with a small CPU share takes seconds to
+// read the pool's jobs; the cancel is stored just after it has read the job's partition, and it then reads
+// everything once more before it follows the feed. It started the job as soon as it had read it, and learned of
+// the cancel seconds later.
 async fn successor_reads() -> Result<()> {
     let mut bed = Bed::open(59, 2, 4).await?;
     let owner = bed.owner(POOL).await?;
     let other = bed.bystander(POOL).await?;
-    // Everything waits: none of the workers takes anything before the takeover.
+    // All tasks wait, since no worker accepts starts before the takeover.
     bed.conduct(&owner, |conduct| conduct.workers = Reach::Refused);
     let id = first_part(&mut bed);
     ensure!(bed.send(&other, &id, &job("500", 4)).await.is_success());
@@ -209,7 +213,7 @@
     while bed.token(POOL).await? == before {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    // By then it has read the job's partition, and not all.
+    // By then it has read the job's partition, but not all of them.
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     let bystander = bed.bystander(POOL).await?;
     ensure!(bed.cancel(&bystander, &id).await == StatusCode::OK);
@@ -217,8 +221,9 @@
     bed.judge()
 }
 
-// Lasting tasks ran on for seconds after their cancel was acknowledged. A weak successor has read the pool and owns it, with looks and
-// commits in order, but reads everything once more before it follows the feed, and hears of nothing until then.
+// Guards against long-running tasks that run on for seconds after their cancel was acknowledged. A successor with
+// a small CPU share has read the pool and owns it, and its status polls and commits succeed, but it reads
+// everything once more before it follows the feed, and learned of nothing until then.
 async fn successor_has_read() -> Result<()> {
     let mut bed = Bed::open(62, 2, 4).await?;
     let owner = bed.owner(POOL).await?;
@@ -231,7 +236,7 @@
     while bed.token(POOL).await? == before {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    // Seven reads, one after the other, load the pool.
+    // Loading the pool takes seven sequential reads.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     let bystander = bed.bystander(POOL).await?;
     ensure!(bed.running(&task(&id, 0, 0)).len() == 1);
@@ -243,7 +248,7 @@
     bed.judge()
 }
 
-/// An id in the partition that a successor reads first.
+/// A job id in the partition that a successor reads first.
 fn first_part(bed: &mut Bed) -> JobId {
     loop {
         let id = bed.id();
@@ -253,8 +258,9 @@
     }
 }
 
-// The commit of a job's starts waits, and the job is cancelled meanwhile. Its stops go out at once and come late, as
-// calls on other connections may; then the commit is through, and the starts must not follow.
+// Guards against starts that follow late stops. A job is cancelled while the commit of its starts is pending. Its
+// stops are sent at once and arrive late, as calls on other connections may; then the commit succeeds, and the
+// starts must not be sent.
 async fn stop_is_late() -> Result<()> {
     let mut bed = Bed::open(60, 2, 4).await?;
     let owner = bed.owner(POOL).await?;
@@ -277,8 +283,9 @@
     bed.judge()
 }
 
-// A worker answers slowly, so that starts wait for their turn on its few connections. The job is cancelled; the starts that
-// haven't left yet must not leave, as its stops would wait for the same turn.
+// Guards against starts that are sent after a cancel. A worker responds slowly, so that starts queue for its few
+// connections. The job is cancelled; starts that are still queued must not be sent, as the stops would queue
+// behind them.
 async fn behind_others() -> Result<()> {
     let mut bed = Bed::open(61, 2, 1).await?;
     let owner = bed.owner(POOL).await?;
@@ -291,7 +298,7 @@
     seconds(6).await;
     let journal = bed.world.journal();
     let started = (0..8).filter(|&index| !journal.starts(&task(&id, 0, index)).is_empty());
-    // As many as an entry sends to one worker at the same time.
+    // An entry sends at most three orders to one worker concurrently.
     let started = started.count();
     ensure!(started <= 3, "{started} tasks were started");
     bed.judge()
--- a/tests/site/crash.rs
+++ b/tests/site/crash.rs
@@ -1,4 +1,6 @@
-//! Tasks that crash the workers that start them, and those that only lose their workers.
+//! Tasks that crash the workers that start them, and tasks that only lose their workers.
+//!
+//! The comment on each case names the failure that it guards against.
 
 use crate::{
     bed::{Bed, POOL, job, lasting, seconds, step, task},
@@ -13,44 +15,44 @@
 cases! {
     /// Unbounded retries of a task that crashes its workers.
     task_that_crashes_its_workers_is_given_up => given_up();
-    /// Jobs that fail for a task that crashed the workers they shared with it.
+    /// Jobs that fail because they shared workers with a task that crashed them.
     neighbours_of_a_crashing_task_complete => neighbours();
-    /// A pool whose workers are all down for a few tasks that crash them.
+    /// A pool whose workers are all down because of a few tasks that crash them.
     several_crashing_tasks_leave_the_pool_to_others => several();
-    /// A count of crashes that a successor begins anew.
+    /// A count of crashes that a successor restarts from zero.
     count_of_crashes_outlasts_takeovers => takeovers();
-    /// A count of crashes that is lost with all entries.
+    /// A count of crashes that is lost when all entries are killed.
     count_of_crashes_outlasts_all_entries => all_entries();
-    /// A crash that nobody notices since its owner died with the worker.
+    /// A crash that goes unnoticed because the owner was killed at the same time.
     crash_beside_its_owner_counts => with_its_owner();
-    /// A task given up for workers that were only cut off.
+    /// A task abandoned because of workers that were only partitioned.
     task_whose_workers_are_cut_off_is_not_given_up => cut_off();
-    /// Cut-off workers that hide a crashing task, or are taken for crashed beside it.
+    /// Partitioned workers that hide a crashing task, or are mistaken for crashed ones beside it.
     cut_workers_beside_crashed_ones => cut_beside_crashed();
-    /// A task given up for crashes of its workers that had other causes.
+    /// A task abandoned because of crashes of its workers that had other causes.
     task_whose_workers_crash_by_themselves_is_not_given_up => unlucky();
     /// Unbounded restarts of a gang that crashes its workers.
     gang_that_crashes_its_workers_is_given_up => gang();
-    /// Unbounded restarts of a lasting task that crashes its workers, or others of its step that go with it.
+    /// Unbounded restarts of a long-running task that crashes its workers, or loss of the other tasks of its step.
     lasting_task_that_crashes_its_workers_is_given_up => lasting_task();
-    /// A lasting task given up for crashes of cut-off workers that had outlived its runs.
+    /// A long-running task abandoned because of crashes of partitioned workers that had outlived its runs.
     lasting_task_serves_on_after_crashes_of_workers_that_outlived_it => outlived_behind_cuts();
-    /// A start of a crashing task that arrives late, from a former owner.
+    /// A crash that isn't counted because the start arrived late, from a former owner.
     late_starts_of_a_crashing_task_count => late_starts();
 }
 
-/// A payload of tasks that crash their workers right after their start.
+/// Payload of tasks that crash their workers right after they start.
 const CRASHES: &str = "5 crashes";
 
-/// Seconds in which a task that crashes its workers has to be given up.
+/// Seconds within which a task that crashes its workers has to be abandoned.
 const GIVEN_UP: u64 = 60;
 
-/// Number of workers that a job's tasks have crashed so far.
+/// Number of crashes that a job's tasks have caused so far.
 fn crashes(bed: &Bed, id: &JobId) -> usize {
     bed.count(|event| matches!(event, Event::Crashed { task, .. } if task.job == *id))
 }
 
-/// Waits until a job's tasks have crashed so many workers.
+/// Waits until a job's tasks have caused `count` crashes.
 async fn until_crashes(bed: &Bed, id: &JobId, count: usize) -> Result<()> {
     let crashed = |bed: &Bed| (crashes(bed, id) >= count).then_some(());
     bed.wait_for("a crash", 60, crashed).await
@@ -60,7 +62,10 @@
     let mut bed = Bed::open(301, 3, 5).await?;
     let id = bed.submit("e-0", &job(CRASHES, 1)).await?;
     bed.until("e-0", &id, State::Failed, GIVEN_UP).await?;
-    ensure!(crashes(&bed, &id) >= 2, "too few crashes prove nothing");
+    ensure!(
+        crashes(&bed, &id) >= 2,
+        "too few crashes for the test to be conclusive"
+    );
     seconds(20).await;
     bed.judge()
 }
@@ -171,7 +176,7 @@
     bed.judge()
 }
 
-/// Waits until the first task of a job runs; where.
+/// Waits until the first task of a job runs; returns its worker.
 async fn until_running(bed: &Bed, id: &JobId) -> Result<Name> {
     let task = task(id, 0, 0);
     bed.wait_for("a run", 30, |bed| bed.running(&task).pop())
@@ -237,10 +242,13 @@
     };
     let id = bed.submit("e-0", &culprit).await?;
     seconds(GIVEN_UP).await;
-    ensure!(crashes(&bed, &id) >= 2, "too few crashes prove nothing");
+    ensure!(
+        crashes(&bed, &id) >= 2,
+        "too few crashes for the test to be conclusive"
+    );
     let before = crashes(&bed, &id);
     seconds(20).await;
-    ensure!(crashes(&bed, &id) == before, "it is started again");
+    ensure!(crashes(&bed, &id) == before, "the task is started again");
     ensure!(bed.running(&task(&id, 0, 0)).is_empty());
     for (job, indexes) in [(&sound, 0..3), (&id, 1..3)] {
         let state = bed.state("e-0", job).await;
@@ -269,7 +277,7 @@
     }
     seconds(20).await;
     let running = bed.running(&task(&id, 0, 0));
-    ensure!(running.len() == 1, "it runs on {running:?}");
+    ensure!(running.len() == 1, "the task runs on {running:?}");
     bed.judge()
 }
 
--- a/tests/site/figures.rs
+++ b/tests/site/figures.rs
@@ -1,4 +1,4 @@
-//! What owners tell of their loops, as metrics would show it.
+//! Metrics that owners report on their control loops.
 
 use crate::{
     bed::{Bed, POOL, job, lasting, seconds},
@@ -13,7 +13,7 @@
 use std::{collections::BTreeMap, time::Duration};
 use tokio::time::sleep;
 
-/// Shorter than the time after which another entry takes the pool.
+/// Delay of a commit, shorter than the time after which another entry takes the pool over.
 const AWHILE: Duration = Duration::from_millis(200);
 
 cases! {
@@ -22,22 +22,22 @@
     figures_while_answers_are_held_up => held_up();
 }
 
-/// The longest times so far.
+/// Records the longest reported durations.
 #[derive(Debug, Default)]
 pub(crate) struct Figures(Mutex<Longest>);
 
 #[derive(Clone, Debug, Default)]
 struct Longest {
-    /// Age of the newest answer of the feed of [`POOL`]'s jobs.
+    /// Age of the newest response of the feed of [`POOL`]'s jobs.
     read: Duration,
-    /// Rounds of its loop.
+    /// Duration of a round of [`POOL`]'s control loop.
     round: Duration,
-    /// Waits of orders, by kind.
+    /// Time for which orders waited before they were sent, by kind.
     orders: BTreeMap<&'static str, Duration>,
 }
 
 impl Figures {
-    /// What was longest since the last call.
+    /// Returns and resets the longest durations.
     fn take(&self) -> Longest {
         std::mem::take(&mut *self.0.lock())
     }
@@ -73,7 +73,8 @@
     }
 }
 
-// Nothing is wrong: the feed's own wait is all that the age shows, and rounds and orders are short.
+// Without faults, the age of the feed is at most the time of one long poll, and rounds and waits of orders are
+// short.
 async fn calm() -> Result<()> {
     let mut bed = Bed::open(101, 2, 3).await?;
     bed.figures.take();
@@ -95,7 +96,8 @@
     Ok(())
 }
 
-// The commit of a start gets no answer for a while. The round and the start's wait show it; the feed goes on.
+// The commit of a start gets no response for a while. The durations of the round and of the start's wait show it,
+// and the feed continues.
 async fn commit_waits() -> Result<()> {
     let mut bed = Bed::open(102, 2, 3).await?;
     let owner = bed.owner(POOL).await?;
@@ -114,8 +116,8 @@
     Ok(())
 }
 
-// Answers to the owner are held up for a while. What it knows of its jobs is as old as the last call that was answered
-// before, and not as the moment at which an old answer came.
+// Guards against an understated age of the feed. Responses to the owner are delayed. The age counts from the last
+// call that was answered before the delay, and not from the arrival of an old response.
 async fn held_up() -> Result<()> {
     let bed = Bed::open(103, 2, 3).await?;
     let owner = bed.owner(POOL).await?;
--- a/tests/site/forget.rs
+++ b/tests/site/forget.rs
@@ -1,4 +1,4 @@
-//! The rows of a finished job are deleted some time after its end, and it never runs again.
+//! Deletion of a finished job's rows after the retention time; the job never runs again.
 
 use crate::{
     bed::{Bed, POOL, job, seconds, task},
@@ -16,7 +16,7 @@
     job_that_is_forgotten_during_a_read_stays_finished => forgotten_while_read();
 }
 
-/// A job that ended `millis` before its rows are due to be deleted.
+/// Runs a job, and waits until `millis` milliseconds before its rows are due to be deleted.
 async fn finished(bed: &mut Bed, id: JobId, millis: u64) -> Result<JobId> {
     const DUE: u64 = 150_000;
     ensure!(bed.send("e-0", &id, &job("300", 1)).await.is_success());
@@ -25,8 +25,9 @@
     Ok(id)
 }
 
-// The owner forgets a finished job and then fails to delete its rows. Later its feed has lost history, and it reads the whole: the job
-// looks as if it had just been accepted, and all of its work is done once more.
+// Guards against a finished job that runs again. The owner removes the job from memory and then fails to delete
+// its rows. Later the history of its feed has been compacted, and it reads everything anew: the job looks as if it
+// had just been accepted.
 async fn delete_fails() -> Result<()> {
     let mut bed = Bed::open(71, 2, 2).await?;
     let id = bed.id();
@@ -47,8 +48,9 @@
     bed.judge()
 }
 
-// The owner reads the whole after a loss of history, slowly. It has read the job's rows when they are deleted, and forgets the job
-// before it is told of them: the job looks new.
+// Guards against a finished job that runs again. The owner reads everything anew, slowly, after its feed's history
+// was compacted. It has read the job's rows when they are deleted, and removes the job from memory before it
+// processes what it has read: the job looks new.
 async fn forgotten_while_read() -> Result<()> {
     let mut bed = Bed::open(72, 2, 2).await?;
     let id = loop {
--- a/tests/site/herd.rs
+++ b/tests/site/herd.rs
@@ -1,4 +1,4 @@
-//! Many entries that together ask the store for more than it gives.
+//! Many entries whose combined load exceeds the rate limit of the store.
 
 use crate::{
     bed::{Bed, POOL, job, seconds},
@@ -10,23 +10,23 @@
 use primroseroute_standin::site::{Options, Reach};
 
 cases! {
-    /// A store over its rate refuses the reads of entries that start together for good.
+    /// Entries that start together and whose reads a store over its rate limit rejects forever.
     entries_that_start_together_get_to_work => start();
-    /// A takeover that waits for the reads of all entries that have started with its own.
+    /// A takeover that waits for the reads of all entries that started at the same time.
     pool_is_read_before_all_entries_have_read => takeover();
-    /// The same once the store has been away and has forgotten its history.
+    /// The same after an outage of the store, whose history has been compacted meanwhile.
     entries_that_read_anew_together_get_to_work => return_of_the_store();
-    /// A feed that isn't asked for while the read in its place is refused again and again.
+    /// A feed that is no longer polled while the read that replaces it is rejected again and again.
     feed_is_asked_for_beside_refused_reads => feed_beside_reads();
 }
 
-/// Entries of the site.
+/// Number of entries on the site.
 const ENTRIES: usize = 40;
 
-/// Reads that the store takes a second: half of what the entries ask for at their start.
+/// Reads that the store accepts per second: half of the load of the entries at their start.
 const READS: u32 = 300;
 
-/// Share of reads, in percent, that may be refused once the entries have settled.
+/// Maximum share of rejected reads, in percent, in steady state.
 const REFUSED_PERCENT: u64 = 20;
 
 async fn open(seed: u64) -> Result<Bed> {
@@ -47,7 +47,7 @@
 }
 
 async fn takeover() -> Result<()> {
-    /// Longest time of a read of the pool, in milliseconds.
+    /// Maximum time to load the pool, in milliseconds.
     const LOAD: u64 = 1_000;
     capture();
     let mut bed = open(64).await?;
@@ -100,14 +100,14 @@
     bed.judge()
 }
 
-/// A job is accepted and completed.
+/// Checks that a job is accepted and completes.
 async fn serves(bed: &mut Bed) -> Result<()> {
     let id = bed.submit("e-0", &job("300", 2)).await?;
     bed.until("e-1", &id, State::Completed, 4).await?;
     bed.judge()
 }
 
-/// Few reads are refused in the end.
+/// Checks that few reads are rejected in steady state.
 async fn settles(bed: &Bed) -> Result<()> {
     seconds(10).await;
     let before = bed.world.reads();
@@ -117,7 +117,7 @@
     let all = after.taken - before.taken + refused;
     ensure!(
         refused * 100 <= all * REFUSED_PERCENT,
-        "{refused} of {all} reads were refused"
+        "{refused} of {all} reads were rejected"
     );
     Ok(())
 }
--- a/tests/site/inspect.rs
+++ b/tests/site/inspect.rs
@@ -1,4 +1,4 @@
-//! What operators see of the job path, without asking an entry.
+//! What operators see of pools, jobs and waves, read from the store without calling an entry.
 
 use crate::{
     bed::{Bed, OTHER, POOL, STANDBY, job, lasting, seconds},
@@ -60,7 +60,7 @@
     Ok(())
 }
 
-// The owner is killed. The job's story is still there: what was promised, and where each task runs.
+// The job's details remain available after its owner is killed: its accepted form, and where each task runs.
 async fn story() -> Result<()> {
     let mut bed = Bed::open(102, 2, 3).await?;
     let id = bed.submit("e-0", &lasting(2)).await?;
--- a/tests/site/lines.rs
+++ b/tests/site/lines.rs
@@ -1,7 +1,7 @@
-//! Log lines of one test, as an operator would collect them from all entries.
+//! Captures the log lines of one test, as an operator would collect them from all entries.
 //!
-//! The `log` facade knows one logger a process, so this one keeps lines by thread: each test has a
-//! thread of its own, and its runtime runs all entries there.
+//! The `log` facade has one logger per process, so this one keeps lines by thread: each test has its own thread,
+//! on which its single-threaded runtime runs all entries.
 
 use log::{
     Level, Log, Metadata, Record,
@@ -10,10 +10,10 @@
 use std::{cell::RefCell, collections::BTreeMap, fmt, sync::Once};
 use tokio::time::Instant;
 
-/// A line.
+/// A captured log line.
 #[derive(Clone, Debug)]
 pub(crate) struct Line {
-    /// When, in milliseconds since the capture began.
+    /// Time in milliseconds since the capture began.
     pub at: u64,
     pub text: String,
     fields: BTreeMap<String, String>,
@@ -24,7 +24,7 @@
         self.fields.get(name).map(String::as_str)
     }
 
-    /// Whether a field is a list of names with this one.
+    /// Whether the value of `field` is a comma-separated list that contains `name`.
     pub(crate) fn lists(&self, field: &str, name: &str) -> bool {
         let names = self.field(field).unwrap_or_default();
         names.split(',').any(|listed| listed == name)
@@ -39,7 +39,7 @@
     }
 }
 
-/// Whose lines of what workers have seen are kept as well.
+/// Target prefix of the simulated platform, whose lines are captured at all levels.
 const STANDIN: &str = "primroseroute_standin";
 
 thread_local! {
@@ -72,7 +72,7 @@
             };
             let mut fields = Fields(BTreeMap::new());
             let visited = record.key_values().visit(&mut fields);
-            assert!(visited.is_ok(), "a field can't be read");
+            assert!(visited.is_ok(), "a field of a log line can't be read");
             lines.push(Line {
                 at: u64::try_from(begin.elapsed().as_millis()).unwrap_or(u64::MAX),
                 text: record.args().to_string(),
@@ -84,17 +84,17 @@
     fn flush(&self) {}
 }
 
-/// Begins to keep the lines of this thread.
+/// Starts to capture the log lines of this thread.
 pub(crate) fn capture() {
     static INSTALL: Once = Once::new();
     INSTALL.call_once(|| {
-        log::set_logger(&ByThread).expect("no other logger");
+        log::set_logger(&ByThread).expect("no other logger is installed");
         log::set_max_level(log::LevelFilter::Debug);
     });
     LINES.set(Some((Instant::now(), Vec::new())));
 }
 
-/// The lines of this thread so far.
+/// The lines captured on this thread so far.
 pub(crate) fn captured() -> Vec<Line> {
     LINES
         .with_borrow(|lines| lines.as_ref().map(|(_begin, lines)| lines.clone()))
--- a/tests/site/lives.rs
+++ b/tests/site/lives.rs
@@ -1,4 +1,5 @@
-//! Orders to instances, and whether the lives of their workers are over.
+//! Whether a worker has terminated: conclusions from orders to its instance, lists of instances, and
+//! registrations.
 
 use crate::{
     bed::{Bed, OTHER, POOL, configuration, job, lasting, seconds, task},
@@ -24,11 +25,11 @@
     registration_that_comes_back_as_it_was_counts => comes_back();
 }
 
-/// Further time of each call of the holder that orders: several orders to workers fit into the time from a request to
-/// its answer, and the answer still comes in time.
+/// Extra latency of each call of the holder that gives orders: long enough for several orders to workers between a
+/// request and its response, and short enough that the response still arrives in time.
 const HOLDER_DELAY: Duration = Duration::from_millis(150);
 
-/// How often a test looks for what it waits for.
+/// Interval at which a test checks a condition that it waits for.
 const PACE: Duration = Duration::from_millis(10);
 
 fn wave_of(name: &Name) -> Instruction {
@@ -40,14 +41,14 @@
     })
 }
 
-/// The worker that an instance has.
+/// The worker on an instance, if it is known.
 fn worker(bed: &Bed, name: &Name) -> Option<Name> {
     let all = bed.world.instances().into_iter();
     let mut own = all.filter(|known| known.name == *name);
     own.next().and_then(|known| known.worker)
 }
 
-/// An instance of [`POOL`] whose orders come from another entry than the pool's owner, and that entry.
+/// An instance of [`POOL`] whose orders come from an entry other than the pool's owner, and that entry.
 async fn with_holder(bed: &Bed) -> Result<(Name, String)> {
     let owner = bed.owner(POOL).await?;
     for known in bed.world.instances() {
@@ -59,7 +60,8 @@
     bail!("{owner} holds all groups")
 }
 
-/// A predecessor has counted an instance and given the order to maintain it, and hasn't heard of its end.
+/// Sets up what a predecessor leaves behind that has recorded an instance as in maintenance, has given the order,
+/// and hasn't learned that the maintenance is over.
 async fn maintained_before(bed: &Bed, name: &Name) -> Result<()> {
     let caller = bed.world.caller("predecessor");
     let progress = Progress {
@@ -79,7 +81,7 @@
     Ok(())
 }
 
-/// Waits until a row is as `wanted` says.
+/// Waits until a row satisfies `wanted`.
 async fn until_row<T: DeserializeOwned>(
     bed: &Bed,
     place: Place,
@@ -95,18 +97,19 @@
         }
         sleep(PACE).await;
     }
-    bail!("{place:?} doesn't come")
+    bail!("{place:?} does not reach the expected state")
 }
 
-/// Shows the entries the registrations of workers, or hides them.
+/// Makes the registrations of workers available to all entries, or unavailable.
 fn registry(bed: &Bed, reach: Reach) {
     bed.conduct_all(|conduct| conduct.registry = reach);
 }
 
-// A wave's instance was maintained at a predecessor's order, and is up again. The platform lists its new worker; the feed of
-// registrations fails, so the pool's owner doesn't know it, and takes it for empty. While it asks for
-// the maintenance once more, the registration comes, and the waiting tasks start there. The order has no effect and is
-// answered as taken: the owner thinks that the worker is over, and starts its tasks elsewhere beside those that run.
+// Guards against duplicate runs after a maintenance order without effect. A wave's instance was maintained on a
+// predecessor's order, and is up again. The platform lists its new worker, but the feed of registrations fails, so
+// the pool's owner doesn't know the worker and assumes that it is idle. While the owner requests the maintenance
+// once more, the registration arrives, and the waiting tasks start there. The order has no effect and is accepted:
+// the owner would conclude that the worker has terminated, and start its tasks elsewhere beside those that run.
 async fn unknown() -> Result<()> {
     let mut bed = Bed::open(91, 3, 4).await?;
     let (name, holder) = with_holder(&bed).await?;
@@ -126,7 +129,7 @@
     .await?;
     registry(&bed, Reach::Fine);
     sleep(Duration::from_millis(300)).await;
-    // Room for the tasks elsewhere.
+    // Free capacity for the tasks elsewhere.
     ensure!(bed.cancel("e-0", &others).await.is_success());
     bed.until("e-0", &id, State::Completed, 10).await?;
     bed.judge()?;
@@ -139,9 +142,10 @@
     Ok(())
 }
 
-// The only instance of a pool was maintained at a predecessor's order, which its successor doesn't know. It empties
-// the new worker and asks for the maintenance once more; that is answered as taken, and nothing happens to
-// the worker. If the owner took it for over, the pool's jobs would wait until some other worker registers.
+// Guards against a live worker that is considered terminated. The only instance of a pool was maintained on a
+// predecessor's order, which its successor doesn't know. It evacuates the new worker and requests the maintenance
+// once more; the order is accepted, and nothing happens to the worker. If the owner considered it terminated, the
+// pool's jobs would wait until another worker registers.
 async fn done_before() -> Result<()> {
     let mut bed = Bed::open(92, 2, 1).await?;
     let name: Name = "i-0".into();
@@ -157,9 +161,10 @@
     bed.judge()
 }
 
-// A new instance is listed while the feed of registrations fails, and another pool lacks instances: the owner takes the
-// new one for empty, since it doesn't know its worker, and asks for it to move. Before the order comes the registration
-// does, and a lasting task starts there: the order would cut it off.
+// Guards against a move that terminates a task which has just started. A new instance is listed while the feed of
+// registrations fails, and another pool lacks instances: the owner doesn't know the new worker, assumes that it is
+// idle, and requests a move of its instance. The registration arrives before the order, and a long-running task
+// starts there.
 async fn moved() -> Result<()> {
     let mut bed = Bed::open(93, 3, 2).await?;
     let first = bed.submit("e-0", &lasting(2)).await?;
@@ -191,7 +196,7 @@
         .instruct(Instruction::Configuration(configuration(3, POOL)));
     sleep(Duration::from_millis(120)).await;
     let second = bed.submit(&owner, &lasting(3)).await?;
-    // The other pool is done with its jobs, and gives an instance back.
+    // Meanwhile the other pool finishes its jobs and returns an instance.
     seconds(15).await;
     bed.judge()?;
     let counts: BTreeMap<u16, usize> = (0..3)
@@ -201,8 +206,9 @@
     Ok(())
 }
 
-// The list of instances takes five seconds to come. Meanwhile a worker joins, gets tasks, and doesn't answer for
-// a while. The list that comes doesn't name it, and is older than it: the tasks there run on, and must not start elsewhere.
+// Guards against duplicate runs because of an outdated list of instances. The list takes five seconds to arrive.
+// Meanwhile a worker joins, gets tasks, and is unresponsive for a while. The list predates the worker and doesn't
+// contain it: its tasks run on, and must not start elsewhere.
 async fn old_list() -> Result<()> {
     let mut bed = Bed::open(94, 2, 2).await?;
     let owner = bed.owner(POOL).await?;
@@ -218,7 +224,7 @@
     bed.conduct(&owner, |conduct| conduct.workers = Reach::Silent);
     sleep(Duration::from_millis(3_800)).await;
     bed.conduct(&owner, |conduct| conduct.workers = Reach::Fine);
-    // Room for the tasks elsewhere.
+    // Free capacity for the tasks elsewhere.
     ensure!(bed.cancel(&other, &others).await.is_success());
     bed.until(&other, &id, State::Completed, 10).await?;
     bed.judge()?;
@@ -229,8 +235,9 @@
     Ok(())
 }
 
-// Jobs of a pool wait for ever, beside its one worker at work. Its registration goes and comes back as it was, between two answers
-// of the feed: the second change equals what was known before the first, and must not be passed over for that.
+// Guards against jobs that wait forever although the pool's only worker is available. Between two responses of the
+// feed, its registration is removed and restored unchanged: the second change equals what was known before the
+// first, and must not be skipped for that.
 async fn comes_back() -> Result<()> {
     let mut bed = Bed::open(119, 2, 1).await?;
     let worker = worker(&bed, &"i-0".into()).ok_or_else(|| eyre!("no worker"))?;
--- a/tests/site/main.rs
+++ b/tests/site/main.rs
@@ -1,6 +1,7 @@
-//! Whole entries of the job path over a site in memory: what callers are told and workers see.
+//! End-to-end tests of job submission and execution: complete entries on a simulated in-memory platform, judged by
+//! the responses that callers get and by what workers observe.
 //!
-//! Time is paused and every source of randomness has a seed, so a run repeats.
+//! Tokio's clock is paused and every source of randomness is seeded, so runs are reproducible.
 
 mod accept;
 mod advice;
@@ -23,7 +24,7 @@
 mod takeover;
 mod worker;
 
-/// Names each case; a case that returns an error fails.
+/// Declares one test per case; a case fails by returning an error.
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident => $body:expr;)*) => {$(
         $(#[$doc])*
--- a/tests/site/maintain.rs
+++ b/tests/site/maintain.rs
@@ -1,4 +1,5 @@
-//! Waves of maintenance: in time, no more at once than allowed, and no step misses too many tasks.
+//! Maintenance waves: they complete in time, respect the limit of concurrent maintenance, and leave enough tasks
+//! of each step ready.
 
 use crate::{
     bed::{Bed, POOL, STANDBY, job, lasting, seconds, task},
@@ -35,7 +36,8 @@
     own.map(|known| known.name).collect()
 }
 
-/// For each instance, how often it was maintained, and the entries that ordered it.
+/// For each instance, the times at which its maintenance began, with the entries that ordered it and their fencing
+/// tokens.
 fn maintained(bed: &Bed) -> BTreeMap<Name, Vec<(u64, Name, u64)>> {
     let mut found: BTreeMap<Name, Vec<(u64, Name, u64)>> = BTreeMap::new();
     for event in bed.world.journal().events {
@@ -52,7 +54,7 @@
     found
 }
 
-/// Most instances that were in maintenance at the same time, at two seconds each.
+/// Maximum number of instances in maintenance at the same time, which takes two seconds each.
 fn most_at_once(bed: &Bed) -> usize {
     let begun: Vec<u64> = maintained(bed)
         .into_values()
@@ -68,21 +70,22 @@
     begun.iter().map(at_once).max().unwrap_or(0)
 }
 
-/// Fails where a run of a job went down with its instance.
+/// Fails if a run of a job was terminated with its instance.
 fn nothing_was_cut_off(bed: &Bed, id: &JobId) -> Result<()> {
     for event in bed.world.journal().events {
         if let Event::Ended {
             task, how: None, ..
         } = event
         {
-            ensure!(task.job != *id, "{task} went down with its instance");
+            ensure!(task.job != *id, "{task} was terminated with its instance");
         }
     }
     Ok(())
 }
 
-// Every instance of a pool is due, two at once, while three tasks last there and one may be missed.
-// Workers are emptied before the order, one task of the step at a time.
+// Guards against maintenance that interrupts too many tasks. Every instance of a pool is due, two at a time, while
+// three long-running tasks run there, one of which may be unavailable. Workers are evacuated before the order, one
+// task of the step at a time.
 async fn whole_pool() -> Result<()> {
     let mut bed = Bed::open(61, 2, 6).await?;
     let id = bed.submit("e-0", &lasting(3)).await?;
@@ -98,14 +101,14 @@
     ensure!(bed.world.waves().get(&1) == Some(&true), "not complete");
     ensure!(maintained(&bed).len() == 6);
     ensure!(most_at_once(&bed) <= 2);
-    ensure!(least >= 2, "{least} of 3 tasks ran at some moment");
+    ensure!(least >= 2, "only {least} of 3 tasks ran at some moment");
     nothing_was_cut_off(&bed, &id)?;
     nothing_was_cut_off(&bed, &short)?;
     bed.judge()
 }
 
-// The owner is killed in the middle of a wave. Its successor goes on from the wave's row, with
-// higher fencing tokens, and gives no order before the pause between two holders has passed.
+// The owner is killed in the middle of a wave. Its successor resumes from the wave's row, with higher fencing
+// tokens, and gives no order before the pause between two holders has passed.
 async fn owner_killed() -> Result<()> {
     let mut bed = Bed::open(62, 3, 6).await?;
     let id = bed.submit("e-0", &lasting(3)).await?;
@@ -132,9 +135,9 @@
     bed.judge()
 }
 
-// An entry that holds groups of instances is killed in the middle of a wave. Its last order may have gone
-// out a moment ago, and nobody can say to which instance, so its successor gives the instances of those groups
-// none before the pause between two holders has passed, and the wave goes on after that.
+// An entry that holds instance groups is killed in the middle of a wave. It may have sent its last order a moment
+// ago, to any of their instances, so its successor gives them none before the pause between two holders has
+// passed. Then the wave continues.
 async fn no_order_at_once() -> Result<()> {
     let mut bed = Bed::open(63, 2, 8).await?;
     let holder = bed.owner(POOL).await?;
@@ -144,7 +147,7 @@
             groups.push(group);
         }
     }
-    ensure!(!groups.is_empty(), "{holder} holds nothing");
+    ensure!(!groups.is_empty(), "{holder} holds no group");
     bed.world.instruct(wave(own_instances(&bed), 1));
     seconds(4).await;
     let killed = bed.world.now();
@@ -162,14 +165,14 @@
     later.sort_unstable();
     let at = later
         .first()
-        .ok_or_else(|| eyre::eyre!("the wave doesn't go on: {orders:?}"))?;
+        .ok_or_else(|| eyre::eyre!("the wave does not continue: {orders:?}"))?;
     ensure!(*at >= killed + 3_000, "killed at {killed}, ordered at {at}");
     bed.judge()
 }
 
-// The part of the store that holds owners and heartbeats is silent towards the pool's owner, while it
-// reaches the rest and the instances. It is replaced, and doesn't know. Its orders would meet those
-// of its successor at the same instances: each one needs the ownership, and gets no answer.
+// Guards against orders of two owners to the same instances. The part of the store with owners and heartbeats
+// doesn't respond to the pool's owner, which still reaches the rest of the store and the instances. It is replaced
+// without learning of it. Each of its orders depends on the ownership, whose check gets no response.
 async fn partly_silent() -> Result<()> {
     let bed = Bed::open_with_standby(64, 3, 4).await?;
     let owner = bed.owner(STANDBY).await?;
@@ -188,9 +191,9 @@
     bed.judge()
 }
 
-// The owner counts an instance as in maintenance and is killed before its order goes out; then the instance's
-// worker crashes and a new one comes. The successor must not take that for the maintenance: the instance
-// has it before the wave is said to be complete.
+// Guards against a crash that is mistaken for maintenance. The owner records an instance as in maintenance and is
+// killed before its order is sent; then the instance's worker crashes and is replaced. The instance still has to
+// be maintained before the wave is reported as complete.
 async fn crashed() -> Result<()> {
     let mut bed = Bed::open(65, 2, 3).await?;
     let name: Name = "i-0".into();
@@ -198,7 +201,7 @@
     let mut before = before.filter(|known| known.name == name);
     let worker = before.next().and_then(|known| known.worker);
     let worker = worker.ok_or_else(|| eyre::eyre!("no worker"))?;
-    // As a predecessor would have left it.
+    // The row that a predecessor would have left.
     let caller = bed.world.caller("predecessor");
     let progress = primroseroute_cell::row::WaveProgress {
         active: [(Name::clone(&name), Some(Name::clone(&worker)))].into(),
@@ -227,7 +230,7 @@
     bed.judge()
 }
 
-/// How far the wave is.
+/// Progress of the wave, according to its row.
 async fn progress(bed: &Bed) -> Result<row::WaveProgress> {
     let rows = bed.world.caller("observer");
     let row = primroseroute_platform::rows::read_row(&rows, row::wave(1)).await?;
@@ -237,9 +240,10 @@
     })
 }
 
-// An operator sees more instances down than the wave allows. The owner of a pool has counted one and asked for its order, and is
-// stopped gracefully while the holder of the group gives it. Its successor finds the instance up, on a worker that it doesn't
-// empty, takes the order for one that never came and counts it no more; another one begins, and then the order takes effect.
+// Guards against more instances down than a wave allows. The owner of a pool has recorded an instance as in
+// maintenance and requested the order, and is shut down gracefully while the holder of the group gives it. Its
+// successor finds the instance up, on a worker that it doesn't evacuate, assumes that the order was never given
+// and no longer counts the instance; it starts another one, and then the order takes effect.
 async fn owner_stopped() -> Result<()> {
     let mut bed = Bed::open(66, 3, 8).await?;
     bed.conduct_all(|conduct| conduct.instance_orders = Duration::from_millis(350));
--- a/tests/site/moves.rs
+++ b/tests/site/moves.rs
@@ -1,4 +1,4 @@
-//! Instances move between pools: to those that have too few, and away from those that have too many.
+//! Moves of instances between pools, from those with a surplus to those with a shortage.
 
 use crate::{
     bed::{Bed, OTHER, POOL, STANDBY, configuration, job, lasting, seconds, task, with_standby},
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Longer than a pool keeps what it was given while no work comes in.
+/// Seconds, longer than the time for which a pool without any jobs keeps its initial instances.
 const UNTRIED: u64 = 62;
 
 cases! {
@@ -35,7 +35,7 @@
     own.count()
 }
 
-/// Moves, each with its time, its instance, its target and who ordered it.
+/// All moves, each with its time, instance, target pool and the entry that ordered it.
 fn moved(bed: &Bed) -> Vec<(u64, Name, Name, Name)> {
     let events = bed.world.journal().events.into_iter();
     let moves = events.filter_map(|event| match event {
@@ -51,7 +51,7 @@
     moves.collect()
 }
 
-/// A first job of a pool, which has ended long enough ago that nothing is kept for it any more.
+/// Runs the first job of a pool, and waits until the pool no longer keeps instances for it.
 async fn first_work(bed: &mut Bed, entry: &str) -> Result<()> {
     let id = bed.submit(entry, &job("500", 1)).await?;
     bed.until(entry, &id, State::Completed, 2).await?;
@@ -59,8 +59,8 @@
     Ok(())
 }
 
-// Nothing more is asked of a pool of six. All but the one that the next job may need are switched off,
-// and the first job after that runs at once.
+// Guards against idle instances that stay on, and jobs that are delayed afterwards: of an idle pool of six, all
+// but the one that the next job may need are switched off, and the next job runs at once.
 async fn switched_off() -> Result<()> {
     let mut bed = Bed::open_with_standby(71, 2, 6).await?;
     first_work(&mut bed, "e-0").await?;
@@ -71,8 +71,8 @@
     bed.judge()
 }
 
-// A site has started, and its callers come a while later: they find the six instances that their pool was given, also where its
-// owner is replaced meanwhile. Where none comes at all, all but one are switched off.
+// Guards against a pool that loses its initial instances before the callers of a newly started site arrive, also
+// when its owner is replaced meanwhile. If no job comes for long, all but one are switched off.
 async fn untried() -> Result<()> {
     let mut bed = Bed::open_with_standby(120, 2, 6).await?;
     seconds(15).await;
@@ -86,8 +86,8 @@
     bed.judge()
 }
 
-// Tasks for three times the pool's workers come in. Instances that are switched off join it, and when
-// the work is done they leave again; the other pool keeps its one.
+// Tasks for three times the pool's workers arrive. Standby instances join the pool, and leave it when the work is
+// done; the other pool keeps its single instance.
 async fn under_load() -> Result<()> {
     let mut bed = Bed::open_with_standby(72, 2, 2).await?;
     seconds(6).await;
@@ -99,7 +99,7 @@
     ensure!(up(&bed, POOL) == 6, "{} are up", up(&bed, POOL));
     ensure!(up(&bed, OTHER) == 1);
     for id in &jobs {
-        // On two workers alone it would take 12 s.
+        // On two workers alone this would take 12 s.
         bed.until("e-0", id, State::Completed, 6).await?;
     }
     seconds(15).await;
@@ -107,14 +107,15 @@
     bed.judge()
 }
 
-// Three tasks last on three of six workers. The others are switched off, and those three stay.
+// Guards against moving instances under long-running tasks: with three of them on three of six workers, only the
+// others are switched off.
 async fn lasting_stays() -> Result<()> {
     let mut bed = Bed::open_with_standby(73, 2, 6).await?;
     let id = bed.submit("e-0", &lasting(3)).await?;
     first_work(&mut bed, "e-0").await?;
     seconds(8).await;
     ensure!(up(&bed, POOL) >= 3);
-    ensure!(up(&bed, POOL) < 6, "none was switched off");
+    ensure!(up(&bed, POOL) < 6, "no instance was switched off");
     for index in 0..3 {
         let task = task(&id, 0, index);
         let starts = bed.world.journal().starts(&task);
@@ -123,9 +124,9 @@
     bed.judge()
 }
 
-// Load comes and goes while the entries that own the pools are killed, one after the other. Whoever
-// takes over orders no instance before the pause between two holders has passed, which the judge
-// checks for each instance; and instances still come and go.
+// Load rises and falls while the entries that own the pools are killed, one after the other. A successor gives no
+// order to an instance before the pause between two holders has passed, which the invariant check verifies for
+// each instance; instances still move afterwards.
 async fn owner_killed() -> Result<()> {
     let mut bed = Bed::open_with_standby(74, 3, 4).await?;
     seconds(5).await;
@@ -152,9 +153,9 @@
     bed.judge()
 }
 
-// The process that owns the standby pool stands still while the pool beside it fills up, is replaced,
-// and goes on. What it asks for, and what it orders for others, is conditional on what it has lost: only
-// others' orders reach the instances.
+// Guards against moves by a former owner: the process that owns the standby pool is suspended while another pool
+// fills up, is replaced, and resumes. Its requests and orders are conditional on the ownership that it has lost,
+// so only orders of other entries reach the instances.
 async fn owner_frozen() -> Result<()> {
     let mut bed = Bed::open_with_standby(75, 3, 2).await?;
     seconds(5).await;
@@ -185,8 +186,8 @@
     bed.judge()
 }
 
-// The platform takes four orders a second, and fourteen instances that are switched off are wanted at once.
-// They go three in any second, so that waves and other pools have their part of the rate.
+// The platform accepts four orders per second, and fourteen standby instances are needed at once. At most three
+// move in any second, which leaves a part of the rate to maintenance waves and other pools.
 async fn rate() -> Result<()> {
     let mut bed = Bed::open_with_standby(76, 3, 15).await?;
     first_work(&mut bed, "e-0").await?;
@@ -215,9 +216,9 @@
     bed.judge()
 }
 
-// The store takes half a second for each write while a pool fills up. Another entry may hold the instances
-// that it wants by the time their holders have the answer, so these order nothing on it. When the store is
-// quick again, the instances come.
+// Guards against orders based on an outdated write: the store takes half a second per write while a pool fills up.
+// By the time a holder gets the response, another entry may hold the instances, so it gives no order. Once the
+// store is fast again, the instances move.
 async fn slow_store() -> Result<()> {
     let mut bed = Bed::open_with_standby(79, 2, 2).await?;
     seconds(5).await;
@@ -233,7 +234,7 @@
     }
     seconds(8).await;
     let moves = moved(&bed);
-    // An order that was on its way when the store became slow is still given.
+    // An order already in flight when the store became slow is still carried out.
     let meanwhile = slow_from + 500..slow_until;
     let early = moves.iter().find(|(at, ..)| meanwhile.contains(at));
     ensure!(early.is_none(), "{early:?}");
@@ -241,8 +242,8 @@
     bed.judge()
 }
 
-// Instances have just come to a pool when its jobs are done and another pool fills up. They go on at
-// once: the holder of an instance stays the same, so that no pause stands between its moves.
+// Instances have just joined a pool when its jobs are done and another pool fills up. They move on at once: an
+// instance keeps its holder, so no pause between two holders applies.
 async fn at_once() -> Result<()> {
     let mut bed = Bed::open_with_standby(80, 3, 2).await?;
     seconds(6).await;
@@ -266,12 +267,13 @@
                 same == instance && holder == entry && before < at && *at < before + 3_000
             })
     });
-    ensure!(again, "no instance went on within the pause: {moves:?}");
+    ensure!(again, "no instance moved again within the pause: {moves:?}");
     bed.judge()
 }
 
-// Both holders of groups but one stop, one after the other, while nothing moves; then a pool fills up. Whoever has
-// their groups now needn't wait out a pause: the holders before have said that they ordered nothing lately.
+// Two of three entries shut down, one after the other, while nothing moves; then a pool fills up. The new holder
+// of their instance groups needs no pause, since the previous holders recorded that they had given no recent
+// orders.
 async fn given_up() -> Result<()> {
     let mut bed = Bed::open_with_standby(81, 3, 2).await?;
     seconds(6).await;
@@ -292,9 +294,10 @@
     bed.judge()
 }
 
-// Six tasks last on six of ten instances of a pool whose owner is killed while the pool beside it fills up. The
-// new owner has instances to give, and a commit takes longer than the list of instances: it must not take those that it
-// has told itself nothing of yet for empty, and move them away under the tasks that it has just loaded.
+// Guards against a new owner that moves instances away under long-running tasks that it has just loaded. Six such
+// tasks run on six of ten instances when the owner is killed and another pool fills up. The new owner has surplus
+// instances, and a commit takes longer than the list of instances: instances whose use it hasn't recorded yet must
+// not count as idle.
 async fn taken_over() -> Result<()> {
     for entries in [3, 4, 5] {
         let mut bed = Bed::open(82, entries, 10).await?;
--- a/tests/site/random/mixed.rs
+++ b/tests/site/random/mixed.rs
@@ -1,6 +1,6 @@
-//! Histories in which planned work, lags and faults overlap: roll-outs, waves, moves, racks gone dark, workers that leave, late
-//! stops, reads and lists, and entries of different strength. Between them are spells without any fault, in which promises
-//! with a time bound are judged as well.
+//! Histories in which planned maintenance, delays and faults overlap: roll-outs, maintenance waves, moves,
+//! partitions of several workers, workers that shut down, late stops, reads and lists, and entries with different
+//! CPU shares. Between the faults are quiet periods, in which guarantees with a time bound are checked as well.
 
 use super::{History, seconds};
 use crate::bed::{Bed, POOL, lasting, step};
@@ -14,92 +14,110 @@
     time::Duration,
 };
 
-/// Seeds of such histories.
+/// Seeds of mixed histories.
 pub(super) const SEEDS: RangeInclusive<u64> = 500_000..=4_999_999;
 
-/// Seeds from this one on are of histories in which workers take long to stop a run, so that much can happen meanwhile.
+/// From this seed on, workers take long to stop a run, so that more faults coincide with stops under way.
 pub(super) const FIRST_WITH_SLOW_STOPS: u64 = 1_000_000;
 
-/// Seeds from this one on are of histories in which some tasks crash the workers that start them.
+/// From this seed on, some tasks crash the workers that start them, and stops are quick again.
 pub(super) const FIRST_WITH_CRASHES: u64 = 2_000_000;
 
-/// Seeds from this one on are of such histories in which most crashed workers are back under the ids that they had.
+/// From this seed on, most crashed workers also restart under the same id.
 pub(super) const FIRST_WITH_SAME_IDS: u64 = 3_000_000;
 
-/// Seeds from this one on are of such histories in which the rooms of workers shrink and grow again.
+/// From this seed on, the capacities of workers also shrink and grow again.
 pub(super) const FIRST_WITH_CHANGING_ROOMS: u64 = 4_000_000;
 
-/// Share of those workers.
+/// Share of crashed workers that restart under the same id, from [`FIRST_WITH_SAME_IDS`] on.
 const SAME_IDS: f64 = 0.7;
 
-/// Time that a worker takes to stop a run: in histories with slow stops, and in the others.
+/// Time that a worker takes to stop a run: in histories with slow stops, and in all others.
 const STOP: [Duration; 2] = [Duration::from_millis(800), Duration::from_millis(100)];
 
-/// Seeds that have shown a fault, each with its cause.
+/// Regression seeds, each with the failure that it guards against.
 pub(super) const REGRESSIONS: &[u64] = &[
-    // A stop was sent again, by the next owners too, while a crash had taken another task of the step.
+    // A stop was repeated, also by later owners, after a crash had terminated another task of the same step.
     600_032, 600_445,
-    // A look from before its owner stood still for seconds was taken for new.
+    // After its process had been suspended for seconds, an owner treated a worker status from before that as
+    // current.
     610_098,
-    // An entry that came back stopped at once, and told the next holder that nothing it held had been ordered.
+    // An entry shut down right after its restart, and recorded for the next holder of its instance groups that no
+    // instance in them had been given an order, without knowing the orders of its earlier process.
     610_919, 612_399,
-    // An instance was ordered by a list that showed the life before, and tasks of the new one were cut off.
+    // An instance was given an order based on a list that showed the previous incarnation of its worker, and the
+    // order terminated tasks of the new one.
     612_767,
-    // An entry that gave a group up without knowing what rests took it back, and took nothing for resting.
+    // An entry that had released an instance group without knowing which of its instances may not be given orders
+    // yet reacquired it, and assumed that there were none.
     623_208,
 ];
 
-/// Seeds of histories with crashing tasks or kept ids that have shown a fault, each with its cause.
+/// Regression seeds with crashing tasks or reused worker ids, each with the failure that it guards against.
 pub(super) const CRASH_REGRESSIONS: &[u64] = &[
-    // A task of a spread step found no room beside others of its step and full workers, and the pool asked for none.
+    // A task of a spread step found no free capacity, since some workers had other tasks of the step and the rest
+    // were full, and the pool didn't request another worker.
     3_410_088,
-    // A start that never reached its worker, which lived on behind a cut, acquitted its task.
+    // A start that never reached its worker, which ran on behind a partition, cleared its task of suspicion.
     2_420_123,
-    // One crash by another cause during a trial was enough.
-    2_001_047, // Its owner died before a look showed that the run had outlived its trial.
-    4_740_270, // The worker had died just before the trial began, and the start reached nobody.
-    2_312_061, // The start had never reached its worker, and a successor took it for lost with an earlier life.
-    2_000_057, // A successor took what it found at work for new.
+    // A task was abandoned although its run had outlived its isolation: its owner died before a status poll showed
+    // that.
+    2_001_047,
+    // A task was abandoned for an isolated run that had never begun, since its worker had died just before the
+    // start.
+    4_740_270,
+    // A start had never reached its worker, and a successor assumed that the run was lost with an earlier
+    // incarnation.
+    2_312_061,
+    // A single crash with another cause during an isolated run was enough for a task to be abandoned.
+    2_000_057,
+    // A successor treated a run that it discovered on a worker as new, so that a crash was attributed to its task.
     2_000_102,
-    // The stops of a lasting job that was given up took tasks at work away.
-    2_000_073, // Leases lapsed before the crash was known, and it wasn't counted.
-    2_000_256, // Crashes of other causes added up over a lasting task's life.
-    2_000_609, // A crash was held against a suspect that had long passed its trial.
+    // The stops of an abandoned long-running job terminated tasks that were ready.
+    2_000_073,
+    // With delayed lists of instances, leases expired before a crash was known, so that the crash wasn't counted.
+    2_000_256,
+    // Crashes with other causes added up over the lifetime of a long-running task.
+    2_000_609,
+    // A crash was attributed to a suspect task long after it had outlived its isolated run.
     2_000_617, 2_000_644,
-    // A successor didn't know what the runs of a cancelled job occupy, and started more beside them than there was room for.
-    2_001_134, // A list from before a worker was back ended its next life.
+    // A successor didn't know the resources that runs of a cancelled job still occupied, and started more beside
+    // them than the worker had capacity for.
+    2_001_134,
+    // A list from before a worker's restart marked its next incarnation as terminated.
     3_000_369,
-    // Starts of the life before were carried out by the next one, after a stop or a newer run.
+    // Starts sent to one incarnation of a worker were executed by the next one, after a stop or a newer run.
     3_000_338, 3_000_512, 3_000_547,
-    // A crash just before a takeover wasn't counted.
+    // A worker's crash just before a takeover of its pool was not counted against the task that had caused it.
     3_000_061, 3_000_325, 3_000_358,
-    // A start had a deadline on the old clock and a token for the new life.
+    // A start had a deadline on the clock of the old incarnation and a token for the new one.
     3_000_249, 3_000_426,
-    // The next life of a worker passed for the one before, and its crash went uncounted.
+    // The next incarnation of a worker was mistaken for the previous one, whose crash was not counted.
     3_340_286, 4_730_062, 3_020_148,
-    // An answered start was lost by a list that was asked for before the life that had answered it began.
+    // A confirmed start was treated as lost because of a list that was requested before the incarnation that had
+    // confirmed it began.
     4_720_263,
-    // A start with a deadline on the clock of the life before gave a worker a lease without end.
+    // A start with a deadline on the clock of the previous incarnation gave a worker a lease without end.
     3_340_140, 3_340_289, 3_340_365,
-    // A late start of a former owner reached a life that nobody had reached yet.
+    // A late start of a former owner reached an incarnation that nobody had contacted yet.
     3_000_363,
-    // A task that was at work again after a stop, and then lost with its worker, was judged as stopped.
+    // A task that ran again after a stop, and was then lost with its worker, was judged as stopped.
     3_020_060,
 ];
 
-/// Seconds of faults and spells in a history.
+/// Seconds of faults and quiet periods in a history.
 const LENGTH: u64 = 30;
 
-/// Seconds of a spell without faults: longer than any promise that is judged in it.
+/// Seconds of a quiet period: longer than the time bound of any guarantee that is checked in it.
 const SPELL: u64 = 9;
 
-/// Workers of the pool at first.
+/// Initial number of workers in the pool.
 const WORKERS: usize = 9;
 
-/// Strengths of the entries, in thousandths of a core.
+/// CPU shares of the entries, in thousandths of a core.
 const STRENGTHS: [&[u32]; 2] = [&[250, 250, 250], &[500, 120, 120, 250]];
 
-/// What comes some seconds after a fault.
+/// Action scheduled some seconds after a fault.
 enum Later {
     Join(Name),
     Thaw(String),
@@ -112,17 +130,17 @@
 struct Mixed {
     history: History,
     second: u64,
-    /// Entries that a roll-out hasn't reached yet.
+    /// Entries that the roll-out in progress has not restarted yet.
     rolling: VecDeque<String>,
     waves: u64,
     cut: BTreeSet<Name>,
     later: BTreeMap<u64, Vec<Later>>,
-    /// When a spell without faults began, and the second in which it is over.
+    /// Start of the current quiet period, in milliseconds of the site's clock, and the second in which it ends.
     spell: Option<(u64, u64)>,
     has_changing_rooms: bool,
 }
 
-/// Tasks that last, of which `may_miss` may be missed.
+/// A job of long-running tasks, of which `may_miss` may be unavailable.
 fn wide(count: u16, may_miss: u16) -> Job {
     let step = Step {
         lasting: true,
@@ -191,7 +209,7 @@
         self.history.draw(bound)
     }
 
-    /// Whether a thing happens that does so once in `times`.
+    /// Draws an event of probability 1 in `times`.
     fn once_in(&self, times: u64) -> bool {
         self.draw(times) == 0
     }
@@ -244,7 +262,7 @@
         }
     }
 
-    /// Ends a worker's life; its instance has the next one some seconds later.
+    /// Crashes a worker; its instance restarts some seconds later.
     fn crash(&mut self, worker: &Name) {
         if let Some(instance) = self.history.bed.instance_of(worker) {
             self.history.bed.world.crash(worker);
@@ -253,7 +271,7 @@
         }
     }
 
-    /// The next step of a roll-out: one entry a second is stopped, and is back a second later.
+    /// The next step of a roll-out: one entry per second is stopped, and started again a second later.
     fn roll(&mut self) {
         while let Some(name) = self.rolling.pop_front() {
             if self.history.bed.nodes.contains_key(&name) {
@@ -270,7 +288,7 @@
         workers.get(index).map(Name::clone)
     }
 
-    /// Shrinks the room of a worker, or lets it grow again some seconds later.
+    /// Shrinks the capacity of a worker, and restores it some seconds later.
     fn resize(&mut self) {
         if let Some(worker) = self.any_worker() {
             let cpu = 2_000 * self.draw(8);
@@ -291,7 +309,7 @@
         let bed = &mut self.history.bed;
         let some = Duration::from_millis(100 + bed.world.random(1_400));
         let drawn = bed.world.random(24);
-        log::info!(drawn, entry = name, some_ms = some.as_millis(); "a fault is drawn");
+        log::info!(drawn, entry = name, some_ms = some.as_millis(); "fault drawn");
         match drawn {
             0 if is_up => {
                 bed.kill(&name);
@@ -343,7 +361,7 @@
         }
     }
 
-    /// Two of five of the pool's instances are due for maintenance.
+    /// Starts a maintenance wave over about two fifths of the pool's instances.
     fn wave(&mut self) {
         self.waves += 1;
         let world = &self.history.bed.world;
@@ -363,7 +381,7 @@
         }
     }
 
-    /// Some workers are cut off from all entries, and work on.
+    /// Partitions up to three workers from all entries; they run on.
     fn dark(&mut self) {
         let seconds = 1 + self.draw(8);
         for _worker in 0..=self.draw(3) {
@@ -376,7 +394,8 @@
         }
     }
 
-    /// Ends all faults, and brings back what is away; instances whose workers have just crashed take their time.
+    /// Ends all faults, and restores what is unavailable. Instances whose workers have just crashed still restart
+    /// at their scheduled time.
     fn end_faults(&mut self) {
         self.rolling.clear();
         for (second, all) in std::mem::take(&mut self.later) {
@@ -396,7 +415,7 @@
         }
     }
 
-    /// Waits until all instances whose workers have crashed have their next lives.
+    /// Waits until all instances whose workers have crashed have restarted.
     async fn restart_all(&mut self) {
         while !self.later.is_empty() {
             for later in self.later.remove(&self.second).unwrap_or_default() {
@@ -407,7 +426,7 @@
         }
     }
 
-    /// Each lasting task of a job that goes on runs once.
+    /// Checks that each task of an unfinished long-running job runs exactly once.
     fn all_at_work(&self) -> Result<()> {
         let History {
             bed,
--- a/tests/site/random/mod.rs
+++ b/tests/site/random/mod.rs
@@ -1,7 +1,8 @@
-//! Random histories: many short ones, each with jobs, cancels and faults drawn from its seed, judged
-//! by what callers were told and workers saw.
+//! Randomized histories: many short ones, each with jobs, cancels and faults drawn from its seed, judged by the
+//! responses that callers got and by what workers observed.
 //!
-//! Histories of one entry's faults at a time are here; [`mixed`] has those in which planned work, lags and faults overlap.
+//! This module has histories with faults of one entry at a time; [`mixed`] has those in which planned maintenance,
+//! delays and faults overlap.
 
 mod mixed;
 
@@ -15,28 +16,31 @@
 use primroseroute_standin::site::{Conduct, Reach};
 use std::collections::BTreeSet;
 
-/// Histories of each batch.
+/// Number of histories per batch.
 const HISTORIES: u64 = 20;
 
 /// Seed of the first history.
 const FIRST: u64 = 1_000;
 
-/// Seeds that have shown a fault, each with its cause.
+/// Regression seeds, each with the failure that it guards against.
 const REGRESSIONS: &[u64] = &[
-    1_003,     // Looks without a known clock followed each other at once while the store was away.
-    5_731_112, // Tasks had crashed all workers when one was to be cut off.
+    // Status polls of workers whose clock was unknown were repeated without a pause while the store was
+    // unavailable.
+    1_003,
+    // The history drew a worker to partition when tasks had crashed all of them, and indexed an empty list.
+    5_731_112,
 ];
 
-/// Seconds of faults in a history.
+/// Seconds in which a history injects faults.
 const FAULTS: u64 = 14;
 
-/// Seconds after the last fault in which everything has to be done.
+/// Seconds after the last fault within which all jobs have to end.
 const CALM: u64 = 40;
 
-/// Milliseconds after a fault from which on promises with a time bound hold again.
+/// Milliseconds after the last fault until guarantees with a time bound hold again.
 const CONTACT: u64 = 3_000;
 
-/// Names each batch of histories, so that batches run at the same time.
+/// Declares one test per batch of histories, so that batches run in parallel.
 macro_rules! batches {
     ($($name:ident => $seeds:expr;)*) => {$(
         #[test]
@@ -65,13 +69,13 @@
     seeds_by_hand => by_hand()?;
 }
 
-/// Mixed histories of each batch: each takes as long as three of the others.
+/// Number of mixed histories per batch; one takes as long as three of the others.
 const MIXED: usize = 10;
 
-/// Names the seeds to be played besides those of the batches, such as `500100-501100`.
+/// Environment variable with a range of additional seeds to run, such as `500100-501100`.
 const BY_HAND: &str = "HISTORIES";
 
-/// The seeds that [`BY_HAND`] names; none without it.
+/// The seeds given in [`BY_HAND`]; none if it is not set.
 fn by_hand() -> Result<std::ops::RangeInclusive<u64>> {
     let Ok(named) = std::env::var(BY_HAND) else {
         return Ok(std::ops::RangeInclusive::new(1, 0));
@@ -80,7 +84,7 @@
     Ok(first.parse()?..=last.parse()?)
 }
 
-/// Histories from this seed on are of a site whose instances move.
+/// From this seed on, histories run on a site with a standby pool, whose instances move between pools.
 const FIRST_WITH_MOVES: u64 = FIRST + 4 * HISTORIES;
 
 fn batch(number: u64) -> std::ops::Range<u64> {
@@ -88,7 +92,7 @@
     first..first + HISTORIES
 }
 
-/// Plays all of them, and fails with what each that broke something shows.
+/// Runs the histories of all `seeds`, and fails with the errors of those that failed.
 fn play(seeds: impl Iterator<Item = u64>) -> Result<()> {
     let mut failed = Vec::new();
     for seed in seeds {
@@ -113,10 +117,10 @@
     Ok(())
 }
 
-/// Names the folder for what entries and workers tell of each history that breaks something.
+/// Environment variable with the directory to which the log of each failed history is written.
 const TRACES: &str = "HISTORIES_TRACES";
 
-/// Writes down all lines of the history that has just been played, if [`TRACES`] is set.
+/// Writes the captured log of the history that has just run to a file, if [`TRACES`] is set.
 fn trace(seed: u64) -> Result<()> {
     let Ok(folder) = std::env::var(TRACES) else {
         return Ok(());
@@ -133,9 +137,9 @@
     jobs: Vec<JobId>,
     lasting: BTreeSet<JobId>,
     cancelled: BTreeSet<JobId>,
-    /// Jobs whose cancel got no answer: it may be in force or not.
+    /// Jobs whose cancel was not confirmed: it may have taken effect or not.
     maybe_cancelled: BTreeSet<JobId>,
-    /// Whether some jobs have tasks that crash their workers.
+    /// Whether some of the jobs drawn have tasks that crash their workers.
     has_crashes: bool,
 }
 
@@ -176,7 +180,7 @@
         self.bed.world.random(bound)
     }
 
-    /// One of `choices`, if there are any.
+    /// Draws one of `choices`; draws nothing if there are none.
     fn any<'a, T>(&self, choices: &'a [T]) -> Option<&'a T> {
         if choices.is_empty() {
             return None;
@@ -284,7 +288,7 @@
             8 => self.bed.conduct_all(|conduct| conduct.late_orders = 0.3),
             9 => self.bed.world.compact(),
             10 => {
-                // Tasks may have crashed all of them.
+                // Tasks may have crashed all workers.
                 if let Some(worker) = self.any_worker() {
                     self.bed.world.cut(&worker, true);
                     seconds(2).await;
@@ -304,7 +308,7 @@
         }
     }
 
-    /// Ends all faults, and starts what was killed.
+    /// Ends all faults, restarts killed entries, and gives the site time to recover.
     async fn calm(&mut self) {
         self.bed
             .conduct_all(|conduct| *conduct = Conduct::default());
@@ -316,7 +320,7 @@
         seconds(CALM).await;
     }
 
-    /// Counts the time from [`CONTACT`] after the last fault until now as calm.
+    /// Records the time from [`CONTACT`] after the last fault until now as free of faults.
     fn was_calm(&mut self, last_fault: u64) {
         let calm = last_fault + CONTACT..self.bed.world.now();
         self.bed.sent.calm.push(calm);
@@ -331,9 +335,12 @@
             if self.cancelled.contains(id) {
                 ensure!(state.is_final(), "{id} was cancelled and is {state:?}");
             } else if self.maybe_cancelled.contains(id) && state == State::Cancelled {
-                // The cancel has taken effect without its caller hearing of it.
+                // The cancel took effect although its caller got no confirmation.
             } else if self.lasting.contains(id) {
-                ensure!(state == State::Running, "{id} lasts and is {state:?}");
+                ensure!(
+                    state == State::Running,
+                    "{id} is long-running and is {state:?}"
+                );
             } else {
                 let payload = &self.bed.sent.jobs[id].payload;
                 let fails = payload.ends_with("fails") || payload.ends_with("crashes");
--- a/tests/site/reborn.rs
+++ b/tests/site/reborn.rs
@@ -1,4 +1,6 @@
-//! Workers that start again under the id that they had.
+//! Workers that restart under the same id.
+//!
+//! The comment on each case names the failure that it guards against.
 
 use crate::{
     bed::{Bed, POOL, job, lasting, seconds, task},
@@ -11,27 +13,28 @@
 use tokio::time::sleep;
 
 cases! {
-    /// Ends of a worker's next life that are taken for old ones: their tasks run again and again.
+    /// Run ends of a worker's next incarnation that are mistaken for old ones, so that their tasks run again and
+    /// again.
     ends_of_a_next_life_are_taken_in => next_life(401, Duration::from_secs(BACK));
-    /// The same where the worker is back before anybody has missed it.
+    /// The same where the worker is back before any entry has noticed its crash.
     ends_of_a_next_life_that_nobody_missed_are_taken_in => next_life(402, Duration::from_millis(300));
-    /// Tasks that wait for a lease of a life that is over.
+    /// Tasks that wait for a lease of a terminated incarnation to expire.
     runs_of_a_life_that_is_over_start_again_soon => lost_runs();
     /// A worker that is never used again under its id.
     worker_that_was_over_is_used_again => used_again();
-    /// Lasting tasks that lapse, since their lease is counted on the clock of the life before.
+    /// Long-running tasks whose lease expires, since it is counted on the clock of the previous incarnation.
     lasting_tasks_stay_on_a_next_life => lease();
-    /// A start that reaches the life after the one that it was sent to, beside a run elsewhere.
+    /// A start that reaches the incarnation after the one that it was sent to, while its task runs elsewhere.
     late_start_of_a_life_before_runs_beside_no_other => late_start();
     /// The same for starts of a former owner.
     late_start_of_a_former_owner_runs_beside_no_other => late_start_of_former_owner();
-    /// Unbounded retries of a task whose workers are back under their ids.
+    /// Unbounded retries of a task that crashes its workers, which restart under the same ids.
     crashes_of_workers_that_keep_their_ids_count => crashes();
-    /// Runs of the life before that a new owner takes for at work.
+    /// Runs of the previous incarnation that a new owner assumes to be running.
     next_owner_finds_the_next_life => next_owner();
 }
 
-/// Seconds from a crash until the worker is back.
+/// Seconds from a crash until the worker has restarted.
 const BACK: u64 = 3;
 
 /// The only worker of a pool.
@@ -40,7 +43,7 @@
     worker.ok_or_else(|| eyre!("no worker"))
 }
 
-/// Crashes a worker, and has it back after `after`.
+/// Crashes a worker, and restarts it under the same id `after` that.
 async fn renew(bed: &Bed, worker: &Name, after: Duration) -> Result<()> {
     let instance = bed.instance_of(worker);
     let instance = instance.ok_or_else(|| eyre!("{worker} has no instance"))?;
@@ -60,7 +63,8 @@
     bed.wait_for("a start", 30, started).await
 }
 
-/// A worker lists ends in a life, and is back `after` its crash; tasks of its next life are started once each.
+/// A worker reports run ends, crashes, and restarts `after` the crash; tasks of its next incarnation are started
+/// once each.
 async fn next_life(seed: u64, after: Duration) -> Result<()> {
     let mut bed = Bed::open(seed, 3, 1).await?;
     let before = bed.submit("e-0", &job("200", 20)).await?;
@@ -91,14 +95,14 @@
     let long = bed.submit("e-0", &job("4000", 12)).await?;
     until_starts(&bed, &long, 12).await?;
     let worker = bed.running(&task(&long, 0, 0)).pop();
-    let worker = worker.ok_or_else(|| eyre!("it doesn't run"))?;
+    let worker = worker.ok_or_else(|| eyre!("task 0 does not run"))?;
     renew(&bed, &worker, Duration::from_secs(6)).await?;
     seconds(2).await;
     let wide = bed.submit("e-0", &job("2000", 16)).await?;
     until_starts(&bed, &wide, 16).await?;
     seconds(1).await;
     let used = (0..16).any(|index| bed.running(&task(&wide, 0, index)).contains(&worker));
-    ensure!(used, "{worker} isn't used");
+    ensure!(used, "{worker} is not used");
     bed.until("e-0", &wide, State::Completed, 20).await?;
     bed.judge()
 }
@@ -111,7 +115,7 @@
     let id = bed.submit("e-0", &lasting(1)).await?;
     until_starts(&bed, &id, 1).await?;
     seconds(30).await;
-    ensure!(starts(&bed, &id) == 1, "it was started again");
+    ensure!(starts(&bed, &id) == 1, "the task was started again");
     ensure!(bed.running(&task(&id, 0, 0)) == vec![worker]);
     bed.judge()
 }
--- a/tests/site/room.rs
+++ b/tests/site/room.rs
@@ -1,4 +1,6 @@
-//! Rooms of workers that shrink and grow while they run.
+//! Workers whose capacity shrinks and grows while they run.
+//!
+//! The comment on each case names the failure that it guards against.
 
 use crate::{
     bed::{Bed, POOL, job, lasting, seconds, task},
@@ -9,19 +11,19 @@
 use primroseroute_standin::site::CAPACITY;
 
 cases! {
-    /// Starts beyond a room that has shrunk.
+    /// Starts beyond a capacity that has shrunk.
     room_that_has_shrunk_takes_no_more_than_it_has => shrunk();
-    /// A room that is never used again once it has shrunk.
+    /// Capacity that is never used again once it has shrunk.
     room_that_has_grown_again_is_used => grown();
-    /// Starts beyond the room while runs are still being stopped there.
+    /// Starts beyond the capacity while other runs are still being stopped.
     run_that_is_being_stopped_takes_its_room => stopping();
-    /// A full worker that is given more by the next owner, which knows an older room.
+    /// A full worker that gets more tasks from the next owner, which knows an older capacity.
     next_owner_knows_the_room => next_owner();
-    /// Lasting tasks that lose their worker for a room that has shrunk below them.
+    /// Long-running tasks that lose their worker because its capacity has shrunk below their demand.
     lasting_tasks_stay_in_a_room_that_has_shrunk => stay();
 }
 
-/// Half of what a worker has at first: four tasks of these tests.
+/// Half of a worker's initial capacity: enough for four tasks of these tests.
 const HALF: Demand = Demand {
     cpu: CAPACITY.cpu / 2,
     ..CAPACITY
@@ -51,7 +53,7 @@
     let id = bed.submit("e-0", &job("3000", 8)).await?;
     seconds(1).await;
     let running = (0..8).filter(|index| !bed.running(&task(&id, 0, *index)).is_empty());
-    ensure!(running.count() == 8, "some wait");
+    ensure!(running.count() == 8, "some tasks wait");
     bed.until("e-0", &id, State::Completed, 30).await?;
     bed.judge()
 }
--- a/tests/site/store.rs
+++ b/tests/site/store.rs
@@ -1,4 +1,4 @@
-//! The store is away, loses answers, or forgets its history.
+//! A store that is unavailable or slow, loses responses, or compacts its history.
 
 use crate::{
     bed::{Bed, OTHER, POOL, configuration, job, lasting, seconds, task},
@@ -27,8 +27,8 @@
     many_lost_answers_cost_no_more_each_than_one => losses();
 }
 
-// The store turns everyone away for four seconds. Leases outlast that, so lasting tasks work on, and
-// a task that ends meanwhile is acknowledged afterwards.
+// The store rejects all calls for four seconds. Leases outlast that, so long-running tasks keep running, and the
+// end of a task in that time is acknowledged afterwards.
 async fn outage() -> Result<()> {
     let mut bed = Bed::open(31, 3, 4).await?;
     let lasting = bed.submit("e-0", &lasting(3)).await?;
@@ -56,8 +56,9 @@
     bed.judge()
 }
 
-// A third of all commits are done without an answer, and some land seconds later. An owner goes on
-// only once it knows what came of a commit, and a late one fails on the row of the one after it.
+// Guards against runs that start twice. Almost a third of all commits are applied without a response, and some are
+// applied seconds later. An owner continues only once it knows the outcome of a commit, and a late one conflicts
+// with the row of the next one.
 async fn lost_and_late() -> Result<()> {
     let mut bed = Bed::open(33, 3, 4).await?;
     let mut ids = Vec::new();
@@ -79,8 +80,8 @@
     bed.judge()
 }
 
-// The history is dropped while a cancel and a job are written: feeds can't show them. Owners read
-// the tables whole, so the job runs and the cancelled one stops.
+// Guards against jobs and cancels that are missed because the history is compacted after they were written, so
+// that feeds can't show them. Owners read the full tables instead: the job runs, and the cancelled one stops.
 async fn dropped() -> Result<()> {
     let mut bed = Bed::open(34, 2, 3).await?;
     let endless = bed.submit("e-0", &lasting(2)).await?;
@@ -96,8 +97,8 @@
     bed.judge()
 }
 
-// A newer configuration sends the queue to another pool; an older one is then written again, as by
-// an operator whose call was delayed. Entries keep the newer one, before and after a restart.
+// A newer configuration assigns the queue to another pool; then an older one is written again, as by a delayed
+// call of an operator. Entries keep the newer one, before and after a restart.
 async fn forward() -> Result<()> {
     let mut bed = Bed::open(35, 2, 2).await?;
     bed.world
@@ -130,8 +131,8 @@
     }
 }
 
-// An answer is lost, and a call would wait 1.5 s for it. Commits usually take 4 ms, so the sender hears
-// after a quarter of a second that it isn't known what came of it.
+// Guards against commits that wait too long for a lost response: a call would wait 1.5 s. As commits usually take
+// 4 ms, the sender learns after a quarter of a second that the outcome is unknown.
 async fn brisk() -> Result<()> {
     let world = World::open(Options::default());
     let rows = Brisk::new(Arc::new(world.caller("e-0")));
@@ -150,9 +151,10 @@
     Ok(())
 }
 
-// A third of all answers are lost for a few seconds, the others come in 4 ms. Each loss doubled the wait for the next
-// one, and the two good answers between took back a quarter of that: from the fifth loss on each one held the owner's
-// jobs up for 1.1 s, and most jobs that came in five seconds were late.
+// Guards against a timeout that grows with each lost response. A third of all responses are lost for a few
+// seconds, and the others take 4 ms. Each loss doubled the timeout, and the two successes in between took back a
+// quarter of that: from the fifth loss on, each one delayed the owner's jobs by 1.1 s, and most jobs of five
+// seconds were late.
 async fn losses() -> Result<()> {
     let world = World::open(Options::default());
     let rows = Brisk::new(Arc::new(world.caller("e-0")));
@@ -170,8 +172,8 @@
     Ok(())
 }
 
-// The store becomes a hundred times slower. A few commits are given up; each doubles the wait, so the
-// next ones are waited for and answered.
+// Guards against commits that all time out once the store becomes more than a hundred times slower. A few time
+// out, and each doubles the timeout, so that the next ones succeed.
 async fn slow() -> Result<()> {
     let world = World::open(Options::default());
     let rows = Brisk::new(Arc::new(world.caller("e-0")));
@@ -181,6 +183,6 @@
     for _commit in 0..6 {
         answered += usize::from(matches!(rows.commit(put()).await, Ok(Commit::Committed(_))));
     }
-    ensure!(answered >= 4, "{answered} of 6 were answered");
+    ensure!(answered >= 4, "{answered} of 6 commits got a response");
     Ok(())
 }
--- a/tests/site/stories.rs
+++ b/tests/site/stories.rs
@@ -1,4 +1,4 @@
-//! A caller complains about a job. From its id alone, the log lines tell the cause.
+//! Diagnosis from logs: given only the id of a job that a caller complains about, the log lines show the cause.
 
 use crate::{
     bed::{Bed, POOL, job, lasting, seconds, task},
@@ -24,7 +24,7 @@
     many_runs_end_in_few_lines => many_ends();
 }
 
-/// Lines that carry the id of a job or of one of its tasks.
+/// Lines whose fields contain the id of a job or of one of its tasks.
 fn about(lines: &[Line], id: &JobId) -> Vec<Line> {
     let id = id.as_str();
     let of = lines.iter().filter(|line| {
@@ -42,13 +42,13 @@
     Ok(line.field(field).unwrap_or_default().parse()?)
 }
 
-/// The line of the end of a worker's life.
+/// The line that reports the termination of a worker.
 fn life_over<'a>(lines: &'a [Line], worker: Option<&str>) -> Result<&'a Line> {
     let worker = worker.ok_or_else(|| eyre!("no worker"))?;
     let over = with(lines, "lives of workers are over").into_iter();
     let mut over = over.filter(|line| line.lists("workers", worker));
     let found = over.next();
-    found.ok_or_else(|| eyre!("nothing tells of {worker:?}"))
+    found.ok_or_else(|| eyre!("no line reports the termination of {worker:?}"))
 }
 
 fn first<'a>(lines: &'a [Line], text: &str) -> Result<&'a Line> {
@@ -57,8 +57,8 @@
     first.ok_or_else(|| eyre!("no line {text:?}"))
 }
 
-// The store turns all calls away for two seconds. The refusal's line has the code of it, and that
-// heartbeats of all entries fail at that time tells that it did so for everyone.
+// A job is rejected while the store rejects all calls, for a second. The rejection's line has the result code, and
+// the failed heartbeats of all entries at that time show that the store rejected everyone's calls.
 async fn refused() -> Result<()> {
     capture();
     let mut bed = Bed::open(91, 3, 3).await?;
@@ -89,8 +89,8 @@
     Ok(())
 }
 
-// The worker of the first run dies. The job's lines show a second run, the first one's worker, and by
-// that worker's id that its life was over in between.
+// A job is late because the worker of its first run crashed. The job's lines show a second run and the worker of
+// the first, and a line with that worker's id shows that it terminated in between.
 async fn late() -> Result<()> {
     capture();
     let mut bed = Bed::open(92, 2, 3).await?;
@@ -117,8 +117,8 @@
     Ok(())
 }
 
-// The job fails by itself wherever it runs. Its lines show as many failed runs as its queue allows, on
-// more than one worker, whose other runs end well.
+// A job fails by its own fault on every worker. Its lines show as many failed runs as its queue allows, on more
+// than one worker, whose other runs succeed.
 async fn failed() -> Result<()> {
     capture();
     let mut bed = Bed::open(93, 2, 3).await?;
@@ -137,8 +137,8 @@
     Ok(())
 }
 
-// The worker of a lasting task dies. From the end of its worker's life to the next placement, the lines
-// tell how long the task was away, and why.
+// A long-running task is unavailable because its worker crashed. The lines from the worker's termination to the
+// next placement show for how long, and why.
 async fn away() -> Result<()> {
     capture();
     let mut bed = Bed::open(94, 2, 4).await?;
@@ -169,7 +169,7 @@
     Ok(())
 }
 
-// A caller asks why its job stopped. The cancel's line stands before those of the stops.
+// A caller asks why its job stopped. The line of the cancel precedes those of the stops.
 async fn cancelled() -> Result<()> {
     capture();
     let mut bed = Bed::open(95, 2, 3).await?;
@@ -194,9 +194,9 @@
     Ok(())
 }
 
-// Work of a cancelled job goes on for a while: answers to its pool's owner are held up on their way, so that it
-// hears of the cancel late. Its line bounds how old the cancel was when it was taken in, and that it was taken in
-// as soon as the answer came tells that the loop had no part in it.
+// Tasks of a cancelled job run on for a while because responses to its pool's owner are delayed, so that it learns
+// of the cancel late. Its line bounds the age of the cancel when it was applied, and shows that it was applied as
+// soon as the response arrived, so that the control loop didn't contribute to the delay.
 async fn heard_late() -> Result<()> {
     capture();
     let mut bed = Bed::open(98, 2, 3).await?;
@@ -220,8 +220,9 @@
     Ok(())
 }
 
-// A job is cancelled while the commit of its first start waits. The owner's lines stand in this order: the cancel
-// with the runs that were decided, their stops, and only then the starts, which the workers refuse.
+// A job is cancelled while the commit of its first starts is pending. The owner's lines have this order: the
+// cancel with the number of runs that were already decided, their stops, and only then the starts, which the
+// workers reject.
 async fn cancelled_before_its_start() -> Result<()> {
     capture();
     let mut bed = Bed::open(57, 2, 4).await?;
@@ -245,8 +246,8 @@
     Ok(())
 }
 
-// The owner dies, and the job is cancelled before another takes the pool over. The successor's line tells that it
-// found the cancel, and how many of its predecessor's runs it has to stop.
+// The owner is killed, and the job is cancelled before another entry takes the pool over. The successor's line
+// shows that it found the cancel, and how many of its predecessor's runs it has to stop.
 async fn found_at_takeover() -> Result<()> {
     capture();
     let mut bed = Bed::open(99, 2, 3).await?;
@@ -267,8 +268,9 @@
     Ok(())
 }
 
-// Twelve workers with a lasting task each die at once. The list of instances tells of all of them together, and
-// one line or two do, in place of one a worker: each life once.
+// Guards against a flood of log lines: twelve workers, each with a long-running task, crash at once. The list of
+// instances shows all of them together, so one or two lines report them, each worker once, and not one line per
+// worker.
 async fn many_lives() -> Result<()> {
     const LIVES: usize = 12;
     capture();
@@ -301,8 +303,8 @@
     Ok(())
 }
 
-// A job of many tasks fails on all of its workers at once. Where a round brings many such ends, one line with
-// the tasks' names stands for them, and each end is still told of.
+// Guards against a flood of log lines: many tasks of a job fail at once. Where a round has many such ends, a
+// single line lists the tasks, and every end is still reported.
 async fn many_ends() -> Result<()> {
     capture();
     let mut bed = Bed::open(97, 2, 1).await?;
--- a/tests/site/takeover.rs
+++ b/tests/site/takeover.rs
@@ -1,4 +1,4 @@
-//! Owners are killed, cut off and suspended: their pools go on elsewhere, and no task runs twice.
+//! Owners that are killed, partitioned or suspended: their pools are taken over, and no task runs twice.
 
 use crate::{
     bed::{Bed, OTHER, POOL, job, lasting, seconds, task},
@@ -41,8 +41,8 @@
     observers_take_over_when_all_candidates_are_gone => all_candidates_killed();
 }
 
-// The owner dies while tasks run. Their leases outlast the takeover, so the successor finds them
-// running and starts none of them again; the job completes by its first runs.
+// The owner is killed while tasks run. Their leases outlast the takeover, so the successor discovers the runs and
+// starts none of them again; the job completes with its first runs.
 async fn killed() -> Result<()> {
     let mut bed = Bed::open(21, 3, 3).await?;
     let owner = bed.owner(POOL).await?;
@@ -58,8 +58,8 @@
     bed.judge()
 }
 
-// All entries lose power right after a job was accepted, and others start. The job is in the store,
-// so it runs; what ran before isn't started again while its lease may hold.
+// All entries are killed right after a job was accepted, and new ones start. The job is in the store, so it runs;
+// tasks that ran before are not started again while their leases may be valid.
 async fn all_killed() -> Result<()> {
     let mut bed = Bed::open(22, 3, 3).await?;
     let running = bed.submit("e-0", &job("3000", 4)).await?;
@@ -77,9 +77,9 @@
     bed.judge()
 }
 
-// The owner's calls to the store go unanswered while it still reaches the workers. Another entry
-// takes the pool; the old owner may renew no lease by a confirmation from before the cut, and its
-// late starts are refused. Nothing overlaps.
+// Guards against overlapping runs of two owners: the owner's calls to the store get no response while it still
+// reaches the workers, and another entry takes the pool over. The old owner may not renew a lease based on a
+// confirmation from before the partition, and its late starts are refused.
 async fn cut_off() -> Result<()> {
     let mut bed = Bed::open(23, 3, 3).await?;
     let owner = bed.owner(POOL).await?;
@@ -95,8 +95,9 @@
     bed.judge()
 }
 
-// The owner stands still for longer than it takes to replace it, with starts on their way. When it
-// goes on, its commit fails and its starts are late or fenced: the successor's runs stay alone.
+// Guards against overlapping runs: the owner is suspended, with starts in flight, for longer than it takes to
+// replace it. When it resumes, its commit fails, and its starts are late or fenced, so that only the successor's
+// runs exist.
 async fn frozen() -> Result<()> {
     let mut bed = Bed::open(24, 3, 3).await?;
     let owner = bed.owner(POOL).await?;
@@ -132,8 +133,8 @@
     bed.judge()
 }
 
-// An owner that is told to stop gives its pool up in one commit; another has it within a second,
-// where a silent owner is waited out for over two.
+// An owner that shuts down releases its pool in one commit, and another entry owns it within a second; an
+// unresponsive owner is replaced only after more than two.
 async fn stopped() -> Result<()> {
     let mut bed = Bed::open(26, 3, 3).await?;
     let owner = bed.owner(POOL).await?;
@@ -152,9 +153,10 @@
     bed.judge()
 }
 
-// An owner takes a lasting task from a worker that is due for maintenance, and is told to stop while the worker
-// is still ending the run. Looks show the successor all tasks of the step at work. A second worker is due now,
-// and comes first in its order: its task may only be ended once the first is at work elsewhere.
+// Guards against exceeding the number of tasks of a step that may be unavailable. An owner stops a long-running
+// task on a worker that is due for maintenance, and shuts down while the worker is still ending the run. Status
+// polls show the successor all tasks of the step as ready. A second worker is due now, and comes first in the
+// successor's order: its task may only be stopped once the first one is ready elsewhere.
 async fn stop_under_way() -> Result<()> {
     let slow = Duration::from_secs(2);
     let mut bed = Bed::open_with_slow_stops(35, 3, 10, slow).await?;
@@ -163,7 +165,7 @@
     let owner = bed.owner(POOL).await?;
     let hosts = hosts(&bed, &id, 6);
     let first = hosts.last().map(Name::clone);
-    let first = first.ok_or_else(|| eyre!("nothing runs"))?;
+    let first = first.ok_or_else(|| eyre!("no task runs"))?;
     let second = held_by_others(&bed, &hosts, &owner).await?;
     ensure!(first != second, "{owner} holds all groups but one");
     bed.world.instruct(wave(1, first));
@@ -175,10 +177,13 @@
     timeout(Duration::from_secs(10), stopped).await?;
     bed.world.instruct(wave(2, second));
     let node = bed.nodes.remove(&owner);
-    let node = node.ok_or_else(|| eyre!("{owner} is no entry"))?;
+    let node = node.ok_or_else(|| eyre!("{owner} is not an entry"))?;
     node.entry.stop().await;
     seconds(15).await;
-    ensure!(stops_of(&bed, &id).len() == 2, "the second didn't move");
+    ensure!(
+        stops_of(&bed, &id).len() == 2,
+        "the second task was not moved"
+    );
     bed.judge()
 }
 
@@ -194,7 +199,8 @@
     hosts.map(|known| Name::clone(&known.name)).collect()
 }
 
-/// The first of `instances` that another entry than `owner` gives orders to: a new holder gives none for a while.
+/// The first of `instances` whose orders come from an entry other than `owner`, as a new holder gives none for a
+/// while.
 async fn held_by_others(bed: &Bed, instances: &[Name], owner: &str) -> Result<Name> {
     for instance in instances {
         if bed.owner(&row::group(instance)).await? != owner {
@@ -223,8 +229,8 @@
     stopped.collect()
 }
 
-// Writes reach the store seconds late, and reads work as usual. Every entry sees the others fall
-// silent, and each sees its own heartbeat fail too, so none takes another's pool.
+// Guards against takeovers from live owners: writes reach the store seconds late, while reads work. Every entry
+// sees the others become unresponsive, but its own heartbeat fails too, so none takes another's pool.
 async fn slow_store() -> Result<()> {
     let bed = Bed::open(27, 3, 3).await?;
     let owner = bed.owner(POOL).await?;
@@ -237,16 +243,16 @@
     Ok(())
 }
 
-// The store turns every commit away at once, and serves reads and feeds as usual. Every entry sees that
-// the others have fallen silent; each one's own heartbeats fail too, so their silence proves nothing.
-// When commits work again, all are heard again before anybody is judged.
+// Guards against takeovers from live owners: the store rejects every commit at once, and serves reads and feeds.
+// Every entry sees the others become unresponsive; its own heartbeats fail too, so this proves nothing. When
+// commits work again, every entry waits for the heartbeats of all others before it considers any of them failed.
 async fn commits_refused() -> Result<()> {
     let bed = Bed::open(30, 3, 3).await?;
     let owner = bed.owner(POOL).await?;
     let token = bed.token(POOL).await?;
     bed.conduct_all(|conduct| conduct.commits = Reach::Refused);
     seconds(6).await;
-    // The owner comes last: those that get through before it would judge it.
+    // The owner recovers last: entries that get through earlier might consider it failed.
     for name in bed.nodes.keys().filter(|name| **name != owner) {
         bed.conduct(name, |conduct| conduct.commits = Reach::Fine);
     }
@@ -254,12 +260,15 @@
     bed.conduct(&owner, |conduct| conduct.commits = Reach::Fine);
     seconds(8).await;
     let after = bed.token(POOL).await?;
-    ensure!(after == token, "the pool was taken: {after} after {token}");
+    ensure!(
+        after == token,
+        "the pool was taken over: token {after} after {token}"
+    );
     Ok(())
 }
 
-// The owner's process is killed and starts again at once. Its new incarnation doesn't own what the
-// old one did: it takes the pool over like any other entry, and finds the lasting tasks running.
+// The owner's process is killed and restarted at once. Its new incarnation doesn't own what the old one did: it
+// takes the pool over like any other entry, and discovers the running long-running tasks.
 async fn restarted() -> Result<()> {
     let mut bed = Bed::open(28, 1, 3).await?;
     let id = bed.submit("e-0", &lasting(3)).await?;
@@ -274,9 +283,9 @@
     bed.judge()
 }
 
-// Another entry takes the pool over and has committed nothing yet. The old owner, which hasn't heard
-// of it, learns of a job: its commit must fail on the owner's row, so it starts nothing. The new
-// owner has read the pool's rows already, and would start the same tasks.
+// Guards against tasks started by both the old and the new owner. Another entry has taken the pool over and
+// committed nothing yet. The old owner, which doesn't know, learns of a job: its commit must fail on the owner's
+// row, so that it starts nothing. The new owner has read the pool's rows already, and would start the same tasks.
 async fn replaced() -> Result<()> {
     let mut bed = Bed::open(29, 1, 3).await?;
     let ghost = bed.world.caller("ghost");
@@ -301,7 +310,7 @@
         puts: vec![(place, serde_json::to_vec(&owner)?.into())],
         deletes: Vec::new(),
     };
-    // The old owner asks every 600 ms whether it still owns the pool; this is in between.
+    // The old owner checks its ownership every 600 ms; this takeover falls between two checks.
     let id = bed.id();
     let sent = job("300", 2);
     let heartbeat = tokio::spawn(async move {
@@ -335,11 +344,12 @@
     Ok(())
 }
 
-// An owner's commit stands, its answer is lost, and the store turns the owner away from then on. Another entry takes the
-// pool and commits nothing yet; the workers don't hear of it, since it reaches none of them. Then the store takes the owner's
-// calls again, and shows its old commit as the newest. Starts that count from then would come after the takeover, for longer
-// than the successor waits for them. It learns of the commit by the conflict of its repeat, or, where that answer is `lost` too, by
-// reading the row.
+// Guards against a former owner that takes an old commit of its own for proof of its ownership. The commit is
+// applied but its response is lost, and the store rejects the owner from then on. Another entry takes the pool
+// over and commits nothing yet; the workers don't learn of it, since it reaches none of them. Then the store
+// accepts the former owner's calls again, and shows the old commit as the newest. Starts with a deadline counted
+// from then would arrive after the takeover, for longer than the successor waits for them. The former owner learns
+// of its commit from the conflict of the retry or, with a share of `lost` responses, by reading the row.
 async fn stands(lost: f64) -> Result<()> {
     let mut bed = Bed::open(33, 2, 3).await?;
     let owner = bed.owner(POOL).await?;
@@ -374,9 +384,9 @@
     bed.judge()
 }
 
-// A task ends while the store is away, and all entries are killed before it is back. The end isn't
-// stored, so it must not have been acknowledged: the worker shows it to the successor, and the task
-// isn't run a second time.
+// Guards against a task that runs twice because its end was acknowledged too early. It ends while the store is
+// unavailable, and all entries are killed before it is back. The end isn't stored, so it must not have been
+// acknowledged: the worker still reports it to the successor.
 async fn acknowledged() -> Result<()> {
     let mut bed = Bed::open(30, 2, 3).await?;
     let id = bed.submit("e-0", &job("800", 2)).await?;
@@ -394,9 +404,9 @@
     bed.judge()
 }
 
-// The platform makes leases longer while the system runs. The owner of that moment goes on with the
-// shorter ones. Its successor knows that leases may last for longer, and waits for that before it starts
-// the task of a silent worker anew.
+// Guards against overlapping runs after leases are made longer at run time. The owner at that time keeps using the
+// shorter ones. Its successor knows that leases may last longer, and waits that long before it restarts the task
+// of an unresponsive worker.
 async fn newer_bounds() -> Result<()> {
     let mut bed = Bed::open(31, 3, 2).await?;
     let owner = bed.owner(POOL).await?;
@@ -415,12 +425,13 @@
     let starts = bed.world.journal().starts(&task);
     ensure!(starts.len() == 2, "{starts:?}");
     let waited = starts[1].1 - cut_at;
-    ensure!(waited > 7_000, "started anew after {waited} ms");
+    ensure!(waited > 7_000, "restarted after {waited} ms");
     Ok(())
 }
 
-// One entry of three has four times the processor of the others, and owns all pools. It dies and comes back; the
-// others own its pools meanwhile and give them up to it, one after the other. What runs isn't disturbed.
+// One entry of three has four times the CPU share of the others, and owns all pools. It is killed and restarted;
+// meanwhile the others own its pools, and then release them to it, one after the other. Running tasks are not
+// disturbed.
 async fn strong_comes_back() -> Result<()> {
     let mut bed = Bed::open_with_strengths(57, &[250, 1_000, 250], 4).await?;
     for pool in [POOL, OTHER] {
@@ -447,8 +458,9 @@
     bed.judge()
 }
 
-// One of three entries has just come back, and owns nothing, when another stops and gives up what it has. The third
-// shows that they haven't all started together, so there is nobody to wait for: all has an owner again half a second later.
+// One of three entries has just restarted, and owns nothing, when another shuts down and releases what it owns.
+// The third shows that they haven't all started together, so that there is no entry to wait for: everything has an
+// owner again half a second later.
 async fn joins() -> Result<()> {
     let mut bed = Bed::open(58, 3, 4).await?;
     bed.kill("e-1");
@@ -466,25 +478,25 @@
     bed.judge()
 }
 
-/// More entries than are candidates for anything.
+/// Number of entries, more than are candidates for takeovers.
 const MANY: usize = 24;
 
-/// The entries that would take something over.
+/// The entries that are candidates for takeovers.
 fn candidates(bed: &Bed) -> BTreeSet<String> {
     let able = bed.nodes.keys().map(|name| (Name::from(&**name), 250));
     let chosen = elect::candidates(&able.collect(), 2 + row::groups().count());
     chosen.into_keys().map(|name| name.to_string()).collect()
 }
 
-// Of many entries the most look at the others every few seconds only. An owner is replaced no later for that: its pool goes to a
-// candidate, which looks all the time.
+// Guards against late takeovers on large sites, where most entries check the others only every few seconds. An
+// owner is still replaced in time, since its pool goes to a candidate, which checks continuously.
 async fn candidate_takes_over() -> Result<()> {
     let mut bed = Bed::open(38, MANY, 3).await?;
     seconds(10).await;
     let owner = bed.owner(POOL).await?;
     ensure!(
         candidates(&bed).contains(&owner),
-        "{owner} owns and is no candidate"
+        "{owner} is an owner but not a candidate"
     );
     bed.kill(&owner);
     seconds(4).await;
@@ -492,15 +504,15 @@
     ensure!(successor != owner, "{owner} wasn't replaced in time");
     ensure!(
         candidates(&bed).contains(&successor),
-        "{successor} is no candidate"
+        "{successor} is not a candidate"
     );
     let id = bed.submit("e-0", &job("500", 4)).await?;
     bed.until("e-0", &id, State::Completed, 3).await?;
     bed.judge()
 }
 
-// All candidates lose power at once. The others see it later, and take over: nothing that was accepted is lost,
-// and no living one of them is taken for dead.
+// All candidates are killed at once. The others notice later, and take over: no accepted job is lost, and no live
+// entry among them is considered failed.
 async fn all_candidates_killed() -> Result<()> {
     let mut bed = Bed::open(39, MANY, 3).await?;
     seconds(10).await;
--- a/tests/site/worker.rs
+++ b/tests/site/worker.rs
@@ -1,4 +1,4 @@
-//! Workers crash, are cut off and run on, fail, and carry orders out late.
+//! Workers that crash, are partitioned while they run on, fail tasks, drain, or execute orders late.
 
 use crate::{
     bed::{ATTEMPTS, Bed, job, lasting, seconds, task},
@@ -18,8 +18,8 @@
     draining_worker_gets_nothing_new => draining();
 }
 
-// A worker dies without a word. The platform's list names no life for its instance any more, so its
-// lasting task starts elsewhere long before its lease would have lapsed.
+// Guards against slow recovery from a crash. The platform's list no longer shows a worker on the crashed one's
+// instance, so its long-running task starts elsewhere long before the lease would have expired.
 async fn crashed() -> Result<()> {
     let mut bed = Bed::open(41, 2, 5).await?;
     let id = bed.submit("e-0", &lasting(3)).await?;
@@ -32,8 +32,8 @@
     bed.judge()
 }
 
-// No entry reaches a worker, which works on. The platform still names its life, so its tasks count
-// as running until its lease has surely lapsed; then they start elsewhere.
+// Guards against overlapping runs: a worker is partitioned from all entries and runs on. The platform still lists
+// it, so its tasks count as running until its lease has certainly expired; then they start elsewhere.
 async fn cut_off() -> Result<()> {
     let mut bed = Bed::open(42, 2, 5).await?;
     let id = bed.submit("e-0", &lasting(3)).await?;
@@ -50,9 +50,9 @@
     bed.judge()
 }
 
-// A third of the orders aren't answered and are carried out seconds later, when the task runs
-// elsewhere or is done. The worker refuses them: their deadline has passed, or a stop of that run
-// came first.
+// Guards against runs that start twice. Almost a third of the orders get no response and are executed seconds
+// later, when the task runs elsewhere or is done. The worker rejects them, since their deadline has passed or a
+// stop of that run arrived first.
 async fn late_orders() -> Result<()> {
     let mut bed = Bed::open(43, 2, 4).await?;
     bed.conduct_all(|conduct| conduct.late_orders = 0.3);
@@ -68,9 +68,10 @@
     bed.judge()
 }
 
-// A start gets no answer, and its stop does: from then on the run can't begin. But only a look that is sent later shows
-// that it hasn't begun before. The one on its way waited a second for an end, and the next one another second, so that the task
-// waited up to two seconds for its next start beside workers that had nothing to do.
+// Guards against a slow restart after a start without a response. Once its stop is confirmed, the run can't begin
+// any more, but only a status poll sent after that shows that it hasn't begun before. The poll in flight waited a
+// second for the end of a run, and the next one another second, so that the task waited up to two seconds for its
+// next start although workers were idle.
 async fn unanswered() -> Result<()> {
     let mut bed = Bed::open(46, 2, 4).await?;
     for round in 0..4 {
@@ -115,7 +116,7 @@
             let there = starts
                 .iter()
                 .any(|(worker, at)| *worker == leaving && *at > from);
-            ensure!(!there, "a task was started on {leaving}");
+            ensure!(!there, "a task was started on {leaving}, which is draining");
         }
     }
     bed.judge()
