--- a/tests/site/accept.rs
+++ b/tests/site/accept.rs
@@ -1,7 +1,7 @@
 //! Submission of jobs: an accepted job is stored once, and a rejected one never runs.
 
 use crate::{
-    bed::{Bed, OTHER, POOL, configuration, job, seconds, step, task},
+    bed::{Fixture, OTHER, POOL, configuration, job, sleep_secs, step, task},
     cases,
 };
 use eyre::{Result, ensure};
@@ -13,7 +13,7 @@
 cases! {
     job_of_two_steps_completes => two_steps();
     same_id_at_two_entries_is_one_job => two_entries();
-    same_id_after_its_queue_moved_is_one_job => moved_queue();
+    same_id_after_its_queue_moved_is_one_job => reassigned_queue();
     lost_commit_answer_is_settled => lost_answer();
     late_commit_is_not_refused => late_commit();
     refusal_by_a_store_that_is_away_is_true => refused();
@@ -21,13 +21,13 @@
     unknown_job_is_gone => unknown();
     queue_counts_jobs_that_have_not_begun => counted();
     /// Jobs that count as begun while their starts are in flight.
-    queue_counts_jobs_whose_starts_are_on_their_way => on_their_way();
+    queue_counts_jobs_whose_starts_are_on_their_way => starts_in_flight();
     /// A job that stays counted as queued while it runs, since its pool commits nothing else.
-    queue_does_not_count_a_job_that_runs => not_counted();
+    queue_does_not_count_a_job_that_runs => running_not_counted();
 }
 
 async fn two_steps() -> Result<()> {
-    let mut bed = Bed::open(1, 3, 3).await?;
+    let mut fixture = Fixture::open(1, 3, 3).await?;
     let later = Step {
         after: vec![0],
         ..step(4)
@@ -36,21 +36,23 @@
         steps: vec![step(3), later],
         ..job("400", 3)
     };
-    let id = bed.submit("e-0", &job).await?;
-    bed.until("e-1", &id, State::Completed, 3).await?;
-    bed.judge()
+    let id = fixture.submit("e-0", &job).await?;
+    fixture
+        .wait_for_state("e-1", &id, State::Completed, 3)
+        .await?;
+    fixture.check_invariants()
 }
 
 // Guards against a job that runs twice because its caller sends it to two entries at the same time, as after a
 // broken connection. Both commits are conditional on the absence of the same row: one writes it, and the other
 // conflicts with it. Both calls are told that the job is accepted.
 async fn two_entries() -> Result<()> {
-    let mut bed = Bed::open(2, 3, 3).await?;
-    let id = bed.id();
+    let mut fixture = Fixture::open(2, 3, 3).await?;
+    let id = fixture.next_job_id();
     let job = job("300", 2);
     let body = serde_json::to_vec(&job)?;
-    bed.sent.jobs.insert(id.clone(), job.clone());
-    let gateways = ["e-0", "e-1"].map(|name| std::sync::Arc::clone(&bed.nodes[name].gateway));
+    fixture.sent.jobs.insert(id.clone(), job.clone());
+    let gateways = ["e-0", "e-1"].map(|name| std::sync::Arc::clone(&fixture.nodes[name].gateway));
     let send = |gateway: std::sync::Arc<primroseroute_gateway::Gateway>| {
         let mut headers = http::HeaderMap::new();
         headers.insert(http::header::HOST, "stay.example".parse().expect("a host"));
@@ -66,81 +68,90 @@
     let [first, second] = gateways;
     let statuses = tokio::join!(send(first), send(second));
     ensure!(statuses == (StatusCode::OK, StatusCode::OK), "{statuses:?}");
-    bed.until("e-2", &id, State::Completed, 3).await?;
-    ensure!(bed.world.journal().starts(&task(&id, 0, 0)).len() == 1);
-    bed.judge()
+    fixture
+        .wait_for_state("e-2", &id, State::Completed, 3)
+        .await?;
+    ensure!(fixture.world.journal().starts(&task(&id, 0, 0)).len() == 1);
+    fixture.check_invariants()
 }
 
 // Guards against a job that runs in two pools. The first attempt is accepted for one pool, and its response is
 // lost. A new configuration assigns the queue to another pool, and the caller sends the same id again. The row of
 // an id doesn't depend on the pool, so the second attempt conflicts with the row of the first.
-async fn moved_queue() -> Result<()> {
-    let mut bed = Bed::open(3, 3, 2).await?;
-    let id = bed.id();
+async fn reassigned_queue() -> Result<()> {
+    let mut fixture = Fixture::open(3, 3, 2).await?;
+    let id = fixture.next_job_id();
     let job = job("300", 1);
-    ensure!(bed.send("e-0", &id, &job).await.is_success());
-    bed.world
+    ensure!(fixture.send("e-0", &id, &job).await.is_success());
+    fixture
+        .world
         .instruct(Instruction::Configuration(configuration(2, OTHER)));
-    seconds(1).await;
-    ensure!(bed.send("e-1", &id, &job).await.is_success());
-    bed.until("e-2", &id, State::Completed, 5).await?;
-    ensure!(bed.world.journal().starts(&task(&id, 0, 0)).len() == 1);
-    bed.judge()
+    sleep_secs(1).await;
+    ensure!(fixture.send("e-1", &id, &job).await.is_success());
+    fixture
+        .wait_for_state("e-2", &id, State::Completed, 5)
+        .await?;
+    ensure!(fixture.world.journal().starts(&task(&id, 0, 0)).len() == 1);
+    fixture.check_invariants()
 }
 
 // Guards against a rejection of a job that runs. Half of all commits are applied without a response. The caller
 // may be told that the job is accepted, or that the outcome is unknown, but never that it is rejected.
 async fn lost_answer() -> Result<()> {
-    let mut bed = Bed::open(4, 2, 3).await?;
-    bed.conduct_all(|conduct| conduct.lost_commits = 0.5);
+    let mut fixture = Fixture::open(4, 2, 3).await?;
+    fixture.conduct_all(|conduct| conduct.lost_commits = 0.5);
     let mut ids = Vec::new();
     for _job in 0..12 {
-        let id = bed.id();
-        let status = bed.send("e-0", &id, &job("100", 1)).await;
+        let id = fixture.next_job_id();
+        let status = fixture.send("e-0", &id, &job("100", 1)).await;
         ensure!(
             status.is_success() || status == StatusCode::GATEWAY_TIMEOUT,
             "{id} got {status}"
         );
         ids.push(id);
     }
-    bed.conduct_all(|conduct| conduct.lost_commits = 0.0);
+    fixture.conduct_all(|conduct| conduct.lost_commits = 0.0);
     for id in ids {
-        bed.until("e-1", &id, State::Completed, 10).await?;
+        fixture
+            .wait_for_state("e-1", &id, State::Completed, 10)
+            .await?;
     }
-    bed.judge()
+    fixture.check_invariants()
 }
 
 // Guards against a rejection of a job that runs. The store applies a commit seconds after the entry has timed out,
 // and the job runs in the end, so the caller must not have been told that it never will.
 async fn late_commit() -> Result<()> {
-    let mut bed = Bed::open(5, 2, 3).await?;
-    let name = bed.bystander(POOL).await?;
-    bed.conduct(&name, |conduct| conduct.late_commits = 1.0);
-    let id = bed.id();
-    let status = bed.send(&name, &id, &job("100", 1)).await;
+    let mut fixture = Fixture::open(5, 2, 3).await?;
+    let name = fixture.non_owner(POOL).await?;
+    fixture.conduct(&name, |conduct| conduct.late_commits = 1.0);
+    let id = fixture.next_job_id();
+    let status = fixture.send(&name, &id, &job("100", 1)).await;
     ensure!(status == StatusCode::GATEWAY_TIMEOUT, "{status}");
-    bed.conduct(&name, |conduct| conduct.late_commits = 0.0);
-    bed.until(&name, &id, State::Completed, 12).await?;
-    bed.judge()
+    fixture.conduct(&name, |conduct| conduct.late_commits = 0.0);
+    fixture
+        .wait_for_state(&name, &id, State::Completed, 12)
+        .await?;
+    fixture.check_invariants()
 }
 
 // The store rejects the entry's calls, which proves that nothing was written: the caller gets a rejection that
 // invites a retry, and the job must never run.
 async fn refused() -> Result<()> {
-    let mut bed = Bed::open(6, 2, 3).await?;
-    bed.conduct("e-0", |conduct| conduct.store = Reach::Refused);
-    let id = bed.id();
-    let status = bed.send("e-0", &id, &job("100", 1)).await;
+    let mut fixture = Fixture::open(6, 2, 3).await?;
+    fixture.conduct("e-0", |conduct| conduct.store = Reach::Refused);
+    let id = fixture.next_job_id();
+    let status = fixture.send("e-0", &id, &job("100", 1)).await;
     ensure!(status == StatusCode::SERVICE_UNAVAILABLE, "{status}");
-    bed.sent.refused.insert(id.clone());
-    bed.conduct("e-0", |conduct| conduct.store = Reach::Fine);
-    seconds(10).await;
-    ensure!(bed.state("e-1", &id).await == Err(StatusCode::GONE));
-    bed.judge()
+    fixture.sent.refused.insert(id.clone());
+    fixture.conduct("e-0", |conduct| conduct.store = Reach::Fine);
+    sleep_secs(10).await;
+    ensure!(fixture.state("e-1", &id).await == Err(StatusCode::GONE));
+    fixture.check_invariants()
 }
 
 async fn malformed() -> Result<()> {
-    let mut bed = Bed::open(7, 2, 1).await?;
+    let mut fixture = Fixture::open(7, 2, 1).await?;
     let ahead = Step {
         after: vec![1],
         ..step(1)
@@ -163,57 +174,57 @@
         job("100", 0),
     ];
     for job in faulty {
-        let id = bed.id();
-        let status = bed.send("e-0", &id, &job).await;
+        let id = fixture.next_job_id();
+        let status = fixture.send("e-0", &id, &job).await;
         ensure!(status == StatusCode::BAD_REQUEST, "{status}");
-        ensure!(bed.state("e-0", &id).await == Err(StatusCode::GONE));
+        ensure!(fixture.state("e-0", &id).await == Err(StatusCode::GONE));
     }
     Ok(())
 }
 
 async fn unknown() -> Result<()> {
-    let mut bed = Bed::open(8, 2, 1).await?;
+    let mut fixture = Fixture::open(8, 2, 1).await?;
     let id = JobId::parse("00000000000000ff").expect("16 digits");
-    ensure!(bed.state("e-0", &id).await == Err(StatusCode::GONE));
-    ensure!(bed.cancel("e-0", &id).await == StatusCode::GONE);
+    ensure!(fixture.state("e-0", &id).await == Err(StatusCode::GONE));
+    ensure!(fixture.cancel("e-0", &id).await == StatusCode::GONE);
     Ok(())
 }
 
 async fn counted() -> Result<()> {
-    let mut bed = Bed::open(9, 2, 1).await?;
+    let mut fixture = Fixture::open(9, 2, 1).await?;
     // One worker has capacity for eight tasks, so the third job and later ones wait.
     for _job in 0..6 {
-        bed.submit("e-0", &job("4000", 4)).await?;
+        fixture.submit("e-0", &job("4000", 4)).await?;
     }
-    seconds(2).await;
-    let queued = bed.queued("e-1").await;
+    sleep_secs(2).await;
+    let queued = fixture.queued("e-1").await;
     ensure!(queued == 4, "{queued} jobs are reported as queued");
     Ok(())
 }
 
-async fn on_their_way() -> Result<()> {
-    let mut bed = Bed::open(11, 2, 1).await?;
+async fn starts_in_flight() -> Result<()> {
+    let mut fixture = Fixture::open(11, 2, 1).await?;
     let starts_take = std::time::Duration::from_secs(2);
-    bed.conduct_all(|conduct| conduct.orders = starts_take);
+    fixture.conduct_all(|conduct| conduct.orders = starts_take);
     let mut jobs = Vec::new();
     for _job in 0..2 {
-        jobs.push(bed.submit("e-0", &job("4000", 4)).await?);
+        jobs.push(fixture.submit("e-0", &job("4000", 4)).await?);
     }
-    seconds(1).await;
-    let journal = bed.world.journal();
+    sleep_secs(1).await;
+    let journal = fixture.world.journal();
     let has_begun = |id: &JobId| !journal.starts(&task(id, 0, 0)).is_empty();
     ensure!(!jobs.iter().any(has_begun));
-    let queued = bed.queued("e-1").await;
+    let queued = fixture.queued("e-1").await;
     ensure!(queued == 2, "{queued} jobs are reported as queued");
     Ok(())
 }
 
-async fn not_counted() -> Result<()> {
-    let mut bed = Bed::open(10, 2, 1).await?;
-    let id = bed.submit("e-0", &job("9000", 1)).await?;
-    seconds(3).await;
-    ensure!(bed.state("e-1", &id).await == Ok(State::Running));
-    let queued = bed.queued("e-1").await;
+async fn running_not_counted() -> Result<()> {
+    let mut fixture = Fixture::open(10, 2, 1).await?;
+    let id = fixture.submit("e-0", &job("9000", 1)).await?;
+    sleep_secs(3).await;
+    ensure!(fixture.state("e-1", &id).await == Ok(State::Running));
+    let queued = fixture.queued("e-1").await;
     ensure!(queued == 0, "{queued} jobs are reported as queued");
     Ok(())
 }
--- a/tests/site/bed/mod.rs
+++ b/tests/site/bed/mod.rs
@@ -3,9 +3,9 @@
 mod seen;
 mod shapes;
 
-pub(crate) use shapes::{configuration, job, lasting, step, task, with_standby};
+pub(crate) use shapes::{configuration, job, long_running, step, task, with_standby};
 
-use crate::figures::Figures;
+use crate::figures::RecordedMetrics;
 use bytes::Bytes;
 use eyre::{Result, ensure};
 use gotham::helpers::http::Body;
@@ -39,17 +39,17 @@
 pub(crate) const ATTEMPTS: u32 = 3;
 
 /// Default CPU share of an entry, in thousandths of a core.
-const STRENGTH: u32 = 250;
+const DEFAULT_STRENGTH: u32 = 250;
 
 /// How long a caller waits for a response. After that the outcome of its request is unknown to it, as after a
 /// gateway timeout.
-const CALLER_WAITS: Duration = Duration::from_secs(4);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Encodes request and response bodies as plain JSON of the domain types.
 #[derive(Debug)]
-struct Plain;
+struct JsonCodec;
 
-impl Codec for Plain {
+impl Codec for JsonCodec {
     fn submission(&self, body: &[u8]) -> Result<Job, String> {
         let job: Job = serde_json::from_slice(body).map_err(|error| error.to_string())?;
         job.check().map_err(|fault| fault.to_string())?;
@@ -79,19 +79,19 @@
 }
 
 /// The simulated site, its entries, and a record of the callers' requests and the responses.
-pub(crate) struct Bed {
+pub(crate) struct Fixture {
     pub world: World,
     pub nodes: BTreeMap<String, Node>,
     pub sent: check::Sent,
     /// Jobs whose acceptance has been confirmed to a caller.
     pub accepted: Vec<JobId>,
-    /// CPU shares of the entries; [`STRENGTH`] for those that are absent.
+    /// CPU shares of the entries; [`DEFAULT_STRENGTH`] for those that are absent.
     strengths: BTreeMap<String, u32>,
-    started: u64,
-    ids: u64,
+    processes_started: u64,
+    jobs_created: u64,
     clock: Clock,
     /// Metrics reported by the control loops of all entries.
-    pub figures: Arc<Figures>,
+    pub metrics: Arc<RecordedMetrics>,
     /// Time limits set by the platform, for all entries.
     pub bounds: watch::Sender<Bounds>,
 }
@@ -103,20 +103,20 @@
     }
 }
 
-impl Bed {
+impl Fixture {
     /// Opens a site with `entries` entries and `workers` workers in [`POOL`], and waits until every pool has an
     /// owner.
     pub(crate) async fn open(seed: u64, entries: usize, workers: usize) -> Result<Self> {
         Self::open_as(options(seed), entries, workers).await
     }
 
-    /// Like [`Bed::open`], on a site configured by `options`.
+    /// Like [`Fixture::open`], on a site configured by `options`.
     pub(crate) async fn open_as(options: Options, entries: usize, workers: usize) -> Result<Self> {
-        let strengths = vec![STRENGTH; entries];
+        let strengths = vec![DEFAULT_STRENGTH; entries];
         Self::open_on(configuration(1, POOL), options, &strengths, workers).await
     }
 
-    /// Like [`Bed::open`], with workers that take `stop` to stop a run.
+    /// Like [`Fixture::open`], with workers that take `stop` to stop a run.
     pub(crate) async fn open_with_slow_stops(
         seed: u64,
         entries: usize,
@@ -130,7 +130,7 @@
         Self::open_as(options, entries, workers).await
     }
 
-    /// Like [`Bed::open`], with workers that restart under the same id after a crash.
+    /// Like [`Fixture::open`], with workers that restart under the same id after a crash.
     pub(crate) async fn open_with_same_ids(
         seed: u64,
         entries: usize,
@@ -143,7 +143,7 @@
         Self::open_as(options, entries, workers).await
     }
 
-    /// Like [`Bed::open`], with one entry per CPU share in `strengths`.
+    /// Like [`Fixture::open`], with one entry per CPU share in `strengths`.
     pub(crate) async fn open_with_strengths(
         seed: u64,
         strengths: &[u32],
@@ -152,17 +152,17 @@
         Self::open_on(configuration(1, POOL), options(seed), strengths, workers).await
     }
 
-    /// Like [`Bed::open`], with a standby pool of four additional instances that are switched off.
+    /// Like [`Fixture::open`], with a standby pool of four additional instances that are switched off.
     pub(crate) async fn open_with_standby(
         seed: u64,
         entries: usize,
         workers: usize,
     ) -> Result<Self> {
-        let strengths = vec![STRENGTH; entries];
+        let strengths = vec![DEFAULT_STRENGTH; entries];
         Self::open_mixed(options(seed), &strengths, workers).await
     }
 
-    /// Like [`Bed::open_with_standby`], with one entry per CPU share in `strengths`, on a site configured by
+    /// Like [`Fixture::open_with_standby`], with one entry per CPU share in `strengths`, on a site configured by
     /// `options`.
     pub(crate) async fn open_mixed(
         options: Options,
@@ -192,7 +192,7 @@
             world.add_instance(&format!("i-{number}"), POOL);
         }
         world.add_instance("j-0", OTHER);
-        let mut bed = Self {
+        let mut fixture = Self {
             world,
             nodes: BTreeMap::new(),
             sent: check::Sent {
@@ -205,10 +205,10 @@
                 .zip(strengths)
                 .map(|(number, strength)| (format!("e-{number}"), *strength))
                 .collect(),
-            started: 0,
-            ids: 0,
+            processes_started: 0,
+            jobs_created: 0,
             clock: Clock::simulated(1_000_000),
-            figures: Arc::default(),
+            metrics: Arc::default(),
             bounds: watch::Sender::new(Bounds {
                 limits: Limits::new(6_000, 120_000),
                 order_pause: Duration::from_secs(3),
@@ -216,48 +216,54 @@
             }),
         };
         for number in 0..strengths.len() {
-            bed.start(&format!("e-{number}"));
+            fixture.start(&format!("e-{number}"));
         }
         sleep(Duration::from_secs(4)).await;
-        Ok(bed)
+        Ok(fixture)
     }
 
     /// Starts a process for the entry `name`, replacing one that was stopped or killed.
     pub(crate) fn start(&mut self, name: &str) {
-        self.started += 1;
+        self.processes_started += 1;
         self.world
             .conduct(name, |conduct| *conduct = Conduct::default());
         // Each process has its own caller name, so calls of a killed one stay dead.
-        let caller = self.world.caller(&format!("{name}#{}", self.started));
-        let store = Backoff::new("store", self.started);
-        let instances = Backoff::new("instances", self.started);
+        let caller = self
+            .world
+            .caller(&format!("{name}#{}", self.processes_started));
+        let store = Backoff::new("store", self.processes_started);
+        let instances = Backoff::new("instances", self.processes_started);
         let site: Arc<dyn Site> = Arc::new(caller.clone());
         let site: Arc<dyn Site> = Arc::new(backoff::Site::new(site, store.clone(), instances));
         let rows: Arc<dyn Rows> = Arc::new(Brisk::new(Arc::new(caller.clone())));
-        let (watch, _tasks) = Watch::spawn(&site, self.clock, self.started);
+        let (watch, _tasks) = Watch::spawn(&site, self.clock, self.processes_started);
         let gateway = Gateway::open(GatewayParts {
             configuration: watch.configuration.clone(),
             rows: Arc::clone(&rows),
-            codec: Arc::new(Plain),
+            codec: Arc::new(JsonCodec),
             clock: Arc::new(self.clock),
             observer: None,
         });
         let entry = Entry::spawn(Parts {
             entry: name.into(),
-            incarnation: self.started,
-            strength: self.strengths.get(name).copied().unwrap_or(STRENGTH),
+            incarnation: self.processes_started,
+            strength: self
+                .strengths
+                .get(name)
+                .copied()
+                .unwrap_or(DEFAULT_STRENGTH),
             clock: self.clock,
             bounds: self.bounds.subscribe(),
             rows: Arc::new(backoff::Rows::new(Arc::clone(&rows), store)),
             loads: Arc::new(backoff::Rows::new(
                 rows,
-                Backoff::high_priority("pools", self.started),
+                Backoff::high_priority("pools", self.processes_started),
             )),
             site,
             workers: Arc::new(caller.clone()),
             advisor: Arc::new(caller.clone()),
             watch,
-            observer: Arc::<Figures>::clone(&self.figures),
+            observer: Arc::<RecordedMetrics>::clone(&self.metrics),
         });
         self.nodes.insert(
             name.into(),
@@ -270,13 +276,13 @@
     }
 
     /// The caller name of an entry's newest process.
-    pub(crate) fn calls(&self, name: &str) -> String {
+    pub(crate) fn caller_name(&self, name: &str) -> String {
         self.nodes[name].caller.name().to_owned()
     }
 
     /// Kills an entry's process: none of its calls is sent or answered any more.
     pub(crate) fn kill(&mut self, name: &str) {
-        let calls = self.calls(name);
+        let calls = self.caller_name(name);
         self.world.conduct(&calls, |conduct| conduct.dead = true);
         self.nodes.remove(name);
     }
@@ -290,7 +296,7 @@
 
     /// Injects faults into the calls of an entry's newest process.
     pub(crate) fn conduct(&self, name: &str, set: impl FnOnce(&mut Conduct)) {
-        self.world.conduct(&self.calls(name), set);
+        self.world.conduct(&self.caller_name(name), set);
     }
 
     /// Injects faults into the calls of all entries.
@@ -300,12 +306,12 @@
         }
     }
 
-    pub(crate) fn id(&mut self) -> JobId {
-        self.ids += 1;
-        JobId::parse(&format!("{:016x}", self.ids)).expect("16 digits")
+    pub(crate) fn next_job_id(&mut self) -> JobId {
+        self.jobs_created += 1;
+        JobId::parse(&format!("{:016x}", self.jobs_created)).expect("16 digits")
     }
 
-    async fn ask(
+    async fn request(
         &self,
         entry: &str,
         method: Method,
@@ -317,7 +323,7 @@
         let uri = path.parse().expect("a path");
         let gateway = Arc::clone(&self.nodes[entry].gateway);
         let answer = gateway.serve(method, uri, headers, body);
-        let Ok(response) = timeout(CALLER_WAITS, answer).await else {
+        let Ok(response) = timeout(CALLER_TIMEOUT, answer).await else {
             return (StatusCode::GATEWAY_TIMEOUT, String::new());
         };
         let (head, body) = response.into_parts();
@@ -334,7 +340,7 @@
         let body = serde_json::to_vec(job).expect("a job serializes");
         let body = primroseroute_front::problem::full(body);
         let path = format!("/stay/{id}");
-        let (status, _body) = self.ask(entry, Method::POST, &path, body).await;
+        let (status, _body) = self.request(entry, Method::POST, &path, body).await;
         if status.is_success() && !self.accepted.contains(id) {
             self.accepted.push(id.clone());
         }
@@ -343,7 +349,7 @@
 
     /// Submits a job with a new id; fails unless it is accepted.
     pub(crate) async fn submit(&mut self, entry: &str, job: &Job) -> Result<JobId> {
-        let id = self.id();
+        let id = self.next_job_id();
         let status = self.send(entry, &id, job).await;
         ensure!(status.is_success(), "{id} got {status}");
         Ok(id)
@@ -353,7 +359,7 @@
         self.sent.cancel_sent.insert(id.clone());
         let path = format!("/stay/{id}");
         let body = primroseroute_front::problem::full("");
-        let (status, _body) = self.ask(entry, Method::DELETE, &path, body).await;
+        let (status, _body) = self.request(entry, Method::DELETE, &path, body).await;
         if status.is_success() {
             let now = self.world.now();
             self.sent.cancelled.entry(id.clone()).or_insert(now);
@@ -365,7 +371,7 @@
     pub(crate) async fn state(&self, entry: &str, id: &JobId) -> Result<State, StatusCode> {
         let path = format!("/stay/{id}");
         let body = primroseroute_front::problem::full("");
-        let (status, text) = self.ask(entry, Method::GET, &path, body).await;
+        let (status, text) = self.request(entry, Method::GET, &path, body).await;
         if status.is_success() {
             Ok(serde_json::from_str(&text).expect("a state"))
         } else {
@@ -375,12 +381,12 @@
 
     pub(crate) async fn queued(&self, entry: &str) -> u64 {
         let body = primroseroute_front::problem::full("");
-        let (_status, text) = self.ask(entry, Method::GET, "/stay/", body).await;
+        let (_status, text) = self.request(entry, Method::GET, "/stay/", body).await;
         text.parse().unwrap_or(u64::MAX)
     }
 
     /// Waits until a job has `state`, for at most `seconds`.
-    pub(crate) async fn until(
+    pub(crate) async fn wait_for_state(
         &self,
         entry: &str,
         id: &JobId,
@@ -427,7 +433,7 @@
     }
 
     /// An entry that does not own `pool`.
-    pub(crate) async fn bystander(&self, pool: &str) -> Result<String> {
+    pub(crate) async fn non_owner(&self, pool: &str) -> Result<String> {
         let owner = self.owner(pool).await?;
         let other = self.nodes.keys().find(|name| **name != owner);
         other
@@ -436,7 +442,7 @@
     }
 
     /// Checks the guarantees to callers and workers; reports the first violation.
-    pub(crate) fn judge(&self) -> Result<()> {
+    pub(crate) fn check_invariants(&self) -> Result<()> {
         let breaches = check::check(&self.sent, &self.world.journal());
         match breaches.first() {
             None => Ok(()),
@@ -445,6 +451,6 @@
     }
 }
 
-pub(crate) async fn seconds(count: u64) {
+pub(crate) async fn sleep_secs(count: u64) {
     sleep(Duration::from_secs(count)).await;
 }
--- a/tests/site/bed/seen.rs
+++ b/tests/site/bed/seen.rs
@@ -1,6 +1,6 @@
 //! Queries of the simulated site's state and event journal.
 
-use super::Bed;
+use super::Fixture;
 use eyre::{Result, eyre};
 use primroseroute_domain::work::{Name, TaskId};
 use primroseroute_standin::site::Event;
@@ -8,9 +8,9 @@
 use tokio::time::sleep;
 
 /// Interval at which a test checks a condition that it waits for.
-const PACE: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-impl Bed {
+impl Fixture {
     /// Waits until `seen` returns a value, for at most `seconds`.
     pub(crate) async fn wait_for<T>(
         &self,
@@ -18,11 +18,11 @@
         seconds: u64,
         seen: impl Fn(&Self) -> Option<T>,
     ) -> Result<T> {
-        for _look in 0..seconds * 100 {
+        for _attempt in 0..seconds * 100 {
             if let Some(found) = seen(self) {
                 return Ok(found);
             }
-            sleep(PACE).await;
+            sleep(POLL_INTERVAL).await;
         }
         Err(eyre!("{what} did not happen within {seconds} s"))
     }
--- a/tests/site/bed/shapes.rs
+++ b/tests/site/bed/shapes.rs
@@ -68,7 +68,7 @@
 }
 
 /// A job of long-running tasks, each on a separate worker, at most one of which may be unavailable.
-pub(crate) fn lasting(count: u16) -> Job {
+pub(crate) fn long_running(count: u16) -> Job {
     let step = Step {
         lasting: true,
         may_miss: 1,
--- a/tests/site/figures.rs
+++ b/tests/site/figures.rs
@@ -1,7 +1,7 @@
 //! Metrics that owners report on their control loops.
 
 use crate::{
-    bed::{Bed, POOL, job, lasting, seconds},
+    bed::{Fixture, POOL, job, long_running, sleep_secs},
     cases,
 };
 use eyre::{Result, ensure};
@@ -14,36 +14,36 @@
 use tokio::time::sleep;
 
 /// Delay of a commit, shorter than the time after which another entry takes the pool over.
-const AWHILE: Duration = Duration::from_millis(200);
+const COMMIT_DELAY: Duration = Duration::from_millis(200);
 
 cases! {
-    figures_of_a_calm_pool => calm();
+    figures_of_a_calm_pool => without_faults();
     figures_while_a_commit_waits => commit_waits();
-    figures_while_answers_are_held_up => held_up();
+    figures_while_answers_are_held_up => responses_delayed();
 }
 
 /// Records the longest reported durations.
 #[derive(Debug, Default)]
-pub(crate) struct Figures(Mutex<Longest>);
+pub(crate) struct RecordedMetrics(Mutex<LongestTimes>);
 
 #[derive(Clone, Debug, Default)]
-struct Longest {
+struct LongestTimes {
     /// Age of the newest response of the feed of [`POOL`]'s jobs.
-    read: Duration,
+    feed_age: Duration,
     /// Duration of a round of [`POOL`]'s control loop.
     round: Duration,
     /// Time for which orders waited before they were sent, by kind.
     orders: BTreeMap<&'static str, Duration>,
 }
 
-impl Figures {
+impl RecordedMetrics {
     /// Returns and resets the longest durations.
-    fn take(&self) -> Longest {
+    fn take(&self) -> LongestTimes {
         std::mem::take(&mut *self.0.lock())
     }
 }
 
-impl Observer for Figures {
+impl Observer for RecordedMetrics {
     fn started(&self, _outcome: Outcome) {}
     fn ended(&self, _how: End) {}
     fn lost(&self, _cause: Cause, _runs: usize) {}
@@ -55,7 +55,7 @@
     fn jobs_read(&self, pool: &Name, ago: Duration) {
         if &**pool == POOL {
             let mut longest = self.0.lock();
-            longest.read = longest.read.max(ago);
+            longest.feed_age = longest.feed_age.max(ago);
         }
     }
 
@@ -75,19 +75,19 @@
 
 // Without faults, the age of the feed is at most the time of one long poll, and rounds and waits of orders are
 // short.
-async fn calm() -> Result<()> {
-    let mut bed = Bed::open(101, 2, 3).await?;
-    bed.figures.take();
-    let id = bed.submit("e-0", &lasting(3)).await?;
-    seconds(2).await;
-    ensure!(bed.cancel("e-0", &id).await == StatusCode::OK);
-    seconds(3).await;
-    let Longest {
-        read,
+async fn without_faults() -> Result<()> {
+    let mut fixture = Fixture::open(101, 2, 3).await?;
+    fixture.metrics.take();
+    let id = fixture.submit("e-0", &long_running(3)).await?;
+    sleep_secs(2).await;
+    ensure!(fixture.cancel("e-0", &id).await == StatusCode::OK);
+    sleep_secs(3).await;
+    let LongestTimes {
+        feed_age,
         round,
         orders,
-    } = bed.figures.take();
-    ensure!(read > Duration::ZERO && read <= Duration::from_millis(2_300));
+    } = fixture.metrics.take();
+    ensure!(feed_age > Duration::ZERO && feed_age <= Duration::from_millis(2_300));
     ensure!(round > Duration::ZERO && round <= Duration::from_millis(100));
     for order in ["start", "stop"] {
         let waited = orders.get(order);
@@ -99,34 +99,37 @@
 // The commit of a start gets no response for a while. The durations of the round and of the start's wait show it,
 // and the feed continues.
 async fn commit_waits() -> Result<()> {
-    let mut bed = Bed::open(102, 2, 3).await?;
-    let owner = bed.owner(POOL).await?;
-    let other = bed.bystander(POOL).await?;
-    bed.figures.take();
-    bed.conduct(&owner, |conduct| conduct.late_commits = 1.0);
-    bed.submit(&other, &job("500", 1)).await?;
-    sleep(AWHILE).await;
-    bed.conduct(&owner, |conduct| conduct.late_commits = 0.0);
-    seconds(6).await;
-    let longest = bed.figures.take();
-    ensure!(bed.owner(POOL).await? == owner);
-    ensure!(longest.round >= AWHILE, "{longest:?}");
+    let mut fixture = Fixture::open(102, 2, 3).await?;
+    let owner = fixture.owner(POOL).await?;
+    let other = fixture.non_owner(POOL).await?;
+    fixture.metrics.take();
+    fixture.conduct(&owner, |conduct| conduct.late_commits = 1.0);
+    fixture.submit(&other, &job("500", 1)).await?;
+    sleep(COMMIT_DELAY).await;
+    fixture.conduct(&owner, |conduct| conduct.late_commits = 0.0);
+    sleep_secs(6).await;
+    let longest = fixture.metrics.take();
+    ensure!(fixture.owner(POOL).await? == owner);
+    ensure!(longest.round >= COMMIT_DELAY, "{longest:?}");
     let start = longest.orders.get("start");
-    ensure!(start.is_some_and(|waited| *waited >= AWHILE), "{longest:?}");
+    ensure!(
+        start.is_some_and(|waited| *waited >= COMMIT_DELAY),
+        "{longest:?}"
+    );
     Ok(())
 }
 
 // Guards against an understated age of the feed. Responses to the owner are delayed. The age counts from the last
 // call that was answered before the delay, and not from the arrival of an old response.
-async fn held_up() -> Result<()> {
-    let bed = Bed::open(103, 2, 3).await?;
-    let owner = bed.owner(POOL).await?;
-    bed.figures.take();
-    bed.conduct(&owner, |conduct| conduct.frozen = true);
-    seconds(2).await;
-    bed.conduct(&owner, |conduct| conduct.frozen = false);
-    seconds(1).await;
-    let longest = bed.figures.take();
-    ensure!(longest.read >= Duration::from_secs(2), "{longest:?}");
+async fn responses_delayed() -> Result<()> {
+    let fixture = Fixture::open(103, 2, 3).await?;
+    let owner = fixture.owner(POOL).await?;
+    fixture.metrics.take();
+    fixture.conduct(&owner, |conduct| conduct.frozen = true);
+    sleep_secs(2).await;
+    fixture.conduct(&owner, |conduct| conduct.frozen = false);
+    sleep_secs(1).await;
+    let longest = fixture.metrics.take();
+    ensure!(longest.feed_age >= Duration::from_secs(2), "{longest:?}");
     Ok(())
 }
--- a/tests/site/forget.rs
+++ b/tests/site/forget.rs
@@ -1,7 +1,7 @@
 //! Deletion of a finished job's rows after the retention time; the job never runs again.
 
 use crate::{
-    bed::{Bed, POOL, job, seconds, task},
+    bed::{Fixture, POOL, job, sleep_secs, task},
     cases,
 };
 use eyre::{Result, ensure};
@@ -13,14 +13,16 @@
 
 cases! {
     job_whose_rows_could_not_be_deleted_stays_finished => delete_fails();
-    job_that_is_forgotten_during_a_read_stays_finished => forgotten_while_read();
+    job_that_is_forgotten_during_a_read_stays_finished => removed_while_read();
 }
 
 /// Runs a job, and waits until `millis` milliseconds before its rows are due to be deleted.
-async fn finished(bed: &mut Bed, id: JobId, millis: u64) -> Result<JobId> {
+async fn finished(fixture: &mut Fixture, id: JobId, millis: u64) -> Result<JobId> {
     const DUE: u64 = 150_000;
-    ensure!(bed.send("e-0", &id, &job("300", 1)).await.is_success());
-    bed.until("e-0", &id, State::Completed, 3).await?;
+    ensure!(fixture.send("e-0", &id, &job("300", 1)).await.is_success());
+    fixture
+        .wait_for_state("e-0", &id, State::Completed, 3)
+        .await?;
     sleep(Duration::from_millis(DUE - millis)).await;
     Ok(id)
 }
@@ -29,49 +31,51 @@
 // its rows. Later the history of its feed has been compacted, and it reads everything anew: the job looks as if it
 // had just been accepted.
 async fn delete_fails() -> Result<()> {
-    let mut bed = Bed::open(71, 2, 2).await?;
-    let id = bed.id();
-    let id = finished(&mut bed, id, 500).await?;
-    let owner = bed.owner(POOL).await?;
-    bed.conduct(&owner, |conduct| conduct.commits = Reach::Refused);
-    seconds(1).await;
-    bed.conduct(&owner, |conduct| conduct.commits = Reach::Fine);
-    seconds(2).await;
-    bed.conduct(&owner, |conduct| conduct.feeds = Reach::Refused);
-    seconds(1).await;
-    let other = bed.submit("e-0", &job("300", 1)).await?;
-    bed.world.compact();
-    bed.conduct(&owner, |conduct| conduct.feeds = Reach::Fine);
-    bed.until("e-1", &other, State::Completed, 5).await?;
-    seconds(3).await;
-    ensure!(bed.world.journal().starts(&task(&id, 0, 0)).len() == 1);
-    bed.judge()
+    let mut fixture = Fixture::open(71, 2, 2).await?;
+    let id = fixture.next_job_id();
+    let id = finished(&mut fixture, id, 500).await?;
+    let owner = fixture.owner(POOL).await?;
+    fixture.conduct(&owner, |conduct| conduct.commits = Reach::Refused);
+    sleep_secs(1).await;
+    fixture.conduct(&owner, |conduct| conduct.commits = Reach::Fine);
+    sleep_secs(2).await;
+    fixture.conduct(&owner, |conduct| conduct.feeds = Reach::Refused);
+    sleep_secs(1).await;
+    let other = fixture.submit("e-0", &job("300", 1)).await?;
+    fixture.world.compact();
+    fixture.conduct(&owner, |conduct| conduct.feeds = Reach::Fine);
+    fixture
+        .wait_for_state("e-1", &other, State::Completed, 5)
+        .await?;
+    sleep_secs(3).await;
+    ensure!(fixture.world.journal().starts(&task(&id, 0, 0)).len() == 1);
+    fixture.check_invariants()
 }
 
 // Guards against a finished job that runs again. The owner reads everything anew, slowly, after its feed's history
 // was compacted. It has read the job's rows when they are deleted, and removes the job from memory before it
 // processes what it has read: the job looks new.
-async fn forgotten_while_read() -> Result<()> {
-    let mut bed = Bed::open(72, 2, 2).await?;
+async fn removed_while_read() -> Result<()> {
+    let mut fixture = Fixture::open(72, 2, 2).await?;
     let id = loop {
-        let id = bed.id();
+        let id = fixture.next_job_id();
         if row::id_part(&id) == "0" {
             break id;
         }
     };
-    let id = finished(&mut bed, id, 1_000).await?;
-    let owner = bed.owner(POOL).await?;
-    bed.conduct(&owner, |conduct| conduct.feeds = Reach::Refused);
+    let id = finished(&mut fixture, id, 1_000).await?;
+    let owner = fixture.owner(POOL).await?;
+    fixture.conduct(&owner, |conduct| conduct.feeds = Reach::Refused);
     sleep(Duration::from_millis(800)).await;
-    bed.submit("e-0", &job("300", 1)).await?;
-    bed.world.compact();
-    bed.conduct(&owner, |conduct| {
+    fixture.submit("e-0", &job("300", 1)).await?;
+    fixture.world.compact();
+    fixture.conduct(&owner, |conduct| {
         conduct.feeds = Reach::Fine;
         conduct.reads = Duration::from_millis(900);
     });
-    seconds(12).await;
-    bed.conduct(&owner, |conduct| conduct.reads = Duration::ZERO);
-    seconds(3).await;
-    ensure!(bed.world.journal().starts(&task(&id, 0, 0)).len() == 1);
-    bed.judge()
+    sleep_secs(12).await;
+    fixture.conduct(&owner, |conduct| conduct.reads = Duration::ZERO);
+    sleep_secs(3).await;
+    ensure!(fixture.world.journal().starts(&task(&id, 0, 0)).len() == 1);
+    fixture.check_invariants()
 }
--- a/tests/site/herd.rs
+++ b/tests/site/herd.rs
@@ -1,7 +1,7 @@
 //! Many entries whose combined load exceeds the rate limit of the store.
 
 use crate::{
-    bed::{Bed, POOL, job, seconds},
+    bed::{Fixture, POOL, job, sleep_secs},
     cases,
     lines::{capture, captured},
 };
@@ -15,7 +15,7 @@
     /// A takeover that waits for the reads of all entries that started at the same time.
     pool_is_read_before_all_entries_have_read => takeover();
     /// The same after an outage of the store, whose history has been compacted meanwhile.
-    entries_that_read_anew_together_get_to_work => return_of_the_store();
+    entries_that_read_anew_together_get_to_work => store_returns();
     /// A feed that is no longer polled while the read that replaces it is rejected again and again.
     feed_is_asked_for_beside_refused_reads => feed_beside_reads();
 }
@@ -29,39 +29,39 @@
 /// Maximum share of rejected reads, in percent, in steady state.
 const REFUSED_PERCENT: u64 = 20;
 
-async fn open(seed: u64) -> Result<Bed> {
+async fn open(seed: u64) -> Result<Fixture> {
     let options = Options {
         seed,
         reads_per_second: Some(READS),
         ..Options::default()
     };
-    Bed::open_as(options, ENTRIES, 4).await
+    Fixture::open_as(options, ENTRIES, 4).await
 }
 
 async fn start() -> Result<()> {
-    let mut bed = open(61).await?;
-    seconds(6).await;
-    bed.owner(POOL).await?;
-    serves(&mut bed).await?;
-    settles(&bed).await
+    let mut fixture = open(61).await?;
+    sleep_secs(6).await;
+    fixture.owner(POOL).await?;
+    check_serving(&mut fixture).await?;
+    check_steady_state(&fixture).await
 }
 
 async fn takeover() -> Result<()> {
     /// Maximum time to load the pool, in milliseconds.
     const LOAD: u64 = 1_000;
     capture();
-    let mut bed = open(64).await?;
-    seconds(16).await;
-    let names: Vec<String> = bed.nodes.keys().cloned().collect();
+    let mut fixture = open(64).await?;
+    sleep_secs(16).await;
+    let names: Vec<String> = fixture.nodes.keys().cloned().collect();
     for name in &names {
-        bed.kill(name);
+        fixture.kill(name);
     }
-    seconds(1).await;
+    sleep_secs(1).await;
     let before = captured().len();
     for name in &names {
-        bed.start(name);
+        fixture.start(name);
     }
-    seconds(8).await;
+    sleep_secs(8).await;
     let lines = captured();
     let loads = lines[before..].iter();
     let loads = loads.filter(|line| line.text == "pool loaded");
@@ -71,48 +71,52 @@
     }
     ensure!(!took.is_empty());
     ensure!(took.iter().all(|took| *took <= LOAD), "{took:?} ms");
-    serves(&mut bed).await
+    check_serving(&mut fixture).await
 }
 
-async fn return_of_the_store() -> Result<()> {
-    let mut bed = open(62).await?;
-    seconds(16).await;
-    bed.conduct_all(|conduct| conduct.store = Reach::Refused);
-    seconds(5).await;
-    bed.world.compact();
-    bed.conduct_all(|conduct| conduct.store = Reach::Fine);
-    seconds(6).await;
-    serves(&mut bed).await?;
-    settles(&bed).await
+async fn store_returns() -> Result<()> {
+    let mut fixture = open(62).await?;
+    sleep_secs(16).await;
+    fixture.conduct_all(|conduct| conduct.store = Reach::Refused);
+    sleep_secs(5).await;
+    fixture.world.compact();
+    fixture.conduct_all(|conduct| conduct.store = Reach::Fine);
+    sleep_secs(6).await;
+    check_serving(&mut fixture).await?;
+    check_steady_state(&fixture).await
 }
 
 async fn feed_beside_reads() -> Result<()> {
-    let mut bed = Bed::open(63, 2, 4).await?;
-    let owner = bed.owner(POOL).await?;
-    bed.conduct(&owner, |conduct| {
+    let mut fixture = Fixture::open(63, 2, 4).await?;
+    let owner = fixture.owner(POOL).await?;
+    fixture.conduct(&owner, |conduct| {
         conduct.feeds = Reach::Throttled;
         conduct.job_reads = Reach::Throttled;
     });
-    seconds(4).await;
-    bed.conduct(&owner, |conduct| conduct.feeds = Reach::Fine);
-    let id = bed.submit(&owner, &job("300", 2)).await?;
-    bed.until(&owner, &id, State::Completed, 5).await?;
-    bed.judge()
+    sleep_secs(4).await;
+    fixture.conduct(&owner, |conduct| conduct.feeds = Reach::Fine);
+    let id = fixture.submit(&owner, &job("300", 2)).await?;
+    fixture
+        .wait_for_state(&owner, &id, State::Completed, 5)
+        .await?;
+    fixture.check_invariants()
 }
 
 /// Checks that a job is accepted and completes.
-async fn serves(bed: &mut Bed) -> Result<()> {
-    let id = bed.submit("e-0", &job("300", 2)).await?;
-    bed.until("e-1", &id, State::Completed, 4).await?;
-    bed.judge()
+async fn check_serving(fixture: &mut Fixture) -> Result<()> {
+    let id = fixture.submit("e-0", &job("300", 2)).await?;
+    fixture
+        .wait_for_state("e-1", &id, State::Completed, 4)
+        .await?;
+    fixture.check_invariants()
 }
 
 /// Checks that few reads are rejected in steady state.
-async fn settles(bed: &Bed) -> Result<()> {
-    seconds(10).await;
-    let before = bed.world.reads();
-    seconds(5).await;
-    let after = bed.world.reads();
+async fn check_steady_state(fixture: &Fixture) -> Result<()> {
+    sleep_secs(10).await;
+    let before = fixture.world.reads();
+    sleep_secs(5).await;
+    let after = fixture.world.reads();
     let refused = after.refused - before.refused;
     let all = after.taken - before.taken + refused;
     ensure!(
--- a/tests/site/inspect.rs
+++ b/tests/site/inspect.rs
@@ -1,7 +1,7 @@
 //! What operators see of pools, jobs and waves, read from the store without calling an entry.
 
 use crate::{
-    bed::{Bed, OTHER, POOL, STANDBY, job, lasting, seconds},
+    bed::{Fixture, OTHER, POOL, STANDBY, job, long_running, sleep_secs},
     cases,
 };
 use eyre::{Result, ensure, eyre};
@@ -18,13 +18,13 @@
     waves_show_their_progress => waves();
 }
 
-async fn look(bed: &Bed) -> Result<Vec<Pool>> {
-    let caller = bed.world.caller("operator");
+async fn list_pools(fixture: &Fixture) -> Result<Vec<Pool>> {
+    let caller = fixture.world.caller("operator");
     Ok(primroseroute_inspect::pools(&caller, &caller).await?)
 }
 
-async fn tell(bed: &Bed, id: &JobId) -> Result<Option<Story>> {
-    let caller = bed.world.caller("operator");
+async fn job_story(fixture: &Fixture, id: &JobId) -> Result<Option<Story>> {
+    let caller = fixture.world.caller("operator");
     Ok(primroseroute_inspect::job(&caller, id).await?)
 }
 
@@ -34,16 +34,16 @@
 }
 
 async fn pools() -> Result<()> {
-    let mut bed = Bed::open_with_standby(101, 2, 2).await?;
+    let mut fixture = Fixture::open_with_standby(101, 2, 2).await?;
     for _job in 0..12 {
-        bed.submit("e-0", &job("4000", 4)).await?;
+        fixture.submit("e-0", &job("4000", 4)).await?;
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let pools = look(&bed).await?;
+    let pools = list_pools(&fixture).await?;
     ensure!(pools.len() == 3);
     let busy = pool(&pools, POOL)?;
-    ensure!(busy.owner.as_deref() == Some(&*bed.owner(POOL).await?));
-    ensure!(busy.token == bed.token(POOL).await?);
+    ensure!(busy.owner.as_deref() == Some(&*fixture.owner(POOL).await?));
+    ensure!(busy.token == fixture.token(POOL).await?);
     ensure!(!busy.standby && busy.wanted > Some(2), "{busy:?}");
     let needed = busy.needed_now.zip(busy.needed_late);
     ensure!(needed.is_some_and(|(now, late)| now + late > 2), "{busy:?}");
@@ -62,12 +62,14 @@
 
 // The job's details remain available after its owner is killed: its accepted form, and where each task runs.
 async fn story() -> Result<()> {
-    let mut bed = Bed::open(102, 2, 3).await?;
-    let id = bed.submit("e-0", &lasting(2)).await?;
-    seconds(1).await;
-    let owner = bed.owner(POOL).await?;
-    bed.kill(&owner);
-    let story = tell(&bed, &id).await?.ok_or_else(|| eyre!("no story"))?;
+    let mut fixture = Fixture::open(102, 2, 3).await?;
+    let id = fixture.submit("e-0", &long_running(2)).await?;
+    sleep_secs(1).await;
+    let owner = fixture.owner(POOL).await?;
+    fixture.kill(&owner);
+    let story = job_story(&fixture, &id)
+        .await?
+        .ok_or_else(|| eyre!("no story"))?;
     ensure!(story.state == State::Running && !story.cancelled);
     ensure!(&*story.queue == "holds" && &*story.pool == POOL);
     ensure!(story.tasks.len() == 2, "{story:?}");
@@ -75,33 +77,35 @@
         ensure!(task.phase == "placed" && task.worker.is_some() && task.run == 1);
         ensure!(task.name.starts_with(id.as_str()));
     }
-    let other = bed.nodes.keys().next().cloned();
+    let other = fixture.nodes.keys().next().cloned();
     let other = other.ok_or_else(|| eyre!("no entry is left"))?;
-    ensure!(bed.cancel(&other, &id).await == StatusCode::OK);
-    let story = tell(&bed, &id).await?.ok_or_else(|| eyre!("no story"))?;
+    ensure!(fixture.cancel(&other, &id).await == StatusCode::OK);
+    let story = job_story(&fixture, &id)
+        .await?
+        .ok_or_else(|| eyre!("no story"))?;
     ensure!(story.cancelled, "{story:?}");
     Ok(())
 }
 
 async fn unknown() -> Result<()> {
-    let mut bed = Bed::open(103, 1, 1).await?;
-    let id = bed.id();
-    ensure!(tell(&bed, &id).await?.is_none());
+    let mut fixture = Fixture::open(103, 1, 1).await?;
+    let id = fixture.next_job_id();
+    ensure!(job_story(&fixture, &id).await?.is_none());
     Ok(())
 }
 
 async fn waves() -> Result<()> {
-    let bed = Bed::open(104, 2, 6).await?;
-    let own = bed.world.instances().into_iter();
+    let fixture = Fixture::open(104, 2, 6).await?;
+    let own = fixture.world.instances().into_iter();
     let own = own.filter(|known| &*known.pool == POOL);
-    bed.world.instruct(Instruction::Wave(Wave {
+    fixture.world.instruct(Instruction::Wave(Wave {
         number: 4,
         instances: own.map(|known| known.name).collect(),
         duration: Duration::from_secs(40),
         maximum: 2,
     }));
-    seconds(6).await;
-    let caller = bed.world.caller("operator");
+    sleep_secs(6).await;
+    let caller = fixture.world.caller("operator");
     let waves = primroseroute_inspect::waves(&caller, &caller).await?;
     let [wave] = &*waves else {
         eyre::bail!("{waves:?}");
--- a/tests/site/lines.rs
+++ b/tests/site/lines.rs
@@ -40,13 +40,13 @@
 }
 
 /// Target prefix of the simulated platform, whose lines are captured at all levels.
-const STANDIN: &str = "primroseroute_standin";
+const STANDIN_TARGET: &str = "primroseroute_standin";
 
 thread_local! {
     static LINES: RefCell<Option<(Instant, Vec<Line>)>> = const { RefCell::new(None) };
 }
 
-struct ByThread;
+struct PerThreadLogger;
 
 struct Fields(BTreeMap<String, String>);
 
@@ -57,9 +57,9 @@
     }
 }
 
-impl Log for ByThread {
+impl Log for PerThreadLogger {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
-        metadata.level() <= Level::Info || metadata.target().starts_with(STANDIN)
+        metadata.level() <= Level::Info || metadata.target().starts_with(STANDIN_TARGET)
     }
 
     fn log(&self, record: &Record<'_>) {
@@ -88,7 +88,7 @@
 pub(crate) fn capture() {
     static INSTALL: Once = Once::new();
     INSTALL.call_once(|| {
-        log::set_logger(&ByThread).expect("no other logger is installed");
+        log::set_logger(&PerThreadLogger).expect("no other logger is installed");
         log::set_max_level(log::LevelFilter::Debug);
     });
     LINES.set(Some((Instant::now(), Vec::new())));
--- a/tests/site/lives.rs
+++ b/tests/site/lives.rs
@@ -2,7 +2,7 @@
 //! registrations.
 
 use crate::{
-    bed::{Bed, OTHER, POOL, configuration, job, lasting, seconds, task},
+    bed::{Fixture, OTHER, POOL, configuration, job, long_running, sleep_secs, task},
     cases,
 };
 use eyre::{Result, bail, ensure, eyre};
@@ -18,11 +18,11 @@
 use tokio::time::sleep;
 
 cases! {
-    worker_that_is_not_known_yet_is_not_taken_for_empty => unknown();
-    order_that_was_carried_out_before_ends_no_life => done_before();
+    worker_that_is_not_known_yet_is_not_taken_for_empty => unregistered();
+    order_that_was_carried_out_before_ends_no_life => already_maintained();
     worker_that_is_not_known_yet_is_not_moved_under_its_tasks => moved();
-    list_from_before_a_worker_came_does_not_say_that_it_is_over => old_list();
-    registration_that_comes_back_as_it_was_counts => comes_back();
+    list_from_before_a_worker_came_does_not_say_that_it_is_over => outdated_list();
+    registration_that_comes_back_as_it_was_counts => registration_restored();
 }
 
 /// Extra latency of each call of the holder that gives orders: long enough for several orders to workers between a
@@ -30,7 +30,7 @@
 const HOLDER_DELAY: Duration = Duration::from_millis(150);
 
 /// Interval at which a test checks a condition that it waits for.
-const PACE: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 fn wave_of(name: &Name) -> Instruction {
     Instruction::Wave(Wave {
@@ -42,17 +42,17 @@
 }
 
 /// The worker on an instance, if it is known.
-fn worker(bed: &Bed, name: &Name) -> Option<Name> {
-    let all = bed.world.instances().into_iter();
+fn worker(fixture: &Fixture, name: &Name) -> Option<Name> {
+    let all = fixture.world.instances().into_iter();
     let mut own = all.filter(|known| known.name == *name);
     own.next().and_then(|known| known.worker)
 }
 
 /// An instance of [`POOL`] whose orders come from an entry other than the pool's owner, and that entry.
-async fn with_holder(bed: &Bed) -> Result<(Name, String)> {
-    let owner = bed.owner(POOL).await?;
-    for known in bed.world.instances() {
-        let holder = bed.owner(&row::group(&known.name)).await?;
+async fn with_holder(fixture: &Fixture) -> Result<(Name, String)> {
+    let owner = fixture.owner(POOL).await?;
+    for known in fixture.world.instances() {
+        let holder = fixture.owner(&row::group(&known.name)).await?;
         if &*known.pool == POOL && holder != owner {
             return Ok((known.name, holder));
         }
@@ -62,10 +62,10 @@
 
 /// Sets up what a predecessor leaves behind that has recorded an instance as in maintenance, has given the order,
 /// and hasn't learned that the maintenance is over.
-async fn maintained_before(bed: &Bed, name: &Name) -> Result<()> {
-    let caller = bed.world.caller("predecessor");
+async fn maintained_before(fixture: &Fixture, name: &Name) -> Result<()> {
+    let caller = fixture.world.caller("predecessor");
     let progress = Progress {
-        active: [(Name::clone(name), worker(bed, name))].into(),
+        active: [(Name::clone(name), worker(fixture, name))].into(),
         ..Progress::default()
     };
     let txn = Txn {
@@ -83,26 +83,26 @@
 
 /// Waits until a row satisfies `wanted`.
 async fn until_row<T: DeserializeOwned>(
-    bed: &Bed,
+    fixture: &Fixture,
     place: Place,
     wanted: impl Fn(&T) -> bool,
 ) -> Result<()> {
-    let caller = bed.world.caller("observer");
-    for _look in 0..500 {
+    let caller = fixture.world.caller("observer");
+    for _attempt in 0..500 {
         let found = read_row(&caller, place.clone()).await?;
         let value = found.and_then(|row| row.value);
         let value = value.and_then(|value| serde_json::from_slice(&value).ok());
         if value.is_some_and(|value| wanted(&value)) {
             return Ok(());
         }
-        sleep(PACE).await;
+        sleep(POLL_INTERVAL).await;
     }
     bail!("{place:?} does not reach the expected state")
 }
 
 /// Makes the registrations of workers available to all entries, or unavailable.
-fn registry(bed: &Bed, reach: Reach) {
-    bed.conduct_all(|conduct| conduct.registry = reach);
+fn set_registry(fixture: &Fixture, reach: Reach) {
+    fixture.conduct_all(|conduct| conduct.registry = reach);
 }
 
 // Guards against duplicate runs after a maintenance order without effect. A wave's instance was maintained on a
@@ -110,35 +110,37 @@
 // the pool's owner doesn't know the worker and assumes that it is idle. While the owner requests the maintenance
 // once more, the registration arrives, and the waiting tasks start there. The order has no effect and is accepted:
 // the owner would conclude that the worker has terminated, and start its tasks elsewhere beside those that run.
-async fn unknown() -> Result<()> {
-    let mut bed = Bed::open(91, 3, 4).await?;
-    let (name, holder) = with_holder(&bed).await?;
-    maintained_before(&bed, &name).await?;
+async fn unregistered() -> Result<()> {
+    let mut fixture = Fixture::open(91, 3, 4).await?;
+    let (name, holder) = with_holder(&fixture).await?;
+    maintained_before(&fixture, &name).await?;
     sleep(Duration::from_millis(300)).await;
-    registry(&bed, Reach::Refused);
-    let others = bed.submit("e-0", &job("30000", 24)).await?;
+    set_registry(&fixture, Reach::Refused);
+    let others = fixture.submit("e-0", &job("30000", 24)).await?;
     sleep(Duration::from_millis(500)).await;
-    let id = bed.submit("e-0", &job("3000", 4)).await?;
-    seconds(2).await;
-    let before = worker(&bed, &name).ok_or_else(|| eyre!("{name} isn't up"))?;
-    bed.conduct(&holder, |conduct| conduct.delay = HOLDER_DELAY);
-    bed.world.instruct(wave_of(&name));
-    until_row(&bed, row::wave(1), |progress: &Progress| {
+    let id = fixture.submit("e-0", &job("3000", 4)).await?;
+    sleep_secs(2).await;
+    let before = worker(&fixture, &name).ok_or_else(|| eyre!("{name} isn't up"))?;
+    fixture.conduct(&holder, |conduct| conduct.delay = HOLDER_DELAY);
+    fixture.world.instruct(wave_of(&name));
+    until_row(&fixture, row::wave(1), |progress: &Progress| {
         progress.active.get(&name) == Some(&Some(Name::clone(&before)))
     })
     .await?;
-    registry(&bed, Reach::Fine);
+    set_registry(&fixture, Reach::Fine);
     sleep(Duration::from_millis(300)).await;
     // Free capacity for the tasks elsewhere.
-    ensure!(bed.cancel("e-0", &others).await.is_success());
-    bed.until("e-0", &id, State::Completed, 10).await?;
-    bed.judge()?;
+    ensure!(fixture.cancel("e-0", &others).await.is_success());
+    fixture
+        .wait_for_state("e-0", &id, State::Completed, 10)
+        .await?;
+    fixture.check_invariants()?;
     for index in 0..4 {
-        let starts = bed.world.journal().starts(&task(&id, 0, index));
+        let starts = fixture.world.journal().starts(&task(&id, 0, index));
         ensure!(starts.len() == 1, "task {index}: {starts:?}");
     }
-    seconds(2).await;
-    ensure!(bed.world.waves().get(&1) == Some(&true), "not complete");
+    sleep_secs(2).await;
+    ensure!(fixture.world.waves().get(&1) == Some(&true), "not complete");
     Ok(())
 }
 
@@ -146,19 +148,21 @@
 // predecessor's order, which its successor doesn't know. It evacuates the new worker and requests the maintenance
 // once more; the order is accepted, and nothing happens to the worker. If the owner considered it terminated, the
 // pool's jobs would wait until another worker registers.
-async fn done_before() -> Result<()> {
-    let mut bed = Bed::open(92, 2, 1).await?;
+async fn already_maintained() -> Result<()> {
+    let mut fixture = Fixture::open(92, 2, 1).await?;
     let name: Name = "i-0".into();
-    maintained_before(&bed, &name).await?;
-    seconds(3).await;
-    let before = worker(&bed, &name);
-    bed.world.instruct(wave_of(&name));
-    seconds(3).await;
-    ensure!(bed.world.waves().get(&1) == Some(&true), "not complete");
-    ensure!(worker(&bed, &name) == before, "it was maintained again");
-    let id = bed.submit("e-0", &job("300", 2)).await?;
-    bed.until("e-0", &id, State::Completed, 2).await?;
-    bed.judge()
+    maintained_before(&fixture, &name).await?;
+    sleep_secs(3).await;
+    let before = worker(&fixture, &name);
+    fixture.world.instruct(wave_of(&name));
+    sleep_secs(3).await;
+    ensure!(fixture.world.waves().get(&1) == Some(&true), "not complete");
+    ensure!(worker(&fixture, &name) == before, "it was maintained again");
+    let id = fixture.submit("e-0", &job("300", 2)).await?;
+    fixture
+        .wait_for_state("e-0", &id, State::Completed, 2)
+        .await?;
+    fixture.check_invariants()
 }
 
 // Guards against a move that terminates a task which has just started. A new instance is listed while the feed of
@@ -166,41 +170,45 @@
 // idle, and requests a move of its instance. The registration arrives before the order, and a long-running task
 // starts there.
 async fn moved() -> Result<()> {
-    let mut bed = Bed::open(93, 3, 2).await?;
-    let first = bed.submit("e-0", &lasting(2)).await?;
-    bed.until("e-0", &first, State::Running, 3).await?;
-    registry(&bed, Reach::Refused);
-    let owner = bed.owner(POOL).await?;
+    let mut fixture = Fixture::open(93, 3, 2).await?;
+    let first = fixture.submit("e-0", &long_running(2)).await?;
+    fixture
+        .wait_for_state("e-0", &first, State::Running, 3)
+        .await?;
+    set_registry(&fixture, Reach::Refused);
+    let owner = fixture.owner(POOL).await?;
     let mut names = (0..).map(|number| format!("n-{number}"));
     let name: Name = loop {
         let name: Name = names.next().unwrap_or_default().into();
-        if bed.owner(&row::group(&name)).await? != owner {
+        if fixture.owner(&row::group(&name)).await? != owner {
             break name;
         }
     };
-    let holder = bed.owner(&row::group(&name)).await?;
-    bed.world.add_instance(&name, POOL);
-    bed.conduct(&holder, |conduct| conduct.delay = HOLDER_DELAY);
-    bed.world
+    let holder = fixture.owner(&row::group(&name)).await?;
+    fixture.world.add_instance(&name, POOL);
+    fixture.conduct(&holder, |conduct| conduct.delay = HOLDER_DELAY);
+    fixture
+        .world
         .instruct(Instruction::Configuration(configuration(2, OTHER)));
     sleep(Duration::from_millis(500)).await;
     for _job in 0..6 {
-        bed.submit(&owner, &job("4000", 4)).await?;
+        fixture.submit(&owner, &job("4000", 4)).await?;
     }
-    until_row(&bed, row::orders(POOL), |asked: &Orders| {
+    until_row(&fixture, row::orders(POOL), |asked: &Orders| {
         asked.orders.contains_key(&name)
     })
     .await?;
-    registry(&bed, Reach::Fine);
-    bed.world
+    set_registry(&fixture, Reach::Fine);
+    fixture
+        .world
         .instruct(Instruction::Configuration(configuration(3, POOL)));
     sleep(Duration::from_millis(120)).await;
-    let second = bed.submit(&owner, &lasting(3)).await?;
+    let second = fixture.submit(&owner, &long_running(3)).await?;
     // Meanwhile the other pool finishes its jobs and returns an instance.
-    seconds(15).await;
-    bed.judge()?;
+    sleep_secs(15).await;
+    fixture.check_invariants()?;
     let counts: BTreeMap<u16, usize> = (0..3)
-        .map(|index| (index, bed.running(&task(&second, 0, index)).len()))
+        .map(|index| (index, fixture.running(&task(&second, 0, index)).len()))
         .collect();
     ensure!(counts.values().all(|count| *count == 1), "{counts:?}");
     Ok(())
@@ -209,27 +217,31 @@
 // Guards against duplicate runs because of an outdated list of instances. The list takes five seconds to arrive.
 // Meanwhile a worker joins, gets tasks, and is unresponsive for a while. The list predates the worker and doesn't
 // contain it: its tasks run on, and must not start elsewhere.
-async fn old_list() -> Result<()> {
-    let mut bed = Bed::open(94, 2, 2).await?;
-    let owner = bed.owner(POOL).await?;
-    let other = bed.bystander(POOL).await?;
-    let others = bed.submit(&other, &job("20000", 16)).await?;
-    seconds(1).await;
-    bed.conduct(&owner, |conduct| conduct.lists = Duration::from_secs(5));
+async fn outdated_list() -> Result<()> {
+    let mut fixture = Fixture::open(94, 2, 2).await?;
+    let owner = fixture.owner(POOL).await?;
+    let other = fixture.non_owner(POOL).await?;
+    let others = fixture.submit(&other, &job("20000", 16)).await?;
+    sleep_secs(1).await;
+    fixture.conduct(&owner, |conduct| conduct.lists = Duration::from_secs(5));
     sleep(Duration::from_millis(1_500)).await;
-    bed.world.add_instance("n-0", POOL);
-    let id = bed.submit(&other, &job("6000", 4)).await?;
-    bed.until(&other, &id, State::Running, 1).await?;
+    fixture.world.add_instance("n-0", POOL);
+    let id = fixture.submit(&other, &job("6000", 4)).await?;
+    fixture
+        .wait_for_state(&other, &id, State::Running, 1)
+        .await?;
     sleep(Duration::from_millis(100)).await;
-    bed.conduct(&owner, |conduct| conduct.workers = Reach::Silent);
+    fixture.conduct(&owner, |conduct| conduct.workers = Reach::Silent);
     sleep(Duration::from_millis(3_800)).await;
-    bed.conduct(&owner, |conduct| conduct.workers = Reach::Fine);
+    fixture.conduct(&owner, |conduct| conduct.workers = Reach::Fine);
     // Free capacity for the tasks elsewhere.
-    ensure!(bed.cancel(&other, &others).await.is_success());
-    bed.until(&other, &id, State::Completed, 10).await?;
-    bed.judge()?;
+    ensure!(fixture.cancel(&other, &others).await.is_success());
+    fixture
+        .wait_for_state(&other, &id, State::Completed, 10)
+        .await?;
+    fixture.check_invariants()?;
     for index in 0..4 {
-        let starts = bed.world.journal().starts(&task(&id, 0, index));
+        let starts = fixture.world.journal().starts(&task(&id, 0, index));
         ensure!(starts.len() == 1, "task {index}: {starts:?}");
     }
     Ok(())
@@ -238,13 +250,15 @@
 // Guards against jobs that wait forever although the pool's only worker is available. Between two responses of the
 // feed, its registration is removed and restored unchanged: the second change equals what was known before the
 // first, and must not be skipped for that.
-async fn comes_back() -> Result<()> {
-    let mut bed = Bed::open(119, 2, 1).await?;
-    let worker = worker(&bed, &"i-0".into()).ok_or_else(|| eyre!("no worker"))?;
-    bed.world.cut(&worker, true);
-    bed.world.cut(&worker, false);
-    seconds(1).await;
-    let id = bed.submit("e-0", &job("500", 1)).await?;
-    bed.until("e-0", &id, State::Completed, 4).await?;
-    bed.judge()
+async fn registration_restored() -> Result<()> {
+    let mut fixture = Fixture::open(119, 2, 1).await?;
+    let worker = worker(&fixture, &"i-0".into()).ok_or_else(|| eyre!("no worker"))?;
+    fixture.world.cut(&worker, true);
+    fixture.world.cut(&worker, false);
+    sleep_secs(1).await;
+    let id = fixture.submit("e-0", &job("500", 1)).await?;
+    fixture
+        .wait_for_state("e-0", &id, State::Completed, 4)
+        .await?;
+    fixture.check_invariants()
 }
--- a/tests/site/moves.rs
+++ b/tests/site/moves.rs
@@ -1,7 +1,10 @@
 //! Moves of instances between pools, from those with a surplus to those with a shortage.
 
 use crate::{
-    bed::{Bed, OTHER, POOL, STANDBY, configuration, job, lasting, seconds, task, with_standby},
+    bed::{
+        Fixture, OTHER, POOL, STANDBY, configuration, job, long_running, sleep_secs, task,
+        with_standby,
+    },
     cases,
 };
 use eyre::{Result, ensure, eyre};
@@ -12,32 +15,32 @@
 use tokio::time::sleep;
 
 /// Seconds, longer than the time for which a pool without any jobs keeps its initial instances.
-const UNTRIED: u64 = 62;
+const INITIAL_RETENTION_SECS: u64 = 62;
 
 cases! {
     idle_instances_are_switched_off => switched_off();
-    pool_keeps_what_it_was_given_until_its_first_work => untried();
+    pool_keeps_what_it_was_given_until_its_first_work => without_jobs();
     pool_under_load_gets_the_instances_of_others => under_load();
-    lasting_task_keeps_its_instance => lasting_stays();
+    lasting_task_keeps_its_instance => long_running_stays();
     owner_killed_between_moves => owner_killed();
     moves_keep_to_the_platforms_rate => rate();
     order_that_took_long_to_write_down_is_not_given => slow_store();
-    frozen_owner_moves_nothing_after_its_replacement => owner_frozen();
-    instance_goes_on_without_a_pause => at_once();
-    groups_that_are_given_up_go_on_at_once => given_up();
+    frozen_owner_moves_nothing_after_its_replacement => owner_suspended();
+    instance_goes_on_without_a_pause => moves_again();
+    groups_that_are_given_up_go_on_at_once => released();
     new_owner_moves_nothing_under_lasting_tasks => taken_over();
 }
 
 /// Instances of a pool that are up.
-fn up(bed: &Bed, pool: &str) -> usize {
-    let all = bed.world.instances().into_iter();
+fn instances_up(fixture: &Fixture, pool: &str) -> usize {
+    let all = fixture.world.instances().into_iter();
     let own = all.filter(|known| &*known.pool == pool && known.state == InstanceState::Up);
     own.count()
 }
 
 /// All moves, each with its time, instance, target pool and the entry that ordered it.
-fn moved(bed: &Bed) -> Vec<(u64, Name, Name, Name)> {
-    let events = bed.world.journal().events.into_iter();
+fn moved(fixture: &Fixture) -> Vec<(u64, Name, Name, Name)> {
+    let events = fixture.world.journal().events.into_iter();
     let moves = events.filter_map(|event| match event {
         Event::Moved {
             at,
@@ -52,126 +55,159 @@
 }
 
 /// Runs the first job of a pool, and waits until the pool no longer keeps instances for it.
-async fn first_work(bed: &mut Bed, entry: &str) -> Result<()> {
-    let id = bed.submit(entry, &job("500", 1)).await?;
-    bed.until(entry, &id, State::Completed, 2).await?;
-    seconds(12).await;
+async fn run_first_job(fixture: &mut Fixture, entry: &str) -> Result<()> {
+    let id = fixture.submit(entry, &job("500", 1)).await?;
+    fixture
+        .wait_for_state(entry, &id, State::Completed, 2)
+        .await?;
+    sleep_secs(12).await;
     Ok(())
 }
 
 // Guards against idle instances that stay on, and jobs that are delayed afterwards: of an idle pool of six, all
 // but the one that the next job may need are switched off, and the next job runs at once.
 async fn switched_off() -> Result<()> {
-    let mut bed = Bed::open_with_standby(71, 2, 6).await?;
-    first_work(&mut bed, "e-0").await?;
-    ensure!(up(&bed, POOL) == 1, "{} are up", up(&bed, POOL));
-    ensure!(up(&bed, STANDBY) == 9);
-    let id = bed.submit("e-0", &job("500", 4)).await?;
-    bed.until("e-0", &id, State::Completed, 2).await?;
-    bed.judge()
+    let mut fixture = Fixture::open_with_standby(71, 2, 6).await?;
+    run_first_job(&mut fixture, "e-0").await?;
+    ensure!(
+        instances_up(&fixture, POOL) == 1,
+        "{} are up",
+        instances_up(&fixture, POOL)
+    );
+    ensure!(instances_up(&fixture, STANDBY) == 9);
+    let id = fixture.submit("e-0", &job("500", 4)).await?;
+    fixture
+        .wait_for_state("e-0", &id, State::Completed, 2)
+        .await?;
+    fixture.check_invariants()
 }
 
 // Guards against a pool that loses its initial instances before the callers of a newly started site arrive, also
 // when its owner is replaced meanwhile. If no job comes for long, all but one are switched off.
-async fn untried() -> Result<()> {
-    let mut bed = Bed::open_with_standby(120, 2, 6).await?;
-    seconds(15).await;
-    ensure!(up(&bed, POOL) == 6, "{} are up", up(&bed, POOL));
-    let owner = bed.owner(POOL).await?;
-    bed.kill(&owner);
-    seconds(15).await;
-    ensure!(up(&bed, POOL) == 6, "{} are up", up(&bed, POOL));
-    seconds(UNTRIED).await;
-    ensure!(up(&bed, POOL) == 1, "{} are up", up(&bed, POOL));
-    bed.judge()
+async fn without_jobs() -> Result<()> {
+    let mut fixture = Fixture::open_with_standby(120, 2, 6).await?;
+    sleep_secs(15).await;
+    ensure!(
+        instances_up(&fixture, POOL) == 6,
+        "{} are up",
+        instances_up(&fixture, POOL)
+    );
+    let owner = fixture.owner(POOL).await?;
+    fixture.kill(&owner);
+    sleep_secs(15).await;
+    ensure!(
+        instances_up(&fixture, POOL) == 6,
+        "{} are up",
+        instances_up(&fixture, POOL)
+    );
+    sleep_secs(INITIAL_RETENTION_SECS).await;
+    ensure!(
+        instances_up(&fixture, POOL) == 1,
+        "{} are up",
+        instances_up(&fixture, POOL)
+    );
+    fixture.check_invariants()
 }
 
 // Tasks for three times the pool's workers arrive. Standby instances join the pool, and leave it when the work is
 // done; the other pool keeps its single instance.
 async fn under_load() -> Result<()> {
-    let mut bed = Bed::open_with_standby(72, 2, 2).await?;
-    seconds(6).await;
+    let mut fixture = Fixture::open_with_standby(72, 2, 2).await?;
+    sleep_secs(6).await;
     let mut jobs = Vec::new();
     for _job in 0..12 {
-        jobs.push(bed.submit("e-0", &job("4000", 4)).await?);
+        jobs.push(fixture.submit("e-0", &job("4000", 4)).await?);
     }
-    seconds(4).await;
-    ensure!(up(&bed, POOL) == 6, "{} are up", up(&bed, POOL));
-    ensure!(up(&bed, OTHER) == 1);
+    sleep_secs(4).await;
+    ensure!(
+        instances_up(&fixture, POOL) == 6,
+        "{} are up",
+        instances_up(&fixture, POOL)
+    );
+    ensure!(instances_up(&fixture, OTHER) == 1);
     for id in &jobs {
         // On two workers alone this would take 12 s.
-        bed.until("e-0", id, State::Completed, 6).await?;
+        fixture
+            .wait_for_state("e-0", id, State::Completed, 6)
+            .await?;
     }
-    seconds(15).await;
-    ensure!(up(&bed, POOL) == 1, "{} are up", up(&bed, POOL));
-    bed.judge()
+    sleep_secs(15).await;
+    ensure!(
+        instances_up(&fixture, POOL) == 1,
+        "{} are up",
+        instances_up(&fixture, POOL)
+    );
+    fixture.check_invariants()
 }
 
 // Guards against moving instances under long-running tasks: with three of them on three of six workers, only the
 // others are switched off.
-async fn lasting_stays() -> Result<()> {
-    let mut bed = Bed::open_with_standby(73, 2, 6).await?;
-    let id = bed.submit("e-0", &lasting(3)).await?;
-    first_work(&mut bed, "e-0").await?;
-    seconds(8).await;
-    ensure!(up(&bed, POOL) >= 3);
-    ensure!(up(&bed, POOL) < 6, "no instance was switched off");
+async fn long_running_stays() -> Result<()> {
+    let mut fixture = Fixture::open_with_standby(73, 2, 6).await?;
+    let id = fixture.submit("e-0", &long_running(3)).await?;
+    run_first_job(&mut fixture, "e-0").await?;
+    sleep_secs(8).await;
+    ensure!(instances_up(&fixture, POOL) >= 3);
+    ensure!(
+        instances_up(&fixture, POOL) < 6,
+        "no instance was switched off"
+    );
     for index in 0..3 {
         let task = task(&id, 0, index);
-        let starts = bed.world.journal().starts(&task);
+        let starts = fixture.world.journal().starts(&task);
         ensure!(starts.len() == 1, "{task} was moved: {starts:?}");
     }
-    bed.judge()
+    fixture.check_invariants()
 }
 
 // Load rises and falls while the entries that own the pools are killed, one after the other. A successor gives no
 // order to an instance before the pause between two holders has passed, which the invariant check verifies for
 // each instance; instances still move afterwards.
 async fn owner_killed() -> Result<()> {
-    let mut bed = Bed::open_with_standby(74, 3, 4).await?;
-    seconds(5).await;
+    let mut fixture = Fixture::open_with_standby(74, 3, 4).await?;
+    sleep_secs(5).await;
     for pool in [STANDBY, POOL] {
         for _job in 0..12 {
-            bed.submit("e-0", &job("1500", 4)).await?;
+            fixture.submit("e-0", &job("1500", 4)).await?;
         }
-        seconds(2).await;
-        let owner = bed.owner(pool).await?;
+        sleep_secs(2).await;
+        let owner = fixture.owner(pool).await?;
         if owner != "e-0" {
-            bed.kill(&owner);
+            fixture.kill(&owner);
         }
-        seconds(12).await;
+        sleep_secs(12).await;
         if owner != "e-0" {
-            bed.start(&owner);
+            fixture.start(&owner);
         }
     }
-    seconds(10).await;
-    let owners: std::collections::BTreeSet<_> = moved(&bed)
+    sleep_secs(10).await;
+    let owners: std::collections::BTreeSet<_> = moved(&fixture)
         .into_iter()
         .map(|(_at, _instance, _to, entry)| entry)
         .collect();
     ensure!(owners.len() > 1, "only {owners:?} moved instances");
-    bed.judge()
+    fixture.check_invariants()
 }
 
 // Guards against moves by a former owner: the process that owns the standby pool is suspended while another pool
 // fills up, is replaced, and resumes. Its requests and orders are conditional on the ownership that it has lost,
 // so only orders of other entries reach the instances.
-async fn owner_frozen() -> Result<()> {
-    let mut bed = Bed::open_with_standby(75, 3, 2).await?;
-    seconds(5).await;
-    let owner = bed.owner(STANDBY).await?;
-    let caller = bed.bystander(STANDBY).await?;
-    bed.conduct(&owner, |conduct| conduct.frozen = true);
+async fn owner_suspended() -> Result<()> {
+    let mut fixture = Fixture::open_with_standby(75, 3, 2).await?;
+    sleep_secs(5).await;
+    let owner = fixture.owner(STANDBY).await?;
+    let caller = fixture.non_owner(STANDBY).await?;
+    fixture.conduct(&owner, |conduct| conduct.frozen = true);
     for _job in 0..12 {
-        bed.submit(&caller, &job("9000", 4)).await?;
+        fixture.submit(&caller, &job("9000", 4)).await?;
     }
-    seconds(8).await;
-    let successor = bed.owner(STANDBY).await?;
+    sleep_secs(8).await;
+    let successor = fixture.owner(STANDBY).await?;
     ensure!(successor != owner, "{owner} wasn't replaced");
-    let thawed = bed.world.now();
-    bed.conduct(&owner, |conduct| conduct.frozen = false);
-    seconds(12).await;
-    let moves = moved(&bed);
+    let thawed = fixture.world.now();
+    fixture.conduct(&owner, |conduct| conduct.frozen = false);
+    sleep_secs(12).await;
+    let moves = moved(&fixture);
     let late = moves
         .iter()
         .find(|(at, _instance, _to, entry)| *at >= thawed && **entry == *owner);
@@ -183,25 +219,25 @@
         .iter()
         .find(by_others)
         .ok_or_else(|| eyre!("nobody but {owner} moved anything: {moves:?}"))?;
-    bed.judge()
+    fixture.check_invariants()
 }
 
 // The platform accepts four orders per second, and fourteen standby instances are needed at once. At most three
 // move in any second, which leaves a part of the rate to maintenance waves and other pools.
 async fn rate() -> Result<()> {
-    let mut bed = Bed::open_with_standby(76, 3, 15).await?;
-    first_work(&mut bed, "e-0").await?;
-    bed.bounds.send_modify(|bounds| bounds.order_rate = 4.0);
-    let owner = bed.owner(STANDBY).await?;
-    let caller = bed.bystander(STANDBY).await?;
-    bed.kill(&owner);
-    seconds(8).await;
-    let from = bed.world.now();
+    let mut fixture = Fixture::open_with_standby(76, 3, 15).await?;
+    run_first_job(&mut fixture, "e-0").await?;
+    fixture.bounds.send_modify(|bounds| bounds.order_rate = 4.0);
+    let owner = fixture.owner(STANDBY).await?;
+    let caller = fixture.non_owner(STANDBY).await?;
+    fixture.kill(&owner);
+    sleep_secs(8).await;
+    let from = fixture.world.now();
     for _job in 0..24 {
-        bed.submit(&caller, &job("9000", 4)).await?;
+        fixture.submit(&caller, &job("9000", 4)).await?;
     }
-    seconds(12).await;
-    let moves = moved(&bed).into_iter();
+    sleep_secs(12).await;
+    let moves = moved(&fixture).into_iter();
     let times: Vec<u64> = moves
         .map(|(at, _instance, _to, _entry)| at)
         .filter(|at| *at >= from)
@@ -213,54 +249,55 @@
             .filter(|other| *at <= **other && **other < at + 1_000);
         ensure!(together.count() <= 3, "{times:?}");
     }
-    bed.judge()
+    fixture.check_invariants()
 }
 
 // Guards against orders based on an outdated write: the store takes half a second per write while a pool fills up.
 // By the time a holder gets the response, another entry may hold the instances, so it gives no order. Once the
 // store is fast again, the instances move.
 async fn slow_store() -> Result<()> {
-    let mut bed = Bed::open_with_standby(79, 2, 2).await?;
-    seconds(5).await;
-    bed.conduct_all(|conduct| conduct.delay = Duration::from_millis(450));
-    let slow_from = bed.world.now();
+    let mut fixture = Fixture::open_with_standby(79, 2, 2).await?;
+    sleep_secs(5).await;
+    fixture.conduct_all(|conduct| conduct.delay = Duration::from_millis(450));
+    let slow_from = fixture.world.now();
     for _job in 0..12 {
-        bed.submit("e-0", &job("9000", 4)).await?;
+        fixture.submit("e-0", &job("9000", 4)).await?;
     }
-    let slow_until = bed.world.now();
-    bed.conduct_all(|conduct| conduct.delay = Duration::ZERO);
+    let slow_until = fixture.world.now();
+    fixture.conduct_all(|conduct| conduct.delay = Duration::ZERO);
     for _job in 0..12 {
-        bed.submit("e-0", &job("9000", 4)).await?;
+        fixture.submit("e-0", &job("9000", 4)).await?;
     }
-    seconds(8).await;
-    let moves = moved(&bed);
+    sleep_secs(8).await;
+    let moves = moved(&fixture);
     // An order already in flight when the store became slow is still carried out.
     let meanwhile = slow_from + 500..slow_until;
     let early = moves.iter().find(|(at, ..)| meanwhile.contains(at));
     ensure!(early.is_none(), "{early:?}");
     ensure!(moves.iter().any(|(at, ..)| *at >= slow_until), "{moves:?}");
-    bed.judge()
+    fixture.check_invariants()
 }
 
 // Instances have just joined a pool when its jobs are done and another pool fills up. They move on at once: an
 // instance keeps its holder, so no pause between two holders applies.
-async fn at_once() -> Result<()> {
-    let mut bed = Bed::open_with_standby(80, 3, 2).await?;
-    seconds(6).await;
+async fn moves_again() -> Result<()> {
+    let mut fixture = Fixture::open_with_standby(80, 3, 2).await?;
+    sleep_secs(6).await;
     for _job in 0..12 {
-        bed.submit("e-0", &job("700", 4)).await?;
+        fixture.submit("e-0", &job("700", 4)).await?;
     }
-    seconds(2).await;
-    bed.world
+    sleep_secs(2).await;
+    fixture
+        .world
         .instruct(Instruction::Configuration(with_standby(configuration(
             2, OTHER,
         ))));
     sleep(Duration::from_millis(500)).await;
     for _job in 0..12 {
-        bed.submit("e-0", &job("4000", 4)).await?;
+        fixture.submit("e-0", &job("4000", 4)).await?;
     }
-    seconds(6).await;
-    let moves = moved(&bed);
+    sleep_secs(6).await;
+    let moves = moved(&fixture);
     let again = moves.iter().any(|(at, instance, to, entry)| {
         &**to == OTHER
             && moves.iter().any(|(before, same, _to, holder)| {
@@ -268,30 +305,30 @@
             })
     });
     ensure!(again, "no instance moved again within the pause: {moves:?}");
-    bed.judge()
+    fixture.check_invariants()
 }
 
 // Two of three entries shut down, one after the other, while nothing moves; then a pool fills up. The new holder
 // of their instance groups needs no pause, since the previous holders recorded that they had given no recent
 // orders.
-async fn given_up() -> Result<()> {
-    let mut bed = Bed::open_with_standby(81, 3, 2).await?;
-    seconds(6).await;
+async fn released() -> Result<()> {
+    let mut fixture = Fixture::open_with_standby(81, 3, 2).await?;
+    sleep_secs(6).await;
     for name in ["e-1", "e-2"] {
-        let node = bed.nodes.remove(name);
+        let node = fixture.nodes.remove(name);
         let entry = node.map(|node| node.entry);
         entry.expect("one of the entries").stop().await;
-        seconds(1).await;
+        sleep_secs(1).await;
     }
-    let from = bed.world.now();
+    let from = fixture.world.now();
     for _job in 0..12 {
-        bed.submit("e-0", &job("4000", 4)).await?;
+        fixture.submit("e-0", &job("4000", 4)).await?;
     }
     sleep(Duration::from_millis(1_500)).await;
-    let moves = moved(&bed);
+    let moves = moved(&fixture);
     let soon = moves.iter().filter(|(at, ..)| *at >= from);
     ensure!(soon.count() >= 4, "{moves:?}");
-    bed.judge()
+    fixture.check_invariants()
 }
 
 // Guards against a new owner that moves instances away under long-running tasks that it has just loaded. Six such
@@ -300,33 +337,34 @@
 // not count as idle.
 async fn taken_over() -> Result<()> {
     for entries in [3, 4, 5] {
-        let mut bed = Bed::open(82, entries, 10).await?;
-        let id = bed.submit("e-0", &lasting(6)).await?;
-        seconds(4).await;
-        bed.world
+        let mut fixture = Fixture::open(82, entries, 10).await?;
+        let id = fixture.submit("e-0", &long_running(6)).await?;
+        sleep_secs(4).await;
+        fixture
+            .world
             .instruct(Instruction::Configuration(configuration(2, OTHER)));
-        seconds(1).await;
-        let owner = bed.owner(POOL).await?;
-        let caller = bed.bystander(POOL).await?;
-        bed.kill(&owner);
-        let killed = bed.world.now();
+        sleep_secs(1).await;
+        let owner = fixture.owner(POOL).await?;
+        let caller = fixture.non_owner(POOL).await?;
+        fixture.kill(&owner);
+        let killed = fixture.world.now();
         sleep(Duration::from_millis(1_500)).await;
         for _job in 0..12 {
-            bed.submit(&caller, &job("3000", 4)).await?;
+            fixture.submit(&caller, &job("3000", 4)).await?;
         }
-        bed.conduct_all(|conduct| conduct.delay = Duration::from_millis(120));
-        seconds(5).await;
-        let moves = moved(&bed);
+        fixture.conduct_all(|conduct| conduct.delay = Duration::from_millis(120));
+        sleep_secs(5).await;
+        let moves = moved(&fixture);
         ensure!(moves.iter().any(|(at, ..)| *at > killed), "{moves:?}");
         for index in 0..6 {
             let task = task(&id, 0, index);
-            let starts = bed.world.journal().starts(&task);
+            let starts = fixture.world.journal().starts(&task);
             ensure!(
                 starts.len() == 1,
                 "{entries} entries: {task} was disturbed: {starts:?}"
             );
         }
-        bed.judge()?;
+        fixture.check_invariants()?;
     }
     Ok(())
 }
--- a/tests/site/random/mixed.rs
+++ b/tests/site/random/mixed.rs
@@ -2,8 +2,8 @@
 //! partitions of several workers, workers that shut down, late stops, reads and lists, and entries with different
 //! CPU shares. Between the faults are quiet periods, in which guarantees with a time bound are checked as well.
 
-use super::{History, seconds};
-use crate::bed::{Bed, POOL, lasting, step};
+use super::{History, sleep_secs};
+use crate::bed::{Fixture, POOL, long_running, step};
 use eyre::{Result, ensure};
 use primroseroute_domain::work::{Demand, Job, JobId, Name, Step};
 use primroseroute_platform::site::{Instruction, Wave};
@@ -27,13 +27,13 @@
 pub(super) const FIRST_WITH_SAME_IDS: u64 = 3_000_000;
 
 /// From this seed on, the capacities of workers also shrink and grow again.
-pub(super) const FIRST_WITH_CHANGING_ROOMS: u64 = 4_000_000;
+pub(super) const FIRST_WITH_CHANGING_CAPACITY: u64 = 4_000_000;
 
 /// Share of crashed workers that restart under the same id, from [`FIRST_WITH_SAME_IDS`] on.
-const SAME_IDS: f64 = 0.7;
+const SAME_ID_SHARE: f64 = 0.7;
 
 /// Time that a worker takes to stop a run: in histories with slow stops, and in all others.
-const STOP: [Duration; 2] = [Duration::from_millis(800), Duration::from_millis(100)];
+const STOP_TIMES: [Duration; 2] = [Duration::from_millis(800), Duration::from_millis(100)];
 
 /// Regression seeds, each with the failure that it guards against.
 pub(super) const REGRESSIONS: &[u64] = &[
@@ -106,42 +106,42 @@
 ];
 
 /// Seconds of faults and quiet periods in a history.
-const LENGTH: u64 = 30;
+const FAULT_PHASE_SECS: u64 = 30;
 
 /// Seconds of a quiet period: longer than the time bound of any guarantee that is checked in it.
-const SPELL: u64 = 9;
+const QUIET_PERIOD_SECS: u64 = 9;
 
 /// Initial number of workers in the pool.
 const WORKERS: usize = 9;
 
 /// CPU shares of the entries, in thousandths of a core.
-const STRENGTHS: [&[u32]; 2] = [&[250, 250, 250], &[500, 120, 120, 250]];
+const ENTRY_STRENGTHS: [&[u32]; 2] = [&[250, 250, 250], &[500, 120, 120, 250]];
 
 /// Action scheduled some seconds after a fault.
-enum Later {
-    Join(Name),
-    Thaw(String),
+enum Delayed {
+    Reconnect(Name),
+    Resume(String),
     Crash(Name),
-    Grow(Name),
+    RestoreCapacity(Name),
     Restart(Name),
     Start(String),
 }
 
-struct Mixed {
+struct MixedHistory {
     history: History,
     second: u64,
     /// Entries that the roll-out in progress has not restarted yet.
-    rolling: VecDeque<String>,
+    rolling_out: VecDeque<String>,
     waves: u64,
-    cut: BTreeSet<Name>,
-    later: BTreeMap<u64, Vec<Later>>,
+    partitioned: BTreeSet<Name>,
+    scheduled: BTreeMap<u64, Vec<Delayed>>,
     /// Start of the current quiet period, in milliseconds of the site's clock, and the second in which it ends.
-    spell: Option<(u64, u64)>,
-    has_changing_rooms: bool,
+    quiet_period: Option<(u64, u64)>,
+    has_changing_capacity: bool,
 }
 
 /// A job of long-running tasks, of which `may_miss` may be unavailable.
-fn wide(count: u16, may_miss: u16) -> Job {
+fn long_running_job(count: u16, may_miss: u16) -> Job {
     let step = Step {
         lasting: true,
         may_miss,
@@ -150,16 +150,16 @@
     };
     Job {
         steps: vec![step],
-        ..lasting(count)
+        ..long_running(count)
     }
 }
 
 pub(super) async fn history(seed: u64) -> Result<()> {
-    let strengths = STRENGTHS[usize::try_from(seed % 2)?];
+    let strengths = ENTRY_STRENGTHS[usize::try_from(seed % 2)?];
     let has_slow_stops = (FIRST_WITH_SLOW_STOPS..FIRST_WITH_CRASHES).contains(&seed);
-    let stop = STOP[usize::from(!has_slow_stops)];
+    let stop = STOP_TIMES[usize::from(!has_slow_stops)];
     let same_id = if seed >= FIRST_WITH_SAME_IDS {
-        SAME_IDS
+        SAME_ID_SHARE
     } else {
         0.0
     };
@@ -169,42 +169,42 @@
         same_id,
         ..Options::default()
     };
-    let bed = Bed::open_mixed(options, strengths, WORKERS).await?;
-    let mut mixed = Mixed {
-        history: History::new(bed, seed),
+    let fixture = Fixture::open_mixed(options, strengths, WORKERS).await?;
+    let mut mixed = MixedHistory {
+        history: History::new(fixture, seed),
         second: 0,
-        rolling: VecDeque::new(),
+        rolling_out: VecDeque::new(),
         waves: 0,
-        cut: BTreeSet::new(),
-        later: BTreeMap::new(),
-        spell: None,
-        has_changing_rooms: seed >= FIRST_WITH_CHANGING_ROOMS,
+        partitioned: BTreeSet::new(),
+        scheduled: BTreeMap::new(),
+        quiet_period: None,
+        has_changing_capacity: seed >= FIRST_WITH_CHANGING_CAPACITY,
     };
     for (count, may_miss) in [(4, 1), (5, 2)] {
         let id = mixed
             .history
-            .bed
-            .submit("e-0", &wide(count, may_miss))
+            .fixture
+            .submit("e-0", &long_running_job(count, may_miss))
             .await?;
-        mixed.history.lasting.insert(id.clone());
+        mixed.history.long_running_jobs.insert(id.clone());
         mixed.history.jobs.push(id);
     }
-    seconds(2).await;
-    while mixed.second < LENGTH {
-        mixed.second().await?;
+    sleep_secs(2).await;
+    while mixed.second < FAULT_PHASE_SECS {
+        mixed.run_second().await?;
         mixed.second += 1;
-        seconds(1).await;
+        sleep_secs(1).await;
     }
     mixed.end_faults();
-    let last_fault = mixed.history.bed.world.now();
+    let last_fault = mixed.history.fixture.world.now();
     mixed.restart_all().await;
-    mixed.history.calm().await;
-    mixed.history.was_calm(last_fault);
+    mixed.history.recover().await;
+    mixed.history.record_quiet_period(last_fault);
     mixed.history.finish().await?;
-    mixed.all_at_work()
+    mixed.check_long_running()
 }
 
-impl Mixed {
+impl MixedHistory {
     fn draw(&self, bound: u64) -> u64 {
         self.history.draw(bound)
     }
@@ -214,20 +214,20 @@
         self.draw(times) == 0
     }
 
-    async fn second(&mut self) -> Result<()> {
-        for later in self.later.remove(&self.second).unwrap_or_default() {
-            self.come(later);
+    async fn run_second(&mut self) -> Result<()> {
+        for later in self.scheduled.remove(&self.second).unwrap_or_default() {
+            self.apply(later);
         }
-        self.roll();
+        self.roll_out_step();
         self.history.submit().await?;
-        if let Some((from, until)) = self.spell {
+        if let Some((from, until)) = self.quiet_period {
             if self.second >= until {
-                self.history.was_calm(from);
-                self.spell = None;
+                self.history.record_quiet_period(from);
+                self.quiet_period = None;
             }
         } else {
             self.fault();
-            if self.spell.is_none() && self.once_in(2) {
+            if self.quiet_period.is_none() && self.once_in(2) {
                 self.fault();
             }
         }
@@ -235,136 +235,139 @@
         Ok(())
     }
 
-    fn after(&mut self, seconds: u64, later: Later) {
+    fn after(&mut self, seconds: u64, later: Delayed) {
         let at = self.second + seconds;
-        self.later.entry(at).or_default().push(later);
+        self.scheduled.entry(at).or_default().push(later);
     }
 
-    fn come(&mut self, later: Later) {
-        let bed = &mut self.history.bed;
+    fn apply(&mut self, later: Delayed) {
+        let fixture = &mut self.history.fixture;
         match later {
-            Later::Join(worker) => self.join(&worker),
-            Later::Thaw(name) if bed.nodes.contains_key(&name) => {
-                bed.conduct(&name, |conduct| conduct.frozen = false);
+            Delayed::Reconnect(worker) => self.reconnect(&worker),
+            Delayed::Resume(name) if fixture.nodes.contains_key(&name) => {
+                fixture.conduct(&name, |conduct| conduct.frozen = false);
             }
-            Later::Start(name) if !bed.nodes.contains_key(&name) => bed.start(&name),
-            Later::Thaw(_) | Later::Start(_) => {}
-            Later::Crash(worker) => self.crash(&worker),
-            Later::Grow(worker) => bed.world.resize(&worker, CAPACITY),
-            Later::Restart(instance) => bed.world.restart(&instance),
+            Delayed::Start(name) if !fixture.nodes.contains_key(&name) => fixture.start(&name),
+            Delayed::Resume(_) | Delayed::Start(_) => {}
+            Delayed::Crash(worker) => self.crash(&worker),
+            Delayed::RestoreCapacity(worker) => fixture.world.resize(&worker, CAPACITY),
+            Delayed::Restart(instance) => fixture.world.restart(&instance),
         }
     }
 
-    fn join(&mut self, worker: &Name) {
-        let world = &self.history.bed.world;
-        if self.cut.remove(worker) && world.workers().contains(worker) {
+    fn reconnect(&mut self, worker: &Name) {
+        let world = &self.history.fixture.world;
+        if self.partitioned.remove(worker) && world.workers().contains(worker) {
             world.cut(worker, false);
         }
     }
 
     /// Crashes a worker; its instance restarts some seconds later.
     fn crash(&mut self, worker: &Name) {
-        if let Some(instance) = self.history.bed.instance_of(worker) {
-            self.history.bed.world.crash(worker);
+        if let Some(instance) = self.history.fixture.instance_of(worker) {
+            self.history.fixture.world.crash(worker);
             let seconds = 2 + self.draw(4);
-            self.after(seconds, Later::Restart(instance));
+            self.after(seconds, Delayed::Restart(instance));
         }
     }
 
     /// The next step of a roll-out: one entry per second is stopped, and started again a second later.
-    fn roll(&mut self) {
-        while let Some(name) = self.rolling.pop_front() {
-            if self.history.bed.nodes.contains_key(&name) {
-                self.history.bed.stop(&name);
-                self.after(1, Later::Start(name));
+    fn roll_out_step(&mut self) {
+        while let Some(name) = self.rolling_out.pop_front() {
+            if self.history.fixture.nodes.contains_key(&name) {
+                self.history.fixture.stop(&name);
+                self.after(1, Delayed::Start(name));
                 return;
             }
         }
     }
 
-    fn any_worker(&self) -> Option<Name> {
-        let workers = self.history.bed.world.workers();
+    fn choose_worker(&self) -> Option<Name> {
+        let workers = self.history.fixture.world.workers();
         let index = usize::try_from(self.draw(workers.len().max(1) as u64)).unwrap_or(0);
         workers.get(index).map(Name::clone)
     }
 
     /// Shrinks the capacity of a worker, and restores it some seconds later.
     fn resize(&mut self) {
-        if let Some(worker) = self.any_worker() {
+        if let Some(worker) = self.choose_worker() {
             let cpu = 2_000 * self.draw(8);
-            let room = Demand { cpu, ..CAPACITY };
-            self.history.bed.world.resize(&worker, room);
+            let reduced = Demand { cpu, ..CAPACITY };
+            self.history.fixture.world.resize(&worker, reduced);
             let seconds = 2 + self.draw(8);
-            self.after(seconds, Later::Grow(worker));
+            self.after(seconds, Delayed::RestoreCapacity(worker));
         }
     }
 
     fn fault(&mut self) {
-        if self.has_changing_rooms && self.once_in(3) {
+        if self.has_changing_capacity && self.once_in(3) {
             self.resize();
         }
         let index = usize::try_from(self.draw(self.history.names.len() as u64)).unwrap_or(0);
         let name = self.history.names[index].clone();
-        let is_up = self.history.bed.nodes.contains_key(&name);
-        let bed = &mut self.history.bed;
-        let some = Duration::from_millis(100 + bed.world.random(1_400));
-        let drawn = bed.world.random(24);
+        let is_up = self.history.fixture.nodes.contains_key(&name);
+        let fixture = &mut self.history.fixture;
+        let some = Duration::from_millis(100 + fixture.world.random(1_400));
+        let drawn = fixture.world.random(24);
         log::info!(drawn, entry = name, some_ms = some.as_millis(); "fault drawn");
         match drawn {
             0 if is_up => {
-                bed.kill(&name);
+                fixture.kill(&name);
                 let seconds = 1 + self.draw(5);
-                self.after(seconds, Later::Start(name));
+                self.after(seconds, Delayed::Start(name));
             }
             1 if is_up => {
-                bed.conduct(&name, |conduct| conduct.frozen = true);
+                fixture.conduct(&name, |conduct| conduct.frozen = true);
                 let seconds = 1 + self.draw(5);
-                self.after(seconds, Later::Thaw(name));
+                self.after(seconds, Delayed::Resume(name));
             }
-            2 if is_up => bed.conduct(&name, |conduct| conduct.store = Reach::Silent),
-            3 if is_up => bed.conduct(&name, |conduct| conduct.workers = Reach::Silent),
-            4 if is_up => bed.conduct(&name, |conduct| conduct.feeds = Reach::Silent),
-            5 if is_up => bed.conduct(&name, |conduct| conduct.reads = some),
-            6 if is_up => bed.conduct(&name, |conduct| conduct.orders = some / 3),
-            7 if is_up => bed.conduct(&name, |conduct| conduct.delay = some / 8),
-            8 => bed.conduct_all(|conduct| conduct.lists = some),
-            9 => bed.conduct_all(|conduct| conduct.late_stops = 0.3),
-            10 => bed.conduct_all(|conduct| conduct.late_orders = 0.2),
-            11 => bed.conduct_all(|conduct| {
+            2 if is_up => fixture.conduct(&name, |conduct| conduct.store = Reach::Silent),
+            3 if is_up => fixture.conduct(&name, |conduct| conduct.workers = Reach::Silent),
+            4 if is_up => fixture.conduct(&name, |conduct| conduct.feeds = Reach::Silent),
+            5 if is_up => fixture.conduct(&name, |conduct| conduct.reads = some),
+            6 if is_up => fixture.conduct(&name, |conduct| conduct.orders = some / 3),
+            7 if is_up => fixture.conduct(&name, |conduct| conduct.delay = some / 8),
+            8 => fixture.conduct_all(|conduct| conduct.lists = some),
+            9 => fixture.conduct_all(|conduct| conduct.late_stops = 0.3),
+            10 => fixture.conduct_all(|conduct| conduct.late_orders = 0.2),
+            11 => fixture.conduct_all(|conduct| {
                 conduct.lost_commits = 0.2;
                 conduct.late_commits = 0.1;
             }),
-            12 => bed.conduct_all(|conduct| conduct.delay = some / 5),
-            13 => bed.world.compact(),
+            12 => fixture.conduct_all(|conduct| conduct.delay = some / 5),
+            13 => fixture.world.compact(),
             14 | 15 => {
                 let names = self.history.names.iter();
-                self.rolling = names.cloned().collect();
+                self.rolling_out = names.cloned().collect();
             }
             16 | 17 => self.wave(),
-            18 | 19 => self.dark(),
+            18 | 19 => self.partition(),
             20 => {
-                if let Some(worker) = self.any_worker() {
+                if let Some(worker) = self.choose_worker() {
                     self.crash(&worker);
                 }
             }
             21 => {
-                if let Some(worker) = self.any_worker() {
-                    self.history.bed.world.drain(&worker);
-                    self.after(3, Later::Crash(worker));
+                if let Some(worker) = self.choose_worker() {
+                    self.history.fixture.world.drain(&worker);
+                    self.after(3, Delayed::Crash(worker));
                 }
             }
             22 => {
                 self.end_faults();
-                self.spell = Some((self.history.bed.world.now(), self.second + SPELL));
+                self.quiet_period = Some((
+                    self.history.fixture.world.now(),
+                    self.second + QUIET_PERIOD_SECS,
+                ));
             }
-            _ => bed.conduct_all(|conduct| *conduct = Conduct::default()),
+            _ => fixture.conduct_all(|conduct| *conduct = Conduct::default()),
         }
     }
 
     /// Starts a maintenance wave over about two fifths of the pool's instances.
     fn wave(&mut self) {
         self.waves += 1;
-        let world = &self.history.bed.world;
+        let world = &self.history.fixture.world;
         let own = world.instances().into_iter();
         let own = own.filter(|known| &*known.pool == POOL);
         let due: Vec<Name> = own
@@ -382,14 +385,14 @@
     }
 
     /// Partitions up to three workers from all entries; they run on.
-    fn dark(&mut self) {
+    fn partition(&mut self) {
         let seconds = 1 + self.draw(8);
         for _worker in 0..=self.draw(3) {
-            if let Some(worker) = self.any_worker()
-                && self.cut.insert(Name::clone(&worker))
+            if let Some(worker) = self.choose_worker()
+                && self.partitioned.insert(Name::clone(&worker))
             {
-                self.history.bed.world.cut(&worker, true);
-                self.after(seconds, Later::Join(worker));
+                self.history.fixture.world.cut(&worker, true);
+                self.after(seconds, Delayed::Reconnect(worker));
             }
         }
     }
@@ -397,52 +400,52 @@
     /// Ends all faults, and restores what is unavailable. Instances whose workers have just crashed still restart
     /// at their scheduled time.
     fn end_faults(&mut self) {
-        self.rolling.clear();
-        for (second, all) in std::mem::take(&mut self.later) {
+        self.rolling_out.clear();
+        for (second, all) in std::mem::take(&mut self.scheduled) {
             for later in all {
                 match later {
-                    Later::Restart(_) => self.later.entry(second).or_default().push(later),
-                    other => self.come(other),
+                    Delayed::Restart(_) => self.scheduled.entry(second).or_default().push(later),
+                    other => self.apply(other),
                 }
             }
         }
-        let bed = &mut self.history.bed;
-        bed.conduct_all(|conduct| *conduct = Conduct::default());
+        let fixture = &mut self.history.fixture;
+        fixture.conduct_all(|conduct| *conduct = Conduct::default());
         for name in self.history.names.clone() {
-            if !bed.nodes.contains_key(&name) {
-                bed.start(&name);
+            if !fixture.nodes.contains_key(&name) {
+                fixture.start(&name);
             }
         }
     }
 
     /// Waits until all instances whose workers have crashed have restarted.
     async fn restart_all(&mut self) {
-        while !self.later.is_empty() {
-            for later in self.later.remove(&self.second).unwrap_or_default() {
-                self.come(later);
+        while !self.scheduled.is_empty() {
+            for later in self.scheduled.remove(&self.second).unwrap_or_default() {
+                self.apply(later);
             }
             self.second += 1;
-            seconds(1).await;
+            sleep_secs(1).await;
         }
     }
 
     /// Checks that each task of an unfinished long-running job runs exactly once.
-    fn all_at_work(&self) -> Result<()> {
+    fn check_long_running(&self) -> Result<()> {
         let History {
-            bed,
-            lasting,
+            fixture,
+            long_running_jobs,
             cancelled,
-            maybe_cancelled,
+            possibly_cancelled,
             ..
         } = &self.history;
-        let accepted: BTreeSet<&JobId> = bed.accepted.iter().collect();
-        for id in lasting {
-            if cancelled.contains(id) || maybe_cancelled.contains(id) || !accepted.contains(id) {
+        let accepted: BTreeSet<&JobId> = fixture.accepted.iter().collect();
+        for id in long_running_jobs {
+            if cancelled.contains(id) || possibly_cancelled.contains(id) || !accepted.contains(id) {
                 continue;
             }
-            for index in 0..bed.sent.jobs[id].steps[0].count {
+            for index in 0..fixture.sent.jobs[id].steps[0].count {
                 let task = crate::bed::task(id, 0, index);
-                let on = bed.running(&task);
+                let on = fixture.running(&task);
                 ensure!(on.len() == 1, "{task} runs on {on:?}");
             }
         }
--- a/tests/site/random/mod.rs
+++ b/tests/site/random/mod.rs
@@ -7,7 +7,7 @@
 mod mixed;
 
 use crate::{
-    bed::{Bed, job, lasting, seconds, step},
+    bed::{Fixture, job, long_running, sleep_secs, step},
     lines::{capture, captured},
 };
 use eyre::{Result, ensure};
@@ -17,10 +17,10 @@
 use std::collections::BTreeSet;
 
 /// Number of histories per batch.
-const HISTORIES: u64 = 20;
+const HISTORIES_PER_BATCH: u64 = 20;
 
 /// Seed of the first history.
-const FIRST: u64 = 1_000;
+const FIRST_SEED: u64 = 1_000;
 
 /// Regression seeds, each with the failure that it guards against.
 const REGRESSIONS: &[u64] = &[
@@ -32,20 +32,20 @@
 ];
 
 /// Seconds in which a history injects faults.
-const FAULTS: u64 = 14;
+const FAULT_PHASE_SECS: u64 = 14;
 
 /// Seconds after the last fault within which all jobs have to end.
-const CALM: u64 = 40;
+const RECOVERY_SECS: u64 = 40;
 
 /// Milliseconds after the last fault until guarantees with a time bound hold again.
-const CONTACT: u64 = 3_000;
+const RECOVERY_GRACE_MS: u64 = 3_000;
 
 /// Declares one test per batch of histories, so that batches run in parallel.
 macro_rules! batches {
     ($($name:ident => $seeds:expr;)*) => {$(
         #[test]
         fn $name() -> Result<()> {
-            play($seeds)
+            run_all($seeds)
         }
     )*};
 }
@@ -58,26 +58,26 @@
     fourth_batch => batch(3);
     batch_with_moves => batch(4);
     second_batch_with_moves => batch(5);
-    mixed_batch => mixed::SEEDS.take(MIXED);
-    second_mixed_batch => mixed::SEEDS.skip(MIXED).take(MIXED);
-    mixed_batch_with_slow_stops => (mixed::FIRST_WITH_SLOW_STOPS..).take(MIXED);
-    mixed_batch_with_crashes => (mixed::FIRST_WITH_CRASHES..).take(MIXED);
-    mixed_batch_with_same_ids => (mixed::FIRST_WITH_SAME_IDS..).take(MIXED);
-    mixed_batch_with_changing_rooms => (mixed::FIRST_WITH_CHANGING_ROOMS..).take(MIXED);
+    mixed_batch => mixed::SEEDS.take(MIXED_PER_BATCH);
+    second_mixed_batch => mixed::SEEDS.skip(MIXED_PER_BATCH).take(MIXED_PER_BATCH);
+    mixed_batch_with_slow_stops => (mixed::FIRST_WITH_SLOW_STOPS..).take(MIXED_PER_BATCH);
+    mixed_batch_with_crashes => (mixed::FIRST_WITH_CRASHES..).take(MIXED_PER_BATCH);
+    mixed_batch_with_same_ids => (mixed::FIRST_WITH_SAME_IDS..).take(MIXED_PER_BATCH);
+    mixed_batch_with_changing_rooms => (mixed::FIRST_WITH_CHANGING_CAPACITY..).take(MIXED_PER_BATCH);
     mixed_seeds_with_crashes_that_have_shown_a_fault => mixed::CRASH_REGRESSIONS.iter().copied();
     mixed_seeds_that_have_shown_a_fault => mixed::REGRESSIONS.iter().copied();
-    seeds_by_hand => by_hand()?;
+    seeds_by_hand => seeds_from_environment()?;
 }
 
 /// Number of mixed histories per batch; one takes as long as three of the others.
-const MIXED: usize = 10;
+const MIXED_PER_BATCH: usize = 10;
 
 /// Environment variable with a range of additional seeds to run, such as `500100-501100`.
-const BY_HAND: &str = "HISTORIES";
+const SEEDS_VARIABLE: &str = "HISTORIES";
 
-/// The seeds given in [`BY_HAND`]; none if it is not set.
-fn by_hand() -> Result<std::ops::RangeInclusive<u64>> {
-    let Ok(named) = std::env::var(BY_HAND) else {
+/// The seeds given in [`SEEDS_VARIABLE`]; none if it is not set.
+fn seeds_from_environment() -> Result<std::ops::RangeInclusive<u64>> {
+    let Ok(named) = std::env::var(SEEDS_VARIABLE) else {
         return Ok(std::ops::RangeInclusive::new(1, 0));
     };
     let (first, last) = named.split_once('-').unwrap_or((&named, &named));
@@ -85,22 +85,22 @@
 }
 
 /// From this seed on, histories run on a site with a standby pool, whose instances move between pools.
-const FIRST_WITH_MOVES: u64 = FIRST + 4 * HISTORIES;
+const FIRST_WITH_MOVES: u64 = FIRST_SEED + 4 * HISTORIES_PER_BATCH;
 
 fn batch(number: u64) -> std::ops::Range<u64> {
-    let first = FIRST + number * HISTORIES;
-    first..first + HISTORIES
+    let first = FIRST_SEED + number * HISTORIES_PER_BATCH;
+    first..first + HISTORIES_PER_BATCH
 }
 
 /// Runs the histories of all `seeds`, and fails with the errors of those that failed.
-fn play(seeds: impl Iterator<Item = u64>) -> Result<()> {
+fn run_all(seeds: impl Iterator<Item = u64>) -> Result<()> {
     let mut failed = Vec::new();
     for seed in seeds {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .start_paused(true)
             .build()?;
-        let played = runtime.block_on(async {
+        let result = runtime.block_on(async {
             capture();
             if mixed::SEEDS.contains(&seed) {
                 mixed::history(seed).await
@@ -108,8 +108,8 @@
                 history(seed).await
             }
         });
-        if let Err(error) = played {
-            trace(seed)?;
+        if let Err(error) = result {
+            write_trace(seed)?;
             failed.push(format!("history {seed}: {error}"));
         }
     }
@@ -118,11 +118,11 @@
 }
 
 /// Environment variable with the directory to which the log of each failed history is written.
-const TRACES: &str = "HISTORIES_TRACES";
+const TRACES_VARIABLE: &str = "HISTORIES_TRACES";
 
-/// Writes the captured log of the history that has just run to a file, if [`TRACES`] is set.
-fn trace(seed: u64) -> Result<()> {
-    let Ok(folder) = std::env::var(TRACES) else {
+/// Writes the captured log of the history that has just run to a file, if [`TRACES_VARIABLE`] is set.
+fn write_trace(seed: u64) -> Result<()> {
+    let Ok(folder) = std::env::var(TRACES_VARIABLE) else {
         return Ok(());
     };
     let lines: Vec<String> = captured().iter().map(ToString::to_string).collect();
@@ -131,57 +131,57 @@
 }
 
 struct History {
-    bed: Bed,
+    fixture: Fixture,
     seed: u64,
     names: Vec<String>,
     jobs: Vec<JobId>,
-    lasting: BTreeSet<JobId>,
+    long_running_jobs: BTreeSet<JobId>,
     cancelled: BTreeSet<JobId>,
     /// Jobs whose cancel was not confirmed: it may have taken effect or not.
-    maybe_cancelled: BTreeSet<JobId>,
+    possibly_cancelled: BTreeSet<JobId>,
     /// Whether some of the jobs drawn have tasks that crash their workers.
     has_crashes: bool,
 }
 
 async fn history(seed: u64) -> Result<()> {
-    let bed = if seed < FIRST_WITH_MOVES {
-        Bed::open(seed, 3, 5).await?
+    let fixture = if seed < FIRST_WITH_MOVES {
+        Fixture::open(seed, 3, 5).await?
     } else {
-        Bed::open_with_standby(seed, 3, 5).await?
+        Fixture::open_with_standby(seed, 3, 5).await?
     };
-    let mut history = History::new(bed, seed);
-    for _second in 0..FAULTS {
+    let mut history = History::new(fixture, seed);
+    for _second in 0..FAULT_PHASE_SECS {
         history.submit().await?;
         history.fault().await;
         history.cancel().await;
-        seconds(1).await;
+        sleep_secs(1).await;
     }
-    let last_fault = history.bed.world.now();
-    history.calm().await;
-    history.was_calm(last_fault);
+    let last_fault = history.fixture.world.now();
+    history.recover().await;
+    history.record_quiet_period(last_fault);
     history.finish().await
 }
 
 impl History {
-    fn new(bed: Bed, seed: u64) -> Self {
+    fn new(fixture: Fixture, seed: u64) -> Self {
         Self {
-            names: bed.nodes.keys().cloned().collect(),
-            bed,
+            names: fixture.nodes.keys().cloned().collect(),
+            fixture,
             seed,
             jobs: Vec::new(),
-            lasting: BTreeSet::new(),
+            long_running_jobs: BTreeSet::new(),
             cancelled: BTreeSet::new(),
-            maybe_cancelled: BTreeSet::new(),
+            possibly_cancelled: BTreeSet::new(),
             has_crashes: seed >= mixed::FIRST_WITH_CRASHES,
         }
     }
 
     fn draw(&self, bound: u64) -> u64 {
-        self.bed.world.random(bound)
+        self.fixture.world.random(bound)
     }
 
     /// Draws one of `choices`; draws nothing if there are none.
-    fn any<'a, T>(&self, choices: &'a [T]) -> Option<&'a T> {
+    fn choose<'a, T>(&self, choices: &'a [T]) -> Option<&'a T> {
         if choices.is_empty() {
             return None;
         }
@@ -189,21 +189,21 @@
         choices.get(usize::try_from(index).unwrap_or(0))
     }
 
-    fn any_entry(&self) -> Option<String> {
-        let alive: Vec<&String> = self.bed.nodes.keys().collect();
-        self.any(&alive).map(|name| (*name).clone())
+    fn choose_entry(&self) -> Option<String> {
+        let alive: Vec<&String> = self.fixture.nodes.keys().collect();
+        self.choose(&alive).map(|name| (*name).clone())
     }
 
-    fn any_worker(&self) -> Option<Name> {
-        self.any(&self.bed.world.workers()).cloned()
+    fn choose_worker(&self) -> Option<Name> {
+        self.choose(&self.fixture.world.workers()).cloned()
     }
 
-    fn drawn(&self) -> Job {
+    fn draw_job(&self) -> Job {
         if self.has_crashes && self.draw(12) == 0 {
             return job("5 crashes", 1);
         }
         match self.draw(8) {
-            0 => lasting(2),
+            0 => long_running(2),
             1 => job("300 fails", 1),
             2 => {
                 let later = Step {
@@ -221,18 +221,18 @@
     }
 
     async fn submit(&mut self) -> Result<()> {
-        let Some(entry) = self.any_entry() else {
+        let Some(entry) = self.choose_entry() else {
             return Ok(());
         };
-        let job = self.drawn();
-        let id = self.bed.id();
-        let status = self.bed.send(&entry, &id, &job).await;
+        let job = self.draw_job();
+        let id = self.fixture.next_job_id();
+        let status = self.fixture.send(&entry, &id, &job).await;
         let refused = [
             StatusCode::SERVICE_UNAVAILABLE,
             StatusCode::TOO_MANY_REQUESTS,
         ];
         if refused.contains(&status) {
-            self.bed.sent.refused.insert(id);
+            self.fixture.sent.refused.insert(id);
             return Ok(());
         }
         ensure!(
@@ -240,7 +240,7 @@
             "{id} got {status}"
         );
         if job.lasting() {
-            self.lasting.insert(id.clone());
+            self.long_running_jobs.insert(id.clone());
         }
         if status.is_success() {
             self.jobs.push(id);
@@ -254,95 +254,97 @@
         }
         let index = usize::try_from(self.draw(self.jobs.len() as u64)).unwrap_or(0);
         let id = self.jobs[index].clone();
-        let Some(entry) = self.any_entry() else {
+        let Some(entry) = self.choose_entry() else {
             return;
         };
-        if self.bed.cancel(&entry, &id).await == StatusCode::OK {
+        if self.fixture.cancel(&entry, &id).await == StatusCode::OK {
             self.cancelled.insert(id);
         } else {
-            self.maybe_cancelled.insert(id);
+            self.possibly_cancelled.insert(id);
         }
     }
 
     async fn fault(&mut self) {
         let index = usize::try_from(self.draw(self.names.len() as u64)).unwrap_or(0);
         let name = self.names[index].clone();
-        let is_up = self.bed.nodes.contains_key(&name);
+        let is_up = self.fixture.nodes.contains_key(&name);
         match self.draw(13) {
-            0 if is_up => self.bed.kill(&name),
-            1 | 2 if !is_up => self.bed.start(&name),
-            3 if is_up => self.bed.conduct(&name, |conduct| conduct.frozen = true),
+            0 if is_up => self.fixture.kill(&name),
+            1 | 2 if !is_up => self.fixture.start(&name),
+            3 if is_up => self.fixture.conduct(&name, |conduct| conduct.frozen = true),
             4 if is_up => self
-                .bed
+                .fixture
                 .conduct(&name, |conduct| conduct.store = Reach::Silent),
             5 if is_up => self
-                .bed
+                .fixture
                 .conduct(&name, |conduct| conduct.store = Reach::Refused),
             6 if is_up => self
-                .bed
+                .fixture
                 .conduct(&name, |conduct| conduct.workers = Reach::Silent),
-            7 => self.bed.conduct_all(|conduct| {
+            7 => self.fixture.conduct_all(|conduct| {
                 conduct.lost_commits = 0.3;
                 conduct.late_commits = 0.1;
             }),
-            8 => self.bed.conduct_all(|conduct| conduct.late_orders = 0.3),
-            9 => self.bed.world.compact(),
+            8 => self
+                .fixture
+                .conduct_all(|conduct| conduct.late_orders = 0.3),
+            9 => self.fixture.world.compact(),
             10 => {
                 // Tasks may have crashed all workers.
-                if let Some(worker) = self.any_worker() {
-                    self.bed.world.cut(&worker, true);
-                    seconds(2).await;
-                    self.bed.world.cut(&worker, false);
+                if let Some(worker) = self.choose_worker() {
+                    self.fixture.world.cut(&worker, true);
+                    sleep_secs(2).await;
+                    self.fixture.world.cut(&worker, false);
                 }
             }
             11 => {
-                if self.bed.world.workers().len() > 4
-                    && let Some(worker) = self.any_worker()
+                if self.fixture.world.workers().len() > 4
+                    && let Some(worker) = self.choose_worker()
                 {
-                    self.bed.world.crash(&worker);
+                    self.fixture.world.crash(&worker);
                 }
             }
             _ => self
-                .bed
+                .fixture
                 .conduct_all(|conduct| *conduct = Conduct::default()),
         }
     }
 
     /// Ends all faults, restarts killed entries, and gives the site time to recover.
-    async fn calm(&mut self) {
-        self.bed
+    async fn recover(&mut self) {
+        self.fixture
             .conduct_all(|conduct| *conduct = Conduct::default());
         for name in self.names.clone() {
-            if !self.bed.nodes.contains_key(&name) {
-                self.bed.start(&name);
+            if !self.fixture.nodes.contains_key(&name) {
+                self.fixture.start(&name);
             }
         }
-        seconds(CALM).await;
+        sleep_secs(RECOVERY_SECS).await;
     }
 
-    /// Records the time from [`CONTACT`] after the last fault until now as free of faults.
-    fn was_calm(&mut self, last_fault: u64) {
-        let calm = last_fault + CONTACT..self.bed.world.now();
-        self.bed.sent.calm.push(calm);
+    /// Records the time from [`RECOVERY_GRACE_MS`] after the last fault until now as free of faults.
+    fn record_quiet_period(&mut self, last_fault: u64) {
+        let calm = last_fault + RECOVERY_GRACE_MS..self.fixture.world.now();
+        self.fixture.sent.calm.push(calm);
     }
 
     async fn finish(&self) -> Result<()> {
-        self.bed.judge()?;
+        self.fixture.check_invariants()?;
         let entry = &self.names[0];
         for id in &self.jobs {
-            let state = self.bed.state(entry, id).await;
+            let state = self.fixture.state(entry, id).await;
             let state = state.map_err(|status| eyre::eyre!("{id} got {status}"))?;
             if self.cancelled.contains(id) {
                 ensure!(state.is_final(), "{id} was cancelled and is {state:?}");
-            } else if self.maybe_cancelled.contains(id) && state == State::Cancelled {
+            } else if self.possibly_cancelled.contains(id) && state == State::Cancelled {
                 // The cancel took effect although its caller got no confirmation.
-            } else if self.lasting.contains(id) {
+            } else if self.long_running_jobs.contains(id) {
                 ensure!(
                     state == State::Running,
                     "{id} is long-running and is {state:?}"
                 );
             } else {
-                let payload = &self.bed.sent.jobs[id].payload;
+                let payload = &self.fixture.sent.jobs[id].payload;
                 let fails = payload.ends_with("fails") || payload.ends_with("crashes");
                 let wanted = if fails {
                     State::Failed
--- a/tests/site/room.rs
+++ b/tests/site/room.rs
@@ -3,7 +3,7 @@
 //! The comment on each case names the failure that it guards against.
 
 use crate::{
-    bed::{Bed, POOL, job, lasting, seconds, task},
+    bed::{Fixture, POOL, job, long_running, sleep_secs, task},
     cases,
 };
 use eyre::{Result, ensure};
@@ -20,7 +20,7 @@
     /// A full worker that gets more tasks from the next owner, which knows an older capacity.
     next_owner_knows_the_room => next_owner();
     /// Long-running tasks that lose their worker because its capacity has shrunk below their demand.
-    lasting_tasks_stay_in_a_room_that_has_shrunk => stay();
+    lasting_tasks_stay_in_a_room_that_has_shrunk => long_running_stays();
 }
 
 /// Half of a worker's initial capacity: enough for four tasks of these tests.
@@ -29,72 +29,80 @@
     ..CAPACITY
 };
 
-fn resize(bed: &Bed, capacity: Demand) {
-    for worker in bed.workers_of(POOL) {
-        bed.world.resize(&worker, capacity);
+fn resize(fixture: &Fixture, capacity: Demand) {
+    for worker in fixture.workers_of(POOL) {
+        fixture.world.resize(&worker, capacity);
     }
 }
 
 async fn shrunk() -> Result<()> {
-    let mut bed = Bed::open(501, 3, 3).await?;
-    resize(&bed, HALF);
-    seconds(5).await;
-    let id = bed.submit("e-0", &job("1000", 40)).await?;
-    bed.until("e-0", &id, State::Completed, 30).await?;
-    bed.judge()
+    let mut fixture = Fixture::open(501, 3, 3).await?;
+    resize(&fixture, HALF);
+    sleep_secs(5).await;
+    let id = fixture.submit("e-0", &job("1000", 40)).await?;
+    fixture
+        .wait_for_state("e-0", &id, State::Completed, 30)
+        .await?;
+    fixture.check_invariants()
 }
 
 async fn grown() -> Result<()> {
-    let mut bed = Bed::open(502, 3, 1).await?;
-    resize(&bed, HALF);
-    seconds(5).await;
-    resize(&bed, CAPACITY);
-    seconds(5).await;
-    let id = bed.submit("e-0", &job("3000", 8)).await?;
-    seconds(1).await;
-    let running = (0..8).filter(|index| !bed.running(&task(&id, 0, *index)).is_empty());
+    let mut fixture = Fixture::open(502, 3, 1).await?;
+    resize(&fixture, HALF);
+    sleep_secs(5).await;
+    resize(&fixture, CAPACITY);
+    sleep_secs(5).await;
+    let id = fixture.submit("e-0", &job("3000", 8)).await?;
+    sleep_secs(1).await;
+    let running = (0..8).filter(|index| !fixture.running(&task(&id, 0, *index)).is_empty());
     ensure!(running.count() == 8, "some tasks wait");
-    bed.until("e-0", &id, State::Completed, 30).await?;
-    bed.judge()
+    fixture
+        .wait_for_state("e-0", &id, State::Completed, 30)
+        .await?;
+    fixture.check_invariants()
 }
 
 async fn stopping() -> Result<()> {
     let stop = std::time::Duration::from_millis(900);
-    let mut bed = Bed::open_with_slow_stops(503, 3, 1, stop).await?;
-    let first = bed.submit("e-0", &job("20000", 8)).await?;
-    seconds(1).await;
-    let next = bed.submit("e-0", &job("500", 8)).await?;
-    bed.cancel("e-0", &first).await;
-    bed.until("e-0", &next, State::Completed, 20).await?;
-    bed.judge()
+    let mut fixture = Fixture::open_with_slow_stops(503, 3, 1, stop).await?;
+    let first = fixture.submit("e-0", &job("20000", 8)).await?;
+    sleep_secs(1).await;
+    let next = fixture.submit("e-0", &job("500", 8)).await?;
+    fixture.cancel("e-0", &first).await;
+    fixture
+        .wait_for_state("e-0", &next, State::Completed, 20)
+        .await?;
+    fixture.check_invariants()
 }
 
 async fn next_owner() -> Result<()> {
-    let mut bed = Bed::open(504, 3, 2).await?;
-    resize(&bed, HALF);
-    let owner = bed.owner(POOL).await?;
-    bed.kill(&owner);
-    seconds(6).await;
-    let entry = bed.bystander(POOL).await?;
-    let id = bed.submit(&entry, &job("1000", 30)).await?;
-    bed.until(&entry, &id, State::Completed, 30).await?;
-    bed.judge()
+    let mut fixture = Fixture::open(504, 3, 2).await?;
+    resize(&fixture, HALF);
+    let owner = fixture.owner(POOL).await?;
+    fixture.kill(&owner);
+    sleep_secs(6).await;
+    let entry = fixture.non_owner(POOL).await?;
+    let id = fixture.submit(&entry, &job("1000", 30)).await?;
+    fixture
+        .wait_for_state(&entry, &id, State::Completed, 30)
+        .await?;
+    fixture.check_invariants()
 }
 
-async fn stay() -> Result<()> {
-    let mut bed = Bed::open(505, 3, 2).await?;
-    let id = bed.submit("e-0", &lasting(2)).await?;
-    seconds(3).await;
+async fn long_running_stays() -> Result<()> {
+    let mut fixture = Fixture::open(505, 3, 2).await?;
+    let id = fixture.submit("e-0", &long_running(2)).await?;
+    sleep_secs(3).await;
     let before: Vec<Vec<Name>> = (0..2)
-        .map(|index| bed.running(&task(&id, 0, index)))
+        .map(|index| fixture.running(&task(&id, 0, index)))
         .collect();
-    resize(&bed, Demand { cpu: 0, ..CAPACITY });
-    seconds(10).await;
+    resize(&fixture, Demand { cpu: 0, ..CAPACITY });
+    sleep_secs(10).await;
     let after: Vec<Vec<Name>> = (0..2)
-        .map(|index| bed.running(&task(&id, 0, index)))
+        .map(|index| fixture.running(&task(&id, 0, index)))
         .collect();
     ensure!(before == after, "{before:?} {after:?}");
-    resize(&bed, CAPACITY);
-    seconds(5).await;
-    bed.judge()
+    resize(&fixture, CAPACITY);
+    sleep_secs(5).await;
+    fixture.check_invariants()
 }
--- a/tests/site/store.rs
+++ b/tests/site/store.rs
@@ -1,7 +1,7 @@
 //! A store that is unavailable or slow, loses responses, or compacts its history.
 
 use crate::{
-    bed::{Bed, OTHER, POOL, configuration, job, lasting, seconds, task},
+    bed::{Fixture, OTHER, POOL, configuration, job, long_running, sleep_secs, task},
     cases,
 };
 use eyre::{Result, ensure};
@@ -18,100 +18,118 @@
 
 cases! {
     outage_keeps_what_runs => outage();
-    silent_outage_is_over_within_seconds => silent();
+    silent_outage_is_over_within_seconds => unresponsive();
     lost_and_late_commits_start_nothing_twice => lost_and_late();
-    dropped_history_is_read_anew => dropped();
-    configuration_never_goes_back => forward();
-    lost_answer_costs_a_fraction_of_the_timeout => brisk();
+    dropped_history_is_read_anew => history_compacted();
+    configuration_never_goes_back => newest_configuration();
+    lost_answer_costs_a_fraction_of_the_timeout => lost_response();
     slow_store_is_waited_for => slow();
-    many_lost_answers_cost_no_more_each_than_one => losses();
+    many_lost_answers_cost_no_more_each_than_one => repeated_losses();
 }
 
 // The store rejects all calls for four seconds. Leases outlast that, so long-running tasks keep running, and the
 // end of a task in that time is acknowledged afterwards.
 async fn outage() -> Result<()> {
-    let mut bed = Bed::open(31, 3, 4).await?;
-    let lasting = bed.submit("e-0", &lasting(3)).await?;
-    let short = bed.submit("e-0", &job("1500", 4)).await?;
-    seconds(1).await;
-    bed.conduct_all(|conduct| conduct.store = Reach::Refused);
-    seconds(4).await;
-    bed.conduct_all(|conduct| conduct.store = Reach::Fine);
-    bed.until("e-1", &short, State::Completed, 3).await?;
+    let mut fixture = Fixture::open(31, 3, 4).await?;
+    let long_running_job = fixture.submit("e-0", &long_running(3)).await?;
+    let short = fixture.submit("e-0", &job("1500", 4)).await?;
+    sleep_secs(1).await;
+    fixture.conduct_all(|conduct| conduct.store = Reach::Refused);
+    sleep_secs(4).await;
+    fixture.conduct_all(|conduct| conduct.store = Reach::Fine);
+    fixture
+        .wait_for_state("e-1", &short, State::Completed, 3)
+        .await?;
     for index in 0..3 {
-        let starts = bed.world.journal().starts(&task(&lasting, 0, index)).len();
+        let starts = fixture
+            .world
+            .journal()
+            .starts(&task(&long_running_job, 0, index))
+            .len();
         ensure!(starts == 1, "task {index} was started {starts} times");
     }
-    bed.judge()
+    fixture.check_invariants()
 }
 
-async fn silent() -> Result<()> {
-    let mut bed = Bed::open(32, 3, 3).await?;
-    bed.conduct_all(|conduct| conduct.store = Reach::Silent);
-    seconds(4).await;
-    bed.conduct_all(|conduct| conduct.store = Reach::Fine);
-    seconds(2).await;
-    let id = bed.submit("e-0", &job("300", 4)).await?;
-    bed.until("e-1", &id, State::Completed, 3).await?;
-    bed.judge()
+async fn unresponsive() -> Result<()> {
+    let mut fixture = Fixture::open(32, 3, 3).await?;
+    fixture.conduct_all(|conduct| conduct.store = Reach::Silent);
+    sleep_secs(4).await;
+    fixture.conduct_all(|conduct| conduct.store = Reach::Fine);
+    sleep_secs(2).await;
+    let id = fixture.submit("e-0", &job("300", 4)).await?;
+    fixture
+        .wait_for_state("e-1", &id, State::Completed, 3)
+        .await?;
+    fixture.check_invariants()
 }
 
 // Guards against runs that start twice. Almost a third of all commits are applied without a response, and some are
 // applied seconds later. An owner continues only once it knows the outcome of a commit, and a late one conflicts
 // with the row of the next one.
 async fn lost_and_late() -> Result<()> {
-    let mut bed = Bed::open(33, 3, 4).await?;
+    let mut fixture = Fixture::open(33, 3, 4).await?;
     let mut ids = Vec::new();
     for _job in 0..6 {
-        ids.push(bed.submit("e-0", &job("400", 4)).await?);
+        ids.push(fixture.submit("e-0", &job("400", 4)).await?);
     }
-    bed.conduct_all(|conduct| {
+    fixture.conduct_all(|conduct| {
         conduct.lost_commits = 0.3;
         conduct.late_commits = 0.1;
     });
-    seconds(10).await;
-    bed.conduct_all(|conduct| {
+    sleep_secs(10).await;
+    fixture.conduct_all(|conduct| {
         conduct.lost_commits = 0.0;
         conduct.late_commits = 0.0;
     });
     for id in ids {
-        bed.until("e-1", &id, State::Completed, 20).await?;
+        fixture
+            .wait_for_state("e-1", &id, State::Completed, 20)
+            .await?;
     }
-    bed.judge()
+    fixture.check_invariants()
 }
 
 // Guards against jobs and cancels that are missed because the history is compacted after they were written, so
 // that feeds can't show them. Owners read the full tables instead: the job runs, and the cancelled one stops.
-async fn dropped() -> Result<()> {
-    let mut bed = Bed::open(34, 2, 3).await?;
-    let endless = bed.submit("e-0", &lasting(2)).await?;
-    seconds(2).await;
-    let status = bed.cancel("e-0", &endless).await;
+async fn history_compacted() -> Result<()> {
+    let mut fixture = Fixture::open(34, 2, 3).await?;
+    let cancelled_job = fixture.submit("e-0", &long_running(2)).await?;
+    sleep_secs(2).await;
+    let status = fixture.cancel("e-0", &cancelled_job).await;
     ensure!(status == StatusCode::OK, "{status}");
-    let id = bed.submit("e-0", &job("300", 2)).await?;
-    bed.world.compact();
-    bed.until("e-1", &id, State::Completed, 5).await?;
-    bed.until("e-1", &endless, State::Cancelled, 5).await?;
-    seconds(1).await;
-    ensure!(bed.running(&task(&endless, 0, 0)).is_empty());
-    bed.judge()
+    let id = fixture.submit("e-0", &job("300", 2)).await?;
+    fixture.world.compact();
+    fixture
+        .wait_for_state("e-1", &id, State::Completed, 5)
+        .await?;
+    fixture
+        .wait_for_state("e-1", &cancelled_job, State::Cancelled, 5)
+        .await?;
+    sleep_secs(1).await;
+    ensure!(fixture.running(&task(&cancelled_job, 0, 0)).is_empty());
+    fixture.check_invariants()
 }
 
 // A newer configuration assigns the queue to another pool; then an older one is written again, as by a delayed
 // call of an operator. Entries keep the newer one, before and after a restart.
-async fn forward() -> Result<()> {
-    let mut bed = Bed::open(35, 2, 2).await?;
-    bed.world
+async fn newest_configuration() -> Result<()> {
+    let mut fixture = Fixture::open(35, 2, 2).await?;
+    fixture
+        .world
         .instruct(Instruction::Configuration(configuration(3, OTHER)));
-    seconds(1).await;
-    bed.world
+    sleep_secs(1).await;
+    fixture
+        .world
         .instruct(Instruction::Configuration(configuration(2, POOL)));
-    seconds(1).await;
-    let other = bed.owner(OTHER).await?;
-    let id = bed.submit(&other, &job("200", 1)).await?;
-    bed.until(&other, &id, State::Completed, 5).await?;
-    let starts = bed.world.journal().starts(&task(&id, 0, 0));
-    let worker = bed
+    sleep_secs(1).await;
+    let other = fixture.owner(OTHER).await?;
+    let id = fixture.submit(&other, &job("200", 1)).await?;
+    fixture
+        .wait_for_state(&other, &id, State::Completed, 5)
+        .await?;
+    let starts = fixture.world.journal().starts(&task(&id, 0, 0));
+    let worker = fixture
         .world
         .instances()
         .into_iter()
@@ -133,7 +151,7 @@
 
 // Guards against commits that wait too long for a lost response: a call would wait 1.5 s. As commits usually take
 // 4 ms, the sender learns after a quarter of a second that the outcome is unknown.
-async fn brisk() -> Result<()> {
+async fn lost_response() -> Result<()> {
     let world = World::open(Options::default());
     let rows = Brisk::new(Arc::new(world.caller("e-0")));
     for _commit in 0..20 {
@@ -155,7 +173,7 @@
 // seconds, and the others take 4 ms. Each loss doubled the timeout, and the two successes in between took back a
 // quarter of that: from the fifth loss on, each one delayed the owner's jobs by 1.1 s, and most jobs of five
 // seconds were late.
-async fn losses() -> Result<()> {
+async fn repeated_losses() -> Result<()> {
     let world = World::open(Options::default());
     let rows = Brisk::new(Arc::new(world.caller("e-0")));
     for loss in 0..8 {
--- a/tests/site/stories.rs
+++ b/tests/site/stories.rs
@@ -1,7 +1,7 @@
 //! Diagnosis from logs: given only the id of a job that a caller complains about, the log lines show the cause.
 
 use crate::{
-    bed::{Bed, POOL, job, lasting, seconds, task},
+    bed::{Fixture, POOL, job, long_running, sleep_secs, task},
     cases,
     lines::{Line, capture, captured},
 };
@@ -15,13 +15,13 @@
     refused_because_the_store_turned_calls_away => refused();
     late_because_a_worker_died => late();
     failed_by_its_own_fault => failed();
-    lasting_task_away_because_its_worker_died => away();
+    lasting_task_away_because_its_worker_died => unavailable();
     cancelled_while_it_ran => cancelled();
-    cancelled_and_heard_of_late => heard_late();
+    cancelled_and_heard_of_late => learned_late();
     cancelled_while_its_start_waits => cancelled_before_its_start();
     cancelled_before_a_takeover => found_at_takeover();
-    many_lives_end_in_few_lines => many_lives();
-    many_runs_end_in_few_lines => many_ends();
+    many_lives_end_in_few_lines => many_terminated();
+    many_runs_end_in_few_lines => many_failed_runs();
 }
 
 /// Lines whose fields contain the id of a job or of one of its tasks.
@@ -43,7 +43,7 @@
 }
 
 /// The line that reports the termination of a worker.
-fn life_over<'a>(lines: &'a [Line], worker: Option<&str>) -> Result<&'a Line> {
+fn termination_line<'a>(lines: &'a [Line], worker: Option<&str>) -> Result<&'a Line> {
     let worker = worker.ok_or_else(|| eyre!("no worker"))?;
     let over = with(lines, "lives of workers are over").into_iter();
     let mut over = over.filter(|line| line.lists("workers", worker));
@@ -61,14 +61,14 @@
 // the failed heartbeats of all entries at that time show that the store rejected everyone's calls.
 async fn refused() -> Result<()> {
     capture();
-    let mut bed = Bed::open(91, 3, 3).await?;
-    bed.conduct_all(|conduct| conduct.store = Reach::Refused);
-    seconds(1).await;
-    let id = bed.id();
-    let status = bed.send("e-0", &id, &job("500", 1)).await;
+    let mut fixture = Fixture::open(91, 3, 3).await?;
+    fixture.conduct_all(|conduct| conduct.store = Reach::Refused);
+    sleep_secs(1).await;
+    let id = fixture.next_job_id();
+    let status = fixture.send("e-0", &id, &job("500", 1)).await;
     ensure!(status == StatusCode::SERVICE_UNAVAILABLE, "{status}");
-    bed.conduct_all(|conduct| conduct.store = Reach::Fine);
-    seconds(1).await;
+    fixture.conduct_all(|conduct| conduct.store = Reach::Fine);
+    sleep_secs(1).await;
     let lines = captured();
     let own = about(&lines, &id);
     let refusal = first(&own, "job not accepted")?;
@@ -93,19 +93,21 @@
 // the first, and a line with that worker's id shows that it terminated in between.
 async fn late() -> Result<()> {
     capture();
-    let mut bed = Bed::open(92, 2, 3).await?;
-    let id = bed.submit("e-0", &job("2000", 1)).await?;
-    seconds(1).await;
-    let on = bed.running(&task(&id, 0, 0));
-    bed.world.crash(&on[0]);
-    bed.until("e-0", &id, State::Completed, 15).await?;
+    let mut fixture = Fixture::open(92, 2, 3).await?;
+    let id = fixture.submit("e-0", &job("2000", 1)).await?;
+    sleep_secs(1).await;
+    let on = fixture.running(&task(&id, 0, 0));
+    fixture.world.crash(&on[0]);
+    fixture
+        .wait_for_state("e-0", &id, State::Completed, 15)
+        .await?;
     let lines = captured();
     let own = about(&lines, &id);
     let placed = with(&own, "task placed");
     ensure!(placed.len() == 2, "{placed:?}");
     ensure!(placed[1].field("run") == Some("2"));
     let worker = placed[0].field("worker");
-    let over = life_over(&lines, worker)?;
+    let over = termination_line(&lines, worker)?;
     ensure!(placed[0].at < over.at && over.at <= placed[1].at);
     let lost = first(&lines, "runs lost with their worker")?;
     ensure!(lost.field("worker") == worker, "{lost:?}");
@@ -121,11 +123,13 @@
 // than one worker, whose other runs succeed.
 async fn failed() -> Result<()> {
     capture();
-    let mut bed = Bed::open(93, 2, 3).await?;
-    let sound = bed.submit("e-0", &job("1500", 9)).await?;
-    let id = bed.submit("e-0", &job("300 fails", 1)).await?;
-    bed.until("e-0", &id, State::Failed, 9).await?;
-    bed.until("e-0", &sound, State::Completed, 9).await?;
+    let mut fixture = Fixture::open(93, 2, 3).await?;
+    let sound = fixture.submit("e-0", &job("1500", 9)).await?;
+    let id = fixture.submit("e-0", &job("300 fails", 1)).await?;
+    fixture.wait_for_state("e-0", &id, State::Failed, 9).await?;
+    fixture
+        .wait_for_state("e-0", &sound, State::Completed, 9)
+        .await?;
     let lines = captured();
     let own = about(&lines, &id);
     let ends = with(&own, "run ended without its work done");
@@ -139,16 +143,16 @@
 
 // A long-running task is unavailable because its worker crashed. The lines from the worker's termination to the
 // next placement show for how long, and why.
-async fn away() -> Result<()> {
+async fn unavailable() -> Result<()> {
     capture();
-    let mut bed = Bed::open(94, 2, 4).await?;
-    let id = bed.submit("e-0", &lasting(2)).await?;
-    seconds(2).await;
+    let mut fixture = Fixture::open(94, 2, 4).await?;
+    let id = fixture.submit("e-0", &long_running(2)).await?;
+    sleep_secs(2).await;
     let task = task(&id, 0, 0);
-    let on = bed.running(&task);
-    let died_at = bed.world.now();
-    bed.world.crash(&on[0]);
-    seconds(12).await;
+    let on = fixture.running(&task);
+    let crashed_at = fixture.world.now();
+    fixture.world.crash(&on[0]);
+    sleep_secs(12).await;
     let lines = captured();
     let own = about(&lines, &id);
     let name = task.to_string();
@@ -159,12 +163,12 @@
     ensure!(placed.len() == 2, "{placed:?}");
     let worker = placed[0].field("worker");
     ensure!(worker == Some(&*on[0]));
-    let over = life_over(&lines, worker)?;
-    ensure!(over.at >= died_at && over.at <= placed[1].at);
+    let over = termination_line(&lines, worker)?;
+    ensure!(over.at >= crashed_at && over.at <= placed[1].at);
     ensure!(
-        placed[1].at < died_at + 6_000,
+        placed[1].at < crashed_at + 6_000,
         "away for {}",
-        placed[1].at - died_at
+        placed[1].at - crashed_at
     );
     Ok(())
 }
@@ -172,12 +176,12 @@
 // A caller asks why its job stopped. The line of the cancel precedes those of the stops.
 async fn cancelled() -> Result<()> {
     capture();
-    let mut bed = Bed::open(95, 2, 3).await?;
-    let id = bed.submit("e-0", &lasting(2)).await?;
-    seconds(2).await;
-    let other = bed.bystander(POOL).await?;
-    ensure!(bed.cancel(&other, &id).await == StatusCode::OK);
-    seconds(1).await;
+    let mut fixture = Fixture::open(95, 2, 3).await?;
+    let id = fixture.submit("e-0", &long_running(2)).await?;
+    sleep_secs(2).await;
+    let other = fixture.non_owner(POOL).await?;
+    ensure!(fixture.cancel(&other, &id).await == StatusCode::OK);
+    sleep_secs(1).await;
     let own = about(&captured(), &id);
     let cancel = first(&own, "cancel accepted")?;
     let stops = with(&own, "run is to stop");
@@ -197,18 +201,18 @@
 // Tasks of a cancelled job run on for a while because responses to its pool's owner are delayed, so that it learns
 // of the cancel late. Its line bounds the age of the cancel when it was applied, and shows that it was applied as
 // soon as the response arrived, so that the control loop didn't contribute to the delay.
-async fn heard_late() -> Result<()> {
+async fn learned_late() -> Result<()> {
     capture();
-    let mut bed = Bed::open(98, 2, 3).await?;
-    let id = bed.submit("e-0", &lasting(2)).await?;
-    seconds(2).await;
-    let owner = bed.owner(POOL).await?;
-    let other = bed.bystander(POOL).await?;
-    bed.conduct(&owner, |conduct| conduct.frozen = true);
-    ensure!(bed.cancel(&other, &id).await == StatusCode::OK);
-    seconds(1).await;
-    bed.conduct(&owner, |conduct| conduct.frozen = false);
-    seconds(1).await;
+    let mut fixture = Fixture::open(98, 2, 3).await?;
+    let id = fixture.submit("e-0", &long_running(2)).await?;
+    sleep_secs(2).await;
+    let owner = fixture.owner(POOL).await?;
+    let other = fixture.non_owner(POOL).await?;
+    fixture.conduct(&owner, |conduct| conduct.frozen = true);
+    ensure!(fixture.cancel(&other, &id).await == StatusCode::OK);
+    sleep_secs(1).await;
+    fixture.conduct(&owner, |conduct| conduct.frozen = false);
+    sleep_secs(1).await;
     let own = about(&captured(), &id);
     let cancel = first(&own, "cancel accepted")?;
     let taken = first(&own, "cancel taken in")?;
@@ -225,16 +229,16 @@
 // workers reject.
 async fn cancelled_before_its_start() -> Result<()> {
     capture();
-    let mut bed = Bed::open(57, 2, 4).await?;
-    let owner = bed.owner(POOL).await?;
-    let other = bed.bystander(POOL).await?;
-    bed.conduct(&owner, |conduct| conduct.late_commits = 1.0);
-    let id = bed.submit(&other, &job("500", 2)).await?;
+    let mut fixture = Fixture::open(57, 2, 4).await?;
+    let owner = fixture.owner(POOL).await?;
+    let other = fixture.non_owner(POOL).await?;
+    fixture.conduct(&owner, |conduct| conduct.late_commits = 1.0);
+    let id = fixture.submit(&other, &job("500", 2)).await?;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    ensure!(bed.cancel(&other, &id).await == StatusCode::OK);
-    seconds(1).await;
-    bed.conduct(&owner, |conduct| conduct.late_commits = 0.0);
-    seconds(8).await;
+    ensure!(fixture.cancel(&other, &id).await == StatusCode::OK);
+    sleep_secs(1).await;
+    fixture.conduct(&owner, |conduct| conduct.late_commits = 0.0);
+    sleep_secs(8).await;
     let own = about(&captured(), &id);
     let taken = first(&own, "cancel taken in")?;
     ensure!(taken.field("runs") == Some("2"), "{taken:?}");
@@ -250,15 +254,17 @@
 // shows that it found the cancel, and how many of its predecessor's runs it has to stop.
 async fn found_at_takeover() -> Result<()> {
     capture();
-    let mut bed = Bed::open(99, 2, 3).await?;
-    let owner = bed.owner(POOL).await?;
-    let other = bed.bystander(POOL).await?;
-    let id = bed.submit(&other, &lasting(2)).await?;
-    seconds(2).await;
-    bed.kill(&owner);
-    ensure!(bed.cancel(&other, &id).await == StatusCode::OK);
-    bed.until(&other, &id, State::Cancelled, 9).await?;
-    seconds(2).await;
+    let mut fixture = Fixture::open(99, 2, 3).await?;
+    let owner = fixture.owner(POOL).await?;
+    let other = fixture.non_owner(POOL).await?;
+    let id = fixture.submit(&other, &long_running(2)).await?;
+    sleep_secs(2).await;
+    fixture.kill(&owner);
+    ensure!(fixture.cancel(&other, &id).await == StatusCode::OK);
+    fixture
+        .wait_for_state(&other, &id, State::Cancelled, 9)
+        .await?;
+    sleep_secs(2).await;
     let own = about(&captured(), &id);
     let found = first(&own, "cancel found at a takeover")?;
     ensure!(found.field("pool") == Some(POOL) && found.field("runs") == Some("2"));
@@ -271,21 +277,21 @@
 // Guards against a flood of log lines: twelve workers, each with a long-running task, crash at once. The list of
 // instances shows all of them together, so one or two lines report them, each worker once, and not one line per
 // worker.
-async fn many_lives() -> Result<()> {
-    const LIVES: usize = 12;
+async fn many_terminated() -> Result<()> {
+    const WORKERS: usize = 12;
     capture();
-    let mut bed = Bed::open(96, 2, LIVES).await?;
-    let id = bed.submit("e-0", &lasting(12)).await?;
-    seconds(2).await;
-    let mut died = BTreeSet::new();
+    let mut fixture = Fixture::open(96, 2, WORKERS).await?;
+    let id = fixture.submit("e-0", &long_running(12)).await?;
+    sleep_secs(2).await;
+    let mut terminated = BTreeSet::new();
     for index in 0..12 {
-        died.extend(bed.running(&task(&id, 0, index)));
+        terminated.extend(fixture.running(&task(&id, 0, index)));
     }
-    ensure!(died.len() == LIVES, "{died:?}");
-    for worker in &died {
-        bed.world.crash(worker);
+    ensure!(terminated.len() == WORKERS, "{terminated:?}");
+    for worker in &terminated {
+        fixture.world.crash(worker);
     }
-    seconds(12).await;
+    sleep_secs(12).await;
     let lines = captured();
     let over = with(&lines, "lives of workers are over");
     ensure!((1..=2).contains(&over.len()), "{over:?}");
@@ -294,10 +300,10 @@
             .iter()
             .map(|line| line.field(field)?.parse::<usize>().ok());
         let told: Option<usize> = told.sum();
-        ensure!(told == Some(LIVES), "{over:?}");
+        ensure!(told == Some(WORKERS), "{over:?}");
     }
-    for worker in &died {
-        let line = life_over(&lines, Some(worker))?;
+    for worker in &terminated {
+        let line = termination_line(&lines, Some(worker))?;
         ensure!(line.field("pool") == Some(POOL), "{line:?}");
     }
     Ok(())
@@ -305,11 +311,13 @@
 
 // Guards against a flood of log lines: many tasks of a job fail at once. Where a round has many such ends, a
 // single line lists the tasks, and every end is still reported.
-async fn many_ends() -> Result<()> {
+async fn many_failed_runs() -> Result<()> {
     capture();
-    let mut bed = Bed::open(97, 2, 1).await?;
-    let id = bed.submit("e-0", &job("500 fails", 8)).await?;
-    bed.until("e-0", &id, State::Failed, 20).await?;
+    let mut fixture = Fixture::open(97, 2, 1).await?;
+    let id = fixture.submit("e-0", &job("500 fails", 8)).await?;
+    fixture
+        .wait_for_state("e-0", &id, State::Failed, 20)
+        .await?;
     let lines = captured();
     let many = with(&lines, "runs ended without their work done");
     let single = with(&lines, "run ended without its work done");
--- a/tests/site/worker.rs
+++ b/tests/site/worker.rs
@@ -1,7 +1,7 @@
 //! Workers that crash, are partitioned while they run on, fail tasks, drain, or execute orders late.
 
 use crate::{
-    bed::{ATTEMPTS, Bed, job, lasting, seconds, task},
+    bed::{ATTEMPTS, Fixture, job, long_running, sleep_secs, task},
     cases,
 };
 use eyre::{Result, ensure};
@@ -11,7 +11,7 @@
 
 cases! {
     crashed_worker_is_known_to_be_over_in_seconds => crashed();
-    cut_off_worker_runs_on_and_nothing_overlaps => cut_off();
+    cut_off_worker_runs_on_and_nothing_overlaps => partitioned();
     late_orders_start_nothing_twice => late_orders();
     start_without_an_answer_costs_half_a_second => unanswered();
     job_that_always_fails_is_failed_after_its_attempts => fails();
@@ -21,51 +21,53 @@
 // Guards against slow recovery from a crash. The platform's list no longer shows a worker on the crashed one's
 // instance, so its long-running task starts elsewhere long before the lease would have expired.
 async fn crashed() -> Result<()> {
-    let mut bed = Bed::open(41, 2, 5).await?;
-    let id = bed.submit("e-0", &lasting(3)).await?;
-    seconds(2).await;
-    let first = bed.running(&task(&id, 0, 0));
-    bed.world.crash(&first[0]);
-    seconds(4).await;
-    let now = bed.running(&task(&id, 0, 0));
+    let mut fixture = Fixture::open(41, 2, 5).await?;
+    let id = fixture.submit("e-0", &long_running(3)).await?;
+    sleep_secs(2).await;
+    let first = fixture.running(&task(&id, 0, 0));
+    fixture.world.crash(&first[0]);
+    sleep_secs(4).await;
+    let now = fixture.running(&task(&id, 0, 0));
     ensure!(now.len() == 1 && now != first, "{first:?}, then {now:?}");
-    bed.judge()
+    fixture.check_invariants()
 }
 
 // Guards against overlapping runs: a worker is partitioned from all entries and runs on. The platform still lists
 // it, so its tasks count as running until its lease has certainly expired; then they start elsewhere.
-async fn cut_off() -> Result<()> {
-    let mut bed = Bed::open(42, 2, 5).await?;
-    let id = bed.submit("e-0", &lasting(3)).await?;
-    seconds(2).await;
-    let first = bed.running(&task(&id, 0, 0));
-    bed.world.cut(&first[0], true);
-    seconds(4).await;
-    ensure!(bed.running(&task(&id, 0, 0)) == first);
-    seconds(6).await;
-    let now = bed.running(&task(&id, 0, 0));
+async fn partitioned() -> Result<()> {
+    let mut fixture = Fixture::open(42, 2, 5).await?;
+    let id = fixture.submit("e-0", &long_running(3)).await?;
+    sleep_secs(2).await;
+    let first = fixture.running(&task(&id, 0, 0));
+    fixture.world.cut(&first[0], true);
+    sleep_secs(4).await;
+    ensure!(fixture.running(&task(&id, 0, 0)) == first);
+    sleep_secs(6).await;
+    let now = fixture.running(&task(&id, 0, 0));
     ensure!(now.len() == 1 && now != first, "{first:?}, then {now:?}");
-    bed.world.cut(&first[0], false);
-    seconds(5).await;
-    bed.judge()
+    fixture.world.cut(&first[0], false);
+    sleep_secs(5).await;
+    fixture.check_invariants()
 }
 
 // Guards against runs that start twice. Almost a third of the orders get no response and are executed seconds
 // later, when the task runs elsewhere or is done. The worker rejects them, since their deadline has passed or a
 // stop of that run arrived first.
 async fn late_orders() -> Result<()> {
-    let mut bed = Bed::open(43, 2, 4).await?;
-    bed.conduct_all(|conduct| conduct.late_orders = 0.3);
+    let mut fixture = Fixture::open(43, 2, 4).await?;
+    fixture.conduct_all(|conduct| conduct.late_orders = 0.3);
     let mut ids = Vec::new();
     for _job in 0..6 {
-        ids.push(bed.submit("e-0", &job("600", 4)).await?);
-        seconds(1).await;
+        ids.push(fixture.submit("e-0", &job("600", 4)).await?);
+        sleep_secs(1).await;
     }
     for id in ids {
-        bed.until("e-1", &id, State::Completed, 30).await?;
+        fixture
+            .wait_for_state("e-1", &id, State::Completed, 30)
+            .await?;
     }
-    seconds(13).await;
-    bed.judge()
+    sleep_secs(13).await;
+    fixture.check_invariants()
 }
 
 // Guards against a slow restart after a start without a response. Once its stop is confirmed, the run can't begin
@@ -73,51 +75,60 @@
 // second for the end of a run, and the next one another second, so that the task waited up to two seconds for its
 // next start although workers were idle.
 async fn unanswered() -> Result<()> {
-    let mut bed = Bed::open(46, 2, 4).await?;
+    let mut fixture = Fixture::open(46, 2, 4).await?;
     for round in 0..4 {
         sleep(Duration::from_millis(1_000 + round * 230)).await;
-        bed.conduct_all(|conduct| conduct.late_orders = 1.0);
-        let from = bed.world.now();
-        let id = bed.submit("e-0", &job("200", 1)).await?;
+        fixture.conduct_all(|conduct| conduct.late_orders = 1.0);
+        let from = fixture.world.now();
+        let id = fixture.submit("e-0", &job("200", 1)).await?;
         sleep(Duration::from_millis(200)).await;
-        bed.conduct_all(|conduct| conduct.late_orders = 0.0);
-        bed.until("e-1", &id, State::Completed, 4).await?;
-        let starts = bed.world.journal().starts(&task(&id, 0, 0));
+        fixture.conduct_all(|conduct| conduct.late_orders = 0.0);
+        fixture
+            .wait_for_state("e-1", &id, State::Completed, 4)
+            .await?;
+        let starts = fixture.world.journal().starts(&task(&id, 0, 0));
         let waited = starts.first().map(|(_worker, at)| at - from);
         ensure!(
             waited.is_some_and(|waited| waited < 700),
             "round {round}: {waited:?} ms"
         );
     }
-    seconds(13).await;
-    bed.judge()
+    sleep_secs(13).await;
+    fixture.check_invariants()
 }
 
 async fn fails() -> Result<()> {
-    let mut bed = Bed::open(44, 2, 4).await?;
-    let id = bed.submit("e-0", &job("200 fails", 1)).await?;
-    bed.until("e-1", &id, State::Failed, 15).await?;
-    let starts = bed.world.journal().starts(&task(&id, 0, 0)).len();
+    let mut fixture = Fixture::open(44, 2, 4).await?;
+    let id = fixture.submit("e-0", &job("200 fails", 1)).await?;
+    fixture
+        .wait_for_state("e-1", &id, State::Failed, 15)
+        .await?;
+    let starts = fixture.world.journal().starts(&task(&id, 0, 0)).len();
     ensure!(starts == ATTEMPTS as usize, "{starts} starts");
-    bed.judge()
+    fixture.check_invariants()
 }
 
 async fn draining() -> Result<()> {
-    let mut bed = Bed::open(45, 2, 3).await?;
-    let leaving = Name::clone(&bed.world.workers()[0]);
-    bed.world.drain(&leaving);
-    seconds(1).await;
-    let from = bed.world.now();
+    let mut fixture = Fixture::open(45, 2, 3).await?;
+    let draining_worker = Name::clone(&fixture.world.workers()[0]);
+    fixture.world.drain(&draining_worker);
+    sleep_secs(1).await;
+    let from = fixture.world.now();
     for _job in 0..3 {
-        let id = bed.submit("e-0", &job("300", 6)).await?;
-        bed.until("e-1", &id, State::Completed, 10).await?;
+        let id = fixture.submit("e-0", &job("300", 6)).await?;
+        fixture
+            .wait_for_state("e-1", &id, State::Completed, 10)
+            .await?;
         for index in 0..6 {
-            let starts = bed.world.journal().starts(&task(&id, 0, index));
+            let starts = fixture.world.journal().starts(&task(&id, 0, index));
             let there = starts
                 .iter()
-                .any(|(worker, at)| *worker == leaving && *at > from);
-            ensure!(!there, "a task was started on {leaving}, which is draining");
+                .any(|(worker, at)| *worker == draining_worker && *at > from);
+            ensure!(
+                !there,
+                "a task was started on {draining_worker}, which is draining"
+            );
         }
     }
-    bed.judge()
+    fixture.check_invariants()
 }
