--- a/tests/site/accept.rs
+++ b/tests/site/accept.rs
@@ -14,14 +14,14 @@
     job_of_two_steps_completes => two_steps();
     same_id_at_two_entries_is_one_job => two_entries();
     same_id_after_its_queue_moved_is_one_job => reassigned_queue();
-    lost_commit_answer_is_settled => lost_answer();
-    late_commit_is_not_refused => late_commit();
-    refusal_by_a_store_that_is_away_is_true => refused();
-    malformed_job_is_refused_for_good => malformed();
+    commit_with_a_lost_response_is_resolved => lost_answer();
+    late_commit_is_not_rejected => late_commit();
+    job_rejected_during_an_outage_never_runs => refused();
+    malformed_job_is_rejected_permanently => malformed();
     unknown_job_is_gone => unknown();
     queue_counts_jobs_that_have_not_begun => counted();
     /// Jobs that count as begun while their starts are in flight.
-    queue_counts_jobs_whose_starts_are_on_their_way => starts_in_flight();
+    queue_counts_jobs_whose_starts_are_in_flight => starts_in_flight();
     /// A job that stays counted as queued while it runs, since its pool commits nothing else.
     queue_does_not_count_a_job_that_runs => running_not_counted();
 }
--- a/tests/site/advice.rs
+++ b/tests/site/advice.rs
@@ -12,10 +12,10 @@
 
 cases! {
     tasks_start_only_where_the_policy_allows => allowed_only();
-    ticket_that_is_too_old_is_asked_for_again => asked_again();
-    jobs_wait_while_there_is_no_advice => no_advice();
-    successor_asks_anew => successor();
-    queue_that_begins_to_need_tickets => newly_required();
+    expired_ticket_is_requested_again => asked_again();
+    jobs_wait_while_the_advice_service_is_unavailable => no_advice();
+    successor_requests_advice_again => successor();
+    queue_that_starts_to_need_tickets => newly_required();
 }
 
 /// Opens a site whose queue needs tickets, and waits until its configuration is in effect.
--- a/tests/site/cancel.rs
+++ b/tests/site/cancel.rs
@@ -14,19 +14,19 @@
 cases! {
     cancelled_job_stops_and_stays_cancelled => stops();
     cancel_survives_the_loss_of_all_entries => all_killed();
-    cancel_stops_a_start_that_lands_late => late_start();
+    cancel_prevents_a_late_start => late_start();
     cancel_after_the_end_changes_nothing => after_the_end();
-    cancel_stops_while_commits_wait => commits_wait();
-    cancel_stops_while_a_commit_is_under_way => commit_in_flight();
-    cancel_of_a_job_whose_start_waits_for_its_commit => start_waits();
-    cancel_that_the_owner_hears_of_seconds_late => learns_late(|conduct| conduct.feeds = Reach::Silent);
+    cancel_stops_runs_while_commits_get_no_response => commits_wait();
+    cancel_stops_runs_while_a_commit_is_in_flight => commit_in_flight();
+    cancel_of_a_job_whose_start_awaits_its_commit => start_waits();
+    cancel_whose_feed_gets_no_response_for_seconds => learns_late(|conduct| conduct.feeds = Reach::Silent);
     cancel_that_the_owner_can_neither_follow_nor_read => learns_late(|conduct| conduct.jobs = Reach::Silent);
-    cancel_that_an_owner_without_a_feed_reads => reads_instead(Reach::Silent);
-    cancel_that_an_owner_whose_feed_is_refused_reads => reads_instead(Reach::Refused);
+    cancel_is_read_while_the_feed_gets_no_response => reads_instead(Reach::Silent);
+    cancel_is_read_while_the_feed_is_rejected => reads_instead(Reach::Refused);
     cancel_while_a_successor_reads_the_pool => successor_reads();
     cancel_after_a_successor_has_read_the_pool => successor_has_read();
-    cancel_whose_stop_is_late_stops_the_start_that_waits => stop_is_late();
-    cancel_while_the_start_waits_behind_others => queued_behind_others();
+    cancel_whose_stop_is_late_prevents_the_pending_start => stop_is_late();
+    cancel_while_the_start_is_queued_behind_others => queued_behind_others();
 }
 
 async fn stops() -> Result<()> {
--- a/tests/site/crash.rs
+++ b/tests/site/crash.rs
@@ -14,29 +14,29 @@
 
 cases! {
     /// Unbounded retries of a task that crashes its workers.
-    task_that_crashes_its_workers_is_given_up => abandoned();
+    task_that_crashes_its_workers_is_abandoned => abandoned();
     /// Jobs that fail because they shared workers with a task that crashed them.
     neighbours_of_a_crashing_task_complete => neighbours();
     /// A pool whose workers are all down because of a few tasks that crash them.
     several_crashing_tasks_leave_the_pool_to_others => several();
     /// A count of crashes that a successor restarts from zero.
-    count_of_crashes_outlasts_takeovers => takeovers();
+    crash_count_survives_takeovers => takeovers();
     /// A count of crashes that is lost when all entries are killed.
-    count_of_crashes_outlasts_all_entries => all_entries();
+    crash_count_survives_the_loss_of_all_entries => all_entries();
     /// A crash that goes unnoticed because the owner was killed at the same time.
-    crash_beside_its_owner_counts => with_its_owner();
+    crash_at_the_same_time_as_its_owner_counts => with_its_owner();
     /// A task abandoned because of workers that were only partitioned.
-    task_whose_workers_are_cut_off_is_not_given_up => partitioned();
+    task_whose_workers_are_partitioned_is_not_abandoned => partitioned();
     /// Partitioned workers that hide a crashing task, or are mistaken for crashed ones beside it.
-    cut_workers_beside_crashed_ones => partitioned_beside_crashed();
+    partitioned_workers_beside_crashed_ones => partitioned_beside_crashed();
     /// A task abandoned because of crashes of its workers that had other causes.
-    task_whose_workers_crash_by_themselves_is_not_given_up => unrelated_crashes();
+    task_whose_workers_crash_for_other_causes_is_not_abandoned => unrelated_crashes();
     /// Unbounded restarts of a gang that crashes its workers.
-    gang_that_crashes_its_workers_is_given_up => gang();
+    gang_that_crashes_its_workers_is_abandoned => gang();
     /// Unbounded restarts of a long-running task that crashes its workers, or loss of the other tasks of its step.
-    lasting_task_that_crashes_its_workers_is_given_up => long_running_task();
+    long_running_task_that_crashes_its_workers_is_abandoned => long_running_task();
     /// A long-running task abandoned because of crashes of partitioned workers that had outlived its runs.
-    lasting_task_serves_on_after_crashes_of_workers_that_outlived_it => outlived_behind_partitions();
+    long_running_task_survives_crashes_of_workers_that_outlived_it => outlived_behind_partitions();
     /// A crash that isn't counted because the start arrived late, from a former owner.
     late_starts_of_a_crashing_task_count => late_starts();
 }
--- a/tests/site/figures.rs
+++ b/tests/site/figures.rs
@@ -17,9 +17,9 @@
 const COMMIT_DELAY: Duration = Duration::from_millis(200);
 
 cases! {
-    figures_of_a_calm_pool => without_faults();
-    figures_while_a_commit_waits => commit_waits();
-    figures_while_answers_are_held_up => responses_delayed();
+    metrics_without_faults => without_faults();
+    metrics_while_a_commit_is_delayed => commit_waits();
+    metrics_while_responses_are_delayed => responses_delayed();
 }
 
 /// Records the longest reported durations.
--- a/tests/site/forget.rs
+++ b/tests/site/forget.rs
@@ -13,7 +13,7 @@
 
 cases! {
     job_whose_rows_could_not_be_deleted_stays_finished => delete_fails();
-    job_that_is_forgotten_during_a_read_stays_finished => removed_while_read();
+    job_that_is_removed_during_a_read_stays_finished => removed_while_read();
 }
 
 /// Runs a job, and waits until `millis` milliseconds before its rows are due to be deleted.
--- a/tests/site/herd.rs
+++ b/tests/site/herd.rs
@@ -11,13 +11,13 @@
 
 cases! {
     /// Entries that start together and whose reads a store over its rate limit rejects forever.
-    entries_that_start_together_get_to_work => start();
+    entries_that_start_together_become_available => start();
     /// A takeover that waits for the reads of all entries that started at the same time.
-    pool_is_read_before_all_entries_have_read => takeover();
+    pool_is_loaded_before_all_entries_have_read => takeover();
     /// The same after an outage of the store, whose history has been compacted meanwhile.
-    entries_that_read_anew_together_get_to_work => store_returns();
+    entries_that_read_anew_together_become_available => store_returns();
     /// A feed that is no longer polled while the read that replaces it is rejected again and again.
-    feed_is_asked_for_beside_refused_reads => feed_beside_reads();
+    feed_is_polled_while_reads_are_rejected => feed_beside_reads();
 }
 
 /// Number of entries on the site.
--- a/tests/site/inspect.rs
+++ b/tests/site/inspect.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 cases! {
-    pools_show_owners_needs_and_queues => pools();
-    story_of_a_job_while_its_owner_is_away => story();
+    pools_show_owners_wanted_workers_and_queues => pools();
+    job_story_while_its_owner_is_down => story();
     job_that_nobody_accepted_has_no_story => unknown();
     waves_show_their_progress => waves();
 }
--- a/tests/site/lives.rs
+++ b/tests/site/lives.rs
@@ -18,11 +18,11 @@
 use tokio::time::sleep;
 
 cases! {
-    worker_that_is_not_known_yet_is_not_taken_for_empty => unregistered();
-    order_that_was_carried_out_before_ends_no_life => already_maintained();
-    worker_that_is_not_known_yet_is_not_moved_under_its_tasks => moved();
-    list_from_before_a_worker_came_does_not_say_that_it_is_over => outdated_list();
-    registration_that_comes_back_as_it_was_counts => registration_restored();
+    unregistered_worker_is_not_assumed_idle => unregistered();
+    repeated_order_does_not_terminate_a_worker => already_maintained();
+    instance_of_an_unregistered_worker_is_not_moved_under_its_tasks => moved();
+    outdated_list_does_not_terminate_a_new_worker => outdated_list();
+    registration_that_is_restored_unchanged_counts => registration_restored();
 }
 
 /// Extra latency of each call of the holder that gives orders: long enough for several orders to workers between a
--- a/tests/site/maintain.rs
+++ b/tests/site/maintain.rs
@@ -13,12 +13,12 @@
 use std::{collections::BTreeMap, time::Duration};
 
 cases! {
-    wave_over_a_pool_with_lasting_tasks => whole_pool();
-    wave_goes_on_after_its_owner_is_killed => owner_killed();
-    successor_orders_nothing_at_once => no_immediate_order();
-    replaced_owner_orders_nothing => partially_unresponsive();
-    crash_is_not_taken_for_maintenance => crashed();
-    order_on_its_way_counts_beside_a_new_owner => owner_stopped();
+    wave_over_a_pool_with_long_running_tasks => whole_pool();
+    wave_continues_after_its_owner_is_killed => owner_killed();
+    successor_gives_no_immediate_order => no_immediate_order();
+    replaced_owner_gives_no_orders => partially_unresponsive();
+    crash_is_not_mistaken_for_maintenance => crashed();
+    order_in_flight_counts_for_a_new_owner => owner_stopped();
 }
 
 fn wave(instances: impl IntoIterator<Item = Name>, maximum: usize) -> Instruction {
--- a/tests/site/moves.rs
+++ b/tests/site/moves.rs
@@ -19,16 +19,16 @@
 
 cases! {
     idle_instances_are_switched_off => switched_off();
-    pool_keeps_what_it_was_given_until_its_first_work => without_jobs();
+    pool_keeps_its_initial_instances_until_its_first_job => without_jobs();
     pool_under_load_gets_the_instances_of_others => under_load();
-    lasting_task_keeps_its_instance => long_running_stays();
+    long_running_task_keeps_its_instance => long_running_stays();
     owner_killed_between_moves => owner_killed();
-    moves_keep_to_the_platforms_rate => rate();
-    order_that_took_long_to_write_down_is_not_given => slow_store();
-    frozen_owner_moves_nothing_after_its_replacement => owner_suspended();
-    instance_goes_on_without_a_pause => moves_again();
-    groups_that_are_given_up_go_on_at_once => released();
-    new_owner_moves_nothing_under_lasting_tasks => taken_over();
+    moves_respect_the_platforms_rate_limit => rate();
+    order_that_was_written_slowly_is_not_given => slow_store();
+    suspended_owner_moves_nothing_after_its_replacement => owner_suspended();
+    instance_moves_again_without_a_pause => moves_again();
+    released_groups_resume_at_once => released();
+    new_owner_moves_nothing_under_long_running_tasks => taken_over();
 }
 
 /// Instances of a pool that are up.
--- a/tests/site/random/mod.rs
+++ b/tests/site/random/mod.rs
@@ -51,7 +51,7 @@
 }
 
 batches! {
-    seeds_that_have_shown_a_fault => REGRESSIONS.iter().copied();
+    regression_seeds => REGRESSIONS.iter().copied();
     first_batch => batch(0);
     second_batch => batch(1);
     third_batch => batch(2);
@@ -63,9 +63,9 @@
     mixed_batch_with_slow_stops => (mixed::FIRST_WITH_SLOW_STOPS..).take(MIXED_PER_BATCH);
     mixed_batch_with_crashes => (mixed::FIRST_WITH_CRASHES..).take(MIXED_PER_BATCH);
     mixed_batch_with_same_ids => (mixed::FIRST_WITH_SAME_IDS..).take(MIXED_PER_BATCH);
-    mixed_batch_with_changing_rooms => (mixed::FIRST_WITH_CHANGING_CAPACITY..).take(MIXED_PER_BATCH);
-    mixed_seeds_with_crashes_that_have_shown_a_fault => mixed::CRASH_REGRESSIONS.iter().copied();
-    mixed_seeds_that_have_shown_a_fault => mixed::REGRESSIONS.iter().copied();
+    mixed_batch_with_changing_capacity => (mixed::FIRST_WITH_CHANGING_CAPACITY..).take(MIXED_PER_BATCH);
+    mixed_regression_seeds_with_crashes => mixed::CRASH_REGRESSIONS.iter().copied();
+    mixed_regression_seeds => mixed::REGRESSIONS.iter().copied();
     seeds_by_hand => seeds_from_environment()?;
 }
 
--- a/tests/site/reborn.rs
+++ b/tests/site/reborn.rs
@@ -15,23 +15,23 @@
 cases! {
     /// Run ends of a worker's next incarnation that are mistaken for old ones, so that their tasks run again and
     /// again.
-    ends_of_a_next_life_are_taken_in => next_incarnation(401, Duration::from_secs(RESTART_DELAY_SECS));
+    run_ends_of_the_next_incarnation_are_processed => next_incarnation(401, Duration::from_secs(RESTART_DELAY_SECS));
     /// The same where the worker is back before any entry has noticed its crash.
-    ends_of_a_next_life_that_nobody_missed_are_taken_in => next_incarnation(402, Duration::from_millis(300));
+    run_ends_after_an_unnoticed_restart_are_processed => next_incarnation(402, Duration::from_millis(300));
     /// Tasks that wait for a lease of a terminated incarnation to expire.
-    runs_of_a_life_that_is_over_start_again_soon => lost_runs();
+    runs_of_a_terminated_incarnation_restart_soon => lost_runs();
     /// A worker that is never used again under its id.
-    worker_that_was_over_is_used_again => used_again();
+    worker_that_was_terminated_is_used_again => used_again();
     /// Long-running tasks whose lease expires, since it is counted on the clock of the previous incarnation.
-    lasting_tasks_stay_on_a_next_life => lease();
+    long_running_tasks_stay_on_the_next_incarnation => lease();
     /// A start that reaches the incarnation after the one that it was sent to, while its task runs elsewhere.
-    late_start_of_a_life_before_runs_beside_no_other => late_start();
+    late_start_for_the_previous_incarnation_causes_no_overlap => late_start();
     /// The same for starts of a former owner.
-    late_start_of_a_former_owner_runs_beside_no_other => late_start_of_former_owner();
+    late_start_of_a_former_owner_causes_no_overlap => late_start_of_former_owner();
     /// Unbounded retries of a task that crashes its workers, which restart under the same ids.
     crashes_of_workers_that_keep_their_ids_count => crashes();
     /// Runs of the previous incarnation that a new owner assumes to be running.
-    next_owner_finds_the_next_life => next_owner();
+    next_owner_detects_the_next_incarnation => next_owner();
 }
 
 /// Seconds from a crash until the worker has restarted.
--- a/tests/site/room.rs
+++ b/tests/site/room.rs
@@ -12,15 +12,15 @@
 
 cases! {
     /// Starts beyond a capacity that has shrunk.
-    room_that_has_shrunk_takes_no_more_than_it_has => shrunk();
+    shrunk_capacity_is_not_exceeded => shrunk();
     /// Capacity that is never used again once it has shrunk.
-    room_that_has_grown_again_is_used => grown();
+    restored_capacity_is_used => grown();
     /// Starts beyond the capacity while other runs are still being stopped.
-    run_that_is_being_stopped_takes_its_room => stopping();
+    run_that_is_being_stopped_occupies_capacity => stopping();
     /// A full worker that gets more tasks from the next owner, which knows an older capacity.
-    next_owner_knows_the_room => next_owner();
+    next_owner_knows_the_capacity => next_owner();
     /// Long-running tasks that lose their worker because its capacity has shrunk below their demand.
-    lasting_tasks_stay_in_a_room_that_has_shrunk => long_running_stays();
+    long_running_tasks_stay_when_capacity_shrinks => long_running_stays();
 }
 
 /// Half of a worker's initial capacity: enough for four tasks of these tests.
--- a/tests/site/store.rs
+++ b/tests/site/store.rs
@@ -17,14 +17,14 @@
 use tokio::time::Instant;
 
 cases! {
-    outage_keeps_what_runs => outage();
-    silent_outage_is_over_within_seconds => unresponsive();
+    running_tasks_survive_an_outage => outage();
+    recovery_from_unresponsive_store_takes_seconds => unresponsive();
     lost_and_late_commits_start_nothing_twice => lost_and_late();
-    dropped_history_is_read_anew => history_compacted();
+    compacted_history_is_read_anew => history_compacted();
     configuration_never_goes_back => newest_configuration();
-    lost_answer_costs_a_fraction_of_the_timeout => lost_response();
-    slow_store_is_waited_for => slow();
-    many_lost_answers_cost_no_more_each_than_one => repeated_losses();
+    lost_response_costs_a_fraction_of_the_timeout => lost_response();
+    commits_to_a_slow_store_succeed => slow();
+    many_lost_responses_cost_no_more_each_than_one => repeated_losses();
 }
 
 // The store rejects all calls for four seconds. Leases outlast that, so long-running tasks keep running, and the
--- a/tests/site/stories.rs
+++ b/tests/site/stories.rs
@@ -12,16 +12,16 @@
 use std::{collections::BTreeSet, time::Duration};
 
 cases! {
-    refused_because_the_store_turned_calls_away => refused();
-    late_because_a_worker_died => late();
+    rejected_because_the_store_rejected_calls => refused();
+    late_because_a_worker_crashed => late();
     failed_by_its_own_fault => failed();
-    lasting_task_away_because_its_worker_died => unavailable();
+    long_running_task_unavailable_because_its_worker_crashed => unavailable();
     cancelled_while_it_ran => cancelled();
-    cancelled_and_heard_of_late => learned_late();
-    cancelled_while_its_start_waits => cancelled_before_its_start();
+    cancelled_and_learned_late => learned_late();
+    cancelled_while_its_start_is_pending => cancelled_before_its_start();
     cancelled_before_a_takeover => found_at_takeover();
-    many_lives_end_in_few_lines => many_terminated();
-    many_runs_end_in_few_lines => many_failed_runs();
+    many_terminated_workers_give_few_lines => many_terminated();
+    many_failed_runs_give_few_lines => many_failed_runs();
 }
 
 /// Lines whose fields contain the id of a job or of one of its tasks.
--- a/tests/site/takeover.rs
+++ b/tests/site/takeover.rs
@@ -20,25 +20,25 @@
 use tokio::time::{sleep, timeout};
 
 cases! {
-    killed_owner_is_replaced_and_its_runs_go_on => killed();
+    killed_owner_is_replaced_and_its_runs_continue => killed();
     all_entries_killed_at_once_lose_nothing => all_killed();
-    owner_cut_off_from_the_store_is_replaced => partitioned();
-    frozen_owner_wakes_after_its_replacement => suspended();
+    owner_partitioned_from_the_store_is_replaced => partitioned();
+    suspended_owner_resumes_after_its_replacement => suspended();
     owner_killed_twice_in_a_row => killed_twice();
-    stopped_owner_hands_over_at_once => stopped();
+    stopped_owner_is_replaced_at_once => stopped();
     successor_counts_a_task_that_is_being_stopped => stop_under_way();
     slow_store_moves_no_pool => slow_store();
-    store_that_refuses_commits_moves_no_pool => commits_refused();
+    store_that_rejects_commits_moves_no_pool => commits_refused();
     restarted_entry_takes_its_old_pool_over => restarted();
-    newer_bounds_are_in_force_from_a_takeover_on => newer_bounds();
-    replaced_owner_starts_nothing_more => replaced();
-    commit_that_stands_does_not_prove_the_ownership => applied_commit(0.0);
-    commit_that_is_found_to_stand_does_not_prove_it_either => applied_commit(1.0);
+    newer_bounds_take_effect_at_a_takeover => newer_bounds();
+    replaced_owner_starts_nothing => replaced();
+    applied_commit_does_not_prove_ownership => applied_commit(0.0);
+    applied_commit_found_by_reading_does_not_prove_ownership => applied_commit(1.0);
     end_is_acknowledged_only_once_it_is_stored => acknowledged();
-    strong_entry_that_comes_back_gets_its_pools => strong_entry_returns();
-    entry_that_joins_takes_what_is_given_up => joins();
+    strong_entry_regains_its_pools_after_a_restart => strong_entry_returns();
+    joining_entry_takes_over_what_is_released => joins();
     pool_goes_to_a_candidate => candidate_takes_over();
-    observers_take_over_when_all_candidates_are_gone => all_candidates_killed();
+    observers_take_over_when_all_candidates_are_killed => all_candidates_killed();
 }
 
 // The owner is killed while tasks run. Their leases outlast the takeover, so the successor discovers the runs and
--- a/tests/site/worker.rs
+++ b/tests/site/worker.rs
@@ -10,12 +10,12 @@
 use tokio::time::sleep;
 
 cases! {
-    crashed_worker_is_known_to_be_over_in_seconds => crashed();
-    cut_off_worker_runs_on_and_nothing_overlaps => partitioned();
+    crashed_worker_is_detected_in_seconds => crashed();
+    partitioned_worker_causes_no_overlap => partitioned();
     late_orders_start_nothing_twice => late_orders();
-    start_without_an_answer_costs_half_a_second => unanswered();
-    job_that_always_fails_is_failed_after_its_attempts => fails();
-    draining_worker_gets_nothing_new => draining();
+    start_without_a_response_costs_half_a_second => unanswered();
+    job_that_always_fails_ends_as_failed_after_its_attempts => fails();
+    draining_worker_gets_no_new_tasks => draining();
 }
 
 // Guards against slow recovery from a crash. The platform's list no longer shows a worker on the crashed one's
