--- a/tests/site/accept.rs
+++ b/tests/site/accept.rs
@@ -1,8 +1,8 @@
 //! Submission of jobs: an accepted job is stored once, and a rejected one never runs.
 
 use crate::{
-    bed::{Fixture, OTHER, POOL, configuration, job, sleep_secs, step, task},
     cases,
+    fixture::{Fixture, OTHER, POOL, configuration, job, sleep_secs, step, task},
 };
 use eyre::{Result, ensure};
 use http::StatusCode;
--- a/tests/site/advice.rs
+++ b/tests/site/advice.rs
@@ -1,8 +1,8 @@
 //! Queues whose placement policy only the advice service knows: starts of their tasks carry its tickets.
 
 use crate::{
-    bed::{Fixture, POOL, configuration, job, long_running, sleep_secs, task},
     cases,
+    fixture::{Fixture, POOL, configuration, job, long_running, sleep_secs, task},
 };
 use eyre::{Result, ensure};
 use primroseroute_domain::work::{Job, JobId, State};
--- a/tests/site/cancel.rs
+++ b/tests/site/cancel.rs
@@ -1,8 +1,8 @@
 //! Cancels: an acknowledged cancel is stored, and all tasks of its job stop.
 
 use crate::{
-    bed::{Fixture, POOL, job, long_running, sleep_secs, task},
     cases,
+    fixture::{Fixture, POOL, job, long_running, sleep_secs, task},
 };
 use eyre::{Result, ensure};
 use http::StatusCode;
--- a/tests/site/crash.rs
+++ b/tests/site/crash.rs
@@ -3,8 +3,8 @@
 //! The comment on each case names the failure that it guards against.
 
 use crate::{
-    bed::{Fixture, POOL, job, long_running, sleep_secs, step, task},
     cases,
+    fixture::{Fixture, POOL, job, long_running, sleep_secs, step, task},
 };
 use eyre::{Result, ensure};
 use primroseroute_domain::work::{Job, JobId, Name, State, Step};
--- a/tests/site/stories.rs
+++ b/tests/site/diagnosis.rs
@@ -1,9 +1,9 @@
 //! Diagnosis from logs: given only the id of a job that a caller complains about, the log lines show the cause.
 
 use crate::{
-    bed::{Fixture, POOL, job, long_running, sleep_secs, task},
     cases,
-    lines::{Line, capture, captured},
+    fixture::{Fixture, POOL, job, long_running, sleep_secs, task},
+    log_capture::{Line, capture, captured},
 };
 use eyre::{Result, ensure, eyre};
 use http::StatusCode;
--- a/tests/site/inspect.rs
+++ b/tests/site/inspect.rs
@@ -1,8 +1,8 @@
 //! What operators see of pools, jobs and waves, read from the store without calling an entry.
 
 use crate::{
-    bed::{Fixture, OTHER, POOL, STANDBY, job, long_running, sleep_secs},
     cases,
+    fixture::{Fixture, OTHER, POOL, STANDBY, job, long_running, sleep_secs},
 };
 use eyre::{Result, ensure, eyre};
 use http::StatusCode;
--- a/tests/site/main.rs
+++ b/tests/site/main.rs
@@ -5,23 +5,23 @@
 
 mod accept;
 mod advice;
-mod bed;
 mod cancel;
+mod capacity;
 mod crash;
-mod figures;
-mod forget;
-mod herd;
+mod diagnosis;
+mod fixture;
 mod inspect;
-mod lines;
-mod lives;
+mod log_capture;
 mod maintain;
+mod metrics;
 mod moves;
 mod random;
-mod reborn;
-mod room;
+mod retention;
+mod reused_ids;
 mod store;
-mod stories;
+mod store_overload;
 mod takeover;
+mod termination;
 mod worker;
 
 /// Declares one test per case; a case fails by returning an error.
--- a/tests/site/maintain.rs
+++ b/tests/site/maintain.rs
@@ -2,8 +2,8 @@
 //! of each step ready.
 
 use crate::{
-    bed::{Fixture, POOL, STANDBY, job, long_running, sleep_secs, task},
     cases,
+    fixture::{Fixture, POOL, STANDBY, job, long_running, sleep_secs, task},
 };
 use eyre::{Result, ensure};
 use primroseroute_cell::row;
--- a/tests/site/figures.rs
+++ b/tests/site/metrics.rs
@@ -1,8 +1,8 @@
 //! Metrics that owners report on their control loops.
 
 use crate::{
-    bed::{Fixture, POOL, job, long_running, sleep_secs},
     cases,
+    fixture::{Fixture, POOL, job, long_running, sleep_secs},
 };
 use eyre::{Result, ensure};
 use http::StatusCode;
--- a/tests/site/moves.rs
+++ b/tests/site/moves.rs
@@ -1,11 +1,11 @@
 //! Moves of instances between pools, from those with a surplus to those with a shortage.
 
 use crate::{
-    bed::{
+    cases,
+    fixture::{
         Fixture, OTHER, POOL, STANDBY, configuration, job, long_running, sleep_secs, task,
         with_standby,
     },
-    cases,
 };
 use eyre::{Result, ensure, eyre};
 use primroseroute_domain::work::{Name, State};
--- a/tests/site/random/mixed.rs
+++ b/tests/site/random/mixed.rs
@@ -3,7 +3,7 @@
 //! CPU shares. Between the faults are quiet periods, in which guarantees with a time bound are checked as well.
 
 use super::{History, sleep_secs};
-use crate::bed::{Fixture, POOL, long_running, step};
+use crate::fixture::{Fixture, POOL, long_running, step};
 use eyre::{Result, ensure};
 use primroseroute_domain::work::{Demand, Job, JobId, Name, Step};
 use primroseroute_platform::site::{Instruction, Wave};
@@ -444,7 +444,7 @@
                 continue;
             }
             for index in 0..fixture.sent.jobs[id].steps[0].count {
-                let task = crate::bed::task(id, 0, index);
+                let task = crate::fixture::task(id, 0, index);
                 let on = fixture.running(&task);
                 ensure!(on.len() == 1, "{task} runs on {on:?}");
             }
--- a/tests/site/random/mod.rs
+++ b/tests/site/random/mod.rs
@@ -7,8 +7,8 @@
 mod mixed;
 
 use crate::{
-    bed::{Fixture, job, long_running, sleep_secs, step},
-    lines::{capture, captured},
+    fixture::{Fixture, job, long_running, sleep_secs, step},
+    log_capture::{capture, captured},
 };
 use eyre::{Result, ensure};
 use http::StatusCode;
--- a/tests/site/forget.rs
+++ b/tests/site/retention.rs
@@ -1,8 +1,8 @@
 //! Deletion of a finished job's rows after the retention time; the job never runs again.
 
 use crate::{
-    bed::{Fixture, POOL, job, sleep_secs, task},
     cases,
+    fixture::{Fixture, POOL, job, sleep_secs, task},
 };
 use eyre::{Result, ensure};
 use primroseroute_cell::row;
--- a/tests/site/store.rs
+++ b/tests/site/store.rs
@@ -1,8 +1,8 @@
 //! A store that is unavailable or slow, loses responses, or compacts its history.
 
 use crate::{
-    bed::{Fixture, OTHER, POOL, configuration, job, long_running, sleep_secs, task},
     cases,
+    fixture::{Fixture, OTHER, POOL, configuration, job, long_running, sleep_secs, task},
 };
 use eyre::{Result, ensure};
 use http::StatusCode;
--- a/tests/site/herd.rs
+++ b/tests/site/store_overload.rs
@@ -1,9 +1,9 @@
 //! Many entries whose combined load exceeds the rate limit of the store.
 
 use crate::{
-    bed::{Fixture, POOL, job, sleep_secs},
     cases,
-    lines::{capture, captured},
+    fixture::{Fixture, POOL, job, sleep_secs},
+    log_capture::{capture, captured},
 };
 use eyre::{Result, ensure};
 use primroseroute_domain::work::State;
--- a/tests/site/takeover.rs
+++ b/tests/site/takeover.rs
@@ -1,8 +1,8 @@
 //! Owners that are killed, partitioned or suspended: their pools are taken over, and no task runs twice.
 
 use crate::{
-    bed::{Fixture, OTHER, POOL, job, long_running, sleep_secs, task},
     cases,
+    fixture::{Fixture, OTHER, POOL, job, long_running, sleep_secs, task},
 };
 use eyre::{Result, ensure, eyre};
 use primroseroute_cell::{
--- a/tests/site/lives.rs
+++ b/tests/site/termination.rs
@@ -2,8 +2,8 @@
 //! registrations.
 
 use crate::{
-    bed::{Fixture, OTHER, POOL, configuration, job, long_running, sleep_secs, task},
     cases,
+    fixture::{Fixture, OTHER, POOL, configuration, job, long_running, sleep_secs, task},
 };
 use eyre::{Result, bail, ensure, eyre};
 use primroseroute_cell::row::{self, Orders, WaveProgress as Progress};
--- a/tests/site/worker.rs
+++ b/tests/site/worker.rs
@@ -1,8 +1,8 @@
 //! Workers that crash, are partitioned while they run on, fail tasks, drain, or execute orders late.
 
 use crate::{
-    bed::{ATTEMPTS, Fixture, job, long_running, sleep_secs, task},
     cases,
+    fixture::{ATTEMPTS, Fixture, job, long_running, sleep_secs, task},
 };
 use eyre::{Result, ensure};
 use primroseroute_domain::work::{Name, State};
