--- a/tests/site/random/mixed.rs
+++ b/tests/site/random/mixed.rs
@@ -1,9 +1,9 @@
-//! Histories in which planned work, lags and faults overlap: roll-outs, waves, moves, racks gone dark, workers that leave, late
-//! stops, reads and lists, and entries of different strength. Between them are spells without any fault, in which promises
-//! with a time bound are judged as well.
+//! Histories in which planned maintenance, delays and faults overlap: roll-outs, maintenance waves, moves,
+//! partitions of several workers, workers that shut down, late stops, reads and lists, and entries with different
+//! CPU shares. Between the faults are quiet periods, in which guarantees with a time bound are checked as well.
 
-use super::{History, seconds};
-use crate::bed::{Bed, POOL, lasting, step};
+use super::{History, sleep_secs};
+use crate::fixture::{Fixture, POOL, long_running, step};
 use eyre::{Result, ensure};
 use primroseroute_domain::work::{Demand, Job, JobId, Name, Step};
 use primroseroute_platform::site::{Instruction, Wave};
@@ -14,116 +14,134 @@
     time::Duration,
 };
 
-/// Seeds of such histories.
+/// Seeds of mixed histories.
 pub(super) const SEEDS: RangeInclusive<u64> = 500_000..=4_999_999;
 
-/// Seeds from this one on are of histories in which workers take long to stop a run, so that much can happen meanwhile.
+/// From this seed on, workers take long to stop a run, so that more faults coincide with stops under way.
 pub(super) const FIRST_WITH_SLOW_STOPS: u64 = 1_000_000;
 
-/// Seeds from this one on are of histories in which some tasks crash the workers that start them.
+/// From this seed on, some tasks crash the workers that start them, and stops are quick again.
 pub(super) const FIRST_WITH_CRASHES: u64 = 2_000_000;
 
-/// Seeds from this one on are of such histories in which most crashed workers are back under the ids that they had.
+/// From this seed on, most crashed workers also restart under the same id.
 pub(super) const FIRST_WITH_SAME_IDS: u64 = 3_000_000;
 
-/// Seeds from this one on are of such histories in which the rooms of workers shrink and grow again.
-pub(super) const FIRST_WITH_CHANGING_ROOMS: u64 = 4_000_000;
+/// From this seed on, the capacities of workers also shrink and grow again.
+pub(super) const FIRST_WITH_CHANGING_CAPACITY: u64 = 4_000_000;
 
-/// Share of those workers.
-const SAME_IDS: f64 = 0.7;
+/// Share of crashed workers that restart under the same id, from [`FIRST_WITH_SAME_IDS`] on.
+const SAME_ID_SHARE: f64 = 0.7;
 
-/// Time that a worker takes to stop a run: in histories with slow stops, and in the others.
-const STOP: [Duration; 2] = [Duration::from_millis(800), Duration::from_millis(100)];
+/// Time that a worker takes to stop a run: in histories with slow stops, and in all others.
+const STOP_TIMES: [Duration; 2] = [Duration::from_millis(800), Duration::from_millis(100)];
 
-/// Seeds that have shown a fault, each with its cause.
+/// Regression seeds, each with the failure that it guards against.
 pub(super) const REGRESSIONS: &[u64] = &[
-    // A stop was sent again, by the next owners too, while a crash had taken another task of the step.
+    // A stop was repeated, also by later owners, after a crash had terminated another task of the same step.
     600_032, 600_445,
-    // A look from before its owner stood still for seconds was taken for new.
+    // After its process had been suspended for seconds, an owner treated a worker status from before that as
+    // current.
     610_098,
-    // An entry that came back stopped at once, and told the next holder that nothing it held had been ordered.
+    // An entry shut down right after its restart, and recorded for the next holder of its instance groups that no
+    // instance in them had been given an order, without knowing the orders of its earlier process.
     610_919, 612_399,
-    // An instance was ordered by a list that showed the life before, and tasks of the new one were cut off.
+    // An instance was given an order based on a list that showed the previous incarnation of its worker, and the
+    // order terminated tasks of the new one.
     612_767,
-    // An entry that gave a group up without knowing what rests took it back, and took nothing for resting.
+    // An entry that had released an instance group without knowing which of its instances may not be given orders
+    // yet reacquired it, and assumed that there were none.
     623_208,
 ];
 
-/// Seeds of histories with crashing tasks or kept ids that have shown a fault, each with its cause.
+/// Regression seeds with crashing tasks or reused worker ids, each with the failure that it guards against.
 pub(super) const CRASH_REGRESSIONS: &[u64] = &[
-    // A task of a spread step found no room beside others of its step and full workers, and the pool asked for none.
+    // A task of a spread step found no free capacity, since some workers had other tasks of the step and the rest
+    // were full, and the pool didn't request another worker.
     3_410_088,
-    // A start that never reached its worker, which lived on behind a cut, acquitted its task.
+    // A start that never reached its worker, which ran on behind a partition, cleared its task of suspicion.
     2_420_123,
-    // One crash by another cause during a trial was enough.
-    2_001_047, // Its owner died before a look showed that the run had outlived its trial.
-    4_740_270, // The worker had died just before the trial began, and the start reached nobody.
-    2_312_061, // The start had never reached its worker, and a successor took it for lost with an earlier life.
-    2_000_057, // A successor took what it found at work for new.
+    // A task was abandoned although its run had outlived its isolation: its owner died before a status poll showed
+    // that.
+    2_001_047,
+    // A task was abandoned for an isolated run that had never begun, since its worker had died just before the
+    // start.
+    4_740_270,
+    // A start had never reached its worker, and a successor assumed that the run was lost with an earlier
+    // incarnation.
+    2_312_061,
+    // A single crash with another cause during an isolated run was enough for a task to be abandoned.
+    2_000_057,
+    // A successor treated a run that it discovered on a worker as new, so that a crash was attributed to its task.
     2_000_102,
-    // The stops of a lasting job that was given up took tasks at work away.
-    2_000_073, // Leases lapsed before the crash was known, and it wasn't counted.
-    2_000_256, // Crashes of other causes added up over a lasting task's life.
-    2_000_609, // A crash was held against a suspect that had long passed its trial.
+    // The stops of an abandoned long-running job terminated tasks that were ready.
+    2_000_073,
+    // With delayed lists of instances, leases expired before a crash was known, so that the crash wasn't counted.
+    2_000_256,
+    // Crashes with other causes added up over the lifetime of a long-running task.
+    2_000_609,
+    // A crash was attributed to a suspect task long after it had outlived its isolated run.
     2_000_617, 2_000_644,
-    // A successor didn't know what the runs of a cancelled job occupy, and started more beside them than there was room for.
-    2_001_134, // A list from before a worker was back ended its next life.
+    // A successor didn't know the resources that runs of a cancelled job still occupied, and started more beside
+    // them than the worker had capacity for.
+    2_001_134,
+    // A list from before a worker's restart marked its next incarnation as terminated.
     3_000_369,
-    // Starts of the life before were carried out by the next one, after a stop or a newer run.
+    // Starts sent to one incarnation of a worker were executed by the next one, after a stop or a newer run.
     3_000_338, 3_000_512, 3_000_547,
-    // A crash just before a takeover wasn't counted.
+    // A worker's crash just before a takeover of its pool was not counted against the task that had caused it.
     3_000_061, 3_000_325, 3_000_358,
-    // A start had a deadline on the old clock and a token for the new life.
+    // A start had a deadline on the clock of the old incarnation and a token for the new one.
     3_000_249, 3_000_426,
-    // The next life of a worker passed for the one before, and its crash went uncounted.
+    // The next incarnation of a worker was mistaken for the previous one, whose crash was not counted.
     3_340_286, 4_730_062, 3_020_148,
-    // An answered start was lost by a list that was asked for before the life that had answered it began.
+    // A confirmed start was treated as lost because of a list that was requested before the incarnation that had
+    // confirmed it began.
     4_720_263,
-    // A start with a deadline on the clock of the life before gave a worker a lease without end.
+    // A start with a deadline on the clock of the previous incarnation gave a worker a lease without end.
     3_340_140, 3_340_289, 3_340_365,
-    // A late start of a former owner reached a life that nobody had reached yet.
+    // A late start of a former owner reached an incarnation that nobody had contacted yet.
     3_000_363,
-    // A task that was at work again after a stop, and then lost with its worker, was judged as stopped.
+    // A task that ran again after a stop, and was then lost with its worker, was judged as stopped.
     3_020_060,
 ];
 
-/// Seconds of faults and spells in a history.
-const LENGTH: u64 = 30;
+/// Seconds of faults and quiet periods in a history.
+const FAULT_PHASE_SECS: u64 = 30;
 
-/// Seconds of a spell without faults: longer than any promise that is judged in it.
-const SPELL: u64 = 9;
+/// Seconds of a quiet period: longer than the time bound of any guarantee that is checked in it.
+const QUIET_PERIOD_SECS: u64 = 9;
 
-/// Workers of the pool at first.
+/// Initial number of workers in the pool.
 const WORKERS: usize = 9;
 
-/// Strengths of the entries, in thousandths of a core.
-const STRENGTHS: [&[u32]; 2] = [&[250, 250, 250], &[500, 120, 120, 250]];
+/// CPU shares of the entries, in thousandths of a core.
+const ENTRY_STRENGTHS: [&[u32]; 2] = [&[250, 250, 250], &[500, 120, 120, 250]];
 
-/// What comes some seconds after a fault.
-enum Later {
-    Join(Name),
-    Thaw(String),
+/// Action scheduled some seconds after a fault.
+enum Delayed {
+    Reconnect(Name),
+    Resume(String),
     Crash(Name),
-    Grow(Name),
+    RestoreCapacity(Name),
     Restart(Name),
     Start(String),
 }
 
-struct Mixed {
+struct MixedHistory {
     history: History,
     second: u64,
-    /// Entries that a roll-out hasn't reached yet.
-    rolling: VecDeque<String>,
+    /// Entries that the roll-out in progress has not restarted yet.
+    rolling_out: VecDeque<String>,
     waves: u64,
-    cut: BTreeSet<Name>,
-    later: BTreeMap<u64, Vec<Later>>,
-    /// When a spell without faults began, and the second in which it is over.
-    spell: Option<(u64, u64)>,
-    has_changing_rooms: bool,
+    partitioned: BTreeSet<Name>,
+    scheduled: BTreeMap<u64, Vec<Delayed>>,
+    /// Start of the current quiet period, in milliseconds of the site's clock, and the second in which it ends.
+    quiet_period: Option<(u64, u64)>,
+    has_changing_capacity: bool,
 }
 
-/// Tasks that last, of which `may_miss` may be missed.
-fn wide(count: u16, may_miss: u16) -> Job {
+/// A job of long-running tasks, of which `may_miss` may be unavailable.
+fn long_running_job(count: u16, may_miss: u16) -> Job {
     let step = Step {
         lasting: true,
         may_miss,
@@ -132,16 +150,16 @@
     };
     Job {
         steps: vec![step],
-        ..lasting(count)
+        ..long_running(count)
     }
 }
 
 pub(super) async fn history(seed: u64) -> Result<()> {
-    let strengths = STRENGTHS[usize::try_from(seed % 2)?];
+    let strengths = ENTRY_STRENGTHS[usize::try_from(seed % 2)?];
     let has_slow_stops = (FIRST_WITH_SLOW_STOPS..FIRST_WITH_CRASHES).contains(&seed);
-    let stop = STOP[usize::from(!has_slow_stops)];
+    let stop = STOP_TIMES[usize::from(!has_slow_stops)];
     let same_id = if seed >= FIRST_WITH_SAME_IDS {
-        SAME_IDS
+        SAME_ID_SHARE
     } else {
         0.0
     };
@@ -151,65 +169,65 @@
         same_id,
         ..Options::default()
     };
-    let bed = Bed::open_mixed(options, strengths, WORKERS).await?;
-    let mut mixed = Mixed {
-        history: History::new(bed, seed),
+    let fixture = Fixture::open_mixed(options, strengths, WORKERS).await?;
+    let mut mixed = MixedHistory {
+        history: History::new(fixture, seed),
         second: 0,
-        rolling: VecDeque::new(),
+        rolling_out: VecDeque::new(),
         waves: 0,
-        cut: BTreeSet::new(),
-        later: BTreeMap::new(),
-        spell: None,
-        has_changing_rooms: seed >= FIRST_WITH_CHANGING_ROOMS,
+        partitioned: BTreeSet::new(),
+        scheduled: BTreeMap::new(),
+        quiet_period: None,
+        has_changing_capacity: seed >= FIRST_WITH_CHANGING_CAPACITY,
     };
     for (count, may_miss) in [(4, 1), (5, 2)] {
         let id = mixed
             .history
-            .bed
-            .submit("e-0", &wide(count, may_miss))
+            .fixture
+            .submit("e-0", &long_running_job(count, may_miss))
             .await?;
-        mixed.history.lasting.insert(id.clone());
+        mixed.history.long_running_jobs.insert(id.clone());
         mixed.history.jobs.push(id);
     }
-    seconds(2).await;
-    while mixed.second < LENGTH {
-        mixed.second().await?;
+    sleep_secs(2).await;
+    while mixed.second < FAULT_PHASE_SECS {
+        mixed.run_second().await?;
         mixed.second += 1;
-        seconds(1).await;
+        sleep_secs(1).await;
     }
     mixed.end_faults();
-    let last_fault = mixed.history.bed.world.now();
+    let last_fault = mixed.history.fixture.world.now();
     mixed.restart_all().await;
-    mixed.history.calm().await;
-    mixed.history.was_calm(last_fault);
+    mixed.history.recover().await;
+    mixed.history.record_quiet_period(last_fault);
     mixed.history.finish().await?;
-    mixed.all_at_work()
+    mixed.check_long_running()
 }
 
-impl Mixed {
+impl MixedHistory {
     fn draw(&self, bound: u64) -> u64 {
         self.history.draw(bound)
     }
 
-    /// Whether a thing happens that does so once in `times`.
+    /// Draws an event of probability 1 in `times`.
     fn once_in(&self, times: u64) -> bool {
         self.draw(times) == 0
     }
 
-    async fn second(&mut self) -> Result<()> {
-        for later in self.later.remove(&self.second).unwrap_or_default() {
-            self.come(later);
+    async fn run_second(&mut self) -> Result<()> {
+        for later in self.scheduled.remove(&self.second).unwrap_or_default() {
+            self.apply(later);
         }
-        self.roll();
+        self.roll_out_step();
         self.history.submit().await?;
-        if let Some((from, until)) = self.spell {
+        if let Some((from, until)) = self.quiet_period {
             if self.second >= until {
-                self.history.was_calm(from);
-                self.spell = None;
+                self.history.record_quiet_period(from);
+                self.quiet_period = None;
             }
         } else {
             self.fault();
-            if self.spell.is_none() && self.once_in(2) {
+            if self.quiet_period.is_none() && self.once_in(2) {
                 self.fault();
             }
         }
@@ -217,136 +235,139 @@
         Ok(())
     }
 
-    fn after(&mut self, seconds: u64, later: Later) {
+    fn after(&mut self, seconds: u64, later: Delayed) {
         let at = self.second + seconds;
-        self.later.entry(at).or_default().push(later);
+        self.scheduled.entry(at).or_default().push(later);
     }
 
-    fn come(&mut self, later: Later) {
-        let bed = &mut self.history.bed;
+    fn apply(&mut self, later: Delayed) {
+        let fixture = &mut self.history.fixture;
         match later {
-            Later::Join(worker) => self.join(&worker),
-            Later::Thaw(name) if bed.nodes.contains_key(&name) => {
-                bed.update_faults(&name, |faults| faults.frozen = false);
+            Delayed::Reconnect(worker) => self.reconnect(&worker),
+            Delayed::Resume(name) if fixture.nodes.contains_key(&name) => {
+                fixture.update_faults(&name, |faults| faults.frozen = false);
             }
-            Later::Start(name) if !bed.nodes.contains_key(&name) => bed.start(&name),
-            Later::Thaw(_) | Later::Start(_) => {}
-            Later::Crash(worker) => self.crash(&worker),
-            Later::Grow(worker) => bed.world.resize(&worker, CAPACITY),
-            Later::Restart(instance) => bed.world.restart(&instance),
+            Delayed::Start(name) if !fixture.nodes.contains_key(&name) => fixture.start(&name),
+            Delayed::Resume(_) | Delayed::Start(_) => {}
+            Delayed::Crash(worker) => self.crash(&worker),
+            Delayed::RestoreCapacity(worker) => fixture.world.resize(&worker, CAPACITY),
+            Delayed::Restart(instance) => fixture.world.restart(&instance),
         }
     }
 
-    fn join(&mut self, worker: &Name) {
-        let world = &self.history.bed.world;
-        if self.cut.remove(worker) && world.workers().contains(worker) {
+    fn reconnect(&mut self, worker: &Name) {
+        let world = &self.history.fixture.world;
+        if self.partitioned.remove(worker) && world.workers().contains(worker) {
             world.set_partitioned(worker, false);
         }
     }
 
-    /// Ends a worker's life; its instance has the next one some seconds later.
+    /// Crashes a worker; its instance restarts some seconds later.
     fn crash(&mut self, worker: &Name) {
-        if let Some(instance) = self.history.bed.instance_of(worker) {
-            self.history.bed.world.crash(worker);
+        if let Some(instance) = self.history.fixture.instance_of(worker) {
+            self.history.fixture.world.crash(worker);
             let seconds = 2 + self.draw(4);
-            self.after(seconds, Later::Restart(instance));
+            self.after(seconds, Delayed::Restart(instance));
         }
     }
 
-    /// The next step of a roll-out: one entry a second is stopped, and is back a second later.
-    fn roll(&mut self) {
-        while let Some(name) = self.rolling.pop_front() {
-            if self.history.bed.nodes.contains_key(&name) {
-                self.history.bed.stop(&name);
-                self.after(1, Later::Start(name));
+    /// The next step of a roll-out: one entry per second is stopped, and started again a second later.
+    fn roll_out_step(&mut self) {
+        while let Some(name) = self.rolling_out.pop_front() {
+            if self.history.fixture.nodes.contains_key(&name) {
+                self.history.fixture.stop(&name);
+                self.after(1, Delayed::Start(name));
                 return;
             }
         }
     }
 
-    fn any_worker(&self) -> Option<Name> {
-        let workers = self.history.bed.world.workers();
+    fn choose_worker(&self) -> Option<Name> {
+        let workers = self.history.fixture.world.workers();
         let index = usize::try_from(self.draw(workers.len().max(1) as u64)).unwrap_or(0);
         workers.get(index).map(Name::clone)
     }
 
-    /// Shrinks the room of a worker, or lets it grow again some seconds later.
+    /// Shrinks the capacity of a worker, and restores it some seconds later.
     fn resize(&mut self) {
-        if let Some(worker) = self.any_worker() {
+        if let Some(worker) = self.choose_worker() {
             let cpu = 2_000 * self.draw(8);
-            let room = Demand { cpu, ..CAPACITY };
-            self.history.bed.world.resize(&worker, room);
+            let reduced = Demand { cpu, ..CAPACITY };
+            self.history.fixture.world.resize(&worker, reduced);
             let seconds = 2 + self.draw(8);
-            self.after(seconds, Later::Grow(worker));
+            self.after(seconds, Delayed::RestoreCapacity(worker));
         }
     }
 
     fn fault(&mut self) {
-        if self.has_changing_rooms && self.once_in(3) {
+        if self.has_changing_capacity && self.once_in(3) {
             self.resize();
         }
         let index = usize::try_from(self.draw(self.history.names.len() as u64)).unwrap_or(0);
         let name = self.history.names[index].clone();
-        let is_up = self.history.bed.nodes.contains_key(&name);
-        let bed = &mut self.history.bed;
-        let some = Duration::from_millis(100 + bed.world.random(1_400));
-        let drawn = bed.world.random(24);
-        log::info!(drawn, entry = name, some_ms = some.as_millis(); "a fault is drawn");
+        let is_up = self.history.fixture.nodes.contains_key(&name);
+        let fixture = &mut self.history.fixture;
+        let some = Duration::from_millis(100 + fixture.world.random(1_400));
+        let drawn = fixture.world.random(24);
+        log::info!(drawn, entry = name, some_ms = some.as_millis(); "fault drawn");
         match drawn {
             0 if is_up => {
-                bed.kill(&name);
+                fixture.kill(&name);
                 let seconds = 1 + self.draw(5);
-                self.after(seconds, Later::Start(name));
+                self.after(seconds, Delayed::Start(name));
             }
             1 if is_up => {
-                bed.update_faults(&name, |faults| faults.frozen = true);
+                fixture.update_faults(&name, |faults| faults.frozen = true);
                 let seconds = 1 + self.draw(5);
-                self.after(seconds, Later::Thaw(name));
+                self.after(seconds, Delayed::Resume(name));
             }
-            2 if is_up => bed.update_faults(&name, |faults| faults.store = Reach::Silent),
-            3 if is_up => bed.update_faults(&name, |faults| faults.workers = Reach::Silent),
-            4 if is_up => bed.update_faults(&name, |faults| faults.feeds = Reach::Silent),
-            5 if is_up => bed.update_faults(&name, |faults| faults.read_delay = some),
-            6 if is_up => bed.update_faults(&name, |faults| faults.order_delay = some / 3),
-            7 if is_up => bed.update_faults(&name, |faults| faults.delay = some / 8),
-            8 => bed.update_all_faults(|faults| faults.list_delay = some),
-            9 => bed.update_all_faults(|faults| faults.late_stops = 0.3),
-            10 => bed.update_all_faults(|faults| faults.late_orders = 0.2),
-            11 => bed.update_all_faults(|faults| {
+            2 if is_up => fixture.update_faults(&name, |faults| faults.store = Reach::Silent),
+            3 if is_up => fixture.update_faults(&name, |faults| faults.workers = Reach::Silent),
+            4 if is_up => fixture.update_faults(&name, |faults| faults.feeds = Reach::Silent),
+            5 if is_up => fixture.update_faults(&name, |faults| faults.read_delay = some),
+            6 if is_up => fixture.update_faults(&name, |faults| faults.order_delay = some / 3),
+            7 if is_up => fixture.update_faults(&name, |faults| faults.delay = some / 8),
+            8 => fixture.update_all_faults(|faults| faults.list_delay = some),
+            9 => fixture.update_all_faults(|faults| faults.late_stops = 0.3),
+            10 => fixture.update_all_faults(|faults| faults.late_orders = 0.2),
+            11 => fixture.update_all_faults(|faults| {
                 faults.lost_commits = 0.2;
                 faults.late_commits = 0.1;
             }),
-            12 => bed.update_all_faults(|faults| faults.delay = some / 5),
-            13 => bed.world.compact(),
+            12 => fixture.update_all_faults(|faults| faults.delay = some / 5),
+            13 => fixture.world.compact(),
             14 | 15 => {
                 let names = self.history.names.iter();
-                self.rolling = names.cloned().collect();
+                self.rolling_out = names.cloned().collect();
             }
             16 | 17 => self.wave(),
-            18 | 19 => self.dark(),
+            18 | 19 => self.partition(),
             20 => {
-                if let Some(worker) = self.any_worker() {
+                if let Some(worker) = self.choose_worker() {
                     self.crash(&worker);
                 }
             }
             21 => {
-                if let Some(worker) = self.any_worker() {
-                    self.history.bed.world.drain(&worker);
-                    self.after(3, Later::Crash(worker));
+                if let Some(worker) = self.choose_worker() {
+                    self.history.fixture.world.drain(&worker);
+                    self.after(3, Delayed::Crash(worker));
                 }
             }
             22 => {
                 self.end_faults();
-                self.spell = Some((self.history.bed.world.now(), self.second + SPELL));
+                self.quiet_period = Some((
+                    self.history.fixture.world.now(),
+                    self.second + QUIET_PERIOD_SECS,
+                ));
             }
-            _ => bed.update_all_faults(|faults| *faults = CallerFaults::default()),
+            _ => fixture.update_all_faults(|faults| *faults = CallerFaults::default()),
         }
     }
 
-    /// Two of five of the pool's instances are due for maintenance.
+    /// Starts a maintenance wave over about two fifths of the pool's instances.
     fn wave(&mut self) {
         self.waves += 1;
-        let world = &self.history.bed.world;
+        let world = &self.history.fixture.world;
         let own = world.instances().into_iter();
         let own = own.filter(|known| &*known.pool == POOL);
         let due: Vec<Name> = own
@@ -363,67 +384,68 @@
         }
     }
 
-    /// Some workers are cut off from all entries, and work on.
-    fn dark(&mut self) {
+    /// Partitions up to three workers from all entries; they run on.
+    fn partition(&mut self) {
         let seconds = 1 + self.draw(8);
         for _worker in 0..=self.draw(3) {
-            if let Some(worker) = self.any_worker()
-                && self.cut.insert(Name::clone(&worker))
+            if let Some(worker) = self.choose_worker()
+                && self.partitioned.insert(Name::clone(&worker))
             {
-                self.history.bed.world.set_partitioned(&worker, true);
-                self.after(seconds, Later::Join(worker));
+                self.history.fixture.world.set_partitioned(&worker, true);
+                self.after(seconds, Delayed::Reconnect(worker));
             }
         }
     }
 
-    /// Ends all faults, and brings back what is away; instances whose workers have just crashed take their time.
+    /// Ends all faults, and restores what is unavailable. Instances whose workers have just crashed still restart
+    /// at their scheduled time.
     fn end_faults(&mut self) {
-        self.rolling.clear();
-        for (second, all) in std::mem::take(&mut self.later) {
+        self.rolling_out.clear();
+        for (second, all) in std::mem::take(&mut self.scheduled) {
             for later in all {
                 match later {
-                    Later::Restart(_) => self.later.entry(second).or_default().push(later),
-                    other => self.come(other),
+                    Delayed::Restart(_) => self.scheduled.entry(second).or_default().push(later),
+                    other => self.apply(other),
                 }
             }
         }
-        let bed = &mut self.history.bed;
-        bed.update_all_faults(|faults| *faults = CallerFaults::default());
+        let fixture = &mut self.history.fixture;
+        fixture.update_all_faults(|faults| *faults = CallerFaults::default());
         for name in self.history.names.clone() {
-            if !bed.nodes.contains_key(&name) {
-                bed.start(&name);
+            if !fixture.nodes.contains_key(&name) {
+                fixture.start(&name);
             }
         }
     }
 
-    /// Waits until all instances whose workers have crashed have their next lives.
+    /// Waits until all instances whose workers have crashed have restarted.
     async fn restart_all(&mut self) {
-        while !self.later.is_empty() {
-            for later in self.later.remove(&self.second).unwrap_or_default() {
-                self.come(later);
+        while !self.scheduled.is_empty() {
+            for later in self.scheduled.remove(&self.second).unwrap_or_default() {
+                self.apply(later);
             }
             self.second += 1;
-            seconds(1).await;
+            sleep_secs(1).await;
         }
     }
 
-    /// Each lasting task of a job that goes on runs once.
-    fn all_at_work(&self) -> Result<()> {
+    /// Checks that each task of an unfinished long-running job runs exactly once.
+    fn check_long_running(&self) -> Result<()> {
         let History {
-            bed,
-            lasting,
+            fixture,
+            long_running_jobs,
             cancelled,
-            maybe_cancelled,
+            possibly_cancelled,
             ..
         } = &self.history;
-        let accepted: BTreeSet<&JobId> = bed.accepted.iter().collect();
-        for id in lasting {
-            if cancelled.contains(id) || maybe_cancelled.contains(id) || !accepted.contains(id) {
+        let accepted: BTreeSet<&JobId> = fixture.accepted.iter().collect();
+        for id in long_running_jobs {
+            if cancelled.contains(id) || possibly_cancelled.contains(id) || !accepted.contains(id) {
                 continue;
             }
-            for index in 0..bed.sent.jobs[id].steps[0].count {
-                let task = crate::bed::task(id, 0, index);
-                let on = bed.running(&task);
+            for index in 0..fixture.sent.jobs[id].steps[0].count {
+                let task = crate::fixture::task(id, 0, index);
+                let on = fixture.running(&task);
                 ensure!(on.len() == 1, "{task} runs on {on:?}");
             }
         }
