--- a/crates/owner/src/wave.rs
+++ b/crates/owner/src/wave.rs
@@ -1,79 +1,79 @@
-//! Which instances of a pool are emptied and maintained next, for one wave.
+//! Which instances of a pool are evacuated and maintained next, for one wave.
 //!
 //! Each owner maintains the instances of its own pool. How many of a wave are in maintenance over
-//! all pools is counted in the wave's row, which owners change under a condition.
+//! all pools is counted in the wave's row, which owners change conditionally.
 
 use primroseroute_cell::row::WaveProgress as Progress;
 use primroseroute_domain::work::Name;
 use primroseroute_platform::site::{Instance, InstanceState, Wave};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What an owner knows when it decides.
+/// The state on which an owner decides.
 #[derive(Debug)]
-pub struct Situation<'a> {
+pub struct WaveInputs<'a> {
     /// The wave.
     pub wave: &'a Wave,
-    /// How far it is.
+    /// The progress of the wave.
     pub progress: &'a Progress,
-    /// The pool.
+    /// The owner's pool.
     pub pool: &'a Name,
     /// All instances of the fleet.
     pub instances: &'a [Instance],
-    /// Instances of the pool that may get an order.
-    pub rested: &'a BTreeSet<Name>,
-    /// Workers that are being emptied.
-    pub emptying: &'a BTreeSet<Name>,
+    /// Instances of the pool that may be ordered now.
+    pub orderable: &'a BTreeSet<Name>,
+    /// Workers that are being evacuated.
+    pub evacuating: &'a BTreeSet<Name>,
     /// Workers on which nothing can run.
-    pub empty: &'a BTreeSet<Name>,
-    /// For each worker, the number of lasting tasks on it.
+    pub evacuated: &'a BTreeSet<Name>,
+    /// For each worker, the number of long-running tasks on it.
     pub lasting: &'a BTreeMap<Name, usize>,
     /// For each worker, the number of runs on it.
     pub runs: &'a BTreeMap<Name, usize>,
-    /// Instances of the wave whose order this owner knows to be taken.
-    pub taken: &'a BTreeSet<Name>,
+    /// Instances of the wave whose order this owner knows to be accepted.
+    pub accepted: &'a BTreeSet<Name>,
     /// Instances of the wave whose newest order was refused, since they weren't up or were about to leave.
     pub busy: &'a BTreeSet<Name>,
     /// Whether no order of a predecessor can take effect any more.
-    pub settled: bool,
-    /// Most workers of the pool that may be emptied at the same time.
-    pub most: usize,
+    pub predecessor_done: bool,
+    /// Maximum workers of the pool that may be evacuated at the same time.
+    pub max_evacuating: usize,
 }
 
-/// What to do.
+/// An action of the owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Take nothing new on this worker, and move its lasting tasks away.
-    Empty(Name),
+    /// Place nothing new on this worker, and move its long-running tasks away.
+    Evacuate(Name),
     /// Count this instance as in maintenance and order it; nothing runs on it.
     Begin(Instance),
-    /// Order this instance again: it is counted as in maintenance, and it isn't known whether the
-    /// order was taken. Orders are idempotent.
+    /// Order this instance again: it is counted as in maintenance, and it is unknown whether the
+    /// order was accepted. Orders are idempotent.
     Repeat(Instance),
-    /// Its maintenance is over, or it has left.
+    /// Its maintenance is over, or it has left the fleet.
     Finish(Name),
-    /// It isn't known whether it was maintained: it is due again.
-    Again(Name),
+    /// It is unknown whether it was maintained: it is due again.
+    Requeue(Name),
     /// All instances of the wave have been maintained or have left.
     Complete,
 }
 
-/// The next steps; none of them depends on another.
-pub fn steps(situation: &Situation<'_>) -> Vec<Step> {
-    let mut over = finished(situation);
-    over.extend(again(situation));
-    if !over.is_empty() {
-        return over;
+/// The next steps, which are independent of each other.
+pub fn next_steps(inputs: &WaveInputs<'_>) -> Vec<Step> {
+    let mut ended = to_finish(inputs);
+    ended.extend(to_requeue(inputs));
+    if !ended.is_empty() {
+        return ended;
     }
-    if is_complete(situation) {
+    if is_complete(inputs) {
         return vec![Step::Complete];
     }
-    let repeated = repeated(situation);
+    let repeated = to_repeat(inputs);
     if !repeated.is_empty() {
         return repeated;
     }
-    let due = due(situation);
-    let mut steps = begun(situation, &due);
-    steps.extend(emptied(situation, &due));
+    let due = due(inputs);
+    let mut steps = to_begin(inputs, &due);
+    steps.extend(to_evacuate(inputs, &due));
     steps
 }
 
@@ -81,88 +81,89 @@
     instances.iter().find(|instance| instance.name == *name)
 }
 
-/// Active instances whose maintenance is over, or that have left the fleet. An order takes effect at
-/// once, so an instance that is up after its order was taken has been maintained.
-fn finished(situation: &Situation<'_>) -> Vec<Step> {
-    let active = situation.progress.active.iter();
-    let over = active.filter(|(name, _before)| match find(situation.instances, name) {
-        Some(instance) => is_up(situation, instance) && situation.taken.contains(&instance.name),
+/// Active instances whose maintenance is over, or that have left the fleet. An order takes effect
+/// at once, so an instance that is up after its order was accepted has been maintained.
+fn to_finish(inputs: &WaveInputs<'_>) -> Vec<Step> {
+    let active = inputs.progress.active.iter();
+    let over = active.filter(|(name, _before)| match find(inputs.instances, name) {
+        Some(instance) => is_up(inputs, instance) && inputs.accepted.contains(&instance.name),
         None => true,
     });
     over.map(|(name, _before)| Step::Finish(Name::clone(name)))
         .collect()
 }
 
-fn is_up(situation: &Situation<'_>, instance: &Instance) -> bool {
-    instance.pool == *situation.pool && instance.state == InstanceState::Up
+fn is_up(inputs: &WaveInputs<'_>, instance: &Instance) -> bool {
+    instance.pool == *inputs.pool && instance.state == InstanceState::Up
 }
 
 /// Whether nothing runs on an instance, nor will.
-fn is_ready(situation: &Situation<'_>, instance: &Instance) -> bool {
+fn is_empty(inputs: &WaveInputs<'_>, instance: &Instance) -> bool {
     let worker = instance.worker.as_ref();
     worker.is_none_or(|worker| {
-        situation.emptying.contains(worker) && situation.empty.contains(worker)
+        inputs.evacuating.contains(worker) && inputs.evacuated.contains(worker)
     })
 }
 
-/// Active instances that are up, and whose order isn't known to be taken.
-fn unproved<'a>(situation: &Situation<'a>) -> impl Iterator<Item = (&'a Instance, bool)> {
-    let active = situation.progress.active.iter();
+/// Active instances that are up, and whose order isn't known to be accepted.
+fn unconfirmed<'a>(inputs: &WaveInputs<'a>) -> impl Iterator<Item = (&'a Instance, bool)> {
+    let active = inputs.progress.active.iter();
     active.filter_map(|(name, before)| {
-        let found = find(situation.instances, name)?;
-        let open = is_up(situation, found) && !situation.taken.contains(name);
+        let found = find(inputs.instances, name)?;
+        let open = is_up(inputs, found) && !inputs.accepted.contains(name);
         open.then_some((found, found.worker == *before))
     })
 }
 
-/// Instances that are due again: those with another worker, since a crash renews a worker just as
-/// maintenance does, those on which something may run, since a predecessor that emptied them is gone, and those that are up
-/// after their order was refused. They are emptied and ordered once more; an order for what was done has no effect.
+/// Instances that are due again: those with another worker, since a crash replaces a worker just as
+/// maintenance does, those on which something may run, since a predecessor that evacuated them is
+/// gone, and those that are up after their order was refused. They are evacuated and ordered once
+/// more; repeating an order that was carried out has no effect.
 ///
-/// A predecessor's order may be on its way, and its instance goes down a moment after a list has shown it up. Counted no more
-/// by then, it was down beside as many others as may be.
-fn again(situation: &Situation<'_>) -> Vec<Step> {
-    if !situation.settled {
+/// A predecessor's order may be in flight, and its instance go down a moment after a list has shown
+/// it up. If it was no longer counted by then, it was down beside as many others as may be.
+fn to_requeue(inputs: &WaveInputs<'_>) -> Vec<Step> {
+    if !inputs.predecessor_done {
         return Vec::new();
     }
-    let open = unproved(situation);
-    let due = open.filter(|(instance, same)| {
-        let refused = situation.busy.contains(&instance.name);
-        !same || refused || !is_ready(situation, instance)
+    let unconfirmed = unconfirmed(inputs);
+    let due = unconfirmed.filter(|(instance, same)| {
+        let refused = inputs.busy.contains(&instance.name);
+        !same || refused || !is_empty(inputs, instance)
     });
-    due.map(|(instance, _same)| Step::Again(Name::clone(&instance.name)))
+    due.map(|(instance, _same)| Step::Requeue(Name::clone(&instance.name)))
         .collect()
 }
 
-/// Empty instances with the worker that they had, and whose order may never have come.
-fn repeated(situation: &Situation<'_>) -> Vec<Step> {
-    let open = unproved(situation);
-    let waiting = open.filter(|(instance, same)| {
-        let rested = situation.rested.contains(&instance.name);
-        *same && rested && is_ready(situation, instance)
+/// Evacuated instances with the worker that they had, and whose order may never have arrived.
+fn to_repeat(inputs: &WaveInputs<'_>) -> Vec<Step> {
+    let unconfirmed = unconfirmed(inputs);
+    let waiting = unconfirmed.filter(|(instance, same)| {
+        let orderable = inputs.orderable.contains(&instance.name);
+        *same && orderable && is_empty(inputs, instance)
     });
     waiting
         .map(|(instance, _same)| Step::Repeat(Instance::clone(instance)))
         .collect()
 }
 
-fn is_complete(situation: &Situation<'_>) -> bool {
-    let mut names = situation.wave.instances.iter();
+fn is_complete(inputs: &WaveInputs<'_>) -> bool {
+    let mut names = inputs.wave.instances.iter();
     names.all(|name| {
-        let done = situation.progress.done.contains(name);
-        done || find(situation.instances, name).is_none()
+        let done = inputs.progress.done.contains(name);
+        done || find(inputs.instances, name).is_none()
     })
 }
 
-/// Instances of the pool that are up and wait for their maintenance, those that are easiest to empty
-/// first: without lasting tasks, and with the fewest runs.
-fn due<'a>(situation: &Situation<'a>) -> Vec<&'a Instance> {
-    let progress = situation.progress;
-    let names = situation.wave.instances.iter();
-    let own = names.filter_map(|name| find(situation.instances, name));
+/// Instances of the pool that are up and wait for their maintenance, those that are easiest to
+/// evacuate first: without long-running tasks, and with the fewest runs.
+fn due<'a>(inputs: &WaveInputs<'a>) -> Vec<&'a Instance> {
+    let progress = inputs.progress;
+    let names = inputs.wave.instances.iter();
+    let own = names.filter_map(|name| find(inputs.instances, name));
     let mut due: Vec<&Instance> = own
         .filter(|instance| {
-            instance.pool == *situation.pool
+            instance.pool == *inputs.pool
                 && instance.state == InstanceState::Up
                 && !progress.done.contains(&instance.name)
                 && !progress.active.contains_key(&instance.name)
@@ -172,36 +173,31 @@
         let worker = instance.worker.as_ref();
         worker.and_then(|worker| known.get(worker)).copied()
     };
-    due.sort_by_key(|instance| {
-        (
-            of(situation.lasting, instance),
-            of(situation.runs, instance),
-        )
-    });
+    due.sort_by_key(|instance| (of(inputs.lasting, instance), of(inputs.runs, instance)));
     due
 }
 
-/// Empty instances begin, as far as the wave has places left.
-fn begun(situation: &Situation<'_>, due: &[&Instance]) -> Vec<Step> {
-    let active = situation.progress.active.len();
-    let places = situation.wave.maximum.saturating_sub(active);
-    let rested = due
+/// Evacuated instances begin maintenance, up to the limit of the wave.
+fn to_begin(inputs: &WaveInputs<'_>, due: &[&Instance]) -> Vec<Step> {
+    let active = inputs.progress.active.len();
+    let places = inputs.wave.maximum.saturating_sub(active);
+    let orderable = due
         .iter()
-        .filter(|instance| situation.rested.contains(&instance.name));
-    let ready = rested.filter(|instance| is_ready(situation, instance));
+        .filter(|instance| inputs.orderable.contains(&instance.name));
+    let ready = orderable.filter(|instance| is_empty(inputs, instance));
     ready
         .take(places)
         .map(|instance| Step::Begin(Instance::clone(instance)))
         .collect()
 }
 
-/// Workers to empty, up to the limit.
-fn emptied(situation: &Situation<'_>, due: &[&Instance]) -> Vec<Step> {
+/// Workers to evacuate, up to the limit of the pool.
+fn to_evacuate(inputs: &WaveInputs<'_>, due: &[&Instance]) -> Vec<Step> {
     let workers = due.iter().filter_map(|instance| instance.worker.as_ref());
     let (already, others): (Vec<&Name>, Vec<&Name>) =
-        workers.partition(|worker| situation.emptying.contains(*worker));
-    let room = situation.most.saturating_sub(already.len());
-    let next = others.into_iter().take(room);
-    next.map(|worker| Step::Empty(Name::clone(worker)))
+        workers.partition(|worker| inputs.evacuating.contains(*worker));
+    let free = inputs.max_evacuating.saturating_sub(already.len());
+    let next = others.into_iter().take(free);
+    next.map(|worker| Step::Evacuate(Name::clone(worker)))
         .collect()
 }
--- a/crates/owner/tests/all/elect.rs
+++ b/crates/owner/tests/all/elect.rs
@@ -1,4 +1,4 @@
-//! Who takes a free pool, and which pool goes to a stronger entry.
+//! Which entry takes over a pool, and which pool is released to a stronger entry.
 
 use primroseroute_domain::work::Name;
 use primroseroute_owner::elect::{assign, candidates, given_up};
@@ -36,7 +36,7 @@
     assert_eq!(owned, [three("e-1"), three("e-3")].into());
 }
 
-/// The entry that had the pool is there again: it gets it, though another has nothing to do.
+/// The entry that had the pool is back and gets it, though another has nothing to do.
 #[test]
 fn pool_goes_back_to_the_entry_that_had_it() {
     let able = entries(&[250, 250]);
@@ -48,7 +48,8 @@
     assert_eq!(gone, 0);
 }
 
-/// A weak entry gives its pool up where a strong one is there; among equals one that owns two pools keeps them.
+/// A weak entry releases its pool if there is a strong one; among equals one that owns two pools
+/// keeps them.
 #[test]
 fn pool_is_given_up_to_a_far_stronger_entry_only() {
     let own = Name::from("e-0");
@@ -68,8 +69,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Against a naive twin that tries each entry for each pool. And giving up ends: whoever gets a pool doesn't give it
-    /// up in turn.
+    /// Compares with a reference that tries each entry for each pool. Releases terminate: an entry
+    /// that gets a pool doesn't release it in turn.
     #[test]
     fn each_pool_goes_where_most_is_left(
         strengths in prop::collection::vec(1_u32..1_000, 1..7),
--- a/crates/owner/tests/all/main.rs
+++ b/crates/owner/tests/all/main.rs
@@ -1,6 +1,6 @@
-//! Decisions of owners, without any store.
+//! Decisions of owners, without a store.
 
 mod elect;
+mod rebalance;
 mod rest;
-mod share;
 mod wave;
--- a/crates/owner/tests/all/share.rs
+++ b/crates/owner/tests/all/rebalance.rs
@@ -1,8 +1,9 @@
-//! Moves that the owners of all pools decide on, each by itself, against a planner that sees them all.
+//! Moves that the owners of all pools decide on independently, compared with a planner that sees
+//! them all.
 
 use primroseroute_cell::row::DesiredWorkers;
 use primroseroute_domain::work::Name;
-use primroseroute_owner::share::{Move, Pool, Situation, moves};
+use primroseroute_owner::rebalance::{Move, MoveInputs, Pool, moves};
 use primroseroute_platform::site::{Instance, InstanceState};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +19,7 @@
     lasting: BTreeMap<Name, usize>,
     runs: BTreeMap<Name, usize>,
     /// Number of its instances below which a pool switches none off.
-    kept: u64,
+    scale_down_floor: u64,
 }
 
 impl Fleet {
@@ -31,7 +32,7 @@
             refused: BTreeSet::new(),
             lasting: BTreeMap::new(),
             runs: BTreeMap::new(),
-            kept: 0,
+            scale_down_floor: 0,
         };
         for (number, &(has, wanted)) in pools.iter().enumerate() {
             let name = format!("p-{number}");
@@ -65,16 +66,16 @@
     }
 
     fn moves_of(&self, pool: &str) -> Vec<Move> {
-        moves(&Situation {
+        moves(&MoveInputs {
             pool: &pool.into(),
             pools: &self.pools,
             instances: &self.instances,
             blocked: &self.blocked,
             refused: &self.refused,
-            emptying: &BTreeSet::new(),
+            evacuating: &BTreeSet::new(),
             runs: &self.runs,
             lasting: &self.lasting,
-            kept: self.kept,
+            scale_down_floor: self.scale_down_floor,
         })
     }
 
@@ -89,7 +90,7 @@
     }
 }
 
-/// Numbers of moves by their targets.
+/// Number of moves by target.
 fn targets(moves: &[Move]) -> BTreeMap<&str, u64> {
     let mut counts = BTreeMap::new();
     for wanted in moves {
@@ -112,8 +113,8 @@
     assert_eq!(targets(&fleet.moves_of("p-1")), [(STANDBY, 3)].into());
 }
 
-/// Tasks wait in a pool that has two and needs six now. Its neighbour has six, needs two now and wants
-/// six: it gives four, and keeps them where nobody is short.
+/// Tasks wait in a pool that has two instances and needs six now. Its neighbour has six, needs two
+/// now and wants six: it gives four away, and keeps them if nobody is short.
 #[test]
 fn what_a_pool_wants_to_spare_goes_where_tasks_wait() {
     let mut fleet = Fleet::new(&[(2, 6), (6, 6)], 0);
@@ -135,8 +136,9 @@
     assert_eq!(fleet.all_moves(), []);
 }
 
-/// One pool has six instances, of which work that is late uses five; its neighbour has one and needs four for
-/// work that can be in time. Three go there, and none comes back for the late work while they are needed.
+/// One pool has six instances, of which late work uses five; its neighbour has one and needs four
+/// for work that can be in time. Three go there, and none comes back for the late work while they
+/// are needed.
 #[test]
 fn late_work_gives_way_to_work_in_time_elsewhere() {
     let mut fleet = Fleet::new(&[(6, 1), (1, 4)], 0);
@@ -162,8 +164,8 @@
     assert_eq!(targets(&fleet.all_moves()), [("p-0", 3)].into());
 }
 
-/// A turn has ended in one pool: it uses two of eight instances and keeps all for a while. In the next it begins: one
-/// is used, and five will be. Four go there at once.
+/// A burst has ended in one pool: it uses two of eight instances and keeps all for a while. In the
+/// other a burst begins: one is used, and five will be. Four go there at once.
 #[test]
 fn what_will_be_needed_comes_before_what_is_kept() {
     let mut fleet = Fleet::new(&[(8, 8), (1, 5)], 0);
@@ -197,7 +199,7 @@
 #[test]
 fn surplus_is_switched_off_only_beyond_what_was_needed_lately() {
     let mut fleet = Fleet::new(&[(6, 2)], 0);
-    fleet.kept = 5;
+    fleet.scale_down_floor = 5;
     assert_eq!(targets(&fleet.moves_of("p-0")), [(STANDBY, 1)].into());
 }
 
@@ -226,8 +228,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// What the owners decide apart adds up to what one planner would: as many moves to pools that
-    /// miss instances as there are, no pool gets more than it misses, and none falls below its need.
+    /// The independent decisions of the owners add up to those of one planner: as many moves to
+    /// pools that miss instances as there are, no pool gets more than it misses, and none falls
+    /// below its need.
     #[test]
     fn plans_of_all_owners_add_up(
         pools in prop::collection::vec((0_u64..8, 0_u64..8), 1..6),
@@ -253,7 +256,7 @@
         }
     }
 
-    /// Instances that may not be ordered, and those with lasting tasks, stay.
+    /// Instances that may not be ordered, and those with long-running tasks, stay.
     #[test]
     fn blocked_and_lasting_instances_stay(
         stays in prop::collection::btree_set(0_u64..6, 0..6),
--- a/crates/owner/tests/all/wave.rs
+++ b/crates/owner/tests/all/wave.rs
@@ -2,7 +2,7 @@
 
 use primroseroute_cell::row::WaveProgress as Progress;
 use primroseroute_domain::work::Name;
-use primroseroute_owner::wave::{Situation, Step, steps};
+use primroseroute_owner::wave::{Step, WaveInputs, next_steps};
 use primroseroute_platform::site::{Instance, InstanceState, Wave};
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,15 +10,15 @@
 };
 
 /// Five instances, all due, of which three may be in maintenance at a time.
-struct Bed {
+struct Fixture {
     instances: Vec<Instance>,
     progress: Progress,
-    rested: BTreeSet<Name>,
-    emptying: BTreeSet<Name>,
-    empty: BTreeSet<Name>,
-    taken: BTreeSet<Name>,
+    orderable: BTreeSet<Name>,
+    evacuating: BTreeSet<Name>,
+    evacuated: BTreeSet<Name>,
+    accepted: BTreeSet<Name>,
     busy: BTreeSet<Name>,
-    settled: bool,
+    predecessor_done: bool,
     runs: BTreeMap<Name, usize>,
 }
 
@@ -31,30 +31,30 @@
     }
 }
 
-impl Bed {
+impl Fixture {
     fn new() -> Self {
         let instances: Vec<Instance> = (0..5).map(instance).collect();
         let workers = instances.iter().filter_map(|known| known.worker.clone());
         let workers: BTreeSet<Name> = workers.collect();
         Self {
-            rested: instances
+            orderable: instances
                 .iter()
                 .map(|known| Name::clone(&known.name))
                 .collect(),
             instances,
             progress: Progress::default(),
-            emptying: workers.clone(),
-            empty: workers,
-            taken: BTreeSet::new(),
+            evacuating: workers.clone(),
+            evacuated: workers,
+            accepted: BTreeSet::new(),
             busy: BTreeSet::new(),
-            settled: true,
+            predecessor_done: true,
             runs: BTreeMap::new(),
         }
     }
 
     fn steps(&self) -> Vec<Step> {
         let names = self.instances.iter().map(|known| Name::clone(&known.name));
-        steps(&Situation {
+        next_steps(&WaveInputs {
             wave: &Wave {
                 number: 1,
                 instances: names.collect(),
@@ -64,15 +64,15 @@
             progress: &self.progress,
             pool: &"pool".into(),
             instances: &self.instances,
-            rested: &self.rested,
-            emptying: &self.emptying,
-            empty: &self.empty,
+            orderable: &self.orderable,
+            evacuating: &self.evacuating,
+            evacuated: &self.evacuated,
             lasting: &BTreeMap::new(),
             runs: &self.runs,
-            taken: &self.taken,
+            accepted: &self.accepted,
             busy: &self.busy,
-            settled: self.settled,
-            most: 5,
+            predecessor_done: self.predecessor_done,
+            max_evacuating: 5,
         })
     }
 
@@ -84,117 +84,123 @@
         counted
     }
 
-    /// Names of the instances that begin.
-    fn begun(&self) -> Vec<String> {
+    /// Names of the instances that begin maintenance.
+    fn beginning(&self) -> Vec<String> {
         let steps = self.steps().into_iter();
-        let begun = steps.filter_map(|step| match step {
+        let beginning = steps.filter_map(|step| match step {
             Step::Begin(instance) => Some(instance.name.to_string()),
             _ => None,
         });
-        begun.collect()
+        beginning.collect()
     }
 }
 
 #[test]
 fn as_many_begin_as_there_are_places() {
-    let mut bed = Bed::new();
-    assert_eq!(bed.begun(), ["i-0", "i-1", "i-2"]);
-    bed.progress.active.insert("i-9".into(), None);
-    bed.instances.push(Instance {
+    let mut fixture = Fixture::new();
+    assert_eq!(fixture.beginning(), ["i-0", "i-1", "i-2"]);
+    fixture.progress.active.insert("i-9".into(), None);
+    fixture.instances.push(Instance {
         state: InstanceState::Maintenance,
         ..instance(9)
     });
-    assert_eq!(bed.begun(), ["i-0", "i-1"]);
+    assert_eq!(fixture.beginning(), ["i-0", "i-1"]);
 }
 
 #[test]
 fn those_that_are_not_empty_or_may_not_be_ordered_are_passed_over() {
-    let mut bed = Bed::new();
-    bed.empty.remove("w-0");
-    bed.rested.remove("i-1");
-    assert_eq!(bed.begun(), ["i-2", "i-3", "i-4"]);
+    let mut fixture = Fixture::new();
+    fixture.evacuated.remove("w-0");
+    fixture.orderable.remove("i-1");
+    assert_eq!(fixture.beginning(), ["i-2", "i-3", "i-4"]);
 }
 
-/// Those whose maintenance is over come before anything new, all at once: each makes a place free.
+/// Instances whose maintenance is over are finished before anything new begins, all at once: each
+/// frees a place.
 #[test]
 fn all_that_are_back_are_finished_at_once() {
-    let mut bed = Bed::new();
+    let mut fixture = Fixture::new();
     for number in 0..2 {
-        let counted = bed.count(number);
-        bed.instances[number].worker = Some("w-new".into());
-        bed.taken.insert(counted.name);
+        let counted = fixture.count(number);
+        fixture.instances[number].worker = Some("w-new".into());
+        fixture.accepted.insert(counted.name);
     }
     let finished = [Step::Finish("i-0".into()), Step::Finish("i-1".into())];
-    assert_eq!(bed.steps(), finished);
+    assert_eq!(fixture.steps(), finished);
 }
 
-/// Instance 0 is counted as in maintenance and is up with the worker that it had: its order may not have
-/// come, so it is sent again, unless this owner knows that it was taken.
+/// Instance 0 is counted as in maintenance and is up with the worker that it had: its order may not
+/// have arrived, so it is sent again, unless this owner knows that it was accepted.
 #[test]
 fn order_that_may_not_have_come_is_repeated() {
-    let mut bed = Bed::new();
-    let first = bed.count(0);
-    assert_eq!(bed.steps(), [Step::Repeat(first.clone())]);
-    bed.taken.insert(Name::clone(&first.name));
-    assert_eq!(bed.steps(), [Step::Finish(first.name)]);
+    let mut fixture = Fixture::new();
+    let first = fixture.count(0);
+    assert_eq!(fixture.steps(), [Step::Repeat(first.clone())]);
+    fixture.accepted.insert(Name::clone(&first.name));
+    assert_eq!(fixture.steps(), [Step::Finish(first.name)]);
 }
 
-/// Instance 0 is counted as in maintenance, its order is not known to be taken, and it has another worker:
-/// it may have crashed. It is due again, and isn't taken for maintained.
+/// Instance 0 is counted as in maintenance, its order is not known to be accepted, and it has
+/// another worker: it may have crashed. It is due again, and doesn't count as maintained.
 #[test]
 fn another_worker_proves_nothing() {
-    let mut bed = Bed::new();
-    let first = bed.count(0);
-    bed.instances[0].worker = Some("w-new".into());
-    assert_eq!(bed.steps(), [Step::Again(first.name)]);
+    let mut fixture = Fixture::new();
+    let first = fixture.count(0);
+    fixture.instances[0].worker = Some("w-new".into());
+    assert_eq!(fixture.steps(), [Step::Requeue(first.name)]);
 }
 
-/// A successor finds instance 0 counted, up with the worker that it had, and hasn't emptied it: tasks that it
-/// has placed there since must not be cut off.
+/// A successor finds instance 0 counted, up with the worker that it had, and hasn't evacuated it:
+/// tasks that it has placed there since must not be cut off.
 #[test]
 fn counted_instance_that_is_not_empty_is_due_again() {
-    let mut bed = Bed::new();
-    let first = bed.count(0);
-    bed.emptying.remove("w-0");
-    bed.empty.remove("w-0");
-    assert_eq!(bed.steps(), [Step::Again(first.name)]);
+    let mut fixture = Fixture::new();
+    let first = fixture.count(0);
+    fixture.evacuating.remove("w-0");
+    fixture.evacuated.remove("w-0");
+    assert_eq!(fixture.steps(), [Step::Requeue(first.name)]);
 }
 
-/// A successor finds instance 0 counted and up, while its predecessor's order is on its way. Counted no more, it would go down
-/// beside as many others as may be down.
+/// A successor finds instance 0 counted and up, while its predecessor's order is in flight. If it
+/// was no longer counted, it would go down beside as many others as may be down.
 #[test]
 fn counted_instance_stays_counted_while_orders_may_be_on_their_way() {
-    let mut bed = Bed::new();
-    let first = bed.count(0);
-    bed.emptying.remove("w-0");
-    bed.empty.remove("w-0");
-    bed.settled = false;
-    assert_eq!(bed.begun(), ["i-1", "i-2"]);
-    assert!(!bed.steps().contains(&Step::Again(first.name)));
+    let mut fixture = Fixture::new();
+    let first = fixture.count(0);
+    fixture.evacuating.remove("w-0");
+    fixture.evacuated.remove("w-0");
+    fixture.predecessor_done = false;
+    assert_eq!(fixture.beginning(), ["i-1", "i-2"]);
+    assert!(!fixture.steps().contains(&Step::Requeue(first.name)));
 }
 
-/// An order had effect without an answer, and is refused when it is sent again: the instance is down and counts. Where a list
-/// shows it up, it was about to leave, and its place is free.
+/// An order took effect without an answer, and is refused when it is sent again: the instance is
+/// down and counts. If a list shows it up, it was about to leave, and its place is free.
 #[test]
 fn refused_instance_counts_until_a_list_shows_it_up() {
-    let mut bed = Bed::new();
-    let first = bed.count(0);
-    bed.busy.insert(Name::clone(&first.name));
-    bed.instances[0].state = InstanceState::Maintenance;
-    assert_eq!(bed.begun(), ["i-1", "i-2"]);
-    bed.instances[0].state = InstanceState::Up;
-    assert_eq!(bed.steps(), [Step::Again(first.name)]);
+    let mut fixture = Fixture::new();
+    let first = fixture.count(0);
+    fixture.busy.insert(Name::clone(&first.name));
+    fixture.instances[0].state = InstanceState::Maintenance;
+    assert_eq!(fixture.beginning(), ["i-1", "i-2"]);
+    fixture.instances[0].state = InstanceState::Up;
+    assert_eq!(fixture.steps(), [Step::Requeue(first.name)]);
 }
 
-/// All are at work, and only some may be emptied: those with the fewest runs are, since they are empty soonest.
+/// All instances are in use, and only some may be evacuated: those with the fewest runs are, since
+/// they are empty soonest.
 #[test]
 fn instances_with_the_fewest_runs_are_emptied_first() {
-    let mut bed = Bed::new();
-    bed.emptying.clear();
-    bed.empty.clear();
-    bed.runs = (0..5)
+    let mut fixture = Fixture::new();
+    fixture.evacuating.clear();
+    fixture.evacuated.clear();
+    fixture.runs = (0..5)
         .map(|number| (format!("w-{number}").into(), 5 - number))
         .collect();
-    let steps = bed.steps();
-    assert_eq!(steps.first(), Some(&Step::Empty("w-4".into())), "{steps:?}");
+    let steps = fixture.steps();
+    assert_eq!(
+        steps.first(),
+        Some(&Step::Evacuate("w-4".into())),
+        "{steps:?}"
+    );
 }
--- a/tests/site/stories.rs
+++ b/tests/site/stories.rs
@@ -45,7 +45,7 @@
 /// The line of the end of a worker's life.
 fn life_over<'a>(lines: &'a [Line], worker: Option<&str>) -> Result<&'a Line> {
     let worker = worker.ok_or_else(|| eyre!("no worker"))?;
-    let over = with(lines, "lives of workers are over").into_iter();
+    let over = with(lines, "worker incarnations ended").into_iter();
     let mut over = over.filter(|line| line.lists("workers", worker));
     let found = over.next();
     found.ok_or_else(|| eyre!("nothing tells of {worker:?}"))
@@ -128,12 +128,12 @@
     bed.until("e-0", &sound, State::Completed, 9).await?;
     let lines = captured();
     let own = about(&lines, &id);
-    let ends = with(&own, "run ended without its work done");
+    let ends = with(&own, "run ended without completing its work");
     ensure!(ends.len() == 3, "{ends:?}");
     ensure!(ends.iter().all(|end| end.field("how") == Some("Failed")));
     ensure!(first(&own, "job ended")?.field("state") == Some("Failed"));
     let others = about(&lines, &sound);
-    ensure!(with(&others, "run ended without its work done").is_empty());
+    ensure!(with(&others, "run ended without completing its work").is_empty());
     Ok(())
 }
 
@@ -180,15 +180,15 @@
     seconds(1).await;
     let own = about(&captured(), &id);
     let cancel = first(&own, "cancel accepted")?;
-    let stops = with(&own, "run is to stop");
+    let stops = with(&own, "stopping run");
     ensure!(stops.len() == 2, "{stops:?}");
     ensure!(stops.iter().all(|stop| stop.at >= cancel.at));
     ensure!(first(&own, "job ended")?.field("state") == Some("Cancelled"));
-    let taken = first(&own, "cancel taken in")?;
+    let taken = first(&own, "cancel received")?;
     ensure!(taken.field("pool") == Some(POOL) && taken.field("runs") == Some("2"));
     ensure!(taken.at >= cancel.at && taken.at - cancel.at <= number(taken, "stored_within_ms")?);
     ensure!(number(taken, "waited_ms")? <= 50, "{taken:?}");
-    let over = first(&own, "runs of a cancelled job are over")?;
+    let over = first(&own, "all runs of cancelled job ended")?;
     ensure!(number(over, "took_ms")? == over.at - taken.at, "{over:?}");
     ensure!(stops.iter().all(|stop| stop.at <= over.at));
     Ok(())
@@ -211,12 +211,12 @@
     seconds(1).await;
     let own = about(&captured(), &id);
     let cancel = first(&own, "cancel accepted")?;
-    let taken = first(&own, "cancel taken in")?;
+    let taken = first(&own, "cancel received")?;
     let late = taken.at - cancel.at;
     ensure!(late >= 800, "{late}");
     ensure!(late <= number(taken, "stored_within_ms")?, "{taken:?}");
     ensure!(number(taken, "waited_ms")? <= 50, "{taken:?}");
-    ensure!(with(&own, "cancel found at a takeover").is_empty());
+    ensure!(with(&own, "cancel found at takeover").is_empty());
     Ok(())
 }
 
@@ -235,10 +235,10 @@
     bed.conduct(&owner, |conduct| conduct.late_commits = 0.0);
     seconds(8).await;
     let own = about(&captured(), &id);
-    let taken = first(&own, "cancel taken in")?;
+    let taken = first(&own, "cancel received")?;
     ensure!(taken.field("runs") == Some("2"), "{taken:?}");
-    let stop = first(&own, "run is to stop")?;
-    let over = first(&own, "runs of a cancelled job are over")?;
+    let stop = first(&own, "stopping run")?;
+    let over = first(&own, "all runs of cancelled job ended")?;
     ensure!(taken.at <= stop.at && stop.at <= over.at);
     let placed = with(&own, "task placed");
     ensure!(placed.iter().all(|placed| placed.at > taken.at));
@@ -259,10 +259,10 @@
     bed.until(&other, &id, State::Cancelled, 9).await?;
     seconds(2).await;
     let own = about(&captured(), &id);
-    let found = first(&own, "cancel found at a takeover")?;
+    let found = first(&own, "cancel found at takeover")?;
     ensure!(found.field("pool") == Some(POOL) && found.field("runs") == Some("2"));
-    ensure!(with(&own, "cancel taken in").is_empty());
-    let over = first(&own, "runs of a cancelled job are over")?;
+    ensure!(with(&own, "cancel received").is_empty());
+    let over = first(&own, "all runs of cancelled job ended")?;
     ensure!(found.at <= over.at);
     Ok(())
 }
@@ -285,7 +285,7 @@
     }
     seconds(12).await;
     let lines = captured();
-    let over = with(&lines, "lives of workers are over");
+    let over = with(&lines, "worker incarnations ended");
     ensure!((1..=2).contains(&over.len()), "{over:?}");
     for field in ["count", "busy"] {
         let told = over
@@ -309,8 +309,8 @@
     let id = bed.submit("e-0", &job("500 fails", 8)).await?;
     bed.until("e-0", &id, State::Failed, 20).await?;
     let lines = captured();
-    let many = with(&lines, "runs ended without their work done");
-    let single = with(&lines, "run ended without its work done");
+    let many = with(&lines, "runs ended without completing their work");
+    let single = with(&lines, "run ended without completing its work");
     ensure!(!many.is_empty(), "{single:?}");
     let mut told = single.len();
     for line in &many {
