--- a/crates/owner/src/brisk.rs
+++ b/crates/owner/src/adaptive_timeout.rs
@@ -46,7 +46,7 @@
 
 /// A store whose commits have an adaptive timeout.
 #[derive(Debug)]
-pub struct Brisk {
+pub struct AdaptiveTimeout {
     rows: Arc<dyn Rows>,
     /// Typical duration of a commit in microseconds.
     typical_us: AtomicU64,
@@ -54,7 +54,7 @@
     timeouts: AtomicU32,
 }
 
-impl Brisk {
+impl AdaptiveTimeout {
     /// Commits to `rows`; the first commits have the minimum timeout.
     pub fn new(rows: Arc<dyn Rows>) -> Self {
         Self {
@@ -91,7 +91,7 @@
 }
 
 #[async_trait]
-impl Rows for Brisk {
+impl Rows for AdaptiveTimeout {
     async fn commit(&self, txn: Txn) -> Result<Commit, Error> {
         let begin = Instant::now();
         match timeout(self.timeout(), self.rows.commit(txn)).await {
--- a/crates/owner/src/lib.rs
+++ b/crates/owner/src/lib.rs
@@ -10,7 +10,7 @@
 //! * `elections`: what an entry takes over and releases; [`elect`]: which entry takes over a pool
 //!   without an owner. Pure.
 //! * `commit`: an owner's commits, in sequence, and the outcome of those that got no answer.
-//! * [`Brisk`]: commits that time out once they take far longer than usual.
+//! * [`AdaptiveTimeout`]: commits that time out once they take far longer than usual.
 //! * `poll`: status polls of one worker, and the renewal of its lease.
 //! * `pool_workers`: the workers of a pool, with their polls and orders; `order_delivery`: the
 //!   delivery of one order.
@@ -34,8 +34,8 @@
 //! since the end of each lease is computed from the last moment at which the store confirmed the
 //! ownership, on the worker's clock as it was known then.
 
+mod adaptive_timeout;
 mod advice;
-mod brisk;
 mod cancels;
 mod cleanup;
 mod clock;
@@ -71,7 +71,7 @@
 mod watch;
 pub mod wave;
 
-pub use brisk::Brisk;
+pub use adaptive_timeout::AdaptiveTimeout;
 pub use clock::Clock;
 pub use entry::{Bounds, Entry, Parts};
 pub use observe::{Blind, Observer};
--- a/crates/serve/src/site.rs
+++ b/crates/serve/src/site.rs
@@ -14,7 +14,7 @@
 use primroseroute_cell::Limits;
 use primroseroute_front::{Options, Server};
 use primroseroute_gateway::{Gateway, Parts as GatewayParts, Readiness};
-use primroseroute_owner::{Bounds, Brisk, Clock, Entry, Parts, Watch};
+use primroseroute_owner::{AdaptiveTimeout, Bounds, Clock, Entry, Parts, Watch};
 use primroseroute_platform::{rows::Rows, site, worker};
 use primroseroute_telemetry::{log::Log, site::Meter};
 use std::{
@@ -147,7 +147,7 @@
         let observer = Arc::new(Observer(meter.clone()));
         let rows: Arc<dyn Rows> = Arc::new(store.clone());
         let rows: Arc<dyn Rows> = Arc::new(Metered::new(rows, meter.clone()));
-        let rows: Arc<dyn Rows> = Arc::new(Brisk::new(rows));
+        let rows: Arc<dyn Rows> = Arc::new(AdaptiveTimeout::new(rows));
         let incarnation = rand::random::<u64>() >> 1;
         let store_backoff = Backoff::new("store", incarnation);
         let site = Site::open(client.clone(), store, live.instances.clone());
--- a/tests/site/bed/mod.rs
+++ b/tests/site/bed/mod.rs
@@ -14,7 +14,7 @@
 use primroseroute_cell::Limits;
 use primroseroute_domain::work::{Job, JobId, State};
 use primroseroute_gateway::{Gateway, Parts as GatewayParts};
-use primroseroute_owner::{Bounds, Brisk, Clock, Entry, Parts, Watch};
+use primroseroute_owner::{AdaptiveTimeout, Bounds, Clock, Entry, Parts, Watch};
 use primroseroute_platform::{
     rows::Rows,
     site::{Codec, Configuration, Instruction, Site},
@@ -230,7 +230,7 @@
         let instances = Backoff::new("instances", self.started);
         let site: Arc<dyn Site> = Arc::new(caller.clone());
         let site: Arc<dyn Site> = Arc::new(backoff::Site::new(site, store.clone(), instances));
-        let rows: Arc<dyn Rows> = Arc::new(Brisk::new(Arc::new(caller.clone())));
+        let rows: Arc<dyn Rows> = Arc::new(AdaptiveTimeout::new(Arc::new(caller.clone())));
         let (watch, _tasks) = Watch::spawn(&site, self.clock, self.started);
         let gateway = Gateway::open(GatewayParts {
             configuration: watch.configuration.clone(),
--- a/tests/site/store.rs
+++ b/tests/site/store.rs
@@ -7,7 +7,7 @@
 use eyre::{Result, ensure};
 use http::StatusCode;
 use primroseroute_domain::work::State;
-use primroseroute_owner::Brisk;
+use primroseroute_owner::AdaptiveTimeout;
 use primroseroute_platform::{
     rows::{Commit, Place, Rows, Txn},
     site::Instruction,
@@ -22,7 +22,7 @@
     lost_and_late_commits_start_nothing_twice => lost_and_late();
     dropped_history_is_read_anew => dropped();
     configuration_never_goes_back => forward();
-    lost_answer_costs_a_fraction_of_the_timeout => brisk();
+    lost_answer_costs_a_fraction_of_the_timeout => adaptive_timeout();
     slow_store_is_waited_for => slow();
     many_lost_answers_cost_no_more_each_than_one => losses();
 }
@@ -132,9 +132,9 @@
 
 // An answer is lost, and a call would wait 1.5 s for it. Commits usually take 4 ms, so the sender hears
 // after a quarter of a second that it isn't known what came of it.
-async fn brisk() -> Result<()> {
+async fn adaptive_timeout() -> Result<()> {
     let world = World::open(Options::default());
-    let rows = Brisk::new(Arc::new(world.caller("e-0")));
+    let rows = AdaptiveTimeout::new(Arc::new(world.caller("e-0")));
     for _commit in 0..20 {
         rows.commit(put()).await?;
     }
@@ -155,7 +155,7 @@
 // jobs up for 1.1 s, and most jobs that came in five seconds were late.
 async fn losses() -> Result<()> {
     let world = World::open(Options::default());
-    let rows = Brisk::new(Arc::new(world.caller("e-0")));
+    let rows = AdaptiveTimeout::new(Arc::new(world.caller("e-0")));
     for loss in 0..8 {
         world.conduct("e-0", |conduct| conduct.lost_commits = 0.0);
         rows.commit(put()).await?;
@@ -174,7 +174,7 @@
 // next ones are waited for and answered.
 async fn slow() -> Result<()> {
     let world = World::open(Options::default());
-    let rows = Brisk::new(Arc::new(world.caller("e-0")));
+    let rows = AdaptiveTimeout::new(Arc::new(world.caller("e-0")));
     rows.commit(put()).await?;
     world.conduct("e-0", |conduct| conduct.delay = Duration::from_millis(700));
     let mut answered = 0;
