--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -31,9 +31,9 @@
 /// Maximum age of counts of queued jobs that are returned without a new read.
 const COUNTS_MAX_AGE: Duration = Duration::from_millis(400);
 
-/// What a gateway is given.
+/// The components from which a gateway is built.
 #[derive(Clone, Debug)]
-pub struct Parts {
+pub struct Components {
     /// The newest configuration.
     pub configuration: Receiver<Option<Arc<Configuration>>>,
     /// The store.
@@ -77,7 +77,7 @@
 /// The callers' side of an entry.
 #[derive(Debug)]
 pub struct Gateway {
-    parts: Parts,
+    components: Components,
     prepared: Mutex<Option<Arc<Prepared>>>,
     states: FinalStates,
     counts: Mutex<Counts>,
@@ -92,9 +92,9 @@
 
 impl Gateway {
     /// Opens a gateway.
-    pub fn open(parts: Parts) -> Arc<Self> {
+    pub fn open(components: Components) -> Arc<Self> {
         Arc::new(Self {
-            parts,
+            components,
             prepared: Mutex::default(),
             states: FinalStates::default(),
             counts: Mutex::default(),
@@ -116,7 +116,7 @@
 
     /// The newest configuration; it is prepared once.
     fn prepared(&self) -> Option<Arc<Prepared>> {
-        let configuration = self.parts.configuration.borrow().clone()?;
+        let configuration = self.components.configuration.borrow().clone()?;
         let mut prepared = self.prepared.lock();
         let known = prepared.as_ref();
         if known.is_none_or(|known| known.number != configuration.number) {
@@ -141,7 +141,7 @@
         let mut queue = None;
         let response = self.answer(method, uri, headers, body, &mut queue);
         let response = response.await;
-        if let Some(observer) = &self.parts.observer {
+        if let Some(observer) = &self.components.observer {
             observer.answered(&Answered {
                 queue,
                 status: response.status().as_u16(),
@@ -211,16 +211,18 @@
         id: JobId,
         body: &[u8],
     ) -> Response<Body> {
-        let job = match self.parts.codec.submission(body) {
+        let job = match self.components.codec.submission(body) {
             Ok(job) => job,
             Err(detail) => return refused(Code::MalformedRequest, detail, head.request),
         };
-        let txn = acceptance(queue, &id, job, self.parts.clock.now());
-        let mut retry_limit =
-            RetryLimit::new(self.parts.codec.request_timeout(head.headers), head.request);
+        let txn = acceptance(queue, &id, job, self.components.clock.now());
+        let mut retry_limit = RetryLimit::new(
+            self.components.codec.request_timeout(head.headers),
+            head.request,
+        );
         let mut last;
         loop {
-            match self.parts.rows.commit(txn.clone()).await {
+            match self.components.rows.commit(txn.clone()).await {
                 Ok(Commit::Committed(version)) => {
                     info!(job:% = id, queue = &*queue.name, pool = &*queue.pool, version; "job accepted");
                     return empty();
@@ -257,15 +259,17 @@
 
     async fn state(&self, head: &Head<'_>, queue: &Queue, id: JobId) -> Response<Body> {
         if let Some(state) = self.states.get(&id) {
-            return json(self.parts.codec.state(state));
+            return json(self.components.codec.state(state));
         }
-        let mut retry_limit =
-            RetryLimit::new(self.parts.codec.request_timeout(head.headers), head.request);
+        let mut retry_limit = RetryLimit::new(
+            self.components.codec.request_timeout(head.headers),
+            head.request,
+        );
         loop {
             match self.read_state(queue, &id).await {
                 Ok(Some(state)) => {
                     self.states.insert(&id, state);
-                    return json(self.parts.codec.state(state));
+                    return json(self.components.codec.state(state));
                 }
                 Ok(None) => return refused(Code::JobUnknown, "", head.request),
                 Err(error) => {
@@ -310,12 +314,14 @@
     }
 
     async fn read(&self, place: Place) -> Result<Option<Row>, Error> {
-        read_row(&*self.parts.rows, place).await
+        read_row(&*self.components.rows, place).await
     }
 
     async fn cancel(&self, head: &Head<'_>, id: JobId) -> Response<Body> {
-        let mut retry_limit =
-            RetryLimit::new(self.parts.codec.request_timeout(head.headers), head.request);
+        let mut retry_limit = RetryLimit::new(
+            self.components.codec.request_timeout(head.headers),
+            head.request,
+        );
         loop {
             let result = match self.claim(&id).await {
                 Ok(None) => return refused(Code::JobUnknown, "", head.request),
@@ -345,7 +351,7 @@
             puts: vec![(row::cancel(&claim.pool, id), Bytes::from_static(b"{}"))],
             deletes: Vec::new(),
         };
-        let commit = self.parts.rows.commit(txn).await?;
+        let commit = self.components.rows.commit(txn).await?;
         Ok(matches!(commit, Commit::Committed(_)))
     }
 
@@ -355,7 +361,7 @@
             return refused(Code::MalformedRequest, detail, head.request);
         }
         if let Some(count) = self.cached_count(queue) {
-            return json(self.parts.codec.queued(count));
+            return json(self.components.codec.queued(count));
         }
         match self.read(row::commit_record(&queue.pool)).await {
             Ok(row) => {
@@ -368,7 +374,7 @@
                 let count = record.queued.get(&queue.name).copied().unwrap_or(0);
                 let mut counts = self.counts.lock();
                 counts.insert(Name::clone(&queue.pool), (Instant::now(), record.queued));
-                json(self.parts.codec.queued(count))
+                json(self.components.codec.queued(count))
             }
             Err(error) => refused(Code::StateUnavailable, error.to_string(), head.request),
         }
--- a/crates/owner/src/elections.rs
+++ b/crates/owner/src/elections.rs
@@ -4,7 +4,7 @@
 use crate::{
     control::{ControlView, parse},
     elect,
-    entry::Parts,
+    entry::Components,
     holder,
     instance_cache::InstanceCache,
     ownership::{self, Context, OwnershipEnd},
@@ -57,7 +57,7 @@
 }
 
 pub(crate) struct Elections {
-    parts: Parts,
+    components: Components,
     view: Arc<Mutex<ControlView>>,
     fleet: Arc<InstanceCache>,
     owned: BTreeMap<Name, Ownership>,
@@ -73,14 +73,14 @@
 
 impl Elections {
     pub(crate) fn new(
-        parts: Parts,
+        components: Components,
         view: Arc<Mutex<ControlView>>,
         candidate: watch::Sender<bool>,
         stop: watch::Receiver<bool>,
     ) -> Self {
         Self {
-            fleet: Arc::new(InstanceCache::new(Arc::clone(&parts.site))),
-            parts,
+            fleet: Arc::new(InstanceCache::new(Arc::clone(&components.site))),
+            components,
             view,
             owned: BTreeMap::new(),
             candidate,
@@ -105,7 +105,7 @@
             }
             self.owned
                 .retain(|_pool, ownership| !ownership.task.is_finished());
-            self.parts.observer.owns(self.pools().len());
+            self.components.observer.owns(self.pools().len());
             self.update_candidacy();
             self.release_to_stronger();
             for name in self.to_take_over() {
@@ -132,10 +132,10 @@
     fn update_candidacy(&mut self) {
         let (pools, groups) = self.pools_and_groups();
         let mut view = self.view.lock();
-        let now = self.parts.clock.now();
+        let now = self.components.clock.now();
         let eligible = view.members.eligible(now);
         let candidates = elect::candidates(&eligible, pools.len() + groups.len());
-        if !self.owned.is_empty() || candidates.contains_key(&self.parts.entry) {
+        if !self.owned.is_empty() || candidates.contains_key(&self.components.entry) {
             self.candidate_until = Instant::now() + MIN_CANDIDACY;
         }
         let candidate = Instant::now() < self.candidate_until;
@@ -154,12 +154,12 @@
         }
         let pools = self.pools();
         let view = self.view.lock();
-        let now = self.parts.clock.now();
+        let now = self.components.clock.now();
         if !view.can_judge(now) {
             return;
         }
         let eligible = view.members.eligible(now);
-        let own = &self.parts.entry;
+        let own = &self.components.entry;
         let Some(pool) = elect::given_up(own, &pools, &view.owned_counts(false), &eligible) else {
             return;
         };
@@ -177,7 +177,7 @@
                 .owners
                 .keys()
                 .filter_map(|name| view.live_owner(name, now));
-            owners.any(|(owner, _version)| owner.entry != self.parts.entry)
+            owners.any(|(owner, _version)| owner.entry != self.components.entry)
         };
         let elapsed = self.started.elapsed();
         elapsed >= STARTUP_DELAY || (elapsed >= JOIN_DELAY && others())
@@ -185,7 +185,7 @@
 
     /// All pools, as far as they are known, and all groups of instances.
     fn pools_and_groups(&self) -> (Vec<Name>, Vec<Name>) {
-        let configuration = self.parts.watch.configuration.borrow();
+        let configuration = self.components.watch.configuration.borrow();
         let pools = configuration.iter().flat_map(|known| &known.pools);
         let pools = pools.map(|pool| Name::clone(&pool.name)).collect();
         (pools, row::groups().collect())
@@ -198,7 +198,7 @@
             return Vec::new();
         }
         let view = self.view.lock();
-        let now = self.parts.clock.now();
+        let now = self.components.clock.now();
         if !view.can_judge(now) {
             return Vec::new();
         }
@@ -219,10 +219,10 @@
         let mine = assigned.filter(|(name, entry)| {
             let had = view.owners.get(name);
             let had = had.is_some_and(|(last, _version)| last.entry == *entry);
-            *entry == self.parts.entry && (had || startup_over)
+            *entry == self.components.entry && (had || startup_over)
         });
         // A takeover whose answer was lost, and which took effect all the same.
-        let own = view.owned_by(&self.parts.entry, self.parts.incarnation);
+        let own = view.owned_by(&self.components.entry, self.components.incarnation);
         mine.map(|(name, _entry)| name)
             .chain(own)
             .filter(|name| !self.owned.contains_key(name))
@@ -243,7 +243,7 @@
 
     /// This entry's row, following that of the last owner.
     fn successor_row(&self, last: Option<&Owner>) -> Owner {
-        let own = &self.parts.entry;
+        let own = &self.components.entry;
         // It is unknown whether an earlier incarnation of this entry had waited for the instances
         // to rest, so its predecessor stays recorded.
         let after = last.and_then(|last| {
@@ -257,7 +257,7 @@
         let stated = last.filter(|last| last.released || last.entry == *own);
         Owner {
             entry: Name::clone(own),
-            incarnation: self.parts.incarnation,
+            incarnation: self.components.incarnation,
             attempt: self.attempt,
             released: false,
             after,
@@ -275,11 +275,11 @@
             puts: vec![(place, value.into())],
             deletes: Vec::new(),
         };
-        match self.parts.rows.commit(txn).await {
+        match self.components.rows.commit(txn).await {
             Ok(Commit::Committed(version)) => Some(version),
             Ok(Commit::Conflict(rows)) => {
                 // The change feed hasn't shown it yet, or the pool is new to the configuration.
-                let now = self.parts.clock.now();
+                let now = self.components.clock.now();
                 let mut view = self.view.lock();
                 for row in &rows {
                     view.record(row, now);
@@ -304,13 +304,13 @@
         let since = Instant::now();
         let task = if row::is_group(&name) {
             info!(group = &*name, token, from; "instance group taken over");
-            let parts = self.holder_parts(&name);
-            let rest = Rest::after(owner, parts.order_pause, since);
-            let next = rest.for_successor(stated, parts.order_pause, since);
-            tokio::spawn(holder::hold(parts, token, (rest, next), stopped))
+            let components = self.holder_components(&name);
+            let rest = Rest::after(owner, components.order_pause, since);
+            let next = rest.for_successor(stated, components.order_pause, since);
+            tokio::spawn(holder::hold(components, token, (rest, next), stopped))
         } else {
             info!(pool = &*name, token, from; "pool taken over");
-            self.parts.observer.taken_over(&name);
+            self.components.observer.taken_over(&name);
             tokio::spawn(ownership::own(self.context(&name), token, stopped))
         };
         self.owned.insert(name, Ownership { stop, task, since });
@@ -320,7 +320,7 @@
     /// that takes effect later is found by the next election, since its entry is alive and has no
     /// task for it.
     async fn read_own_claim(&self, pool: &Name, owner: &Owner) -> Option<Version> {
-        match read_row(&*self.parts.rows, row::owner(pool)).await {
+        match read_row(&*self.components.rows, row::owner(pool)).await {
             Ok(found) => found
                 .filter(|row| parse::<Owner>(row).as_ref() == Some(owner))
                 .map(|row| row.version),
@@ -331,35 +331,35 @@
         }
     }
 
-    fn holder_parts(&self, group: &Name) -> holder::Parts {
-        holder::Parts {
-            entry: Name::clone(&self.parts.entry),
+    fn holder_components(&self, group: &Name) -> holder::Components {
+        holder::Components {
+            entry: Name::clone(&self.components.entry),
             group: Name::clone(group),
-            rows: Arc::clone(&self.parts.rows),
-            site: Arc::clone(&self.parts.site),
+            rows: Arc::clone(&self.components.rows),
+            site: Arc::clone(&self.components.site),
             view: Arc::clone(&self.view),
-            order_pause: self.parts.bounds.borrow().order_pause,
+            order_pause: self.components.bounds.borrow().order_pause,
         }
     }
 
     fn context(&self, pool: &Name) -> Context {
-        let bounds = *self.parts.bounds.borrow();
+        let bounds = *self.components.bounds.borrow();
         Context {
-            entry: Name::clone(&self.parts.entry),
+            entry: Name::clone(&self.components.entry),
             pool: Name::clone(pool),
-            clock: self.parts.clock,
+            clock: self.components.clock,
             limits: bounds.limits,
             order_pause: bounds.order_pause,
             order_rate: bounds.order_rate,
-            rows: Arc::clone(&self.parts.rows),
-            takeover_rows: Arc::clone(&self.parts.loads),
-            site: Arc::clone(&self.parts.site),
-            workers: Arc::clone(&self.parts.workers),
-            advisor: Arc::clone(&self.parts.advisor),
-            watch: self.parts.watch.clone(),
+            rows: Arc::clone(&self.components.rows),
+            takeover_rows: Arc::clone(&self.components.loads),
+            site: Arc::clone(&self.components.site),
+            workers: Arc::clone(&self.components.workers),
+            advisor: Arc::clone(&self.components.advisor),
+            watch: self.components.watch.clone(),
             view: Arc::clone(&self.view),
             fleet: Arc::clone(&self.fleet),
-            observer: Arc::clone(&self.parts.observer),
+            observer: Arc::clone(&self.components.observer),
         }
     }
 }
--- a/crates/owner/src/entry.rs
+++ b/crates/owner/src/entry.rs
@@ -66,9 +66,9 @@
     pub order_rate: f64,
 }
 
-/// What an entry is given.
+/// The components from which an entry is built.
 #[derive(Clone, Debug)]
-pub struct Parts {
+pub struct Components {
     /// Its name.
     pub entry: Name,
     /// Number that is new for each start of the process.
@@ -101,7 +101,7 @@
 #[derive(Debug)]
 pub struct Entry {
     stop: watch::Sender<bool>,
-    parts: Parts,
+    components: Components,
     leaving: Arc<AtomicBool>,
     elections: JoinHandle<()>,
     background: Vec<JoinHandle<()>>,
@@ -109,18 +109,18 @@
 
 impl Entry {
     /// Starts heartbeats and elections.
-    pub fn spawn(parts: Parts) -> Self {
+    pub fn spawn(components: Components) -> Self {
         let view = Arc::new(Mutex::new(ControlView::default()));
         let leaving = Arc::new(AtomicBool::new(false));
         let (candidate, is_candidate) = watch::channel(true);
         let table = Table {
-            rows: Arc::clone(&parts.rows),
-            configuration: parts.watch.configuration.clone(),
+            rows: Arc::clone(&components.rows),
+            configuration: components.watch.configuration.clone(),
             candidate: is_candidate,
         };
         let sink = ControlSink {
             view: Arc::clone(&view),
-            clock: parts.clock,
+            clock: components.clock,
             was_interrupted: true,
         };
         let background = vec![
@@ -130,19 +130,19 @@
                 sink,
                 CONTROL_FEED_TIMING,
                 None,
-                (Name::clone(&parts.entry), parts.incarnation),
+                (Name::clone(&components.entry), components.incarnation),
             )),
             tokio::spawn(send_heartbeats(
-                parts.clone(),
+                components.clone(),
                 Arc::clone(&view),
                 Arc::clone(&leaving),
             )),
         ];
         let (stop, stopped) = watch::channel(false);
-        let elections = Elections::new(parts.clone(), view, candidate, stopped);
+        let elections = Elections::new(components.clone(), view, candidate, stopped);
         Self {
             stop,
-            parts,
+            components,
             leaving,
             elections: tokio::spawn(elections.run()),
             background,
@@ -155,7 +155,7 @@
     /// that its own pools aren't reserved for it.
     pub async fn stop(self) {
         self.leaving.store(true, Ordering::Relaxed);
-        let heartbeat = write_heartbeat(&self.parts, u64::MAX, true);
+        let heartbeat = write_heartbeat(&self.components, u64::MAX, true);
         match timeout(FINAL_HEARTBEAT_TIMEOUT, heartbeat).await {
             Ok(Ok(())) => {}
             Ok(Err(error)) => warn!(error:% = error; "final heartbeat failed"),
@@ -171,23 +171,27 @@
     }
 }
 
-async fn write_heartbeat(parts: &Parts, beat: u64, leaving: bool) -> Result<(), Error> {
+async fn write_heartbeat(components: &Components, beat: u64, leaving: bool) -> Result<(), Error> {
     let member = Member {
-        incarnation: parts.incarnation,
+        incarnation: components.incarnation,
         beat,
         leaving,
-        strength: parts.strength,
+        strength: components.strength,
     };
     let value = serde_json::to_vec(&member).expect("a heartbeat has plain fields");
     let txn = Txn {
-        puts: vec![(row::member(&parts.entry), value.into())],
+        puts: vec![(row::member(&components.entry), value.into())],
         ..Txn::default()
     };
-    parts.rows.commit(txn).await.map(drop)
+    components.rows.commit(txn).await.map(drop)
 }
 
 /// Writes the heartbeat until the task is dropped.
-async fn send_heartbeats(parts: Parts, view: Arc<Mutex<ControlView>>, leaving: Arc<AtomicBool>) {
+async fn send_heartbeats(
+    components: Components,
+    view: Arc<Mutex<ControlView>>,
+    leaving: Arc<AtomicBool>,
+) {
     let mut ticks = interval(HEARTBEAT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut number = 0;
@@ -196,10 +200,10 @@
         ticks.tick().await;
         number += 1;
         let is_leaving = leaving.load(Ordering::Relaxed);
-        let begin = parts.clock.now();
-        match write_heartbeat(&parts, number, is_leaving).await {
+        let begin = components.clock.now();
+        match write_heartbeat(&components, number, is_leaving).await {
             Ok(()) => {
-                let now = parts.clock.now();
+                let now = components.clock.now();
                 if now < begin + SLOW_HEARTBEAT_MS {
                     view.lock().record_own_heartbeat(now);
                 }
--- a/crates/owner/src/holder.rs
+++ b/crates/owner/src/holder.rs
@@ -50,9 +50,9 @@
 /// Longest time between two checks whether the group is still held and what is requested.
 const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What the holder of a group needs.
+/// The components of a group holder.
 #[derive(Clone, Debug)]
-pub(crate) struct Parts {
+pub(crate) struct Components {
     pub entry: Name,
     pub group: Name,
     pub rows: Arc<dyn Rows>,
@@ -70,7 +70,7 @@
 }
 
 struct GroupHolder {
-    parts: Parts,
+    components: Components,
     /// Version of the group's row.
     token: Version,
     /// Which instances the previous holder may have ordered a moment ago.
@@ -85,28 +85,30 @@
 /// its instances need after the previous holder, and `next` what they need before the next one as
 /// long as nothing is ordered.
 pub(crate) async fn hold(
-    parts: Parts,
+    components: Components,
     token: Version,
     (rest, next): (Rest, Rest),
     mut stop: watch::Receiver<bool>,
 ) -> OwnershipEnd {
-    let mut updates = parts.view.lock().changes();
+    let mut updates = components.view.lock().changes();
     let mut group = GroupHolder {
         token,
         next,
         rest,
-        parts,
+        components,
         handled: BTreeMap::new(),
     };
     loop {
         if *stop.borrow() {
-            let GroupHolder { parts, next, .. } = &group;
-            let Parts {
+            let GroupHolder {
+                components, next, ..
+            } = &group;
+            let Components {
                 rows,
                 entry,
                 group: name,
                 ..
-            } = parts;
+            } = components;
             let resting = next.remaining(Instant::now());
             release(&**rows, entry, (name, token), resting).await;
             return OwnershipEnd::Released;
@@ -116,7 +118,7 @@
             group.serve(request).await;
         }
         if group.is_lost() {
-            warn!(group = &*group.parts.group, token; "another entry holds the group");
+            warn!(group = &*group.components.group, token; "another entry holds the group");
             return OwnershipEnd::Lost;
         }
         let wake = async {
@@ -142,8 +144,8 @@
 impl GroupHolder {
     /// Whether the change feed shows a successor.
     fn is_lost(&self) -> bool {
-        let view = self.parts.view.lock();
-        let shown = view.owners.get(&self.parts.group);
+        let view = self.components.view.lock();
+        let shown = view.owners.get(&self.components.group);
         shown.is_some_and(|(_owner, version)| *version > self.token)
     }
 
@@ -153,7 +155,7 @@
     /// long ago, and the instances may be back in use in their pool. Their owners withdraw them and
     /// request again.
     fn open_requests(&mut self) -> Vec<GroupRequest> {
-        let view = self.parts.view.lock();
+        let view = self.components.view.lock();
         let mut open = Vec::new();
         for (pool, (orders, version)) in &view.orders {
             let handled = self.handled.get(pool).copied().unwrap_or(self.token);
@@ -161,7 +163,8 @@
                 continue;
             }
             let own = orders.orders.iter();
-            let own = own.filter(|(instance, _order)| row::group(instance) == self.parts.group);
+            let own =
+                own.filter(|(instance, _order)| row::group(instance) == self.components.group);
             let own: BTreeMap<Name, Order> = own
                 .map(|(instance, order)| (Name::clone(instance), order.clone()))
                 .collect();
@@ -190,7 +193,7 @@
 
     /// Issues the orders of a request, if it is valid and the group is held.
     async fn serve(&mut self, request: GroupRequest) {
-        let group = &*self.parts.group;
+        let group = &*self.components.group;
         let pool = &*request.pool;
         let begin = Instant::now();
         let token = match self.prove(&request).await {
@@ -212,7 +215,7 @@
         }
         for instance in request.orders.orders.keys() {
             self.next
-                .record_order(instance, self.parts.order_pause, Instant::now());
+                .record_order(instance, self.components.order_pause, Instant::now());
         }
         let results = self.issue(&request, token).await;
         self.handled
@@ -223,7 +226,7 @@
     /// Proves that the request is valid and the group is held, at a moment after this call; returns
     /// the fencing token of the orders, or `None` if either is not the case.
     async fn prove(&self, request: &GroupRequest) -> Result<Option<Version>, Error> {
-        let Parts { rows, group, .. } = &self.parts;
+        let Components { rows, group, .. } = &self.components;
         let GroupRequest { pool, version, .. } = request;
         let answer = Answer {
             asked: *version,
@@ -248,10 +251,10 @@
 
     async fn issue(&self, request: &GroupRequest, token: Version) -> BTreeMap<Name, OrderResult> {
         let holder = site::LeaseHolder {
-            entry: Name::clone(&self.parts.entry),
+            entry: Name::clone(&self.components.entry),
             token,
         };
-        let site = &self.parts.site;
+        let site = &self.components.site;
         let by = &holder;
         let orders = request.orders.orders.iter();
         let orders = orders.map(|(instance, order)| async move {
@@ -281,7 +284,7 @@
 
     /// Answers the pool's owner. Without an answer it requests again, and orders are idempotent.
     async fn answer(&self, request: &GroupRequest, results: BTreeMap<Name, OrderResult>) {
-        let Parts { rows, group, .. } = &self.parts;
+        let Components { rows, group, .. } = &self.components;
         let answer = Answer {
             asked: request.version,
             results,
@@ -299,7 +302,7 @@
                     value: Some(value),
                     version,
                 };
-                self.parts.view.lock().record_own_write(&known);
+                self.components.view.lock().record_own_write(&known);
             }
             Ok(Commit::Conflict(_rows)) => unreachable!("a commit without conditions"),
             Err(error) => {
--- a/crates/owner/src/lib.rs
+++ b/crates/owner/src/lib.rs
@@ -73,6 +73,6 @@
 
 pub use adaptive_timeout::AdaptiveTimeout;
 pub use clock::Clock;
-pub use entry::{Bounds, Entry, Parts};
+pub use entry::{Bounds, Components, Entry};
 pub use observe::{Blind, Observer};
 pub use watch::Watch;
--- a/crates/serve/src/site.rs
+++ b/crates/serve/src/site.rs
@@ -13,8 +13,8 @@
 use primroseroute_backoff::{self as backoff, Backoff};
 use primroseroute_cell::Limits;
 use primroseroute_front::{Options, Server};
-use primroseroute_gateway::{Gateway, Parts as GatewayParts, Readiness};
-use primroseroute_owner::{AdaptiveTimeout, Bounds, Clock, Entry, Parts, Watch};
+use primroseroute_gateway::{Components as GatewayComponents, Gateway, Readiness};
+use primroseroute_owner::{AdaptiveTimeout, Bounds, Clock, Components, Entry, Watch};
 use primroseroute_platform::{rows::Rows, site, worker};
 use primroseroute_telemetry::{log::Log, site::Meter};
 use std::{
@@ -163,7 +163,7 @@
         let (watch, _follow) = Watch::spawn(&site, clock, incarnation);
         let stopping = Arc::new(AtomicBool::new(false));
         let readiness = readiness(&watch, clock, &stopping);
-        let gateway = Gateway::open(GatewayParts {
+        let gateway = Gateway::open(GatewayComponents {
             configuration: watch.configuration.clone(),
             rows: Arc::clone(&rows),
             codec: Arc::new(Json),
@@ -180,7 +180,7 @@
             }
             None => None,
         };
-        let entry = Entry::spawn(Parts {
+        let entry = Entry::spawn(Components {
             entry: Arc::clone(&settings.entry),
             incarnation,
             strength: settings.strength,
--- a/tests/site/bed/mod.rs
+++ b/tests/site/bed/mod.rs
@@ -13,8 +13,8 @@
 use primroseroute_backoff::{self as backoff, Backoff};
 use primroseroute_cell::Limits;
 use primroseroute_domain::work::{Job, JobId, State};
-use primroseroute_gateway::{Gateway, Parts as GatewayParts};
-use primroseroute_owner::{AdaptiveTimeout, Bounds, Clock, Entry, Parts, Watch};
+use primroseroute_gateway::{Components as GatewayComponents, Gateway};
+use primroseroute_owner::{AdaptiveTimeout, Bounds, Clock, Components, Entry, Watch};
 use primroseroute_platform::{
     rows::Rows,
     site::{Codec, Configuration, Instruction, Site},
@@ -232,14 +232,14 @@
         let site: Arc<dyn Site> = Arc::new(backoff::Site::new(site, store.clone(), instances));
         let rows: Arc<dyn Rows> = Arc::new(AdaptiveTimeout::new(Arc::new(caller.clone())));
         let (watch, _tasks) = Watch::spawn(&site, self.clock, self.started);
-        let gateway = Gateway::open(GatewayParts {
+        let gateway = Gateway::open(GatewayComponents {
             configuration: watch.configuration.clone(),
             rows: Arc::clone(&rows),
             codec: Arc::new(Plain),
             clock: Arc::new(self.clock),
             observer: None,
         });
-        let entry = Entry::spawn(Parts {
+        let entry = Entry::spawn(Components {
             entry: name.into(),
             incarnation: self.started,
             strength: self.strengths.get(name).copied().unwrap_or(STRENGTH),
