--- a/crates/owner/src/elections.rs
+++ b/crates/owner/src/elections.rs
@@ -160,7 +160,8 @@
         }
         let eligible = view.members.eligible(now);
         let own = &self.components.entry;
-        let Some(pool) = elect::given_up(own, &pools, &view.owned_counts(false), &eligible) else {
+        let Some(pool) = elect::pool_to_release(own, &pools, &view.owned_counts(false), &eligible)
+        else {
             return;
         };
         if let Some(ownership) = self.owned.get_mut(pool) {
@@ -352,7 +353,7 @@
             order_pause: bounds.order_pause,
             order_rate: bounds.order_rate,
             rows: Arc::clone(&self.components.rows),
-            takeover_rows: Arc::clone(&self.components.loads),
+            takeover_rows: Arc::clone(&self.components.takeover_rows),
             site: Arc::clone(&self.components.site),
             workers: Arc::clone(&self.components.workers),
             advisor: Arc::clone(&self.components.advisor),
--- a/crates/owner/src/entry.rs
+++ b/crates/owner/src/entry.rs
@@ -84,7 +84,7 @@
     pub rows: Arc<dyn Rows>,
     /// The store for the reads of a takeover. Its throttled reads have a backoff of their own: few
     /// entries take a pool over, and nothing runs in the pool until they have read it.
-    pub loads: Arc<dyn Rows>,
+    pub takeover_rows: Arc<dyn Rows>,
     /// The site.
     pub site: Arc<dyn Site>,
     /// Calls to workers.
--- a/crates/owner/src/lib.rs
+++ b/crates/owner/src/lib.rs
@@ -74,5 +74,5 @@
 pub use adaptive_timeout::AdaptiveTimeout;
 pub use clock::Clock;
 pub use entry::{Bounds, Components, Entry};
-pub use observe::{Blind, Observer};
+pub use observe::{NoopObserver, Observer};
 pub use watch::Watch;
--- a/crates/owner/src/observe.rs
+++ b/crates/owner/src/observe.rs
@@ -40,9 +40,9 @@
 
 /// Counts nothing.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Blind;
+pub struct NoopObserver;
 
-impl Observer for Blind {
+impl Observer for NoopObserver {
     fn started(&self, _outcome: Outcome) {}
     fn ended(&self, _how: End) {}
     fn lost(&self, _cause: Cause, _runs: usize) {}
--- a/crates/owner/src/watch.rs
+++ b/crates/owner/src/watch.rs
@@ -145,7 +145,7 @@
     /// The waves.
     pub waves: Receiver<Waves>,
     /// When the store last answered, on the monotonic clock.
-    pub contact: Receiver<Millis>,
+    pub last_contact: Receiver<Millis>,
 }
 
 impl Watch {
@@ -155,11 +155,11 @@
         let (configuration_sink, configuration) = watch::channel(None);
         let (waves_sink, waves) = watch::channel(Waves::default());
         let (roster, registrations) = Roster::spawn(site, seed);
-        let (contact_sink, contact) = watch::channel(0);
+        let (contact_sink, last_contact) = watch::channel(0);
         let instructions = InstructionSink {
             configuration: configuration_sink,
             waves: waves_sink,
-            contact: contact_sink,
+            last_contact: contact_sink,
             clock,
         };
         let tasks = vec![
@@ -177,7 +177,7 @@
             configuration,
             roster,
             waves,
-            contact,
+            last_contact,
         };
         (watch, tasks)
     }
@@ -203,7 +203,7 @@
 struct InstructionSink {
     configuration: Sender<Option<Arc<Configuration>>>,
     waves: Sender<Waves>,
-    contact: Sender<Millis>,
+    last_contact: Sender<Millis>,
     clock: Clock,
 }
 
@@ -228,7 +228,7 @@
     }
 
     fn confirmed(&mut self, _at: Instant) {
-        self.contact.send_replace(self.clock.now());
+        self.last_contact.send_replace(self.clock.now());
     }
 }
 
--- a/crates/owner/tests/all/elect.rs
+++ b/crates/owner/tests/all/elect.rs
@@ -1,7 +1,7 @@
 //! Which entry takes over a pool, and which pool is released to a stronger entry.
 
 use primroseroute_domain::work::Name;
-use primroseroute_owner::elect::{assign, candidates, given_up};
+use primroseroute_owner::elect::{assign, candidates, pool_to_release};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -55,9 +55,9 @@
     let own = Name::from("e-0");
     let pools = [Name::from("p-0"), Name::from("p-1")];
     let owned = [(Name::clone(&own), 2)].into();
-    let kept = given_up(&own, &pools, &owned, &entries(&[250, 250, 250]));
+    let kept = pool_to_release(&own, &pools, &owned, &entries(&[250, 250, 250]));
     assert_eq!(kept, None);
-    let given = given_up(&own, &pools, &owned, &entries(&[120, 500]));
+    let given = pool_to_release(&own, &pools, &owned, &entries(&[120, 500]));
     assert_eq!(given, Some(&pools[0]));
 }
 
@@ -89,7 +89,7 @@
         for entry in able.keys() {
             let own = assigned.iter().filter(|(_pool, owner)| *owner == entry);
             let own: Vec<Name> = own.map(|(pool, _owner)| Name::clone(pool)).collect();
-            prop_assert_eq!(given_up(entry, &own, &owned, &able), None);
+            prop_assert_eq!(pool_to_release(entry, &own, &owned, &able), None);
         }
     }
 }
--- a/crates/serve/src/site.rs
+++ b/crates/serve/src/site.rs
@@ -187,7 +187,7 @@
             clock,
             bounds: live.bounds.subscribe(),
             rows: Arc::new(backoff::Rows::new(Arc::clone(&rows), store_backoff)),
-            loads: Arc::new(backoff::Rows::new(
+            takeover_rows: Arc::new(backoff::Rows::new(
                 rows,
                 Backoff::high_priority("pools", incarnation),
             )),
@@ -226,11 +226,11 @@
 
 fn readiness(watch: &Watch, clock: Clock, stopping: &Arc<AtomicBool>) -> Readiness {
     let configuration = watch.configuration.clone();
-    let contact = watch.contact.clone();
+    let last_contact = watch.last_contact.clone();
     let stopping = Arc::clone(stopping);
     Readiness::new(Arc::new(move || {
         let configured = configuration.borrow().is_some();
-        let silent = clock.now().saturating_sub(*contact.borrow());
+        let silent = clock.now().saturating_sub(*last_contact.borrow());
         configured && silent < OUT_OF_TOUCH && !stopping.load(Ordering::Relaxed)
     }))
 }
--- a/tests/site/bed/mod.rs
+++ b/tests/site/bed/mod.rs
@@ -246,7 +246,7 @@
             clock: self.clock,
             bounds: self.bounds.subscribe(),
             rows: Arc::new(backoff::Rows::new(Arc::clone(&rows), store)),
-            loads: Arc::new(backoff::Rows::new(
+            takeover_rows: Arc::new(backoff::Rows::new(
                 rows,
                 Backoff::high_priority("pools", self.started),
             )),
