--- a/crates/owner/src/elections.rs
+++ b/crates/owner/src/elections.rs
@@ -105,7 +105,7 @@
             }
             self.owned
                 .retain(|_pool, ownership| !ownership.task.is_finished());
-            self.components.observer.owns(self.pools().len());
+            self.components.observer.pools_owned(self.pools().len());
             self.update_candidacy();
             self.release_to_stronger();
             for name in self.to_take_over() {
@@ -311,7 +311,7 @@
             tokio::spawn(holder::hold(components, token, (rest, next), stopped))
         } else {
             info!(pool = &*name, token, from; "pool taken over");
-            self.components.observer.taken_over(&name);
+            self.components.observer.pool_taken_over(&name);
             tokio::spawn(ownership::own(self.context(&name), token, stopped))
         };
         self.owned.insert(name, Ownership { stop, task, since });
--- a/crates/owner/src/observe.rs
+++ b/crates/owner/src/observe.rs
@@ -7,35 +7,35 @@
 /// Counts what owners do.
 pub trait Observer: Send + Sync + fmt::Debug {
     /// A start has finished with this outcome.
-    fn started(&self, outcome: Outcome);
+    fn start_finished(&self, outcome: Outcome);
 
     /// A run has ended.
-    fn ended(&self, how: End);
+    fn run_ended(&self, how: End);
 
     /// So many runs were lost without an end.
-    fn lost(&self, cause: Cause, runs: usize);
+    fn runs_lost(&self, cause: Cause, runs: usize);
 
     /// A pool was taken over.
-    fn taken_over(&self, pool: &Name);
+    fn pool_taken_over(&self, pool: &Name);
 
     /// How many pools this entry owns now.
-    fn owns(&self, pools: usize);
+    fn pools_owned(&self, pools: usize);
 
     /// How many jobs of a queue wait to begin.
-    fn queued(&self, queue: &Name, jobs: u64);
+    fn jobs_queued(&self, queue: &Name, jobs: u64);
 
     /// A commit has taken this long, retries included.
-    fn committed(&self, took: Duration);
+    fn commit_finished(&self, took: Duration);
 
     /// How long ago the call was sent that gave the newest answer of the change feed of a pool's
     /// jobs: the age of what its owner knows.
-    fn jobs_read(&self, pool: &Name, ago: Duration);
+    fn jobs_feed_age(&self, pool: &Name, ago: Duration);
 
     /// A round of a pool's loop has taken this long, its commit included.
-    fn round(&self, pool: &Name, took: Duration);
+    fn round_finished(&self, pool: &Name, took: Duration);
 
     /// An order of this kind has waited this long from the decision until it was sent.
-    fn sending(&self, order: &'static str, waited: Duration);
+    fn order_sent(&self, order: &'static str, waited: Duration);
 }
 
 /// Counts nothing.
@@ -43,14 +43,14 @@
 pub struct NoopObserver;
 
 impl Observer for NoopObserver {
-    fn started(&self, _outcome: Outcome) {}
-    fn ended(&self, _how: End) {}
-    fn lost(&self, _cause: Cause, _runs: usize) {}
-    fn taken_over(&self, _pool: &Name) {}
-    fn owns(&self, _pools: usize) {}
-    fn queued(&self, _queue: &Name, _jobs: u64) {}
-    fn committed(&self, _took: Duration) {}
-    fn jobs_read(&self, _pool: &Name, _ago: Duration) {}
-    fn round(&self, _pool: &Name, _took: Duration) {}
-    fn sending(&self, _order: &'static str, _waited: Duration) {}
+    fn start_finished(&self, _outcome: Outcome) {}
+    fn run_ended(&self, _how: End) {}
+    fn runs_lost(&self, _cause: Cause, _runs: usize) {}
+    fn pool_taken_over(&self, _pool: &Name) {}
+    fn pools_owned(&self, _pools: usize) {}
+    fn jobs_queued(&self, _queue: &Name, _jobs: u64) {}
+    fn commit_finished(&self, _took: Duration) {}
+    fn jobs_feed_age(&self, _pool: &Name, _ago: Duration) {}
+    fn round_finished(&self, _pool: &Name, _took: Duration) {}
+    fn order_sent(&self, _order: &'static str, _waited: Duration) {}
 }
--- a/crates/owner/src/order_delivery.rs
+++ b/crates/owner/src/order_delivery.rs
@@ -79,7 +79,8 @@
         let Ok(_permit) = self.concurrency.acquire().await else {
             return;
         };
-        self.observer.sending(kind(&order), self.decided.elapsed());
+        self.observer
+            .order_sent(kind(&order), self.decided.elapsed());
         match order {
             Order::Start {
                 worker,
--- a/crates/owner/src/pool_loop.rs
+++ b/crates/owner/src/pool_loop.rs
@@ -181,8 +181,8 @@
             ..
         } = &self.context;
         let ago = clock.now().saturating_sub(self.cell.feed_watermark());
-        observer.jobs_read(pool, Duration::from_millis(ago));
-        observer.round(pool, round);
+        observer.jobs_feed_age(pool, Duration::from_millis(ago));
+        observer.round_finished(pool, round);
     }
 
     /// Waits for an event, for the time at which the next round is due without one, or for the
@@ -235,7 +235,7 @@
                 at,
             } => {
                 for ended in self.cell.new_ends(&worker, &status) {
-                    self.context.observer.ended(ended.how);
+                    self.context.observer.run_ended(ended.how);
                     if ended.how != End::Done {
                         self.digest
                             .run_ended(&worker, &ended.task, ended.run, ended.how);
@@ -269,7 +269,7 @@
                 run,
                 outcome,
             } => {
-                self.context.observer.started(outcome);
+                self.context.observer.start_finished(outcome);
                 if outcome != Outcome::Started {
                     info!(worker = &*worker, task:% = task, run, outcome:? = outcome; "start not confirmed");
                 }
@@ -333,7 +333,7 @@
         self.cancels.log_ended(&self.cell, clock.now());
         self.withdraw_evacuated();
         for loss in &round.losses {
-            self.context.observer.lost(loss.cause, loss.runs.len());
+            self.context.observer.runs_lost(loss.cause, loss.runs.len());
         }
         log_lines::losses(&self.context.pool, &round.losses);
         log_lines::poison_tasks(&self.context.pool, &round.poison_tasks);
@@ -360,7 +360,7 @@
         let sent_at = if !round.puts.is_empty() || counts || publish {
             let queued = self.cell.queued().clone();
             for (queue, jobs) in &queued {
-                self.context.observer.queued(queue, *jobs);
+                self.context.observer.jobs_queued(queue, *jobs);
             }
             let figures = CommitFigures {
                 queued: &queued,
@@ -370,7 +370,7 @@
             let sent_at = self
                 .handle_events_during(commits.commit(&round.puts, figures))
                 .await?;
-            self.context.observer.committed(begin.elapsed());
+            self.context.observer.commit_finished(begin.elapsed());
             if publish {
                 log_lines::scaling(&self.context.pool, &round.scaling, self.registered.len());
                 self.published_scaling.record(wanted, clock.now());
@@ -398,7 +398,7 @@
         let (orders, withdrawn) = self.cell.revalidate(orders, clock.now());
         for order in &withdrawn {
             if matches!(order, Order::Start { .. }) {
-                self.context.observer.started(Outcome::Withdrawn);
+                self.context.observer.start_finished(Outcome::Withdrawn);
             }
             log_lines::withdrawn(&self.context.pool, order);
         }
--- a/crates/serve/src/metered.rs
+++ b/crates/serve/src/metered.rs
@@ -29,7 +29,7 @@
 }
 
 impl primroseroute_owner::Observer for Observer {
-    fn started(&self, outcome: Outcome) {
+    fn start_finished(&self, outcome: Outcome) {
         self.0.started(match outcome {
             Outcome::Started => "started",
             Outcome::Refused(_) => "refused",
@@ -39,11 +39,11 @@
         });
     }
 
-    fn ended(&self, how: End) {
+    fn run_ended(&self, how: End) {
         self.0.ended(how);
     }
 
-    fn lost(&self, cause: Cause, runs: usize) {
+    fn runs_lost(&self, cause: Cause, runs: usize) {
         let cause = match cause {
             Cause::Planned => "planned",
             Cause::Crash => "crash",
@@ -52,31 +52,31 @@
         self.0.lost(cause, runs as u64);
     }
 
-    fn taken_over(&self, pool: &Name) {
+    fn pool_taken_over(&self, pool: &Name) {
         self.0.taken_over(pool);
     }
 
-    fn owns(&self, pools: usize) {
+    fn pools_owned(&self, pools: usize) {
         self.0.owns(pools as u64);
     }
 
-    fn queued(&self, queue: &Name, jobs: u64) {
+    fn jobs_queued(&self, queue: &Name, jobs: u64) {
         self.0.queued(queue, jobs);
     }
 
-    fn committed(&self, took: Duration) {
+    fn commit_finished(&self, took: Duration) {
         self.0.committed(took);
     }
 
-    fn jobs_read(&self, pool: &Name, ago: Duration) {
+    fn jobs_feed_age(&self, pool: &Name, ago: Duration) {
         self.0.jobs_read(pool, ago);
     }
 
-    fn round(&self, pool: &Name, took: Duration) {
+    fn round_finished(&self, pool: &Name, took: Duration) {
         self.0.round(pool, took);
     }
 
-    fn sending(&self, order: &'static str, waited: Duration) {
+    fn order_sent(&self, order: &'static str, waited: Duration) {
         self.0.sending(order, waited);
     }
 }
--- a/tests/site/figures.rs
+++ b/tests/site/figures.rs
@@ -44,29 +44,29 @@
 }
 
 impl Observer for Figures {
-    fn started(&self, _outcome: Outcome) {}
-    fn ended(&self, _how: End) {}
-    fn lost(&self, _cause: Cause, _runs: usize) {}
-    fn taken_over(&self, _pool: &Name) {}
-    fn owns(&self, _pools: usize) {}
-    fn queued(&self, _queue: &Name, _jobs: u64) {}
-    fn committed(&self, _took: Duration) {}
+    fn start_finished(&self, _outcome: Outcome) {}
+    fn run_ended(&self, _how: End) {}
+    fn runs_lost(&self, _cause: Cause, _runs: usize) {}
+    fn pool_taken_over(&self, _pool: &Name) {}
+    fn pools_owned(&self, _pools: usize) {}
+    fn jobs_queued(&self, _queue: &Name, _jobs: u64) {}
+    fn commit_finished(&self, _took: Duration) {}
 
-    fn jobs_read(&self, pool: &Name, ago: Duration) {
+    fn jobs_feed_age(&self, pool: &Name, ago: Duration) {
         if &**pool == POOL {
             let mut longest = self.0.lock();
             longest.read = longest.read.max(ago);
         }
     }
 
-    fn round(&self, pool: &Name, took: Duration) {
+    fn round_finished(&self, pool: &Name, took: Duration) {
         if &**pool == POOL {
             let mut longest = self.0.lock();
             longest.round = longest.round.max(took);
         }
     }
 
-    fn sending(&self, order: &'static str, waited: Duration) {
+    fn order_sent(&self, order: &'static str, waited: Duration) {
         let mut longest = self.0.lock();
         let known = longest.orders.entry(order).or_default();
         *known = waited.max(*known);
