--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -48,19 +48,19 @@
 
 /// A response that is sent.
 #[derive(Clone, Debug)]
-pub struct Answered {
+pub struct ResponseInfo {
     /// The queue that the request is for, if any.
     pub queue: Option<Name>,
     /// Its status.
     pub status: u16,
     /// Time since the request's head arrived.
-    pub took: Duration,
+    pub duration: Duration,
 }
 
 /// Counts responses.
 pub trait Observer: Send + Sync + std::fmt::Debug {
     /// A response is sent.
-    fn answered(&self, answered: &Answered);
+    fn response_sent(&self, response: &ResponseInfo);
 }
 
 /// A configuration, prepared for requests.
@@ -142,10 +142,10 @@
         let response = self.answer(method, uri, headers, body, &mut queue);
         let response = response.await;
         if let Some(observer) = &self.components.observer {
-            observer.answered(&Answered {
+            observer.response_sent(&ResponseInfo {
                 queue,
                 status: response.status().as_u16(),
-                took: begin.elapsed(),
+                duration: begin.elapsed(),
             });
         }
         response
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -24,5 +24,5 @@
 pub mod routes;
 mod states;
 
-pub use gateway::{Answered, Components, Gateway, Observer};
+pub use gateway::{Components, Gateway, Observer, ResponseInfo};
 pub use ready::Readiness;
--- a/crates/owner/src/observe.rs
+++ b/crates/owner/src/observe.rs
@@ -35,7 +35,7 @@
     fn round_finished(&self, pool: &Name, took: Duration);
 
     /// An order of this kind has waited this long from the decision until it was sent.
-    fn order_sent(&self, order: &'static str, waited: Duration);
+    fn order_waited(&self, order: &'static str, waited: Duration);
 }
 
 /// Counts nothing.
@@ -52,5 +52,5 @@
     fn commit_finished(&self, _took: Duration) {}
     fn jobs_feed_age(&self, _pool: &Name, _ago: Duration) {}
     fn round_finished(&self, _pool: &Name, _took: Duration) {}
-    fn order_sent(&self, _order: &'static str, _waited: Duration) {}
+    fn order_waited(&self, _order: &'static str, _waited: Duration) {}
 }
--- a/crates/owner/src/order_delivery.rs
+++ b/crates/owner/src/order_delivery.rs
@@ -80,7 +80,7 @@
             return;
         };
         self.observer
-            .order_sent(kind(&order), self.decided.elapsed());
+            .order_waited(kind(&order), self.decided.elapsed());
         match order {
             Order::Start {
                 worker,
--- a/crates/serve/src/metered.rs
+++ b/crates/serve/src/metered.rs
@@ -3,7 +3,7 @@
 use async_trait::async_trait;
 use primroseroute_cell::{Cause, Outcome};
 use primroseroute_domain::work::{End, Name, TaskId};
-use primroseroute_gateway::Answered;
+use primroseroute_gateway::ResponseInfo;
 use primroseroute_platform::{
     Error,
     rows::{Commit, Feed, Page, Range, Row, Rows, Txn, Version},
@@ -18,13 +18,13 @@
 pub(crate) struct Observer(pub(crate) Meter);
 
 impl primroseroute_gateway::Observer for Observer {
-    fn answered(&self, answered: &Answered) {
-        let Answered {
+    fn response_sent(&self, response: &ResponseInfo) {
+        let ResponseInfo {
             queue,
             status,
-            took,
-        } = answered;
-        self.0.answered(queue.as_ref(), *status, *took);
+            duration,
+        } = response;
+        self.0.answered(queue.as_ref(), *status, *duration);
     }
 }
 
@@ -76,7 +76,7 @@
         self.0.round(pool, took);
     }
 
-    fn order_sent(&self, order: &'static str, waited: Duration) {
+    fn order_waited(&self, order: &'static str, waited: Duration) {
         self.0.sending(order, waited);
     }
 }
--- a/tests/site/figures.rs
+++ b/tests/site/figures.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    fn order_sent(&self, order: &'static str, waited: Duration) {
+    fn order_waited(&self, order: &'static str, waited: Duration) {
         let mut longest = self.0.lock();
         let known = longest.orders.entry(order).or_default();
         *known = waited.max(*known);
