--- a/crates/gateway/src/retry_limit.rs
+++ b/crates/gateway/src/retry_limit.rs
@@ -28,13 +28,13 @@
 }
 
 impl RetryLimit {
-    /// The time limit of a request whose caller waits as long as `told`; `seed` differs between
+    /// The time limit of a request whose caller waits as long as `caller_timeout`; `seed` differs between
     /// requests.
-    pub(crate) fn new(told: Option<Duration>, seed: impl Hash) -> Self {
+    pub(crate) fn new(caller_timeout: Option<Duration>, seed: impl Hash) -> Self {
         let [first, longest] = RETRY_DELAYS;
         Self {
             begin: Instant::now(),
-            usable: told.unwrap_or(DEFAULT_TIMEOUT) * USABLE_PERCENT / 100,
+            usable: caller_timeout.unwrap_or(DEFAULT_TIMEOUT) * USABLE_PERCENT / 100,
             ambiguous: false,
             retry: Retry::new(first, longest, seed),
         }
--- a/crates/owner/src/control.rs
+++ b/crates/owner/src/control.rs
@@ -45,8 +45,8 @@
     /// Waits until the next read is due; a candidate doesn't wait.
     async fn wait_until_due(&self) {
         let mut candidate = self.candidate.clone();
-        let stands = candidate.wait_for(|candidate| *candidate);
-        if timeout(OBSERVER_INTERVAL, stands).await.is_err() {
+        let becomes_candidate = candidate.wait_for(|candidate| *candidate);
+        if timeout(OBSERVER_INTERVAL, becomes_candidate).await.is_err() {
             log::trace!("control table is read again");
         }
     }
--- a/crates/owner/src/evacuations.rs
+++ b/crates/owner/src/evacuations.rs
@@ -152,13 +152,13 @@
     /// have terminated: those that no instance in use has any more. Their registrations outlive
     /// them by seconds.
     pub(crate) fn apply_list(&mut self, instances: &[Instance], asked_at: Millis) {
-        let away = |known: &&Instance| {
+        let ordered_away = |known: &&Instance| {
             matches!(
                 known.state,
                 InstanceState::Moving | InstanceState::Maintenance
             )
         };
-        let in_use = instances.iter().filter(|known| !away(known));
+        let in_use = instances.iter().filter(|known| !ordered_away(known));
         let in_use: BTreeSet<&Name> = in_use.filter_map(|known| known.worker.as_ref()).collect();
         for (worker, incarnation) in std::mem::take(&mut self.pending_orders) {
             if !in_use.contains(&worker) {
--- a/crates/owner/src/event.rs
+++ b/crates/owner/src/event.rs
@@ -31,7 +31,7 @@
         asked_at: Millis,
     },
     /// The list of instances still names an unresponsive worker, whose incarnation started at
-    /// `born`.
+    /// `incarnation`.
     Listed {
         worker: Name,
         incarnation: u64,
--- a/crates/owner/src/holder.rs
+++ b/crates/owner/src/holder.rs
@@ -81,7 +81,7 @@
     handled: BTreeMap<Name, Version>,
 }
 
-/// Holds the group under `token` until it is lost, or `stop` tells to release it; `rest` is what
+/// Holds the group under `token` until it is lost, or `stop` signals to release it; `rest` is what
 /// its instances need after the previous holder, and `next` what they need before the next one as
 /// long as nothing is ordered.
 pub(crate) async fn hold(
--- a/crates/owner/src/ownership.rs
+++ b/crates/owner/src/ownership.rs
@@ -64,7 +64,7 @@
     Released,
 }
 
-/// Owns the pool under `token` until it is lost, or `stop` tells to release it.
+/// Owns the pool under `token` until it is lost, or `stop` signals to release it.
 pub(crate) async fn own(
     context: Context,
     token: Version,
--- a/crates/owner/src/pool_loop.rs
+++ b/crates/owner/src/pool_loop.rs
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Runs until the pool is lost, or `stop` tells to release it.
+    /// Runs until the pool is lost, or `stop` signals to release it.
     pub(crate) async fn run(
         &mut self,
         commits: &mut CommitSequence,
--- a/crates/owner/tests/all/elect.rs
+++ b/crates/owner/tests/all/elect.rs
@@ -44,14 +44,14 @@
     let owned = [("e-0".into(), 2)].into();
     let back = assign(&free, &owned, &able);
     assert_eq!(back, [("p-0".into(), "e-0".into())].into());
-    let gone = assign(&free, &owned, &entries(&[])).len();
-    assert_eq!(gone, 0);
+    let unassigned = assign(&free, &owned, &entries(&[])).len();
+    assert_eq!(unassigned, 0);
 }
 
 /// A weak entry releases its pool if there is a strong one; among equals one that owns two pools
 /// keeps them.
 #[test]
-fn pool_is_given_up_to_a_far_stronger_entry_only() {
+fn pool_is_released_only_to_a_far_stronger_entry() {
     let own = Name::from("e-0");
     let pools = [Name::from("p-0"), Name::from("p-1")];
     let owned = [(Name::clone(&own), 2)].into();
--- a/crates/owner/tests/all/rebalance.rs
+++ b/crates/owner/tests/all/rebalance.rs
@@ -116,7 +116,7 @@
 /// Tasks wait in a pool that has two instances and needs six now. Its neighbour has six, needs two
 /// now and wants six: it gives four away, and keeps them if nobody is short.
 #[test]
-fn what_a_pool_wants_to_spare_goes_where_tasks_wait() {
+fn headroom_goes_where_tasks_wait() {
     let mut fleet = Fleet::new(&[(2, 6), (6, 6)], 0);
     let reserved = DesiredWorkers {
         workers: 6,
@@ -204,14 +204,14 @@
 }
 
 #[test]
-fn pool_that_has_said_nothing_keeps_what_it_has() {
+fn pool_without_a_published_need_keeps_what_it_has() {
     let mut fleet = Fleet::new(&[(2, 4)], 0);
     fleet.add("new", 6, None, false);
     assert_eq!(fleet.all_moves(), []);
 }
 
 #[test]
-fn refused_pairs_are_passed_over() {
+fn refused_pairs_are_skipped() {
     let mut fleet = Fleet::new(&[(1, 2)], 2);
     let pair = (Name::from("off-0"), Name::from("p-0"));
     fleet.refused.insert(pair);
--- a/crates/owner/tests/all/rest.rs
+++ b/crates/owner/tests/all/rest.rs
@@ -49,33 +49,33 @@
 /// The previous holder has released the group half a second after its order to one of the
 /// instances: only that one rests, and a third holder is told of it too.
 #[test]
-fn only_what_was_ordered_rests_after_a_holder_that_gave_up() {
+fn only_what_was_ordered_rests_after_a_release() {
     let begin = Instant::now();
     let mut first = Rest::after(&holder(None, None), PAUSE, begin);
     first.record_order(&"i-1".into(), PAUSE, begin);
-    let given_up = begin + Duration::from_millis(500);
-    let left = first.remaining(given_up).expect("all is known");
+    let released_at = begin + Duration::from_millis(500);
+    let left = first.remaining(released_at).expect("all is known");
     assert_eq!(left, [("i-1".into(), 2_501)].into());
     let second = Rest::after(
         &holder(Some("e-1"), Some(&[("i-1", 2_501)])),
         PAUSE,
-        given_up,
+        released_at,
     );
-    assert!(second.may_order(&"i-2".into(), given_up));
+    assert!(second.may_order(&"i-2".into(), released_at));
     assert!(!second.may_order(&"i-1".into(), begin + PAUSE));
     assert!(second.may_order(
         &"i-1".into(),
         begin + PAUSE + SLACK + Duration::from_millis(1)
     ));
-    let told = second.remaining(given_up).expect("all is known");
-    assert_eq!(told.keys().collect::<Vec<_>>(), [&Name::from("i-1")]);
+    let stated = second.remaining(released_at).expect("all is known");
+    assert_eq!(stated.keys().collect::<Vec<_>>(), [&Name::from("i-1")]);
 }
 
 /// An entry dies, comes back within the pause, and is told to stop at once. It may order again
 /// itself what it had ordered before; what that was it can't tell the next holder, for which all
 /// instances rest.
 #[test]
-fn entry_that_comes_back_knows_not_what_it_had_ordered() {
+fn restarted_entry_does_not_know_its_earlier_orders() {
     let now = Instant::now();
     let rest = Rest::after(&holder(Some("e-1"), Some(&[])), PAUSE, now);
     let next = rest.for_successor(false, PAUSE, now);
--- a/crates/owner/tests/all/wave.rs
+++ b/crates/owner/tests/all/wave.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn those_that_are_not_empty_or_may_not_be_ordered_are_passed_over() {
+fn instances_that_are_not_empty_or_may_not_be_ordered_are_skipped() {
     let mut fixture = Fixture::new();
     fixture.evacuated.remove("w-0");
     fixture.orderable.remove("i-1");
@@ -118,7 +118,7 @@
 /// Instances whose maintenance is over are finished before anything new begins, all at once: each
 /// frees a place.
 #[test]
-fn all_that_are_back_are_finished_at_once() {
+fn all_maintained_instances_are_finished_at_once() {
     let mut fixture = Fixture::new();
     for number in 0..2 {
         let counted = fixture.count(number);
@@ -132,7 +132,7 @@
 /// Instance 0 is counted as in maintenance and is up with the worker that it had: its order may not
 /// have arrived, so it is sent again, unless this owner knows that it was accepted.
 #[test]
-fn order_that_may_not_have_come_is_repeated() {
+fn order_that_may_not_have_arrived_is_repeated() {
     let mut fixture = Fixture::new();
     let first = fixture.count(0);
     assert_eq!(fixture.steps(), [Step::Repeat(first.clone())]);
@@ -190,7 +190,7 @@
 /// All instances are in use, and only some may be evacuated: those with the fewest runs are, since
 /// they are empty soonest.
 #[test]
-fn instances_with_the_fewest_runs_are_emptied_first() {
+fn instances_with_the_fewest_runs_are_evacuated_first() {
     let mut fixture = Fixture::new();
     fixture.evacuating.clear();
     fixture.evacuated.clear();
