--- a/crates/owner/src/order_delivery.rs
+++ b/crates/owner/src/order_delivery.rs
@@ -136,7 +136,7 @@
                 let answer =
                     self.workers
                         .throttle(&self.target, &task, run, percent, self.fence.token());
-                self.log_result("throttle", &task, run, answer.await);
+                self.log_result("pace", &task, run, answer.await);
             }
         }
     }
