--- a/crates/owner/tests/all/elect.rs
+++ b/crates/owner/tests/all/elect.rs
@@ -1,7 +1,7 @@
-//! Who takes a free pool, and which pool goes to a stronger entry.
+//! Which entry takes over a pool, and which pool is released to a stronger entry.
 
 use primroseroute_domain::work::Name;
-use primroseroute_owner::elect::{assign, candidates, given_up};
+use primroseroute_owner::elect::{assign, candidates, pool_to_release};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -36,7 +36,7 @@
     assert_eq!(owned, [three("e-1"), three("e-3")].into());
 }
 
-/// The entry that had the pool is there again: it gets it, though another has nothing to do.
+/// The entry that had the pool is back and gets it, though another has nothing to do.
 #[test]
 fn pool_goes_back_to_the_entry_that_had_it() {
     let able = entries(&[250, 250]);
@@ -44,19 +44,20 @@
     let owned = [("e-0".into(), 2)].into();
     let back = assign(&free, &owned, &able);
     assert_eq!(back, [("p-0".into(), "e-0".into())].into());
-    let gone = assign(&free, &owned, &entries(&[])).len();
-    assert_eq!(gone, 0);
+    let unassigned = assign(&free, &owned, &entries(&[])).len();
+    assert_eq!(unassigned, 0);
 }
 
-/// A weak entry gives its pool up where a strong one is there; among equals one that owns two pools keeps them.
+/// A weak entry releases its pool if there is a strong one; among equals one that owns two pools
+/// keeps them.
 #[test]
-fn pool_is_given_up_to_a_far_stronger_entry_only() {
+fn pool_is_released_only_to_a_far_stronger_entry() {
     let own = Name::from("e-0");
     let pools = [Name::from("p-0"), Name::from("p-1")];
     let owned = [(Name::clone(&own), 2)].into();
-    let kept = given_up(&own, &pools, &owned, &entries(&[250, 250, 250]));
+    let kept = pool_to_release(&own, &pools, &owned, &entries(&[250, 250, 250]));
     assert_eq!(kept, None);
-    let given = given_up(&own, &pools, &owned, &entries(&[120, 500]));
+    let given = pool_to_release(&own, &pools, &owned, &entries(&[120, 500]));
     assert_eq!(given, Some(&pools[0]));
 }
 
@@ -68,8 +69,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Against a naive twin that tries each entry for each pool. And giving up ends: whoever gets a pool doesn't give it
-    /// up in turn.
+    /// Compares with a reference that tries each entry for each pool. Releases terminate: an entry
+    /// that gets a pool doesn't release it in turn.
     #[test]
     fn each_pool_goes_where_most_is_left(
         strengths in prop::collection::vec(1_u32..1_000, 1..7),
@@ -88,7 +89,7 @@
         for entry in able.keys() {
             let own = assigned.iter().filter(|(_pool, owner)| *owner == entry);
             let own: Vec<Name> = own.map(|(pool, _owner)| Name::clone(pool)).collect();
-            prop_assert_eq!(given_up(entry, &own, &owned, &able), None);
+            prop_assert_eq!(pool_to_release(entry, &own, &owned, &able), None);
         }
     }
 }
--- a/crates/serve/src/metered.rs
+++ b/crates/serve/src/metered.rs
@@ -3,7 +3,7 @@
 use async_trait::async_trait;
 use primroseroute_cell::{Cause, Outcome};
 use primroseroute_domain::work::{End, Name, TaskId};
-use primroseroute_gateway::Answered;
+use primroseroute_gateway::ResponseInfo;
 use primroseroute_platform::{
     Error,
     rows::{Commit, Feed, Page, Range, Row, Rows, Txn, Version},
@@ -18,18 +18,18 @@
 pub(crate) struct Observer(pub(crate) Meter);
 
 impl primroseroute_gateway::Observer for Observer {
-    fn answered(&self, answered: &Answered) {
-        let Answered {
+    fn response_sent(&self, response: &ResponseInfo) {
+        let ResponseInfo {
             queue,
             status,
-            took,
-        } = answered;
-        self.0.answered(queue.as_ref(), *status, *took);
+            duration,
+        } = response;
+        self.0.answered(queue.as_ref(), *status, *duration);
     }
 }
 
 impl primroseroute_owner::Observer for Observer {
-    fn started(&self, outcome: Outcome) {
+    fn start_finished(&self, outcome: Outcome) {
         self.0.started(match outcome {
             Outcome::Started => "started",
             Outcome::Refused(_) => "refused",
@@ -39,11 +39,11 @@
         });
     }
 
-    fn ended(&self, how: End) {
+    fn run_ended(&self, how: End) {
         self.0.ended(how);
     }
 
-    fn lost(&self, cause: Cause, runs: usize) {
+    fn runs_lost(&self, cause: Cause, runs: usize) {
         let cause = match cause {
             Cause::Planned => "planned",
             Cause::Crash => "crash",
@@ -52,31 +52,31 @@
         self.0.lost(cause, runs as u64);
     }
 
-    fn taken_over(&self, pool: &Name) {
+    fn pool_taken_over(&self, pool: &Name) {
         self.0.taken_over(pool);
     }
 
-    fn owns(&self, pools: usize) {
+    fn pools_owned(&self, pools: usize) {
         self.0.owns(pools as u64);
     }
 
-    fn queued(&self, queue: &Name, jobs: u64) {
+    fn jobs_queued(&self, queue: &Name, jobs: u64) {
         self.0.queued(queue, jobs);
     }
 
-    fn committed(&self, took: Duration) {
+    fn commit_finished(&self, took: Duration) {
         self.0.committed(took);
     }
 
-    fn jobs_read(&self, pool: &Name, ago: Duration) {
+    fn jobs_feed_age(&self, pool: &Name, ago: Duration) {
         self.0.jobs_read(pool, ago);
     }
 
-    fn round(&self, pool: &Name, took: Duration) {
+    fn round_finished(&self, pool: &Name, took: Duration) {
         self.0.round(pool, took);
     }
 
-    fn sending(&self, order: &'static str, waited: Duration) {
+    fn order_waited(&self, order: &'static str, waited: Duration) {
         self.0.sending(order, waited);
     }
 }
--- a/crates/serve/src/site.rs
+++ b/crates/serve/src/site.rs
@@ -13,8 +13,8 @@
 use primroseroute_backoff::{self as backoff, Backoff};
 use primroseroute_cell::Limits;
 use primroseroute_front::{Options, Server};
-use primroseroute_gateway::{Gateway, Parts as GatewayParts, Readiness};
-use primroseroute_owner::{Bounds, Brisk, Clock, Entry, Parts, Watch};
+use primroseroute_gateway::{Components as GatewayComponents, Gateway, Readiness};
+use primroseroute_owner::{AdaptiveTimeout, Bounds, Clock, Components, Entry, Watch};
 use primroseroute_platform::{rows::Rows, site, worker};
 use primroseroute_telemetry::{log::Log, site::Meter};
 use std::{
@@ -147,7 +147,7 @@
         let observer = Arc::new(Observer(meter.clone()));
         let rows: Arc<dyn Rows> = Arc::new(store.clone());
         let rows: Arc<dyn Rows> = Arc::new(Metered::new(rows, meter.clone()));
-        let rows: Arc<dyn Rows> = Arc::new(Brisk::new(rows));
+        let rows: Arc<dyn Rows> = Arc::new(AdaptiveTimeout::new(rows));
         let incarnation = rand::random::<u64>() >> 1;
         let store_backoff = Backoff::new("store", incarnation);
         let site = Site::open(client.clone(), store, live.instances.clone());
@@ -163,7 +163,7 @@
         let (watch, _follow) = Watch::spawn(&site, clock, incarnation);
         let stopping = Arc::new(AtomicBool::new(false));
         let readiness = readiness(&watch, clock, &stopping);
-        let gateway = Gateway::open(GatewayParts {
+        let gateway = Gateway::open(GatewayComponents {
             configuration: watch.configuration.clone(),
             rows: Arc::clone(&rows),
             codec: Arc::new(Json),
@@ -180,14 +180,14 @@
             }
             None => None,
         };
-        let entry = Entry::spawn(Parts {
+        let entry = Entry::spawn(Components {
             entry: Arc::clone(&settings.entry),
             incarnation,
             strength: settings.strength,
             clock,
             bounds: live.bounds.subscribe(),
             rows: Arc::new(backoff::Rows::new(Arc::clone(&rows), store_backoff)),
-            loads: Arc::new(backoff::Rows::new(
+            takeover_rows: Arc::new(backoff::Rows::new(
                 rows,
                 Backoff::high_priority("pools", incarnation),
             )),
@@ -226,11 +226,11 @@
 
 fn readiness(watch: &Watch, clock: Clock, stopping: &Arc<AtomicBool>) -> Readiness {
     let configuration = watch.configuration.clone();
-    let contact = watch.contact.clone();
+    let last_contact = watch.last_contact.clone();
     let stopping = Arc::clone(stopping);
     Readiness::new(Arc::new(move || {
         let configured = configuration.borrow().is_some();
-        let silent = clock.now().saturating_sub(*contact.borrow());
+        let silent = clock.now().saturating_sub(*last_contact.borrow());
         configured && silent < OUT_OF_TOUCH && !stopping.load(Ordering::Relaxed)
     }))
 }
--- a/tests/site/store.rs
+++ b/tests/site/store.rs
@@ -7,7 +7,7 @@
 use eyre::{Result, ensure};
 use http::StatusCode;
 use primroseroute_domain::work::State;
-use primroseroute_owner::Brisk;
+use primroseroute_owner::AdaptiveTimeout;
 use primroseroute_platform::{
     rows::{Commit, Place, Rows, Txn},
     site::Instruction,
@@ -153,7 +153,7 @@
 // 4 ms, the sender learns after a quarter of a second that the outcome is unknown.
 async fn lost_response() -> Result<()> {
     let world = World::open(Options::default());
-    let rows = Brisk::new(Arc::new(world.caller("e-0")));
+    let rows = AdaptiveTimeout::new(Arc::new(world.caller("e-0")));
     for _commit in 0..20 {
         rows.commit(put()).await?;
     }
@@ -175,7 +175,7 @@
 // seconds were late.
 async fn repeated_losses() -> Result<()> {
     let world = World::open(Options::default());
-    let rows = Brisk::new(Arc::new(world.caller("e-0")));
+    let rows = AdaptiveTimeout::new(Arc::new(world.caller("e-0")));
     for loss in 0..8 {
         world.update_faults("e-0", |faults| faults.lost_commits = 0.0);
         rows.commit(put()).await?;
@@ -194,7 +194,7 @@
 // out, and each doubles the timeout, so that the next ones succeed.
 async fn slow() -> Result<()> {
     let world = World::open(Options::default());
-    let rows = Brisk::new(Arc::new(world.caller("e-0")));
+    let rows = AdaptiveTimeout::new(Arc::new(world.caller("e-0")));
     rows.commit(put()).await?;
     world.update_faults("e-0", |faults| faults.delay = Duration::from_millis(700));
     let mut answered = 0;
