--- a/crates/controller/src/checks.rs
+++ b/crates/controller/src/checks.rs
@@ -1,4 +1,4 @@
-//! When each instance is checked, and what its checks add up to.
+//! Schedules health checks of instances and counts their results.
 
 use crate::{probe::Probe, role::Timers};
 use primroseroute_domain::{
@@ -12,29 +12,34 @@
     time::{Instant, timeout},
 };
 
-/// Checks under way at the same time: at 1,200 serving instances and one check in 10 s each, 120 a
-/// second of at most a second.
-const AT_ONCE: usize = 128;
+/// Maximum concurrent checks. 1,200 serving instances with one check every 10 s each make 120
+/// checks/s, each of which takes at most a second.
+const MAX_CONCURRENT_CHECKS: usize = 128;
 
-/// Longest time that one round of checks may take; what is left is checked in the next.
-const ROUND: Duration = Duration::from_secs(2);
+/// Timeout of one round of checks; unfinished checks are repeated in the next round.
+const ROUND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the checks of this controller's time add up to.
+/// Health check results since this controller started.
 #[derive(Debug, Default)]
-pub(crate) struct Book {
+pub(crate) struct HealthChecks {
     checks: BTreeMap<id::Instance, Checks>,
-    checked: BTreeMap<id::Instance, Checked>,
-    last: BTreeMap<id::Instance, Instant>,
+    histories: BTreeMap<id::Instance, CheckHistory>,
+    last_check: BTreeMap<id::Instance, Instant>,
 }
 
-/// How long after a check the next one of an instance is due; none while checks say nothing.
+/// Interval between checks of an instance; `None` in states where checks are not meaningful.
 ///
-/// A serving instance is checked seldom, but for two cases: until this controller has seen enough
-/// of it to judge it, and while its last check was bad.
-fn interval(state: State, checked: Checked, timers: &Timers, enough: u32) -> Option<Duration> {
+/// A serving instance is checked at the long interval, except until this controller has enough
+/// results to judge it, and while its last check failed.
+fn interval(
+    state: State,
+    history: CheckHistory,
+    timers: &Timers,
+    min_checks: u32,
+) -> Option<Duration> {
     match state {
         State::Probation | State::Quarantined => Some(timers.check_waiting),
-        State::Serving | State::Draining if checked.count < enough || checked.was_bad => {
+        State::Serving | State::Draining if history.count < min_checks || history.last_failed => {
             Some(timers.check_waiting)
         }
         State::Serving | State::Draining => Some(timers.check_serving),
@@ -42,62 +47,67 @@
     }
 }
 
-/// What is remembered of an instance's checks beside their runs of good and bad ones.
+/// Check history of an instance besides its counts of consecutive good and bad checks.
 #[derive(Clone, Copy, Debug, Default)]
-struct Checked {
+struct CheckHistory {
     count: u32,
-    was_bad: bool,
+    last_failed: bool,
 }
 
-impl Book {
-    /// Results so far.
+impl HealthChecks {
+    /// Consecutive good and bad checks by instance.
     pub(crate) fn checks(&self) -> &BTreeMap<id::Instance, Checks> {
         &self.checks
     }
 
-    fn checked(&self, name: &id::Instance) -> Checked {
-        self.checked.get(name).copied().unwrap_or_default()
+    fn history(&self, name: &id::Instance) -> CheckHistory {
+        self.histories.get(name).copied().unwrap_or_default()
     }
 
-    /// Whether every serving instance was checked `enough` times, so that one that fails would show.
+    /// Whether every serving instance was checked at least `min_checks` times, so that a failed one
+    /// would have been detected.
     ///
-    /// A controller that has just taken over knows only the rows. Where its predecessor died or was
-    /// cut off before it wrote a loss down, a planned step that trusted the rows would take another
-    /// instance out of a pool that has none to spare.
-    pub(crate) fn is_settled(&self, rows: &BTreeMap<id::Instance, Row>, enough: u32) -> bool {
+    /// A controller that has just taken over knows only the rows. If its predecessor crashed or was
+    /// partitioned before it recorded a loss, a planned step based on the rows alone would take
+    /// another instance out of a pool that has none to spare.
+    pub(crate) fn has_min_checks(
+        &self,
+        rows: &BTreeMap<id::Instance, Row>,
+        min_checks: u32,
+    ) -> bool {
         let serving = rows.values().filter(|row| row.state == State::Serving);
         serving
-            .map(|row| self.checked(&row.id))
-            .all(|checked| checked.count >= enough)
+            .map(|row| self.history(&row.id))
+            .all(|history| history.count >= min_checks)
     }
 
-    /// Checks what is due among `rows`, the longest unchecked first.
-    pub(crate) async fn round(
+    /// Checks the instances among `rows` that are due, least recently checked first.
+    pub(crate) async fn run_due(
         &mut self,
         rows: &BTreeMap<id::Instance, Row>,
         probe: &Arc<dyn Probe>,
         timers: &Timers,
-        enough: u32,
+        min_checks: u32,
     ) {
         self.checks.retain(|name, _| rows.contains_key(name));
-        self.checked.retain(|name, _| rows.contains_key(name));
-        self.last.retain(|name, _| rows.contains_key(name));
-        let due = self.due(rows, timers, enough);
+        self.histories.retain(|name, _| rows.contains_key(name));
+        self.last_check.retain(|name, _| rows.contains_key(name));
+        let due = self.due(rows, timers, min_checks);
         let mut running: JoinSet<(id::Instance, bool)> = JoinSet::new();
         for (name, address) in due {
             let probe = Arc::clone(probe);
-            self.last.insert(name.clone(), Instant::now());
+            self.last_check.insert(name.clone(), Instant::now());
             running.spawn(async move { (name, probe.is_well(address).await) });
         }
-        let gather = async {
+        let collect_results = async {
             while let Some(done) = running.join_next().await {
-                if let Ok((name, well)) = done {
-                    self.note(name, well);
+                if let Ok((name, healthy)) = done {
+                    self.record_result(name, healthy);
                 }
             }
         };
-        if timeout(ROUND, gather).await.is_err() {
-            log::debug!("a round of checks was cut short");
+        if timeout(ROUND_TIMEOUT, collect_results).await.is_err() {
+            log::debug!("round of health checks timed out");
         }
     }
 
@@ -105,30 +115,30 @@
         &self,
         rows: &BTreeMap<id::Instance, Row>,
         timers: &Timers,
-        enough: u32,
+        min_checks: u32,
     ) -> Vec<(id::Instance, SocketAddr)> {
         let mut due: Vec<(Option<Instant>, &Row)> = rows
             .values()
             .filter_map(|row| {
-                let every = interval(row.state, self.checked(&row.id), timers, enough)?;
-                let last = self.last.get(&row.id).copied();
+                let every = interval(row.state, self.history(&row.id), timers, min_checks)?;
+                let last = self.last_check.get(&row.id).copied();
                 let is_due = last.is_none_or(|last| last.elapsed() >= every);
                 is_due.then_some((last, row))
             })
             .collect();
         due.sort_by_key(|(last, _)| *last);
         due.into_iter()
-            .take(AT_ONCE)
+            .take(MAX_CONCURRENT_CHECKS)
             .map(|(_, row)| (row.id.clone(), row.address))
             .collect()
     }
 
-    fn note(&mut self, name: id::Instance, well: bool) {
-        let checked = self.checked.entry(name.clone()).or_default();
-        checked.count = checked.count.saturating_add(1);
-        checked.was_bad = !well;
+    fn record_result(&mut self, name: id::Instance, healthy: bool) {
+        let history = self.histories.entry(name.clone()).or_default();
+        history.count = history.count.saturating_add(1);
+        history.last_failed = !healthy;
         let checks = self.checks.entry(name).or_default();
-        *checks = if well {
+        *checks = if healthy {
             Checks {
                 good: checks.good + 1,
                 bad: 0,
--- a/crates/controller/src/cycle.rs
+++ b/crates/controller/src/cycle.rs
@@ -1,10 +1,10 @@
-//! One cycle: read the surroundings, decide and commit, call the platform.
+//! One cycle: reads the inputs, decides and commits, then calls the platform.
 
 use crate::{
-    act::{self, Reboot, Seen},
-    checks::Book,
-    jobs::{Desk, Sight},
-    lease::Held,
+    checks::HealthChecks,
+    decision::{self, CycleInput, Reboot},
+    jobs::{LatestObservation, Observation},
+    lease::HeldLease,
     role::Parts,
 };
 use parking_lot::Mutex;
@@ -18,16 +18,16 @@
 use primroseroute_view::{Author, Snapshot, amend};
 use std::collections::BTreeMap;
 
-/// What a controller remembers between cycles, none of which its successor needs.
+/// State that a controller keeps between cycles; its successor needs none of it.
 #[derive(Debug, Default)]
-pub(crate) struct Memory {
-    book: Book,
+pub(crate) struct CycleState {
+    health_checks: HealthChecks,
     list: List,
 }
 
-impl Memory {
-    /// The newest list. It lags, and an older one may arrive after a newer one: taken back in
-    /// time, an instance that has rebooted would look as if it had not.
+impl CycleState {
+    /// The newest instance list. Lists lag, and an older one may be returned after a newer one;
+    /// with an older list, an instance that has rebooted would look as if it had not.
     async fn list(&mut self, parts: &Parts) -> Result<BTreeMap<id::Instance, Listed>, Refusal> {
         let list = parts.instances.list().await;
         let list = list.map_err(|error| Refusal::new(Code::StoreUnavailable, error.to_string()))?;
@@ -41,37 +41,44 @@
     /// Runs one cycle.
     ///
     /// # Errors
-    /// Where the platform could not be read or the change not be committed; the next cycle starts
+    /// If the platform could not be read or the change could not be committed; the next cycle starts
     /// from the table again.
     pub(crate) async fn cycle(
         &mut self,
         parts: &Parts,
-        held: &Held,
-        desk: &Desk,
+        held: &HeldLease,
+        observation: &LatestObservation,
     ) -> Result<(), Refusal> {
         let listed = self.list(parts).await?;
         let rows: BTreeMap<id::Instance, Row> = parts.cell.current().instance_rows();
-        let enough = parts.limits.bad_checks;
-        self.book
-            .round(&rows, &parts.probe, &parts.timers, enough)
+        let min_checks = parts.limits.bad_checks;
+        self.health_checks
+            .run_due(&rows, &parts.probe, &parts.timers, min_checks)
             .await;
-        let seen = Seen {
+        let input = CycleInput {
             listed,
-            checks: self.book.checks().clone(),
-            may_plan: self.book.is_settled(&rows, enough),
+            checks: self.health_checks.checks().clone(),
+            may_plan: self.health_checks.has_min_checks(&rows, min_checks),
             voices: parts.roster.voices().await?,
             now: parts.clock.now(),
             limits: parts.limits,
             weights: parts.weights,
         };
-        desk.put(Sight::new(&seen.voices, act::absent(&rows, &seen)));
-        let reboots = commit(parts, held, &seen).await?;
-        call(parts, reboots).await;
+        observation.put(Observation::new(
+            &input.voices,
+            decision::unavailable_instances(&rows, &input),
+        ));
+        let reboots = commit(parts, held, &input).await?;
+        request_reboots(parts, reboots).await;
         Ok(())
     }
 }
 
-async fn commit(parts: &Parts, held: &Held, seen: &Seen) -> Result<Vec<Reboot>, Refusal> {
+async fn commit(
+    parts: &Parts,
+    held: &HeldLease,
+    input: &CycleInput,
+) -> Result<Vec<Reboot>, Refusal> {
     let author = Author {
         actor: format!("controller:{}", parts.identity.entry).into(),
         reason: format!("cycle of epoch {}", held.number()).into(),
@@ -79,8 +86,8 @@
     };
     let reboots = Mutex::new(Vec::new());
     let decide = |snapshot: &Snapshot, draft: &mut Draft| {
-        // Decided again after a lost race: only the last decision counts.
-        *reboots.lock() = act::decide(snapshot, seen, draft)?;
+        // Called again after a conflict; only the last decision counts.
+        *reboots.lock() = decision::decide(snapshot, input, draft)?;
         Ok(())
     };
     amend(
@@ -94,12 +101,12 @@
     Ok(reboots.into_inner())
 }
 
-/// Asks for the reboots whose marks are in the table since an earlier cycle.
-async fn call(parts: &Parts, reboots: Vec<Reboot>) {
+/// Requests the reboots whose marks were committed in an earlier cycle.
+async fn request_reboots(parts: &Parts, reboots: Vec<Reboot>) {
     for Reboot { instance, boots } in reboots {
         if let Err(error) = parts.instances.reboot(&instance, boots).await {
-            // Asked again in the next cycle; the count of boots makes a repeat harmless.
-            log::warn!("the reboot of {instance} was not confirmed: {error}");
+            // Requested again in the next cycle; the boot count makes a repeated call harmless.
+            log::warn!("reboot of {instance} was not confirmed: {error}");
         }
     }
 }
--- /dev/null
+++ b/crates/controller/src/housekeeping.rs
@@ -0,0 +1,43 @@
+//! Housekeeping by the lease holder: deletes old claims and archives old change records.
+
+use crate::{lease::HeldLease, role::Parts};
+use primroseroute_audit::step;
+use primroseroute_claims::Sweep;
+use std::{sync::Arc, time::Duration};
+use tokio::time::Instant;
+
+/// Interval between steps. A step deletes at most 100 claims and 100 records; at 10 steps a minute
+/// that is 33 rows/s, under a tenth of the store's write rate.
+const STEP_INTERVAL: Duration = Duration::from_secs(6);
+
+/// Housekeeping state. It is not persisted; a successor starts from the beginning.
+#[derive(Debug)]
+pub(crate) struct Housekeeping {
+    sweep: Sweep,
+    due: Instant,
+}
+
+impl Housekeeping {
+    pub(crate) fn open(parts: &Parts) -> Self {
+        let table = Arc::clone(parts.ledger.table());
+        Self {
+            sweep: Sweep::open(table, Arc::clone(&parts.clock)),
+            due: Instant::now(),
+        }
+    }
+
+    /// Runs one step of each kind if due. A failed step is retried at the next one.
+    pub(crate) async fn step(&mut self, parts: &Parts, held: &HeldLease) {
+        if Instant::now() < self.due {
+            return;
+        }
+        self.due = Instant::now() + STEP_INTERVAL;
+        if let Err(error) = self.sweep.step().await {
+            log::warn!("could not delete old claims: {error}");
+        }
+        let objects = parts.objects.as_ref();
+        if let Err(error) = step(&parts.ledger, objects, held.guard(), parts.keep).await {
+            log::warn!("could not archive old change records: {error}");
+        }
+    }
+}
--- a/crates/controller/src/jobs/voice.rs
+++ b/crates/controller/src/jobs/acknowledgement.rs
@@ -1,4 +1,4 @@
-//! What the tasks say to a drain.
+//! Acknowledgement of drains on behalf of the tasks.
 
 use primroseroute_domain::{
     change::Seq,
@@ -12,21 +12,22 @@
 use primroseroute_view::Snapshot;
 use std::collections::BTreeMap;
 
-/// The name under which the tasks speak; an entry of the same name changes nothing.
-const NAME: &str = "tasks";
+/// Name under which the tasks acknowledge; an entry of the same name does no harm.
+const TASKS_NAME: &str = "tasks";
 
-/// The tasks' acknowledgement of every drain: in flight is each job that runs or may run there.
+/// The tasks' acknowledgement of every drain. Each job that runs or may run on an instance counts as
+/// in flight.
 ///
-/// The rows are those of the snapshot that the lifecycle decides on, and starts are ordered by the
-/// same head: none can come between this count and the change that empties the instance.
+/// The rows are those of the snapshot on which the lifecycle decides, and starts are ordered by the
+/// same head, so no start can be committed between this count and the change that ends the drain.
 ///
-/// None where nothing drains; that saves reading the rows.
+/// Returns `None` if no instance is draining, which avoids reading the rows.
 ///
 /// # Errors
-/// [`Code::ViewStale`] where a row cannot be read: it may stand for a run.
+/// [`Code::ViewStale`] if a row cannot be decoded: it may represent a run.
 ///
 /// # Panics
-/// Never: the name is valid.
+/// Never, as the name is valid.
 pub fn voice(snapshot: &Snapshot) -> Result<Option<Entry>, Refusal> {
     let drains = |row: &primroseroute_domain::instance::Row| row.state == State::Draining;
     if !snapshot.instances().values().any(|row| drains(&row.value)) {
@@ -40,7 +41,7 @@
         *in_flight.entry(at.clone()).or_default() += 1;
     }
     Ok(Some(Entry {
-        id: NAME.parse().expect("the name is valid"),
+        id: TASKS_NAME.parse().expect("the name is valid"),
         seen: Seq(u64::MAX),
         in_flight,
         gone: false,
--- a/crates/controller/src/jobs/calls.rs
+++ b/crates/controller/src/jobs/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's tasks, each with a limit, some at a time.
+//! Calls to the platform's tasks, with a timeout each and limited concurrency.
 
 use primroseroute_domain::id;
 use primroseroute_jobs::Action;
@@ -14,61 +14,66 @@
 
 /// How long after the decision a call may still be sent.
 ///
-/// A controller that is paused between the two, or whose calls queue up, would else start or renew
-/// a run that its successor has waited out, and the job would run twice. The successor counts runs
-/// as renewed a whole lease of 30 s after its takeover; this and [`LIMIT`] stay below that.
-pub(super) const SEND: Duration = Duration::from_secs(10);
+/// Otherwise a controller that is paused after the decision, or whose calls are queued for long,
+/// could start or renew a run whose lease has expired for its successor, and the job would run
+/// twice. The successor assumes that runs were renewed until a whole lease of 30 s after its
+/// takeover; this and [`CALL_TIMEOUT`] together stay below that.
+pub(super) const SEND_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest wait for an answer, well within the margin of 15 s that a lapse waits for late effects.
-const LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of a call, well below the 15 s that are allowed for late effects when a lease expires.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Calls at a time: at 9,600 runs, 960 renewals a second of up to 60 ms each.
-pub(super) const AT_ONCE: usize = 64;
+/// Maximum concurrent calls: 9,600 runs need 960 renewals/s of up to 60 ms each.
+pub(super) const MAX_CONCURRENT_CALLS: usize = 64;
 
-/// What became of a call.
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// A start or renewal came back or was given up; it may have had its effect.
+    /// A start or renewal returned or timed out; it may have taken effect.
     Returned,
-    /// A start had no effect, proven.
-    NotStarted,
-    /// The platform refused a start for want of its own health; it had no effect.
-    Refused,
-    /// A stop may not have got through.
-    NotStopped,
-    /// Nothing that the scheduler has to know.
-    Nothing,
+    /// A start is known to have had no effect.
+    StartNotApplied,
+    /// The platform rejected a start because it was unavailable or throttling; it had no effect.
+    StartRejected,
+    /// A stop may not have taken effect.
+    StopUnconfirmed,
+    /// Not relevant to the scheduler.
+    Ignored,
 }
 
-/// One call that ended.
+/// A completed call.
 #[derive(Clone, Debug)]
-pub(super) struct Ended {
+pub(super) struct CompletedCall {
     pub(super) job: id::Job,
     pub(super) token: Token,
     pub(super) outcome: Outcome,
-    /// When it ended.
+    /// When the call completed.
     pub(super) at: Instant,
 }
 
-/// What the calls go through.
+/// Executes calls with limited concurrency.
 #[derive(Clone, Debug)]
-pub(super) struct Line {
+pub(super) struct TaskCaller {
     pub(super) tasks: Arc<dyn Tasks>,
     pub(super) permits: Arc<Semaphore>,
 }
 
-impl Line {
-    /// Carries `action` out, unless `decided` is too long ago.
-    pub(super) async fn carry(self, action: Action, decided: Instant) -> Option<Ended> {
-        let (job, token) = subject(&action)?;
+impl TaskCaller {
+    /// Executes `action`, unless it was decided too long ago.
+    pub(super) async fn execute(
+        self,
+        action: Action,
+        decided_at: Instant,
+    ) -> Option<CompletedCall> {
+        let (job, token) = run_of(&action)?;
         let permit = self.permits.acquire().await;
-        let outcome = if decided.elapsed() < SEND {
+        let outcome = if decided_at.elapsed() < SEND_TIMEOUT {
             call(self.tasks.as_ref(), action).await
         } else {
-            unsent(&action)
+            outcome_if_unsent(&action)
         };
         drop(permit);
-        Some(Ended {
+        Some(CompletedCall {
             job,
             token,
             outcome,
@@ -77,8 +82,8 @@
     }
 }
 
-/// The run that an action is about; none where it is about no run.
-fn subject(action: &Action) -> Option<(id::Job, Token)> {
+/// The run that an action refers to; `None` if it refers to no run.
+fn run_of(action: &Action) -> Option<(id::Job, Token)> {
     match action {
         Action::Start(Start { job, token, .. })
         | Action::Renew { job, token, .. }
@@ -89,20 +94,20 @@
     }
 }
 
-fn unsent(action: &Action) -> Outcome {
+fn outcome_if_unsent(action: &Action) -> Outcome {
     match action {
-        Action::Start(_) => Outcome::NotStarted,
+        Action::Start(_) => Outcome::StartNotApplied,
         Action::Renew { .. } => Outcome::Returned,
-        Action::Stop { .. } => Outcome::NotStopped,
+        Action::Stop { .. } => Outcome::StopUnconfirmed,
         Action::Checkpoint { .. } | Action::Throttle { .. } | Action::Quarantine { .. } => {
-            Outcome::Nothing
+            Outcome::Ignored
         }
     }
 }
 
-async fn limited(call: impl Future<Output = Result<(), Error>>) -> Result<(), Error> {
-    match timeout(LIMIT, call).await {
-        Ok(said) => said,
+async fn with_timeout(call: impl Future<Output = Result<(), Error>>) -> Result<(), Error> {
+    match timeout(CALL_TIMEOUT, call).await {
+        Ok(result) => result,
         Err(elapsed) => Err(Error::Unknown(elapsed.to_string())),
     }
 }
@@ -111,62 +116,62 @@
     match action {
         Action::Start(start) => {
             let (job, at) = (start.job.clone(), start.instance.clone());
-            started(&job, &at, limited(tasks.start(start)).await)
+            start_outcome(&job, &at, with_timeout(tasks.start(start)).await)
         }
         Action::Renew { job, token, lease } => {
-            note(
+            log_failure(
                 "renewal",
                 &job,
-                &limited(tasks.renew(&job, token, lease)).await,
+                &with_timeout(tasks.renew(&job, token, lease)).await,
             );
             Outcome::Returned
         }
         Action::Checkpoint { job, token } => {
-            note(
+            log_failure(
                 "checkpoint",
                 &job,
-                &limited(tasks.checkpoint(&job, token)).await,
+                &with_timeout(tasks.checkpoint(&job, token)).await,
             );
-            Outcome::Nothing
+            Outcome::Ignored
         }
         Action::Throttle {
             job,
             token,
             fraction,
         } => {
-            let said = limited(tasks.throttle(&job, token, fraction)).await;
-            note("throttling", &job, &said);
-            Outcome::Nothing
+            let result = with_timeout(tasks.throttle(&job, token, fraction)).await;
+            log_failure("throttling", &job, &result);
+            Outcome::Ignored
         }
         Action::Stop { job, token } => {
-            if note("stop", &job, &limited(tasks.stop(&job, token)).await) {
-                Outcome::Nothing
+            if log_failure("stop", &job, &with_timeout(tasks.stop(&job, token)).await) {
+                Outcome::Ignored
             } else {
-                Outcome::NotStopped
+                Outcome::StopUnconfirmed
             }
         }
-        Action::Quarantine { .. } => Outcome::Nothing,
+        Action::Quarantine { .. } => Outcome::Ignored,
     }
 }
 
-fn started(job: &id::Job, at: &id::Instance, said: Result<(), Error>) -> Outcome {
-    match said {
+fn start_outcome(job: &id::Job, at: &id::Instance, result: Result<(), Error>) -> Outcome {
+    match result {
         Ok(()) => Outcome::Returned,
         Err(error) => {
-            log::warn!("the start of {job} on {at} was not confirmed: {error}");
+            log::warn!("start of {job} on {at} was not confirmed: {error}");
             match error {
                 Error::Unknown(_) => Outcome::Returned,
-                Error::Invalid(_) => Outcome::NotStarted,
-                Error::Unavailable(_) | Error::Throttled => Outcome::Refused,
+                Error::Invalid(_) => Outcome::StartNotApplied,
+                Error::Unavailable(_) | Error::Throttled => Outcome::StartRejected,
             }
         }
     }
 }
 
-/// Logs a failure; says whether there was none.
-fn note(what: &str, job: &id::Job, said: &Result<(), Error>) -> bool {
-    if let Err(error) = said {
-        log::debug!("the {what} of {job} was not confirmed: {error}");
+/// Logs a failure; returns whether the call succeeded.
+fn log_failure(what: &str, job: &id::Job, result: &Result<(), Error>) -> bool {
+    if let Err(error) = result {
+        log::debug!("{what} of {job} was not confirmed: {error}");
     }
-    said.is_ok()
+    result.is_ok()
 }
--- a/crates/controller/src/jobs/driver.rs
+++ b/crates/controller/src/jobs/driver.rs
@@ -1,12 +1,12 @@
-//! The task that drives the scheduler while the lease is held.
+//! The task that runs the scheduler while the lease is held.
 
 use super::{
     Settings,
-    calls::{AT_ONCE, Ended, Line, Outcome},
-    sight::{Desk, Sight},
-    state::State,
+    calls::{CompletedCall, MAX_CONCURRENT_CALLS, Outcome, TaskCaller},
+    observation::{LatestObservation, Observation},
+    state::DriverState,
 };
-use crate::{lease::Held, role::Parts};
+use crate::{lease::HeldLease, role::Parts};
 use parking_lot::Mutex;
 use primroseroute_domain::{
     id,
@@ -24,66 +24,70 @@
     time::{Instant, MissedTickBehavior, interval, timeout},
 };
 
-/// Longest time of one cycle without its calls.
-const CYCLE_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout of one cycle, excluding its calls.
+const CYCLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest wait for the reports.
-const REPORTS_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of reading the reports.
+const REPORTS_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long nothing is started after the platform has refused a start for want of its own health:
-/// each try costs rows.
-const HOLD_OFF: Duration = Duration::from_secs(5);
+/// How long no run is started after the platform has rejected a start because it was unavailable or
+/// throttling: each attempt writes rows.
+const START_BACKOFF: Duration = Duration::from_secs(5);
 
-/// The running driver; it ends when this is dropped.
+/// Handle of the running driver, which ends when this is dropped.
 #[derive(Debug)]
-pub(crate) struct Keeper {
+pub(crate) struct DriverHandle {
     _task: JoinSet<()>,
 }
 
-impl Keeper {
-    /// Drives the jobs under the epoch of `held`.
-    pub(crate) fn spawn(parts: Parts, held: Held, desk: Arc<Desk>) -> Self {
+impl DriverHandle {
+    /// Spawns the driver under the epoch of `held`.
+    pub(crate) fn spawn(
+        parts: Parts,
+        held: HeldLease,
+        latest_observation: Arc<LatestObservation>,
+    ) -> Self {
         let mut task = JoinSet::new();
-        task.spawn(Driver::new(parts, held, desk).run());
+        task.spawn(Driver::new(parts, held, latest_observation).run());
         Self { _task: task }
     }
 }
 
-/// A decision that waits for its commit.
+/// A decision that has not been committed yet.
 #[derive(Debug)]
-struct Decided {
-    state: State,
+struct Decision {
+    state: DriverState,
     actions: Vec<Action>,
-    at: Instant,
+    decided_at: Instant,
 }
 
 struct Driver {
     parts: Parts,
-    held: Held,
-    desk: Arc<Desk>,
-    line: Line,
+    held: HeldLease,
+    latest_observation: Arc<LatestObservation>,
+    caller: TaskCaller,
     started: Instant,
-    state: Option<State>,
-    calls: JoinSet<Option<Ended>>,
-    held_off: Instant,
+    state: Option<DriverState>,
+    calls: JoinSet<Option<CompletedCall>>,
+    starts_blocked_until: Instant,
 }
 
 impl Driver {
-    fn new(parts: Parts, held: Held, desk: Arc<Desk>) -> Self {
-        let line = Line {
+    fn new(parts: Parts, held: HeldLease, latest_observation: Arc<LatestObservation>) -> Self {
+        let caller = TaskCaller {
             tasks: Arc::clone(&parts.tasks),
-            permits: Arc::new(Semaphore::new(AT_ONCE)),
+            permits: Arc::new(Semaphore::new(MAX_CONCURRENT_CALLS)),
         };
         let started = Instant::now();
         Self {
             parts,
             held,
-            desk,
-            line,
+            latest_observation,
+            caller,
             started,
             state: None,
             calls: JoinSet::new(),
-            held_off: started,
+            starts_blocked_until: started,
         }
     }
 
@@ -93,42 +97,42 @@
         loop {
             tokio::select! {
                 _ = ticks.tick() => self.round().await,
-                Some(Ok(Some(ended))) = self.calls.join_next() => self.take_in(&ended),
+                Some(Ok(Some(completed))) = self.calls.join_next() => self.apply_completed(&completed),
             }
         }
     }
 
     async fn round(&mut self) {
-        match timeout(CYCLE_LIMIT, self.cycle()).await {
+        match timeout(CYCLE_TIMEOUT, self.cycle()).await {
             Ok(Ok(())) => {}
-            Ok(Err(refusal)) => log::warn!("a cycle of the jobs ended early: {refusal}"),
-            Err(elapsed) => log::warn!("a cycle of the jobs took too long: {elapsed}"),
+            Ok(Err(refusal)) => log::warn!("job cycle failed: {refusal}"),
+            Err(elapsed) => log::warn!("job cycle timed out: {elapsed}"),
         }
     }
 
-    fn take_in(&mut self, ended: &Ended) {
+    fn apply_completed(&mut self, completed: &CompletedCall) {
         let Some(state) = &mut self.state else { return };
-        let (scheduler, job, token) = (&mut state.scheduler, &ended.job, ended.token);
-        let at = ended.at.saturating_duration_since(self.started);
-        match ended.outcome {
+        let (scheduler, job, token) = (&mut state.scheduler, &completed.job, completed.token);
+        let at = completed.at.saturating_duration_since(self.started);
+        match completed.outcome {
             Outcome::Returned => scheduler.call_returned(job, token, at),
-            Outcome::NotStarted => scheduler.start_not_applied(job, token),
-            Outcome::Refused => {
+            Outcome::StartNotApplied => scheduler.start_not_applied(job, token),
+            Outcome::StartRejected => {
                 scheduler.start_not_applied(job, token);
-                self.held_off = ended.at + HOLD_OFF;
+                self.starts_blocked_until = completed.at + START_BACKOFF;
             }
-            Outcome::NotStopped => scheduler.stop_unconfirmed(job, token),
-            Outcome::Nothing => {}
+            Outcome::StopUnconfirmed => scheduler.stop_unconfirmed(job, token),
+            Outcome::Ignored => {}
         }
     }
 
     /// Reads, decides, commits, and sends the calls.
     async fn cycle(&mut self) -> Result<(), Refusal> {
         let reports = self.reports().await;
-        let decided = Mutex::new(None);
+        let decision = Mutex::new(None);
         let decide = |snapshot: &Snapshot, draft: &mut Draft| {
-            // Decided again after a lost race: only the last decision counts.
-            *decided.lock() = Some(self.decide(snapshot, reports.as_deref(), draft)?);
+            // Called again after a conflict; only the last decision counts.
+            *decision.lock() = Some(self.decide(snapshot, reports.as_deref(), draft)?);
             Ok(())
         };
         let parts = &self.parts;
@@ -139,38 +143,38 @@
         };
         let clock = parts.clock.as_ref();
         let record = amend(&parts.ledger, &parts.cell, clock, &author, &decide).await?;
-        let Some(decided) = decided.into_inner() else {
+        let Some(decision) = decision.into_inner() else {
             return Ok(());
         };
-        if record.is_none() && !decided.actions.is_empty() {
-            self.verify().await?;
+        if record.is_none() && !decision.actions.is_empty() {
+            self.verify_epoch().await?;
         }
-        self.adopt(decided);
+        self.adopt(decision);
         Ok(())
     }
 
-    /// The reports, or none where they could not be read.
+    /// The task reports, or `None` if they could not be read.
     async fn reports(&self) -> Option<Vec<Report>> {
-        match timeout(REPORTS_LIMIT, self.parts.tasks.reports()).await {
+        match timeout(REPORTS_TIMEOUT, self.parts.tasks.reports()).await {
             Ok(Ok(reports)) => Some(reports),
             Ok(Err(error)) => {
-                log::warn!("the reports of tasks could not be read: {error}");
+                log::warn!("could not read task reports: {error}");
                 None
             }
             Err(elapsed) => {
-                log::warn!("the reports of tasks could not be read: {elapsed}");
+                log::warn!("reading task reports timed out: {elapsed}");
                 None
             }
         }
     }
 
-    /// Refuses where another controller has taken over; a plan without rows commits nothing that
-    /// would find that out.
-    async fn verify(&self) -> Result<(), Refusal> {
+    /// Fails if another controller has taken over. A plan without rows needs this check, as it
+    /// commits nothing that would detect the takeover.
+    async fn verify_epoch(&self) -> Result<(), Refusal> {
         let table = self.parts.ledger.table();
         let row = table.read(&key::EPOCH.into()).await;
         let row = row.map_err(|error| Refusal::new(Code::StoreUnavailable, error.to_string()))?;
-        if row.is_some_and(|row| self.held.is_epoch(row.revision)) {
+        if row.is_some_and(|row| self.held.matches_epoch(row.revision)) {
             return Ok(());
         }
         Err(Refusal::new(Code::NotController, "the epoch has moved"))
@@ -181,42 +185,46 @@
         snapshot: &Snapshot,
         reports: Option<&[Report]>,
         draft: &mut Draft,
-    ) -> Result<Decided, Refusal> {
-        let at = Instant::now();
-        let now = at.saturating_duration_since(self.started);
+    ) -> Result<Decision, Refusal> {
+        let decided_at = Instant::now();
+        let now = decided_at.saturating_duration_since(self.started);
         let wall = self.parts.clock.now();
         let settings = &self.parts.jobs;
         let mut state = if let Some(state) = &self.state {
             let mut state = state.clone();
-            state.follow(snapshot, settings, now)?;
+            state.apply_snapshot(snapshot, settings, now)?;
             state
         } else {
-            State::open(snapshot, settings, now)?
+            DriverState::from_snapshot(snapshot, settings, now)?
         };
         if let Some(reports) = reports {
-            state.report(reports, now);
+            state.apply_task_reports(reports, now);
         }
-        let sight = self.desk.newest();
-        let workers = self.workers(snapshot, sight.as_deref(), at);
+        let observation = self.latest_observation.latest();
+        let workers = self.workers(snapshot, observation.as_deref(), decided_at);
         let weights = snapshot.routes().shares();
         let plan = state.scheduler.plan(now, wall, &workers, weights);
-        let actions = write(plan, &mut state, draft);
-        let State {
-            scheduler, accused, ..
+        let actions = write_plan(plan, &mut state, draft);
+        let DriverState {
+            scheduler, faulty, ..
         } = &mut state;
-        accused.settle(snapshot, sight.as_deref(), wall, scheduler, draft);
-        Ok(Decided { state, actions, at })
+        faulty.update(snapshot, observation.as_deref(), wall, scheduler, draft);
+        Ok(Decision {
+            state,
+            actions,
+            decided_at,
+        })
     }
 
-    /// The instances as the scheduler sees them.
+    /// The instances as input of the scheduler.
     fn workers(
         &self,
         snapshot: &Snapshot,
-        sight: Option<&Sight>,
+        observation: Option<&Observation>,
         at: Instant,
     ) -> BTreeMap<id::Instance, Worker> {
         let settings = &self.parts.jobs;
-        // Between the thresholds: nothing is throttled nor let go by what is not known.
+        // Between the thresholds, so that an unknown pressure neither starts nor ends throttling.
         let unknown = f64::midpoint(settings.limits.pressure_low, settings.limits.pressure_high);
         let rows = snapshot.instances().values().map(|row| &row.value);
         let worker = |row: &Row| {
@@ -225,7 +233,7 @@
                 pool: row.pool.clone()?,
                 capacity: settings.capacity,
                 availability: self.availability(row, settings, at),
-                pressure: sight.map_or(unknown, |sight| sight.pressure(&row.id)),
+                pressure: observation.map_or(unknown, |observation| observation.pressure(&row.id)),
             };
             Some((row.id.clone(), worker))
         };
@@ -234,7 +242,7 @@
 
     fn availability(&self, row: &Row, settings: &Settings, at: Instant) -> Availability {
         match row.state {
-            instance::State::Serving if at >= self.held_off => Availability::Open,
+            instance::State::Serving if at >= self.starts_blocked_until => Availability::Open,
             instance::State::Draining => {
                 let spent = self.parts.clock.now().since(row.since);
                 let now = at.saturating_duration_since(self.started);
@@ -244,31 +252,32 @@
         }
     }
 
-    /// Makes a committed decision the scheduler, and sends its calls.
-    fn adopt(&mut self, decided: Decided) {
-        self.state = Some(decided.state);
-        for action in decided.actions {
-            let line = self.line.clone();
-            self.calls.spawn(line.carry(action, decided.at));
+    /// Replaces the state by that of a committed decision, and sends its calls.
+    fn adopt(&mut self, decision: Decision) {
+        self.state = Some(decision.state);
+        for action in decision.actions {
+            let caller = self.caller.clone();
+            self.calls
+                .spawn(caller.execute(action, decision.decided_at));
         }
     }
 }
 
-/// Puts the rows of a plan into `draft`, deletes old ones, and returns the calls.
-fn write(plan: Plan, state: &mut State, draft: &mut Draft) -> Vec<Action> {
+/// Adds the rows of a plan to `draft`, deletes old rows, and returns the calls.
+fn write_plan(plan: Plan, state: &mut DriverState, draft: &mut Draft) -> Vec<Action> {
     for row in &plan.rows {
-        // An operator's cancellation has written the same row already.
-        if !state.mirror.has(row) {
-            draft.put(key::job(&row.id), state.mirror.version(&row.id), row);
+        // An operator's cancellation may have written the same row already.
+        if !state.row_cache.contains(row) {
+            draft.put(key::job(&row.id), state.row_cache.version(&row.id), row);
         }
     }
-    for (job, version) in state.mirror.outdated() {
+    for (job, version) in state.row_cache.rows_to_delete() {
         draft.delete(key::job(&job), Some(version));
     }
     let mut calls = Vec::new();
     for action in plan.actions {
         match action {
-            Action::Quarantine { instance, failed } => state.accused.add(instance, failed),
+            Action::Quarantine { instance, failed } => state.faulty.add(instance, failed),
             call => calls.push(call),
         }
     }
--- a/crates/controller/src/jobs/quarantine.rs
+++ b/crates/controller/src/jobs/quarantine.rs
@@ -1,6 +1,6 @@
-//! Instances on which jobs of all sorts fail, and taking them out of service.
+//! Takes instances on which jobs of all kinds fail out of service.
 
-use super::sight::Sight;
+use super::observation::Observation;
 use primroseroute_domain::{
     id,
     instance::{Purpose, Row, State},
@@ -17,25 +17,25 @@
 
 /// Instances that the scheduler found faulty.
 ///
-/// The scheduler gives them no more jobs from then on, whether or not their rows may change: a budget
-/// that keeps one in service for requests doesn't let it fail more jobs.
+/// The scheduler starts no more jobs on them, whether or not they can be taken out of service: an
+/// instance that a budget keeps in service for requests must not fail more jobs.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Accused {
-    /// Still in service, with the jobs that failed there.
-    waiting: BTreeMap<id::Instance, Vec<id::Job>>,
-    /// Out of service; back in it they count as repaired.
-    out: BTreeSet<id::Instance>,
+pub(super) struct FaultyInstances {
+    /// Instances still in service, with the jobs that failed there.
+    in_service: BTreeMap<id::Instance, Vec<id::Job>>,
+    /// Instances out of service; they count as repaired once they are back in service.
+    out_of_service: BTreeSet<id::Instance>,
 }
 
-fn fleet(snapshot: &Snapshot, sight: &Sight) -> Fleet {
+fn fleet(snapshot: &Snapshot, observation: &Observation) -> Fleet {
     Fleet {
         rows: snapshot.instance_rows(),
         budgets: Fleet::budgets(snapshot.templates()),
-        absent: sight.absent.clone(),
+        absent: observation.absent.clone(),
     }
 }
 
-fn may_leave(fleet: &Fleet, row: &Row) -> Result<(), BudgetViolation> {
+fn check_disruption_allowed(fleet: &Fleet, row: &Row) -> Result<(), BudgetViolation> {
     let Some(pool) = &row.pool else { return Ok(()) };
     let Some(budget) = fleet.budgets.get(pool) else {
         return Ok(());
@@ -43,14 +43,15 @@
     let availability = budget::availability_by_pool(fleet)
         .remove(pool)
         .unwrap_or_default();
-    // One that is absent already takes nothing from the promise; it is left to the lifecycle.
+    // Taking out an instance that is already unavailable does not reduce the promised capacity; it
+    // is left to the lifecycle.
     availability.check_disruption(row, budget)
 }
 
-/// The row out of service until an operator releases it.
+/// The row of a quarantined instance, which stays out of service until an operator releases it.
 ///
-/// Its health checks are good, so without a purpose the lifecycle would put it back at once.
-fn quarantined(row: &Row, now: Instant) -> Row {
+/// Its health checks pass, so without a purpose the lifecycle would put it back immediately.
+fn quarantined_row(row: &Row, now: Instant) -> Row {
     Row {
         state: State::Quarantined,
         purpose: Some(Purpose::Operator),
@@ -59,54 +60,63 @@
     }
 }
 
-impl Accused {
-    /// The scheduler found `instance` faulty by the jobs that `failed` there.
+impl FaultyInstances {
+    /// Adds `instance`, which the scheduler found faulty because the jobs `failed` on it.
     pub(super) fn add(&mut self, instance: id::Instance, failed: Vec<id::Job>) {
         let names: Vec<&str> = failed.iter().map(id::Job::as_str).collect();
-        log::warn!("jobs fail on {instance}: {}", names.join(", "));
-        self.waiting.insert(instance, failed);
+        log::warn!(
+            "jobs failed on faulty instance {instance}: {}",
+            names.join(", ")
+        );
+        self.in_service.insert(instance, failed);
     }
 
-    /// Takes out of service what the budgets allow, and notes what came back.
-    pub(super) fn settle(
+    /// Takes faulty instances out of service as the budgets allow, and reports repaired ones.
+    pub(super) fn update(
         &mut self,
         snapshot: &Snapshot,
-        sight: Option<&Sight>,
+        observation: Option<&Observation>,
         now: Instant,
         scheduler: &mut Scheduler,
         draft: &mut Draft,
     ) {
         let rows = snapshot.instances();
         let state = |name: &id::Instance| rows.get(name).map(|row| row.value.state);
-        self.out.retain(|name| {
+        self.out_of_service.retain(|name| {
             let is_back = matches!(state(name), Some(State::Serving) | None);
             if is_back {
                 scheduler.instance_repaired(name);
             }
             !is_back
         });
-        let elsewhere = |name: &id::Instance| state(name) != Some(State::Serving);
-        let left: Vec<id::Instance> = self
-            .waiting
+        let not_serving = |name: &id::Instance| state(name) != Some(State::Serving);
+        let no_longer_serving: Vec<id::Instance> = self
+            .in_service
             .keys()
-            .filter(|name| elsewhere(name))
+            .filter(|name| not_serving(name))
             .cloned()
             .collect();
-        for name in left {
-            self.waiting.remove(&name);
-            self.out.insert(name);
+        for name in no_longer_serving {
+            self.in_service.remove(&name);
+            self.out_of_service.insert(name);
         }
-        if self.waiting.is_empty() {
+        if self.in_service.is_empty() {
             return;
         }
-        if let Some(sight) = sight.filter(|sight| sight.is_fresh()) {
-            self.take_out(snapshot, sight, now, draft);
+        if let Some(observation) = observation.filter(|observation| observation.is_fresh()) {
+            self.take_out(snapshot, observation, now, draft);
         }
     }
 
-    fn take_out(&mut self, snapshot: &Snapshot, sight: &Sight, now: Instant, draft: &mut Draft) {
-        let mut fleet = fleet(snapshot, sight);
-        let names: Vec<id::Instance> = self.waiting.keys().cloned().collect();
+    fn take_out(
+        &mut self,
+        snapshot: &Snapshot,
+        observation: &Observation,
+        now: Instant,
+        draft: &mut Draft,
+    ) {
+        let mut fleet = fleet(snapshot, observation);
+        let names: Vec<id::Instance> = self.in_service.keys().cloned().collect();
         for name in names {
             let Some(Versioned { version, value }) = snapshot.instances().get(&name) else {
                 continue;
@@ -114,15 +124,15 @@
             if !fleet.is_present(value) {
                 continue;
             }
-            if let Err(forbidden) = may_leave(&fleet, value) {
-                log::warn!("{name} stays in service although jobs fail there: {forbidden}");
+            if let Err(violation) = check_disruption_allowed(&fleet, value) {
+                log::warn!("faulty instance {name} must stay in service: {violation}");
                 continue;
             }
-            let row = quarantined(value, now);
+            let row = quarantined_row(value, now);
             draft.put(key::instance(&name), Some(*version), &row);
             fleet.rows.insert(name.clone(), row);
-            self.waiting.remove(&name);
-            self.out.insert(name);
+            self.in_service.remove(&name);
+            self.out_of_service.insert(name);
         }
     }
 }
--- a/crates/controller/src/jobs/state.rs
+++ b/crates/controller/src/jobs/state.rs
@@ -1,131 +1,133 @@
-//! The scheduler beside the rows of the table, and how it follows them.
+//! The scheduler and the job rows of the table, and how the scheduler is kept up to date with them.
 
-use super::{Settings, mirror::Mirror, quarantine::Accused};
+use super::{Settings, quarantine::FaultyInstances, row_cache::JobRowCache};
 use primroseroute_domain::outcome::Refusal;
 use primroseroute_jobs::{Row, Scheduler, State as Job};
 use primroseroute_platform::task::{Phase, Report};
 use primroseroute_view::Snapshot;
 use std::time::Duration;
 
-/// Ends of runs that one plan takes in; the others are reported again.
-const ENDS: usize = 100;
+/// Ended runs that one plan processes; the others are reported again.
+const MAX_ENDS: usize = 100;
 
-/// The scheduler, the rows that it has taken in, and the instances that it found faulty.
+/// The scheduler, the rows that were applied to it, and the instances that it found faulty.
 #[derive(Clone, Debug)]
-pub(super) struct State {
+pub(super) struct DriverState {
     pub(super) scheduler: Scheduler,
-    pub(super) mirror: Mirror,
-    pub(super) accused: Accused,
+    pub(super) row_cache: JobRowCache,
+    pub(super) faulty: FaultyInstances,
 }
 
-/// What a row of the table means for the scheduler.
-enum Means {
-    /// What the scheduler has already.
-    Nothing,
+/// How a row of the table changes the scheduler.
+enum RowChange {
+    /// The scheduler already has it.
+    Unchanged,
     /// A job to add, or to put back into the queue.
     Add,
-    /// An operator cancelled it.
+    /// An operator cancelled the job.
     Cancel,
-    /// Something that the scheduler should have written itself and does not know.
-    Lost,
+    /// Only the scheduler itself could have written the row, but it does not know it.
+    Unknown,
 }
 
-impl State {
-    /// Takes the rows of `snapshot` over at `now`.
-    pub(super) fn open(
+impl DriverState {
+    /// Restores the scheduler from the rows of `snapshot` as of `now`.
+    pub(super) fn from_snapshot(
         snapshot: &Snapshot,
         settings: &Settings,
         now: Duration,
     ) -> Result<Self, Refusal> {
-        let mut mirror = Mirror::default();
-        mirror.look(snapshot)?;
-        let scheduler = Scheduler::restore(settings.limits, mirror.rows().cloned(), now);
+        let mut row_cache = JobRowCache::default();
+        row_cache.refresh(snapshot)?;
+        let scheduler = Scheduler::restore(settings.limits, row_cache.rows().cloned(), now);
         Ok(Self {
             scheduler,
-            mirror,
-            accused: Accused::default(),
+            row_cache,
+            faulty: FaultyInstances::default(),
         })
     }
 
-    /// Takes in what others wrote since.
+    /// Applies what others have written since.
     ///
-    /// A row that nobody else can have written comes of a commit whose answer was lost. The scheduler
-    /// without it could start a job beside its run, so it is opened anew.
-    pub(super) fn follow(
+    /// A row that nobody else can have written comes from a commit whose response was lost. A
+    /// scheduler without it could start a job that already runs, so it is restored from the rows.
+    pub(super) fn apply_snapshot(
         &mut self,
         snapshot: &Snapshot,
         settings: &Settings,
         now: Duration,
     ) -> Result<(), Refusal> {
-        let found = self.mirror.look(snapshot)?;
-        for job in &found.gone {
+        let changes = self.row_cache.refresh(snapshot)?;
+        for job in &changes.deleted {
             self.scheduler.remove(job);
         }
-        let left = found
-            .gone
+        let unknown_deletion = changes
+            .deleted
             .iter()
             .any(|job| self.scheduler.row(job).is_some());
-        let lost = left || !found.written.into_iter().all(|row| self.take_in(row));
-        if lost {
-            log::warn!("a change of the jobs was committed unseen; their rows are taken over");
-            self.scheduler = Scheduler::restore(settings.limits, self.mirror.rows().cloned(), now);
+        let is_stale =
+            unknown_deletion || !changes.written.into_iter().all(|row| self.apply_row(row));
+        if is_stale {
+            log::warn!("found job rows of a commit with a lost response; restoring the scheduler");
+            self.scheduler =
+                Scheduler::restore(settings.limits, self.row_cache.rows().cloned(), now);
         }
         Ok(())
     }
 
-    /// Takes in one row; says whether the scheduler can go on.
-    fn take_in(&mut self, row: Row) -> bool {
-        match self.means(&row) {
-            Means::Nothing => {}
-            Means::Add => {
+    /// Applies one row; returns whether the scheduler remains usable.
+    fn apply_row(&mut self, row: Row) -> bool {
+        match self.row_change(&row) {
+            RowChange::Unchanged => {}
+            RowChange::Add => {
                 self.scheduler.remove(&row.id);
                 self.scheduler.add(row);
             }
-            Means::Cancel => self.scheduler.cancel([&row.id]),
-            Means::Lost => return false,
+            RowChange::Cancel => self.scheduler.cancel([&row.id]),
+            RowChange::Unknown => return false,
         }
         true
     }
 
-    fn means(&self, row: &Row) -> Means {
-        let is_new = || match row.state.instance() {
-            Some(_) => Means::Lost,
-            None => Means::Add,
+    fn row_change(&self, row: &Row) -> RowChange {
+        let if_new = || match row.state.instance() {
+            Some(_) => RowChange::Unknown,
+            None => RowChange::Add,
         };
         let Some(own) = self.scheduler.row(&row.id) else {
-            return is_new();
+            return if_new();
         };
         let same_start = own.token == row.token;
         match (&own.state, &row.state) {
-            (own, theirs) if own == theirs && same_start => Means::Nothing,
-            // The scheduler knows that the start had no effect; the row says so with the next change.
+            (own, theirs) if own == theirs && same_start => RowChange::Unchanged,
+            // The scheduler knows that the start had no effect; the next change will update the row.
             (Job::Queued, Job::Running(_)) | (Job::Cancelled, Job::Cancelling(_)) if same_start => {
-                Means::Nothing
+                RowChange::Unchanged
             }
             (Job::Queued | Job::Running(_), Job::Cancelled | Job::Cancelling(_)) if same_start => {
-                Means::Cancel
+                RowChange::Cancel
             }
             // Released, cancelled while parked, or submitted again under the same name.
-            (Job::Parked(_) | Job::Cancelled | Job::Done, _) => is_new(),
-            _ => Means::Lost,
+            (Job::Parked(_) | Job::Cancelled | Job::Done, _) => if_new(),
+            _ => RowChange::Unknown,
         }
     }
 
-    /// Takes in one reading of the reports.
-    pub(super) fn report(&mut self, reports: &[Report], now: Duration) {
+    /// Applies task reports, at most [`MAX_ENDS`] of which are ended runs.
+    pub(super) fn apply_task_reports(&mut self, reports: &[Report], now: Duration) {
         let mut ends = 0;
         let is_current = |report: &Report| {
             let row = self.scheduler.row(&report.job);
             row.is_some_and(|row| row.token == report.token && row.state.instance().is_some())
         };
-        let mut within = |report: &&Report| {
+        let mut accepted = |report: &&Report| {
             if report.phase == Phase::Running {
                 return true;
             }
             ends += usize::from(is_current(report));
-            is_current(report) && ends <= ENDS
+            is_current(report) && ends <= MAX_ENDS
         };
-        let taken: Vec<Report> = reports.iter().filter(&mut within).cloned().collect();
-        self.scheduler.apply_reports(&taken, now);
+        let applied: Vec<Report> = reports.iter().filter(&mut accepted).cloned().collect();
+        self.scheduler.apply_reports(&applied, now);
     }
 }
--- a/crates/controller/src/lease.rs
+++ b/crates/controller/src/lease.rs
@@ -1,4 +1,4 @@
-//! The lease: who acts, and the epoch that fences everyone else.
+//! The lease, which selects the active controller, and the epoch, which fences all others.
 
 use primroseroute_domain::{id, time};
 use primroseroute_ledger::key;
@@ -11,21 +11,21 @@
 use tokio::time::Instant;
 use uuid::Uuid;
 
-/// The row `lease/controller`.
+/// Value of the row `lease/controller`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Lease {
-    /// The entry that holds it.
+    /// The entry that holds the lease.
     pub holder: id::Entry,
-    /// The run of its process.
+    /// Incarnation of the holder's process.
     pub incarnation: Uuid,
     /// The number of the takeover.
     pub epoch: u64,
-    /// When it was renewed, by the holder's clock; for people.
+    /// Time of the last renewal by the holder's clock; informational only.
     pub renewed: time::Instant,
 }
 
-/// The row `epoch/controller`.
+/// Value of the row `epoch/controller`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Epoch {
@@ -35,22 +35,22 @@
     pub holder: id::Entry,
 }
 
-/// A held lease.
+/// A lease held by this entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Held {
+pub(crate) struct HeldLease {
     lease: Revision,
     epoch: Revision,
     number: u64,
 }
 
-impl Held {
-    /// What every change of this holder depends on.
+impl HeldLease {
+    /// The condition on which every change by this holder depends.
     pub(crate) fn guard(&self) -> Condition {
         Condition::At(key::EPOCH.into(), self.epoch)
     }
 
-    /// Whether `revision` is still that of its own takeover.
-    pub(crate) fn is_epoch(&self, revision: Revision) -> bool {
+    /// Whether `revision` is the epoch row's revision as of this holder's takeover.
+    pub(crate) fn matches_epoch(&self, revision: Revision) -> bool {
         self.epoch == revision
     }
 
@@ -59,21 +59,21 @@
     }
 }
 
-/// The lease row as it was last seen, and since when it has looked like that.
+/// The lease row's revision as last read, and since when it has been unchanged.
 #[derive(Clone, Debug)]
-struct Watched {
+struct ObservedLease {
     revision: Option<Revision>,
     since: Instant,
 }
 
-/// One entry's side of the lease.
+/// One entry's client of the lease.
 #[derive(Debug)]
 pub(crate) struct Contender {
     table: Arc<dyn Table>,
     name: id::Entry,
     incarnation: Uuid,
-    length: Duration,
-    watched: Option<Watched>,
+    duration: Duration,
+    observed: Option<ObservedLease>,
     holder: Option<id::Entry>,
 }
 
@@ -82,7 +82,7 @@
 }
 
 fn put<T: Serialize>(key: &str, value: &T) -> Write {
-    let json = serde_json::to_vec(value).expect("lease rows serialize");
+    let json = serde_json::to_vec(value).expect("lease rows serialize to JSON");
     Write::Put(key.into(), json.into())
 }
 
@@ -99,51 +99,55 @@
         table: Arc<dyn Table>,
         name: id::Entry,
         incarnation: Uuid,
-        length: Duration,
+        duration: Duration,
     ) -> Self {
         Self {
             table,
             name,
             incarnation,
-            length,
-            watched: None,
+            duration,
+            observed: None,
             holder: None,
         }
     }
 
-    /// The holder as of the last look.
+    /// The holder as of the last read.
     pub(crate) fn holder(&self) -> Option<id::Entry> {
         self.holder.clone()
     }
 
-    /// Takes the lease if nobody has renewed it for its whole length under this entry's eyes.
-    pub(crate) async fn contend(&mut self, now: time::Instant) -> Result<Option<Held>, Error> {
+    /// Acquires the lease if this entry has observed it unrenewed for the whole lease duration.
+    pub(crate) async fn try_acquire(
+        &mut self,
+        now: time::Instant,
+    ) -> Result<Option<HeldLease>, Error> {
         let row = self.table.read(&key::LEASE.into()).await?;
         let lease: Option<Lease> = row.as_ref().and_then(decode);
         self.holder = lease.as_ref().map(|lease| lease.holder.clone());
-        if !self.has_lapsed(row.as_ref()) {
+        if !self.has_expired(row.as_ref()) {
             return Ok(None);
         }
         let epoch = self.table.read(&key::EPOCH.into()).await?;
-        let last = epoch
+        let last_epoch = epoch
             .as_ref()
             .and_then(decode::<Epoch>)
             .map_or(0, |epoch| epoch.epoch);
-        self.take(row.as_ref(), epoch.as_ref(), last + 1, now).await
+        self.acquire(row.as_ref(), epoch.as_ref(), last_epoch + 1, now)
+            .await
     }
 
-    /// Whether the row has not changed for the lease's length, by this entry's own clock.
+    /// Whether the row has not changed for the lease duration by this entry's own clock.
     ///
-    /// A row that is absent was given up or never written and may be taken at once.
-    fn has_lapsed(&mut self, row: Option<&Row>) -> bool {
+    /// An absent row was released or never written, so the lease may be acquired immediately.
+    fn has_expired(&mut self, row: Option<&Row>) -> bool {
         let revision = row.map(|row| row.revision);
         if revision.is_none() {
             return true;
         }
-        match &self.watched {
-            Some(watched) if watched.revision == revision => watched.since.elapsed() >= self.length,
+        match &self.observed {
+            Some(last) if last.revision == revision => last.since.elapsed() >= self.duration,
             _ => {
-                self.watched = Some(Watched {
+                self.observed = Some(ObservedLease {
                     revision,
                     since: Instant::now(),
                 });
@@ -152,26 +156,26 @@
         }
     }
 
-    async fn take(
+    async fn acquire(
         &mut self,
         lease: Option<&Row>,
         epoch: Option<&Row>,
         number: u64,
         now: time::Instant,
-    ) -> Result<Option<Held>, Error> {
-        let next = self.row(number, now);
-        let fence = Epoch {
+    ) -> Result<Option<HeldLease>, Error> {
+        let next = self.lease_row(number, now);
+        let epoch_row = Epoch {
             epoch: number,
             holder: self.name.clone(),
         };
         let txn = Txn {
             conditions: vec![unchanged(key::LEASE, lease), unchanged(key::EPOCH, epoch)],
-            writes: vec![put(key::LEASE, &next), put(key::EPOCH, &fence)],
+            writes: vec![put(key::LEASE, &next), put(key::EPOCH, &epoch_row)],
         };
         match self.table.commit(txn).await? {
             Commit::Committed(revision) => {
                 self.holder = Some(self.name.clone());
-                Ok(Some(Held {
+                Ok(Some(HeldLease {
                     lease: revision,
                     epoch: revision,
                     number,
@@ -181,7 +185,7 @@
         }
     }
 
-    fn row(&self, epoch: u64, now: time::Instant) -> Lease {
+    fn lease_row(&self, epoch: u64, now: time::Instant) -> Lease {
         Lease {
             holder: self.name.clone(),
             incarnation: self.incarnation,
@@ -190,22 +194,22 @@
         }
     }
 
-    /// Renews a held lease; none where another entry has taken it.
+    /// Renews a held lease; returns `None` if another entry has acquired it.
     ///
-    /// Where the answer was lost the lease may have been renewed with a revision that is not
-    /// known, and the next renewal meets a conflict: the holder then steps back and contends anew,
-    /// which costs one lease's length and never two holders.
+    /// If the response was lost the lease may have been renewed with an unknown revision, and the
+    /// next renewal conflicts. The holder then gives up its role and contends again, which costs one
+    /// lease duration but never results in two holders.
     pub(crate) async fn renew(
         &mut self,
-        held: &Held,
+        held: &HeldLease,
         now: time::Instant,
-    ) -> Result<Option<Held>, Error> {
+    ) -> Result<Option<HeldLease>, Error> {
         let txn = Txn {
             conditions: vec![Condition::At(key::LEASE.into(), held.lease), held.guard()],
-            writes: vec![put(key::LEASE, &self.row(held.number, now))],
+            writes: vec![put(key::LEASE, &self.lease_row(held.number, now))],
         };
         match self.table.commit(txn).await? {
-            Commit::Committed(revision) => Ok(Some(Held {
+            Commit::Committed(revision) => Ok(Some(HeldLease {
                 lease: revision,
                 ..held.clone()
             })),
@@ -213,8 +217,8 @@
         }
     }
 
-    /// Gives a held lease up, so that a successor need not wait.
-    pub(crate) async fn give_up(&mut self, held: &Held) -> Result<(), Error> {
+    /// Releases a held lease, so that a successor need not wait.
+    pub(crate) async fn release(&mut self, held: &HeldLease) -> Result<(), Error> {
         let txn = Txn {
             conditions: vec![Condition::At(key::LEASE.into(), held.lease)],
             writes: vec![Write::Delete(key::LEASE.into())],
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,34 +1,34 @@
 //! The controller role: one entry at a time moves, reboots and places instances.
 //!
-//! # One at a time, without trusting time
+//! # Single active controller without synchronized clocks
 //!
-//! Every entry runs a [`Controller`]; the one that holds the lease acts. Two rows keep it so:
+//! Every entry runs a [`Controller`]; the one that holds the lease is active. Two rows ensure this:
 //!
-//! * `lease/controller` is renewed all the time and only paces who tries to take over. An entry
-//!   takes over when it has itself watched the same row for the lease's length.
+//! * `lease/controller` is renewed periodically and only limits how often entries try to take over.
+//!   An entry takes over after it has itself observed the row unchanged for the lease duration.
 //! * `epoch/controller` is written at each takeover and at no other time. Every change that a
 //!   controller commits is conditional on the revision of this row as of its own takeover.
 //!
-//! So a controller that was paused, and wakes up after another took over, commits nothing: its
-//! epoch row has moved. No clock is compared between machines, and nothing breaks where two
-//! entries both believe that they hold the lease.
+//! So a controller that was paused, and resumes after another has taken over, commits nothing: its
+//! epoch row has changed. Clocks of different machines are never compared, and two entries that
+//! both believe that they hold the lease do no harm.
 //!
-//! The one effect outside the table is the platform's reboot call, which names the count of boots
-//! that was kept in the table first; the platform refuses it once the instance has rebooted.
+//! The only effect outside the table is the platform's reboot call, which passes the boot count
+//! that was stored in the table first; the platform rejects it once the instance has rebooted.
 //!
 //! # A cycle
 //!
-//! The list, the health checks and the entries' acknowledgements are read first. Then the pure
-//! decisions of the `fleet` crate run on the newest snapshot, inside
-//! [`primroseroute_view::amend`], and all that they write goes out as one change. Where another
-//! change came first they run again, so a budget that was checked holds at the commit. A successor
-//! goes on from the table alone; only the counts of health checks start again.
+//! The instance list, the health checks and the entries' acknowledgements are read first. Then the
+//! pure decisions of the `fleet` crate run on the newest snapshot, inside
+//! [`primroseroute_view::amend`], and all rows that they write are committed as one change. If
+//! another change was committed first they run again, so a budget that was checked holds at the
+//! commit. A successor continues from the table alone; only the health check counts start over.
 
-mod act;
 mod checks;
 mod cycle;
+mod decision;
+mod housekeeping;
 pub mod jobs;
-mod keep;
 mod lease;
 mod probe;
 mod role;
--- a/crates/controller/src/probe.rs
+++ b/crates/controller/src/probe.rs
@@ -9,29 +9,29 @@
 use std::{fmt, net::SocketAddr, pin::pin, sync::Arc, time::Duration};
 use tokio::{net::TcpStream, time::timeout};
 
-/// Longest time of one check: a worker that needs longer for nothing is of no use to callers.
-const LIMIT: Duration = Duration::from_secs(1);
+/// Timeout of one check: a worker that is slower without any work is of no use to callers.
+const CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Checks whether a worker can serve.
 #[async_trait]
 pub trait Probe: Send + Sync + fmt::Debug {
-    /// Whether the worker at `address` is well.
+    /// Whether the worker at `address` is healthy.
     async fn is_well(&self, address: SocketAddr) -> bool;
 }
 
-/// Asks for a path over HTTP and wants a 2xx answer, whole and in time.
+/// Requests a path over HTTP and expects a complete 2xx response within the timeout.
 #[derive(Clone, Debug)]
 pub struct HttpProbe {
     path: Arc<str>,
 }
 
 impl HttpProbe {
-    /// A probe that asks for `path`, such as `/healthz`.
+    /// A probe that requests `path`, such as `/healthz`.
     pub fn open(path: impl Into<Arc<str>>) -> Self {
         Self { path: path.into() }
     }
 
-    async fn ask(&self, address: SocketAddr) -> eyre::Result<StatusCode> {
+    async fn request_path(&self, address: SocketAddr) -> eyre::Result<StatusCode> {
         let socket = TcpStream::connect(address).await?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(socket)).await?;
         let request = Request::builder()
@@ -46,8 +46,8 @@
             eyre::Ok(status)
         };
         let mut exchange = pin!(exchange);
-        // The connection has no task of its own: it ends with the check, whatever happens. It may
-        // end before the exchange has taken the answer that it brought, and that is no failure.
+        // The connection is polled here instead of in its own task, so it always ends with the check.
+        // It may complete before the exchange has read the response, which is not a failure.
         tokio::select! {
             status = &mut exchange => status,
             ended = connection => {
@@ -61,10 +61,10 @@
 #[async_trait]
 impl Probe for HttpProbe {
     async fn is_well(&self, address: SocketAddr) -> bool {
-        match timeout(LIMIT, self.ask(address)).await {
+        match timeout(CHECK_TIMEOUT, self.request_path(address)).await {
             Ok(Ok(status)) => status.is_success(),
             Ok(Err(error)) => {
-                log::debug!("check of {address} failed: {error}");
+                log::debug!("health check of {address} failed: {error}");
                 false
             }
             Err(_elapsed) => false,
--- a/crates/controller/src/role.rs
+++ b/crates/controller/src/role.rs
@@ -1,10 +1,10 @@
-//! The task that contends for the lease and acts while it holds it.
+//! The task that contends for the lease and runs cycles while it holds it.
 
 use crate::{
-    cycle::Memory,
-    jobs::{Desk, Keeper, Settings},
-    keep::House,
-    lease::{Contender, Held},
+    cycle::CycleState,
+    housekeeping::Housekeeping,
+    jobs::{DriverHandle, LatestObservation, Settings},
+    lease::{Contender, HeldLease},
     probe::Probe,
     roster::Roster,
 };
@@ -23,26 +23,26 @@
     time::{Instant, sleep, timeout},
 };
 
-/// How often and how long.
+/// Intervals and durations of the role.
 #[derive(Clone, Copy, Debug)]
 pub struct Timers {
-    /// Between two cycles of the holder.
+    /// Interval between cycles of the holder.
     pub cycle: Duration,
-    /// Between two looks at the lease of the others, and two renewals of the holder.
+    /// Interval between renewals by the holder, and between reads of the lease by other entries.
     pub renew: Duration,
-    /// How long the lease must stand unrenewed before it is taken.
+    /// How long the lease must stay unrenewed before another entry acquires it.
     pub lease: Duration,
-    /// Between two checks of an instance that waits for its checks.
+    /// Interval between checks of an instance whose next step depends on them.
     pub check_waiting: Duration,
-    /// Between two checks of a serving instance. The request path sees its failures at once; the
-    /// check only has to find one that gets no requests.
+    /// Interval between checks of a serving instance. The request path detects failures
+    /// immediately; the check only has to find failed instances that get no requests.
     pub check_serving: Duration,
 }
 
 impl Default for Timers {
-    /// A cycle a second follows drains closely; a renewal in 3 s from one holder and a look in 3 s
-    /// from each other entry cost the store under 10 calls a second at 28 entries; 10 s are three
-    /// missed renewals. A check in 10 s of 1,200 serving instances is 120 a second.
+    /// One cycle per second tracks drains closely. One renewal by the holder and one read by each
+    /// other entry every 3 s cost the store under 10 calls/s at 28 entries; 10 s are three missed
+    /// renewals. Checking 1,200 serving instances every 10 s is 120 checks/s.
     fn default() -> Self {
         Self {
             cycle: Duration::from_secs(1),
@@ -54,12 +54,12 @@
     }
 }
 
-/// What the role works on.
+/// Dependencies and settings of the role.
 #[derive(Clone, Debug)]
 pub struct Parts {
-    /// This run of the entry.
+    /// Name and incarnation of the entry.
     pub identity: Identity,
-    /// Where changes are committed.
+    /// Ledger to which changes are committed.
     pub ledger: Ledger,
     /// The entry's view.
     pub cell: Arc<Cell>,
@@ -69,26 +69,26 @@
     pub instances: Arc<dyn Instances>,
     /// The platform's tasks.
     pub tasks: Arc<dyn Tasks>,
-    /// How jobs are driven.
+    /// Settings of the job driver.
     pub jobs: Settings,
-    /// The platform's objects, for the archive of the audit trail.
+    /// The platform's object store, for the archive of the audit trail.
     pub objects: Arc<dyn Store>,
-    /// How much of the audit trail stays in the table.
+    /// How much of the audit trail is retained in the table.
     pub keep: Keep,
-    /// Checks workers.
+    /// Health check of workers.
     pub probe: Arc<dyn Probe>,
     /// The registered entries.
     pub roster: Arc<dyn Roster>,
-    /// What the deployment weighs.
+    /// Weights of the placement score.
     pub weights: Weights,
     /// Limits of the lifecycle.
     pub limits: Limits,
-    /// How often and how long.
+    /// Intervals and durations.
     pub timers: Timers,
 }
 
-/// Longest time of one cycle; a platform that hangs must not hold up the lease.
-const CYCLE_LIMIT: Duration = Duration::from_secs(8);
+/// Timeout of one cycle; a platform that hangs must not delay lease renewal.
+const CYCLE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// The running role of one entry.
 #[derive(Debug)]
@@ -99,7 +99,7 @@
 }
 
 impl Controller {
-    /// Starts to contend for the lease.
+    /// Spawns the task that contends for the lease.
     pub fn spawn(parts: Parts) -> Self {
         let holder = Arc::new(Mutex::new(None));
         let stop = watch::Sender::new(false);
@@ -112,23 +112,23 @@
         }
     }
 
-    /// The holder of the lease as far as known.
+    /// The last known holder of the lease.
     pub fn holder(&self) -> Option<id::Entry> {
         self.holder.lock().clone()
     }
 
-    /// Ends the cycle under way and gives the lease up, so that a successor need not wait.
+    /// Finishes the current cycle and releases the lease, so that a successor need not wait.
     pub async fn stop(&self) {
         self.stop.send_replace(true);
         let task = self.task.lock().take();
         if let Some(task) = task
             && let Err(error) = task.await
         {
-            log::error!("the controller's task ended early: {error}");
+            log::error!("controller task failed: {error}");
         }
     }
 
-    /// Ends at once, as a crash would: the lease is left to lapse.
+    /// Stops immediately, as a crash would: the lease is not released and has to expire.
     pub fn abort(&self) {
         if let Some(task) = self.task.lock().take() {
             task.abort();
@@ -139,12 +139,12 @@
 struct Role {
     parts: Parts,
     contender: Contender,
-    held: Option<Held>,
-    memory: Memory,
-    house: House,
-    desk: Arc<Desk>,
-    jobs: Option<Keeper>,
-    renewed: Instant,
+    held: Option<HeldLease>,
+    cycle_state: CycleState,
+    housekeeping: Housekeeping,
+    observation: Arc<LatestObservation>,
+    job_driver: Option<DriverHandle>,
+    renewed_at: Instant,
     holder: Arc<Mutex<Option<id::Entry>>>,
 }
 
@@ -156,97 +156,98 @@
             parts.identity.incarnation,
             parts.timers.lease,
         );
-        let memory = Memory::default();
-        let house = House::open(&parts);
+        let cycle_state = CycleState::default();
+        let housekeeping = Housekeeping::open(&parts);
         Self {
             parts,
             contender,
             held: None,
-            memory,
-            house,
-            desk: Arc::default(),
-            jobs: None,
-            renewed: Instant::now(),
+            cycle_state,
+            housekeeping,
+            observation: Arc::default(),
+            job_driver: None,
+            renewed_at: Instant::now(),
             holder,
         }
     }
 
     async fn run(mut self, mut stop: watch::Receiver<bool>) {
         loop {
-            let pause = self.round().await;
+            let delay = self.round().await;
             *self.holder.lock() = self.contender.holder();
             tokio::select! {
-                () = sleep(pause) => {}
+                () = sleep(delay) => {}
                 _ = stop.changed() => break,
             }
         }
-        self.jobs = None;
+        self.job_driver = None;
         if let Some(held) = self.held.take()
-            && let Err(error) = self.contender.give_up(&held).await
+            && let Err(error) = self.contender.release(&held).await
         {
-            log::warn!("the lease could not be given up and will lapse: {error}");
+            log::warn!("could not release the controller lease, it will expire: {error}");
         }
     }
 
-    /// Contends, or renews and acts; returns how long to pause.
+    /// Contends for the lease, or renews it and runs a cycle; returns the delay until the next round.
     async fn round(&mut self) -> Duration {
-        self.hold().await;
+        self.maintain_lease().await;
         let Some(held) = self.held.clone() else {
             return self.parts.timers.renew;
         };
         match timeout(
-            CYCLE_LIMIT,
-            self.memory.cycle(&self.parts, &held, &self.desk),
+            CYCLE_TIMEOUT,
+            self.cycle_state
+                .cycle(&self.parts, &held, &self.observation),
         )
         .await
         {
             Ok(Ok(())) => {}
-            Ok(Err(refusal)) => log::warn!("a cycle ended early: {refusal}"),
-            Err(elapsed) => log::warn!("a cycle took too long: {elapsed}"),
+            Ok(Err(refusal)) => log::warn!("controller cycle failed: {refusal}"),
+            Err(elapsed) => log::warn!("controller cycle timed out: {elapsed}"),
         }
-        self.house.step(&self.parts, &held).await;
+        self.housekeeping.step(&self.parts, &held).await;
         self.parts.timers.cycle
     }
 
-    async fn hold(&mut self) {
+    async fn maintain_lease(&mut self) {
         let now = self.parts.clock.now();
         let limit = self.parts.timers.renew;
         let outcome = match &self.held {
-            Some(_) if self.renewed.elapsed() < limit => return,
+            Some(_) if self.renewed_at.elapsed() < limit => return,
             Some(held) => timeout(limit, self.contender.renew(held, now)).await,
-            None => timeout(limit, self.contender.contend(now)).await,
+            None => timeout(limit, self.contender.try_acquire(now)).await,
         };
         match outcome {
             Ok(Ok(held)) => {
-                self.note(held.as_ref());
-                self.drive(held.as_ref());
+                self.log_transition(held.as_ref());
+                self.update_job_driver(held.as_ref());
                 self.held = held;
-                self.renewed = Instant::now();
+                self.renewed_at = Instant::now();
             }
             // A holder that cannot reach the store keeps its epoch: its changes are fenced by the
-            // row, and the store that comes back says whether it still stands.
-            Ok(Err(error)) => log::warn!("the lease could not be read or renewed: {error}"),
-            Err(elapsed) => log::warn!("the lease could not be read or renewed: {elapsed}"),
+            // epoch row, and once the store is back the next renewal tells whether it is still valid.
+            Ok(Err(error)) => log::warn!("could not read or renew the controller lease: {error}"),
+            Err(elapsed) => log::warn!("access to the controller lease timed out: {elapsed}"),
         }
     }
 
-    /// Drives the jobs for as long as the lease is held.
-    fn drive(&mut self, held: Option<&Held>) {
+    /// Runs the job driver while the lease is held.
+    fn update_job_driver(&mut self, held: Option<&HeldLease>) {
         match held {
-            None => self.jobs = None,
-            Some(held) if self.jobs.is_none() => {
-                let (parts, desk) = (self.parts.clone(), Arc::clone(&self.desk));
-                self.jobs = Some(Keeper::spawn(parts, held.clone(), desk));
+            None => self.job_driver = None,
+            Some(held) if self.job_driver.is_none() => {
+                let (parts, observation) = (self.parts.clone(), Arc::clone(&self.observation));
+                self.job_driver = Some(DriverHandle::spawn(parts, held.clone(), observation));
             }
             Some(_) => {}
         }
     }
 
-    fn note(&self, held: Option<&Held>) {
+    fn log_transition(&self, held: Option<&HeldLease>) {
         let name = &self.parts.identity.entry;
         match (&self.held, held) {
-            (None, Some(held)) => log::info!("{name} holds the lease, epoch {}", held.number()),
-            (Some(_), None) => log::warn!("{name} has lost the lease"),
+            (None, Some(held)) => log::info!("{name} acquired the lease, epoch {}", held.number()),
+            (Some(_), None) => log::warn!("{name} lost the lease"),
             _ => {}
         }
     }
--- a/crates/controller/src/roster.rs
+++ b/crates/controller/src/roster.rs
@@ -1,4 +1,4 @@
-//! What the entries acknowledge, as the lifecycle decisions read it.
+//! Registered entries and their acknowledgements, as input of the lifecycle decisions.
 
 use async_trait::async_trait;
 use primroseroute_domain::{
@@ -12,46 +12,47 @@
 use primroseroute_platform::fleet::{Listed, Phase};
 use std::{collections::BTreeMap, fmt};
 
-/// The registered entries with their latest reports.
+/// The registered entries and their latest reports.
 ///
-/// # Why a new entry is never overlooked
+/// # Why a new entry is never missed
 ///
-/// An entry registers first and reads the view that it serves by afterwards. The reports are taken
-/// before the registrations are read. So where every report acknowledges a drain, that drain was
+/// An entry registers first and then reads the view by which it serves. The reports are collected
+/// before the registrations are read. So if every report acknowledges a drain, that drain was
 /// committed before the registrations were read; an entry that registered later has read its view
-/// later still, and has the drain in it.
+/// even later, and that view includes the drain.
 #[async_trait]
 pub trait Roster: Send + Sync + fmt::Debug {
-    /// Every registered entry: the reports as of now, the registrations read after that.
+    /// Every registered entry: collects the reports first, then reads the registrations.
     ///
     /// # Errors
-    /// Where the registrations cannot be read; an empty or old list would count as consent.
+    /// If the registrations cannot be read. An empty or stale list must not be returned, as it
+    /// would count as consent.
     async fn voices(&self) -> Result<Vec<Voice>, Refusal>;
 }
 
-/// One registered entry.
+/// A registered entry and its report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Voice {
-    /// Its name.
+    /// Name of the entry.
     pub entry: id::Entry,
-    /// Its latest report in its present incarnation; none while it is silent.
+    /// Latest report of its current incarnation; `None` while it has not reported.
     pub report: Option<Report>,
 }
 
-/// Whether the platform's list, under the entry's name, says that its instance runs no more.
-fn is_gone(entry: &id::Entry, listed: &BTreeMap<id::Instance, Listed>) -> bool {
+/// Whether the platform lists the instance of the entry's name as terminated.
+fn is_terminated(entry: &id::Entry, listed: &BTreeMap<id::Instance, Listed>) -> bool {
     let name: Result<id::Instance, _> = entry.as_str().parse();
     let line = name.ok().and_then(|name| listed.get(&name));
     line.is_some_and(|line| line.phase == Phase::Gone)
 }
 
-/// In-flight count that stands for "not known".
-const SOME: u32 = 1;
+/// In-flight count assumed if the actual count is unknown.
+const UNKNOWN_IN_FLIGHT: u32 = 1;
 
-/// The acknowledgements for `rows`.
+/// The entries' acknowledgements for `rows`.
 ///
-/// A drain that an entry does not name as in force counts as one with a request in flight: the
-/// report may be older than the drain, or the entry may not vouch for its view.
+/// A drain that an entry does not report as in effect counts as one with a request in flight: the
+/// report may be older than the drain, or the entry may not be able to confirm its view.
 pub fn acknowledgements(
     voices: &[Voice],
     listed: &BTreeMap<id::Instance, Listed>,
@@ -68,7 +69,7 @@
                 let drain = report.and_then(|report| report.drains.get(&row.id));
                 match drain {
                     Some(Drain { seq, in_flight }) if *seq == version => *in_flight,
-                    _ => SOME,
+                    _ => UNKNOWN_IN_FLIGHT,
                 }
             };
             Entry {
@@ -77,7 +78,7 @@
                 in_flight: not_serving()
                     .map(|row| (row.id.clone(), in_flight(row)))
                     .collect(),
-                gone: is_gone(&voice.entry, listed),
+                gone: is_terminated(&voice.entry, listed),
             }
         })
         .collect()
--- a/crates/ledger/src/commit.rs
+++ b/crates/ledger/src/commit.rs
@@ -1,4 +1,4 @@
-//! Committing a change: rows, record and head in one conditional transaction.
+//! Commits a change: rows, change record and head row in one conditional transaction.
 
 use crate::{
     key,
@@ -17,27 +17,27 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 use uuid::Uuid;
 
-/// Tries to settle a commit whose answer was lost before it is reported as unknown.
-const SETTLE_TRIES: u32 = 5;
+/// Attempts to resolve a commit whose response was lost before its outcome is reported as unknown.
+const RESOLVE_ATTEMPTS: u32 = 5;
 
-/// Pause before the first further try to settle a commit; it doubles with each.
-const SETTLE_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before the first retry while a commit is being resolved; doubles with each retry.
+const INITIAL_RESOLVE_DELAY: Duration = Duration::from_millis(50);
 
-/// Why the ledger could not read or commit.
+/// Error from reading or committing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// Another change was committed first; nothing of this one was written.
     #[error("another change was committed first (`{0}` moved)")]
     Raced(Key),
-    /// The platform failed.
+    /// The platform returned an error.
     #[error(transparent)]
     Platform(#[from] PlatformError),
-    /// A row does not hold what its key promises.
+    /// A row's value does not match the type that its key implies.
     #[error("row `{key}` cannot be read: {detail}")]
     Corrupt {
         /// The row's key.
         key: Key,
-        /// What is wrong with it.
+        /// The decoding error.
         detail: String,
     },
 }
@@ -54,7 +54,7 @@
     }
 }
 
-/// A change that is being put together against one head.
+/// A change under construction, based on one head.
 #[derive(Clone, Debug)]
 pub struct Draft {
     head: Head,
@@ -69,7 +69,7 @@
 impl Draft {
     /// An empty change on top of `head`.
     ///
-    /// `operation` identifies the attempt: it must be fresh for each draft.
+    /// `operation` identifies the attempt: it must be unique to each draft.
     pub fn new(
         head: Head,
         at: Instant,
@@ -88,26 +88,27 @@
         }
     }
 
-    /// The place that the change will have in the order.
+    /// The sequence number that the change will have.
     pub fn seq(&self) -> Seq {
         self.head.seq.next()
     }
 
-    /// Whether nothing has been put or deleted.
+    /// Whether the draft contains no edits.
     pub fn is_empty(&self) -> bool {
         self.edits.is_empty()
     }
 
-    /// Creates or replaces the row `key`, which had version `before`.
+    /// Creates or replaces the row `key`, whose current version is `before`.
     ///
     /// # Panics
-    /// If `value` cannot be written as JSON, which no domain type's derive can cause.
+    /// If `value` cannot be serialized as JSON. The derived implementations of the domain types
+    /// cannot fail.
     pub fn put<T: Serialize>(&mut self, key: Key, before: Option<Seq>, value: &T) {
         let row = Versioned {
             version: self.seq(),
             value,
         };
-        let json = serde_json::to_string(&row).expect("domain types serialize");
+        let json = serde_json::to_string(&row).expect("domain types serialize to JSON");
         self.edits.insert(
             Key::clone(&key),
             Edit {
@@ -118,7 +119,7 @@
         );
     }
 
-    /// Deletes the row `key`, which had version `before`.
+    /// Deletes the row `key`, whose current version is `before`.
     pub fn delete(&mut self, key: Key, before: Option<Seq>) {
         self.edits.insert(
             Key::clone(&key),
@@ -130,7 +131,7 @@
         );
     }
 
-    /// Makes the commit depend on `condition` too, such as the controller's epoch.
+    /// Adds a condition to the commit, such as the controller's epoch being unchanged.
     pub fn guard(&mut self, condition: Condition) {
         self.guards.push(condition);
     }
@@ -171,23 +172,23 @@
 }
 
 fn put_json<T: Serialize>(key: Key, value: &T) -> Write {
-    let json = serde_json::to_vec(value).expect("records serialize");
+    let json = serde_json::to_vec(value).expect("change records serialize to JSON");
     Write::Put(key, json.into())
 }
 
-/// The ledger over a platform's table.
+/// The ledger stored in a platform's table.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     table: Arc<dyn Table>,
 }
 
 impl Ledger {
-    /// Opens the ledger that `table` holds.
+    /// Opens the ledger stored in `table`.
     pub fn open(table: Arc<dyn Table>) -> Self {
         Self { table }
     }
 
-    /// The table under the ledger, for rows that the head does not order.
+    /// The underlying table, for rows that are not ordered by the head.
     pub fn table(&self) -> &Arc<dyn Table> {
         &self.table
     }
@@ -195,49 +196,53 @@
     /// Commits `draft` and returns its record.
     ///
     /// # Errors
-    /// [`Error::Raced`] where the head or a guard moved: nothing was written. A platform error
-    /// that [`PlatformError::may_have_applied`] only after the answer was lost and the attempts to
-    /// settle it failed too.
+    /// [`Error::Raced`] if the head or a guard row has changed: nothing was written. A platform
+    /// error for which [`PlatformError::may_have_applied`] holds is returned only if the response
+    /// was lost and the attempts to resolve the outcome failed too.
     pub async fn commit(&self, draft: &Draft) -> Result<Record, Error> {
         let record = draft.record();
         let txn = draft.txn(&record);
-        let mut lost = None;
-        let mut pause = SETTLE_PAUSE;
-        for _ in 0..SETTLE_TRIES {
+        let mut ambiguous_error = None;
+        let mut delay = INITIAL_RESOLVE_DELAY;
+        for _ in 0..RESOLVE_ATTEMPTS {
             match self.table.commit(txn.clone()).await {
                 Ok(Commit::Committed(_)) => return Ok(record),
-                // After a lost answer the conflict may be with the draft's own earlier commit.
-                Ok(Commit::Conflict(key)) if lost.is_some() => {
-                    return self.settle(&record, key).await;
+                // After a lost response the conflict may be with this draft's own earlier commit.
+                Ok(Commit::Conflict(key)) if ambiguous_error.is_some() => {
+                    return self.resolve_outcome(&record, key).await;
                 }
                 Ok(Commit::Conflict(key)) => return Err(Error::Raced(key)),
-                Err(error) if error.may_have_applied() => lost = Some(error),
-                Err(error) if lost.is_none() => return Err(error.into()),
+                Err(error) if error.may_have_applied() => ambiguous_error = Some(error),
+                Err(error) if ambiguous_error.is_none() => return Err(error.into()),
                 Err(_) => {}
             }
-            tokio::time::sleep(pause).await;
-            pause *= 2;
+            tokio::time::sleep(delay).await;
+            delay *= 2;
         }
-        Err(lost.unwrap_or(PlatformError::Throttled).into())
+        Err(ambiguous_error.unwrap_or(PlatformError::Throttled).into())
     }
 
-    async fn settle(&self, record: &Record, moved: Key) -> Result<Record, Error> {
-        let mut pause = SETTLE_PAUSE;
-        for _ in 0..SETTLE_TRIES {
+    async fn resolve_outcome(
+        &self,
+        record: &Record,
+        conflicting_key: Key,
+    ) -> Result<Record, Error> {
+        let mut delay = INITIAL_RESOLVE_DELAY;
+        for _ in 0..RESOLVE_ATTEMPTS {
             match self.table.read(&key::change(record.seq)).await {
                 Ok(Some(row)) => {
                     let found: Record = crate::read::decode(&row)?;
                     return if found.operation == record.operation {
                         Ok(found)
                     } else {
-                        Err(Error::Raced(moved))
+                        Err(Error::Raced(conflicting_key))
                     };
                 }
-                // The record is written with the head, so a guard moved and not the head.
-                Ok(None) => return Err(Error::Raced(moved)),
-                Err(_) => tokio::time::sleep(pause).await,
+                // The record is written together with the head, so a guard row changed, not the head.
+                Ok(None) => return Err(Error::Raced(conflicting_key)),
+                Err(_) => tokio::time::sleep(delay).await,
             }
-            pause *= 2;
+            delay *= 2;
         }
         Err(PlatformError::Unknown("the commit could not be read back".to_owned()).into())
     }
--- a/crates/ledger/src/key.rs
+++ b/crates/ledger/src/key.rs
@@ -1,9 +1,9 @@
-//! Keys of the table, in one place so that no two kinds of row can collide.
+//! Table keys, defined in one place so that no two kinds of row can collide.
 
 use primroseroute_domain::{change::Seq, id};
 use primroseroute_platform::table::Key;
 
-/// The row that names the newest change.
+/// The row that contains the newest change's sequence number.
 pub const HEAD: &str = "head";
 /// Prefix of change records.
 pub const CHANGES: &str = "change/";
@@ -19,11 +19,12 @@
 pub const JOBS: &str = "job/";
 /// Prefix of at-most-once claims; not ordered by the head.
 pub const CLAIMS: &str = "claim/";
-/// Prefix of the counts of boots that controllers keep beside instances that reboot.
+/// Prefix of the boot counts that controllers store for instances that are being rebooted.
 pub const MARKS: &str = "mark/";
-/// The controller's lease, renewed all the time; not ordered by the head.
+/// The controller's lease, renewed periodically; not ordered by the head.
 pub const LEASE: &str = "lease/controller";
-/// The controller's epoch, written at each takeover and a condition of all controllers' changes.
+/// The controller's epoch, written at each takeover; every change by a controller is conditional
+/// on it.
 pub const EPOCH: &str = "epoch/controller";
 
 /// Key of the head row.
@@ -31,7 +32,7 @@
     HEAD.into()
 }
 
-/// Key of a change record; zero-padded, so that the order of keys is the order of changes.
+/// Key of a change record, zero-padded so that keys sort in the order of changes.
 pub fn change(seq: Seq) -> Key {
     format!("{CHANGES}{:020}", seq.0).into()
 }
@@ -46,7 +47,7 @@
     format!("{INSTANCES}{name}").into()
 }
 
-/// Key of the count of boots kept beside an instance.
+/// Key of the boot count stored for an instance.
 pub fn mark(name: &id::Instance) -> Key {
     format!("{MARKS}{name}").into()
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,30 +1,31 @@
-//! The ledger: accepted changes in one total order, kept in the platform's table.
+//! The ledger: accepted changes in one total order, stored in the platform's table.
 //!
 //! # Layout of the table
 //!
-//! | key | value | written |
+//! | Key | Value | Written |
 //! |---|---|---|
 //! | `head` | the newest [`Seq`] | by every change |
-//! | `change/<seq>` | [`change::Record`], the audit trail and the delta | once, by its change |
-//! | `account/<name>` | [`Versioned`] account template | by its changes |
-//! | `instance/<name>` | [`Versioned`] instance row | by its changes |
+//! | `change/<seq>` | [`change::Record`], both audit trail and delta | once, by its change |
+//! | `account/<name>` | [`Versioned`] account template | by changes to it |
+//! | `instance/<name>` | [`Versioned`] instance row | by changes to it |
 //!
-//! [`key`] has the other prefixes, which do not go through the head (claims, registrations).
+//! [`key`] defines the other prefixes, which are not ordered by the head (claims, registrations).
 //!
 //! # Why changes never revert
 //!
-//! A [`Draft`] is made against the rows as of one `Seq` and commits only if the head is still that
-//! `Seq`. Two operators who race cannot both commit against the same head; the second is told
-//! [`Error::Raced`], reads again and decides again. A paused writer that wakes up finds the head
-//! moved and commits nothing.
+//! A [`Draft`] is based on the rows as of one `Seq` and commits only if the head is still that
+//! `Seq`. Two concurrent operators cannot both commit on the same head; the second gets
+//! [`Error::Raced`], reads the rows again and decides again. A writer that resumes after a pause
+//! finds a newer head and commits nothing.
 //!
-//! # Lost answers
+//! # Lost responses
 //!
-//! A commit whose answer was lost is neither success nor failure. Each draft carries an operation
-//! id inside its record, so [`Ledger::commit`] reads `change/<seq>` back: its own operation there
-//! means success, another's means that it lost the race, and none means that nothing was written
-//! so far. A commit still on its way could land after that read, so the transaction is sent again
-//! under the same condition: at most one of the two can commit, and both write the same record.
+//! A commit whose response was lost may or may not have been applied. Each draft's record contains
+//! an operation id, so [`Ledger::commit`] reads `change/<seq>` back: its own id there means
+//! success, another id means that a concurrent change was committed first, and no record means
+//! that nothing has been written yet. A commit still in transit could be applied after that read,
+//! so the transaction is sent again under the same condition: at most one of the two can commit,
+//! and both write the same record.
 
 mod commit;
 pub mod key;
--- a/crates/ledger/src/read.rs
+++ b/crates/ledger/src/read.rs
@@ -1,29 +1,29 @@
-//! Reading rows, the head and the changes after a known one.
+//! Reads rows, the head, and the change records after a known one.
 
 use crate::{Error, Ledger, key};
 use primroseroute_domain::change::{Record, Seq};
 use primroseroute_platform::table::{Key, Revision, Row, Scan};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-/// Rows that one scan asks for: a page of full instance rows stays near 256 KiB.
-const PAGE: u32 = 512;
+/// Rows per scan request: a page of full instance rows stays near 256 KiB.
+const SCAN_PAGE_ROWS: u32 = 512;
 
-/// The newest change, and the table's revision of the row that says so.
+/// The newest change, and the revision of the head row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// The newest change; 0 where there is none.
+    /// The newest change; 0 if there is none.
     pub seq: Seq,
-    /// The head row's revision; none where there is no change yet.
+    /// The head row's revision; `None` before the first change.
     pub revision: Option<Revision>,
 }
 
-/// A row's value with the change that last wrote it, which is its version.
+/// A row's value and its version, which is the change that last wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Versioned<T> {
-    /// The change that wrote it.
+    /// The change that last wrote the row.
     pub version: Seq,
-    /// The value.
+    /// The row's value.
     pub value: T,
 }
 
@@ -35,10 +35,10 @@
 }
 
 impl Ledger {
-    /// Reads the head: one row, the cheapest way to learn whether anything changed.
+    /// Reads the head: a single row, the cheapest way to detect changes.
     ///
     /// # Errors
-    /// As the table's; [`Error::Corrupt`] where the row is not a head.
+    /// Errors of the table; [`Error::Corrupt`] if the row cannot be decoded as a head.
     pub async fn head(&self) -> Result<Head, Error> {
         match self.table().read(&key::head()).await? {
             Some(row) => Ok(Head {
@@ -55,7 +55,7 @@
     /// Reads one versioned row.
     ///
     /// # Errors
-    /// As the table's; [`Error::Corrupt`] where the row cannot be read as `T`.
+    /// Errors of the table; [`Error::Corrupt`] if the row cannot be decoded as `T`.
     pub async fn read<T: DeserializeOwned>(
         &self,
         key: &Key,
@@ -64,13 +64,13 @@
         row.as_ref().map(decode).transpose()
     }
 
-    /// Reads every row under `prefix`, page by page.
+    /// Reads every row whose key starts with `prefix`, page by page.
     ///
-    /// Pages are read as of different commits; a caller that needs them as of one change follows
-    /// the records from a head that it read first.
+    /// Pages reflect different commits. A caller that needs a consistent state reads the head first
+    /// and then applies the records after it.
     ///
     /// # Errors
-    /// As the table's.
+    /// Errors of the table.
     pub async fn rows(&self, prefix: &str) -> Result<Vec<Row>, Error> {
         let mut found = Vec::new();
         let mut after = None;
@@ -78,7 +78,7 @@
             let scan = Scan {
                 prefix: prefix.into(),
                 after: after.take(),
-                limit: PAGE,
+                limit: SCAN_PAGE_ROWS,
             };
             let page = self.table().scan(scan).await?;
             found.extend(page.rows);
@@ -89,10 +89,10 @@
         }
     }
 
-    /// Reads every row under `prefix` as `T`, with its key.
+    /// Reads every row whose key starts with `prefix`, decoded as `T`, with its key.
     ///
     /// # Errors
-    /// As [`Ledger::rows`]; [`Error::Corrupt`] where a row cannot be read as `T`.
+    /// As [`Ledger::rows`]; [`Error::Corrupt`] if a row cannot be decoded as `T`.
     pub async fn scan<T: DeserializeOwned>(&self, prefix: &str) -> Result<Vec<(Key, T)>, Error> {
         let rows = self.rows(prefix).await?;
         rows.iter()
@@ -103,7 +103,7 @@
     /// Reads up to `limit` change records after `seq`, in order.
     ///
     /// # Errors
-    /// As the table's; [`Error::Corrupt`] where a record cannot be read.
+    /// Errors of the table; [`Error::Corrupt`] if a record cannot be decoded.
     pub async fn after(&self, seq: Seq, limit: u32) -> Result<Vec<Record>, Error> {
         let scan = Scan {
             prefix: key::CHANGES.into(),
--- a/crates/ledger/tests/all/commit.rs
+++ b/crates/ledger/tests/all/commit.rs
@@ -1,4 +1,4 @@
-//! Races and lost answers.
+//! Concurrent commits and lost responses.
 
 use crate::{cases, draft, open, value};
 use primroseroute_domain::{
@@ -11,32 +11,32 @@
 use std::time::Duration;
 
 cases! {
-    second_of_two_on_one_head_is_raced => raced();
-    lost_answer_of_an_own_commit_is_success => lost_answer();
-    lost_request_is_sent_again => lost_request();
-    late_effect_of_a_lost_commit_counts_once => late_effect();
-    lost_answer_and_a_faster_rival_is_raced => lost_and_overtaken();
-    outage_after_a_lost_answer_is_unknown => lost_then_outage();
-    moved_guard_commits_nothing => moved_guard();
+    second_commit_on_the_same_head_conflicts => conflicting();
+    lost_response_of_a_committed_change_is_success => lost_response();
+    lost_request_is_retried => lost_request();
+    late_effect_of_an_ambiguous_commit_applies_once => late_effect();
+    lost_request_and_concurrent_commit_conflicts => lost_request_and_concurrent_commit();
+    outage_after_a_lost_response_is_unknown => lost_response_then_outage();
+    changed_guard_commits_nothing => changed_guard();
 }
 
-async fn raced() {
+async fn conflicting() {
     let (_platform, ledger) = open();
     let first = draft(&ledger, "account/a", 1).await;
     let second = draft(&ledger, "account/a", 2).await;
-    ledger.commit(&first).await.expect("nothing is in the way");
+    ledger.commit(&first).await.expect("no concurrent change");
     let error = ledger
         .commit(&second)
         .await
-        .expect_err("the head has moved");
+        .expect_err("the head has changed");
     assert_eq!(error, Error::Raced("head".into()));
     assert_eq!(Refusal::from(error).code, Code::VersionConflict);
     assert_eq!(value(&ledger, "account/a").await, Some((Seq(1), 1)));
 }
 
-/// The store commits and the answer is lost. The writer must learn that its change stands; taking
-/// the loss for a failure would make the operator apply it again.
-async fn lost_answer() {
+/// The store commits and the response is lost. The commit must be reported as successful; reporting
+/// a failure would make the operator apply the change again.
+async fn lost_response() {
     let (platform, ledger) = open();
     platform.faults().lose_answers(Kind::Commit, 1);
     let record = ledger.commit(&draft(&ledger, "account/a", 1).await).await;
@@ -52,8 +52,8 @@
     assert_eq!(value(&ledger, "account/a").await, Some((Seq(1), 1)));
 }
 
-/// The answer is lost and the commit takes effect only seconds later, after the writer has sent it
-/// again. The second try commits; the late one must change nothing, though it is the same change.
+/// The response is lost and the commit takes effect only seconds later, after the writer has sent it
+/// again. The second attempt commits; the late one must change nothing although it is the same change.
 async fn late_effect() {
     let (platform, ledger) = open();
     platform
@@ -62,58 +62,61 @@
     ledger
         .commit(&draft(&ledger, "account/a", 1).await)
         .await
-        .expect("the second try commits");
+        .expect("the second attempt commits");
     ledger
         .commit(&draft(&ledger, "account/a", 2).await)
         .await
-        .expect("nothing is in the way");
+        .expect("no concurrent change");
     tokio::time::sleep(Duration::from_secs(10)).await;
     assert_eq!(value(&ledger, "account/a").await, Some((Seq(2), 2)));
     assert_eq!(ledger.head().await.expect("it answers").seq, Seq(2));
 }
 
-/// The writer's request is lost, and before it tries again a rival commits. The record at that
-/// place is the rival's: the writer must not take it for its own.
-async fn lost_and_overtaken() {
+/// The writer's request is lost, and another writer commits before the retry. The record with that
+/// sequence number belongs to the other writer and must not be mistaken for the writer's own.
+async fn lost_request_and_concurrent_commit() {
     let (platform, ledger) = open();
-    let rival_ledger =
+    let other_ledger =
         primroseroute_ledger::Ledger::open(std::sync::Arc::new(platform.client("rival")));
     let own = draft(&ledger, "account/a", 1).await;
-    let rival = draft(&rival_ledger, "account/a", 2).await;
+    let other = draft(&other_ledger, "account/a", 2).await;
     platform
         .client("writer")
         .faults()
         .lose_requests(Kind::Commit, 1);
-    let (own, rival) = tokio::join!(ledger.commit(&own), rival_ledger.commit(&rival));
-    rival.expect("nothing is in the way");
+    let (own, other) = tokio::join!(ledger.commit(&own), other_ledger.commit(&other));
+    other.expect("no concurrent change");
     assert_eq!(
-        own.expect_err("the rival was first"),
+        own.expect_err("the other writer committed first"),
         Error::Raced("head".into())
     );
     assert_eq!(value(&ledger, "account/a").await, Some((Seq(1), 2)));
 }
 
-/// The answer is lost and the store then goes down for longer than the writer tries. It may have
-/// been committed, so the operator must be told "unknown", neither success nor "not written".
-async fn lost_then_outage() {
+/// The response is lost and the store then fails for longer than the writer retries. The change may
+/// have been committed, so the outcome must be reported as unknown, neither success nor failure.
+async fn lost_response_then_outage() {
     let (platform, ledger) = open();
     let change = draft(&ledger, "account/a", 1).await;
     platform.faults().lose_answers(Kind::Commit, 1);
     platform.faults().lose_requests(Kind::Commit, 10);
-    let error = ledger.commit(&change).await.expect_err("nobody can know");
+    let error = ledger
+        .commit(&change)
+        .await
+        .expect_err("the outcome is unknown");
     assert_eq!(Refusal::from(error).code, Code::StoreUnknown);
 }
 
-/// A paused controller wakes up after another took over: its guard row has moved, so its change,
-/// made on the newest head, is refused whole.
-async fn moved_guard() {
+/// A paused controller resumes after another has taken over. Its guard row has changed, so its
+/// change is rejected as a whole although it is based on the newest head.
+async fn changed_guard() {
     let (_platform, ledger) = open();
     let epoch = |value: &'static [u8]| Txn {
         conditions: Vec::new(),
         writes: vec![Write::Put("epoch/controller".into(), value.into())],
     };
     let Ok(Commit::Committed(revision)) = ledger.table().commit(epoch(b"1")).await else {
-        panic!("nothing is in the way");
+        panic!("the commit has no conditions");
     };
     let mut change = draft(&ledger, "account/a", 1).await;
     change.guard(Condition::At("epoch/controller".into(), revision));
@@ -125,7 +128,7 @@
     let error = ledger
         .commit(&change)
         .await
-        .expect_err("the epoch has moved");
+        .expect_err("the epoch has changed");
     assert_eq!(error, Error::Raced("epoch/controller".into()));
     assert_eq!(value(&ledger, "account/a").await, None);
     assert_eq!(ledger.head().await.expect("it answers").seq, Seq(0));
--- a/crates/ledger/tests/all/main.rs
+++ b/crates/ledger/tests/all/main.rs
@@ -1,9 +1,9 @@
-//! The ledger over the platform's stand-in: one order of changes, whatever becomes of answers.
+//! The ledger over the platform stand-in: changes have one order even if responses are lost.
 
 mod commit;
 mod read;
 
-/// Names each case, which runs under paused time.
+/// Defines a named test per case; all run with paused time.
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident => $body:expr;)*) => {$(
         $(#[$doc])*
@@ -21,14 +21,14 @@
 use std::sync::Arc;
 use uuid::Uuid;
 
-/// An empty platform and a ledger over it.
+/// An empty platform and a ledger stored in its table.
 pub(crate) fn open() -> (Platform, Ledger) {
     let platform = Platform::open(7, Options::default());
     let ledger = Ledger::open(Arc::new(platform.client("writer")));
     (platform, ledger)
 }
 
-/// A change of the row `key` to `value` on top of the newest change.
+/// A draft that sets the row `key` to `value`, based on the current head.
 pub(crate) async fn draft(ledger: &Ledger, key: &str, value: u32) -> Draft {
     let head = ledger.head().await.expect("the store answers");
     let id = Uuid::from_u128(u128::from(value) + 1);
@@ -37,7 +37,7 @@
     draft
 }
 
-/// Values of the row `key`, with its version.
+/// Version and value of the row `key`.
 pub(crate) async fn value(ledger: &Ledger, key: &str) -> Option<(Seq, u32)> {
     let row = ledger
         .read::<u32>(&key.into())
--- a/crates/ledger/tests/all/read.rs
+++ b/crates/ledger/tests/all/read.rs
@@ -1,12 +1,12 @@
-//! Reading what was committed.
+//! Reading committed changes.
 
 use crate::{cases, draft, open};
 use primroseroute_domain::change::Seq;
 
 cases! {
-    records_come_in_order_after_a_seq => records();
+    records_after_a_seq_are_in_order => records();
     scan_crosses_pages => pages();
-    deleted_row_is_gone_and_its_record_stays => deleted();
+    deleted_row_is_absent_and_its_record_remains => deleted();
 }
 
 async fn records() {
@@ -18,8 +18,8 @@
             .expect("it commits");
     }
     let found = ledger.after(Seq(9), 100).await.expect("it answers");
-    let places: Vec<u64> = found.iter().map(|record| record.seq.0).collect();
-    assert_eq!(places, [10, 11, 12]);
+    let seqs: Vec<u64> = found.iter().map(|record| record.seq.0).collect();
+    assert_eq!(seqs, [10, 11, 12]);
     assert_eq!(ledger.after(Seq(0), 5).await.expect("it answers").len(), 5);
 }
 
--- a/crates/view/src/amend.rs
+++ b/crates/view/src/amend.rs
@@ -1,4 +1,4 @@
-//! Changing what the ledger holds: decide on the newest view, commit, decide again if raced.
+//! Changes the ledger: decides on the newest snapshot, commits, and decides again after a conflict.
 
 use crate::{Cell, Snapshot, poll};
 use primroseroute_domain::{
@@ -11,30 +11,30 @@
 use std::sync::Arc;
 use uuid::Uuid;
 
-/// Races that one amendment loses before it gives up. Each loss means that another change was
-/// accepted; at 4,700 changes a day even two losses in a row are rare.
-const TRIES: u32 = 8;
+/// Attempts before a change is given up. Each conflict means that another change was committed; at
+/// 4,700 changes a day even two conflicts in a row are rare.
+const MAX_ATTEMPTS: u32 = 8;
 
-/// Who makes a change, why, and on what further condition.
+/// Author of and reason for a change, with further conditions on its commit.
 #[derive(Clone, Debug)]
 pub struct Author {
     /// `operator:NAME` or `controller:ENTRY`.
     pub actor: Arc<str>,
-    /// Why, for people.
+    /// Reason for the change, as free text.
     pub reason: Arc<str>,
-    /// Conditions besides the head, such as the controller's epoch.
+    /// Conditions in addition to the head, such as the controller's epoch being unchanged.
     pub guards: Vec<Condition>,
 }
 
-/// Lets `decide` fill a change on top of the newest snapshot, and commits it.
+/// Calls `decide` to fill a draft based on the newest snapshot, and commits it.
 ///
-/// Where another change was committed first, the view is brought up to date and `decide` is asked
-/// again, so what it checked (a version, a budget) holds at the commit. The accepted change is in
-/// force in `cell` on return. Where `decide` puts nothing, nothing is committed.
+/// If another change was committed first, the view is updated and `decide` is called again, so what
+/// it checked (a version, a budget) holds at the commit. On return the committed change has been
+/// applied to `cell`. If `decide` makes no edits, nothing is committed.
 ///
 /// # Errors
-/// What `decide` refuses; [`Code::VersionConflict`] where every try was raced or a guard moved;
-/// the store's codes where it fails.
+/// Refusals of `decide`; [`Code::VersionConflict`] if every attempt conflicted or a guard has
+/// changed; the store's codes if it fails.
 pub async fn amend(
     ledger: &Ledger,
     cell: &Cell,
@@ -42,8 +42,8 @@
     author: &Author,
     decide: &(dyn Fn(&Snapshot, &mut Draft) -> Result<(), Refusal> + Sync),
 ) -> Result<Option<Record>, Refusal> {
-    for _ in 0..TRIES {
-        poll(ledger, cell).await.map_err(refuse)?;
+    for _ in 0..MAX_ATTEMPTS {
+        poll(ledger, cell).await.map_err(refusal)?;
         let head = ledger.head().await?;
         let snapshot = cell.current();
         if head.seq != snapshot.seq() {
@@ -66,7 +66,7 @@
         match ledger.commit(&draft).await {
             Ok(record) => {
                 cell.apply(std::slice::from_ref(&record))
-                    .map_err(|error| refuse(error.into()))?;
+                    .map_err(|error| refusal(error.into()))?;
                 return Ok(Some(record));
             }
             Err(LedgerError::Raced(key)) if *key == *primroseroute_ledger::key::HEAD => {}
@@ -79,7 +79,7 @@
     ))
 }
 
-fn refuse(error: crate::Error) -> Refusal {
+fn refusal(error: crate::Error) -> Refusal {
     match error {
         crate::Error::Ledger(error) => error.into(),
         crate::Error::Apply(error) => Refusal::new(Code::ViewStale, error.to_string()),
--- a/crates/view/src/cell.rs
+++ b/crates/view/src/cell.rs
@@ -1,4 +1,4 @@
-//! The one place that publishes snapshots, forward only.
+//! Publishes snapshots; the published sequence number only increases.
 
 use crate::{Apply, Snapshot};
 use arc_swap::ArcSwap;
@@ -9,14 +9,14 @@
 };
 use tokio::sync::watch;
 
-/// Records kept for peers that are a little behind: an hour of changes at 4,700 a day, and then
-/// some; a peer further behind takes the snapshot.
-const RECENT: usize = 256;
+/// Records retained for peers that lag slightly: more than an hour of changes at 4,700 a day. A
+/// peer further behind gets the snapshot.
+const MAX_RECENT_RECORDS: usize = 256;
 
 /// The published snapshot.
 ///
-/// Lock order: `recent` is the only lock and is held while a snapshot is swapped in, so that
-/// comparing and publishing are one step.
+/// Lock order: `recent` is the only lock. It is held while a snapshot is swapped in, so that
+/// comparing and publishing are one atomic step.
 #[derive(Debug)]
 pub struct Cell {
     current: ArcSwap<Snapshot>,
@@ -35,32 +35,33 @@
 }
 
 impl Cell {
-    /// The snapshot in force.
+    /// The published snapshot.
     pub fn current(&self) -> Arc<Snapshot> {
         self.current.load_full()
     }
 
-    /// A receiver that wakes when a newer snapshot is in force.
+    /// A receiver that is notified when a newer snapshot is published.
     pub fn subscribe(&self) -> watch::Receiver<Seq> {
         self.newest.subscribe()
     }
 
-    /// Publishes `next` if it is newer; says whether it was.
+    /// Publishes `next` if it is newer than the current snapshot; returns whether it was.
     pub fn advance(&self, next: Snapshot) -> bool {
         let mut recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
         if next.seq() <= self.current.load().seq() {
             return false;
         }
-        // A snapshot that jumps leaves a hole after the kept records, so they would mislead.
+        // The records between the retained ones and this snapshot are missing, so the retained ones
+        // cannot be offered as a contiguous list.
         recent.clear();
         self.publish(next);
         true
     }
 
-    /// Applies records in order and publishes the result; says whether anything was new.
+    /// Applies records in order and publishes the result; returns whether the snapshot changed.
     ///
     /// # Errors
-    /// [`Apply`] as of the first record that cannot be applied; those before it are in force.
+    /// [`Apply`] for the first record that cannot be applied; the records before it are published.
     pub fn apply(&self, records: &[Record]) -> Result<bool, Apply> {
         let mut recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
         let start = self.current.load().seq();
@@ -75,15 +76,15 @@
                 }
             }
             recent.push_back(record.clone());
-            if recent.len() > RECENT {
+            if recent.len() > MAX_RECENT_RECORDS {
                 recent.pop_front();
             }
         }
-        let moved = next.seq() > start;
-        if moved {
+        let advanced = next.seq() > start;
+        if advanced {
             self.publish(next);
         }
-        failure.map_or(Ok(moved), Err)
+        failure.map_or(Ok(advanced), Err)
     }
 
     fn publish(&self, next: Snapshot) {
@@ -92,7 +93,7 @@
         self.newest.send_replace(seq);
     }
 
-    /// The records after `seq`, or none where some of them are no longer kept.
+    /// The records after `seq`, or `None` if some of them are no longer retained.
     pub fn records_after(&self, seq: Seq) -> Option<Vec<Record>> {
         let recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
         if seq >= self.current.load().seq() {
--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -1,32 +1,32 @@
-//! What an entry believes about configuration and fleet: one immutable snapshot, swapped whole.
+//! An entry's view of configuration and fleet: one immutable snapshot, replaced as a whole.
 //!
-//! A [`Snapshot`] is the state after one change of the ledger's order, named by its
-//! [`Seq`](primroseroute_domain::change::Seq). It is built from the table by [`load`], carried
-//! forward record by record with [`Snapshot::apply`], and published through a [`Cell`].
+//! A [`Snapshot`] is the state after one change of the ledger, identified by the change's
+//! [`Seq`](primroseroute_domain::change::Seq). It is built from the table by [`load`], updated
+//! record by record with [`Snapshot::apply`], and published through a [`Cell`].
 //!
 //! # Why a view never goes back
 //!
-//! The ledger orders all changes, and a snapshot is a function of its `Seq` alone. [`Cell`] is the
-//! only place that publishes, and it compares `Seq` under a lock: a lower or equal one is ignored
-//! whoever sends it, be it a stale peer, a slow poll or a snapshot built before a faster push. So
-//! an accepted configuration, once in force in an entry, stays in force there (I8).
+//! The ledger orders all changes, and a snapshot depends on its `Seq` alone. Only [`Cell`]
+//! publishes, and it compares `Seq` under a lock: a lower or equal one is ignored whatever its
+//! source, such as a stale peer, a slow poll, or a snapshot built before a faster push. So an
+//! accepted configuration stays in effect in an entry once it has taken effect there (I8).
 //!
-//! # Full loads beside running writers
+//! # Full loads during concurrent writes
 //!
-//! Pages of a scan are read as of different commits. [`load`] notes the head first, scans, then
-//! applies every record after that head. A row that was scanned already newer is set back by an
-//! older record and forward again by its own; nothing is published in between.
+//! Pages of a scan reflect different commits. [`load`] reads the head first, scans, then applies
+//! every record after that head. A row that was already newer when scanned is set back by an older
+//! record and forward again by its own; no intermediate state is published.
 
 mod amend;
 mod cell;
-mod follow;
 mod route;
 mod snapshot;
+mod sync;
 mod token;
 
 pub use amend::{Author, amend};
 pub use cell::Cell;
-pub use follow::{Error, load, poll};
 pub use route::{Routes, Target};
 pub use snapshot::{Apply, Snapshot};
+pub use sync::{Error, load, poll};
 pub use token::Digest;
--- a/crates/view/src/route.rs
+++ b/crates/view/src/route.rs
@@ -1,4 +1,4 @@
-//! How callers name a service: by host, or by the longest path prefix of whole segments.
+//! Routes requests to services: by host, or by the longest path prefix of whole segments.
 
 use crate::token::{Digest, Tokens};
 use primroseroute_domain::{
@@ -19,13 +19,13 @@
     pub pool: id::Pool,
     /// The account that owns it.
     pub owner: id::Account,
-    /// How urgent its requests are.
+    /// Urgency class of its requests.
     pub class: Class,
     callers: BTreeSet<id::Account>,
 }
 
 impl Target {
-    /// Whether `account` may call the service: its owner and the callers that the owner names.
+    /// Whether `account` may call the service: its owner and the callers that the owner lists.
     pub fn permits(&self, account: &id::Account) -> bool {
         self.owner == *account || self.callers.contains(account)
     }
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The service for a request to `host` (without its port) and `path`; the host goes first.
+    /// The service for a request to `host` (without its port) and `path`; the host takes precedence.
     pub fn find(&self, host: Option<&str>, path: &str) -> Option<&Arc<Target>> {
         host.and_then(|host| self.hosts.get(host))
             .or_else(|| self.by_prefix(path))
--- a/crates/view/src/snapshot.rs
+++ b/crates/view/src/snapshot.rs
@@ -11,23 +11,23 @@
 use serde::de::DeserializeOwned;
 use std::{collections::BTreeMap, ops::Bound, sync::Arc};
 
-/// Why a record could not be applied.
+/// Error from applying a record or decoding a row.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Apply {
     /// Records between the snapshot and this one are missing.
     #[error("the view is at {have} and the record is {got}")]
     Gap {
-        /// The snapshot's place.
+        /// The snapshot's sequence number.
         have: Seq,
-        /// The record's place.
+        /// The record's sequence number.
         got: Seq,
     },
-    /// A row of the record does not hold what its key promises.
+    /// A row's value does not match the type that its key implies.
     #[error("row `{key}` cannot be read: {detail}")]
     Corrupt {
         /// The row's key.
         key: Arc<str>,
-        /// What is wrong with it.
+        /// The decoding error.
         detail: String,
     },
 }
@@ -43,10 +43,10 @@
 }
 
 impl Snapshot {
-    /// Builds the snapshot at `seq` from rows as key and JSON.
+    /// Builds the snapshot at `seq` from rows, each a key and its JSON value.
     ///
     /// # Errors
-    /// [`Apply::Corrupt`] where a row cannot be read.
+    /// [`Apply::Corrupt`] if a row cannot be decoded.
     pub fn from_rows(
         seq: Seq,
         rows: impl IntoIterator<Item = (Arc<str>, Arc<str>)>,
@@ -56,17 +56,17 @@
             ..Self::default()
         };
         for (key, json) in rows {
-            next.set(&key, Some(&json))?;
+            next.set_row(&key, Some(&json))?;
         }
-        next.index();
+        next.rebuild_routes();
         Ok(next)
     }
 
-    /// The snapshot after `record`; records at or before this snapshot change nothing.
+    /// The snapshot after `record`; records at or before this snapshot are ignored.
     ///
     /// # Errors
-    /// [`Apply::Gap`] where records in between are missing, [`Apply::Corrupt`] where a row cannot
-    /// be read.
+    /// [`Apply::Gap`] if records in between are missing, [`Apply::Corrupt`] if a row cannot be
+    /// decoded.
     pub fn apply(&self, record: &Record) -> Result<Self, Apply> {
         if record.seq <= self.seq {
             return Ok(self.clone());
@@ -80,28 +80,28 @@
         let mut next = self.clone();
         next.seq = record.seq;
         for Edit { key, after, .. } in &record.edits {
-            next.set(key, after.as_ref())?;
+            next.set_row(key, after.as_ref())?;
         }
         if record
             .edits
             .iter()
             .any(|edit| edit.key.starts_with(key::ACCOUNTS))
         {
-            next.index();
+            next.rebuild_routes();
         }
         Ok(next)
     }
 
-    fn index(&mut self) {
+    fn rebuild_routes(&mut self) {
         let templates = self.accounts.values().map(|row| &row.value);
         self.routes = Arc::new(Routes::build(templates));
     }
 
-    fn set(&mut self, key: &Arc<str>, json: Option<&Arc<str>>) -> Result<(), Apply> {
+    fn set_row(&mut self, key: &Arc<str>, json: Option<&Arc<str>>) -> Result<(), Apply> {
         if let Some(name) = key.strip_prefix(key::ACCOUNTS) {
-            set_typed(&mut self.accounts, key, name, json)?;
+            set_decoded(&mut self.accounts, key, name, json)?;
         } else if let Some(name) = key.strip_prefix(key::INSTANCES) {
-            set_typed(&mut self.instances, key, name, json)?;
+            set_decoded(&mut self.instances, key, name, json)?;
         }
         match json {
             Some(json) => self.rows.insert(Arc::clone(key), Arc::clone(json)),
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    /// Its place in the order of changes.
+    /// Sequence number of the last change that it includes.
     pub fn seq(&self) -> Seq {
         self.seq
     }
@@ -125,7 +125,7 @@
         &self.instances
     }
 
-    /// A copy of every instance's row by name, for a decision that changes rows as it goes.
+    /// A copy of every instance row by name, for callers that modify the rows.
     pub fn instance_rows(&self) -> BTreeMap<id::Instance, Row> {
         self.instances
             .iter()
@@ -133,17 +133,17 @@
             .collect()
     }
 
-    /// The template of every client account, in the order of the accounts' names.
+    /// The template of every client account, ordered by account name.
     pub fn templates(&self) -> impl Iterator<Item = &Template> {
         self.accounts.values().map(|row| &row.value)
     }
 
-    /// Every row as key and JSON, for a peer that is too far behind for records.
+    /// Every row as key and JSON value, for a peer that lags too far for records.
     pub fn rows(&self) -> &BTreeMap<Arc<str>, Arc<str>> {
         &self.rows
     }
 
-    /// How callers name services.
+    /// The routing index.
     pub fn routes(&self) -> &Routes {
         &self.routes
     }
@@ -155,7 +155,7 @@
             .flat_map(|(account, row)| row.value.pools.iter().map(move |pool| (account, pool)))
     }
 
-    /// Rows of the instances whose pool is `pool`.
+    /// Rows of the instances that belong to `pool`.
     pub fn members<'a>(&'a self, pool: &'a id::Pool) -> impl Iterator<Item = &'a Row> {
         self.instances
             .values()
@@ -163,11 +163,11 @@
             .filter(|row| row.pool.as_ref() == Some(pool))
     }
 
-    /// Rows under `prefix` by the rest of their key, read as `T`; for waves, jobs and marks, which
-    /// only some roles need.
+    /// Rows whose key starts with `prefix`, by the rest of the key and decoded as `T`; for waves,
+    /// jobs and marks, which only some roles need.
     ///
     /// # Errors
-    /// [`Apply::Corrupt`] where a row cannot be read as `T`.
+    /// [`Apply::Corrupt`] if a row cannot be decoded as `T`.
     pub fn under<I, T>(&self, prefix: &str) -> Result<BTreeMap<I, Versioned<T>>, Apply>
     where
         I: std::str::FromStr<Err = id::Malformed> + Ord,
@@ -179,7 +179,7 @@
             let Some(name) = key.strip_prefix(prefix) else {
                 break;
             };
-            set_typed(&mut found, key, name, Some(json))?;
+            set_decoded(&mut found, key, name, Some(json))?;
         }
         Ok(found)
     }
@@ -192,7 +192,7 @@
     })
 }
 
-fn set_typed<I, T>(
+fn set_decoded<I, T>(
     map: &mut BTreeMap<I, Versioned<T>>,
     key: &Arc<str>,
     name: &str,
--- a/crates/view/src/follow.rs
+++ b/crates/view/src/sync.rs
@@ -1,4 +1,5 @@
-//! Following the ledger: one row read where nothing changed, a few records where something did.
+//! Keeps the view up to date with the ledger: reads one row if nothing has changed, else the new
+//! records.
 
 use crate::{Apply, Cell, Snapshot};
 use primroseroute_domain::change::Seq;
@@ -6,10 +7,10 @@
 use primroseroute_platform::table::{Key, Row};
 use std::sync::Arc;
 
-/// Records that one poll reads: more behind than this, a full load costs fewer rows.
-const RECORDS: u32 = 256;
+/// Records that one poll reads at most; for a larger lag a full load reads fewer rows.
+const MAX_RECORDS: u32 = 256;
 
-/// Prefixes of the rows that the head orders, which make up a snapshot.
+/// Prefixes of the rows that are ordered by the head, which make up a snapshot.
 const PREFIXES: [&str; 5] = [
     key::ACCOUNTS,
     key::INSTANCES,
@@ -18,32 +19,32 @@
     key::JOBS,
 ];
 
-/// Why the view could not be carried forward.
+/// Error from updating the view.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The ledger could not be read.
     #[error(transparent)]
     Ledger(#[from] LedgerError),
-    /// What was read does not fit together.
+    /// The rows or records that were read could not be applied.
     #[error(transparent)]
     Apply(#[from] Apply),
 }
 
-/// Brings `cell` up to the ledger's head and returns the head's place.
+/// Updates `cell` to the ledger's head and returns the head's sequence number.
 ///
 /// # Errors
-/// [`Error`]; the cell then keeps what it had or a later state.
+/// [`Error`]; the cell then keeps its snapshot or a later one.
 pub async fn poll(ledger: &Ledger, cell: &Cell) -> Result<Seq, Error> {
     let head = ledger.head().await?;
-    let have = cell.current().seq();
-    if head.seq <= have {
+    let current_seq = cell.current().seq();
+    if head.seq <= current_seq {
         return Ok(head.seq);
     }
-    if head.seq.0 - have.0 <= u64::from(RECORDS) {
-        let records = ledger.after(have, RECORDS).await?;
+    if head.seq.0 - current_seq.0 <= u64::from(MAX_RECORDS) {
+        let records = ledger.after(current_seq, MAX_RECORDS).await?;
         match cell.apply(&records) {
             Ok(_) if cell.current().seq() >= head.seq => return Ok(head.seq),
-            // The records were trimmed to the archive: only the rows still have the state.
+            // The records have been moved to the archive, so the state must be read from the rows.
             Ok(_) | Err(Apply::Gap { .. }) => {}
             Err(error) => return Err(error.into()),
         }
@@ -52,21 +53,21 @@
     Ok(head.seq)
 }
 
-/// Reads the whole state from the table.
+/// Loads the complete state from the table.
 ///
 /// # Errors
-/// [`Error`] where the table cannot be read or a row cannot.
+/// [`Error`] if the table cannot be read or a row cannot be decoded.
 pub async fn load(ledger: &Ledger) -> Result<Snapshot, Error> {
-    let first = ledger.head().await?;
+    let initial_head = ledger.head().await?;
     let mut rows = Vec::new();
     for prefix in PREFIXES {
         for row in ledger.rows(prefix).await? {
             rows.push((Key::clone(&row.key), json(&row)?));
         }
     }
-    let mut snapshot = Snapshot::from_rows(first.seq, rows)?;
+    let mut snapshot = Snapshot::from_rows(initial_head.seq, rows)?;
     loop {
-        let records = ledger.after(snapshot.seq(), RECORDS).await?;
+        let records = ledger.after(snapshot.seq(), MAX_RECORDS).await?;
         if records.is_empty() {
             return Ok(snapshot);
         }
--- a/crates/view/src/token.rs
+++ b/crates/view/src/token.rs
@@ -1,17 +1,17 @@
-//! Which account a bearer token belongs to.
+//! Maps bearer tokens to accounts.
 
 use primroseroute_domain::{account::TokenHash, id};
 use subtle::{ConditionallySelectable, ConstantTimeEq};
 
-/// Bytes of a word.
-const WORD: usize = 8;
+/// Bytes of a digest word.
+const WORD_BYTES: usize = 8;
 
 /// The SHA-256 of a bearer token.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Digest([u64; 4]);
 
 impl std::fmt::Debug for Digest {
-    /// Shows nothing: a token could be guessed against its hash.
+    /// Omits the hash, against which a token could be guessed offline.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Digest")
     }
@@ -19,13 +19,13 @@
 
 impl From<[u8; 32]> for Digest {
     fn from(bytes: [u8; 32]) -> Self {
-        let word = |at: usize| std::array::from_fn(|byte| bytes[at * WORD + byte]);
+        let word = |at: usize| std::array::from_fn(|byte| bytes[at * WORD_BYTES + byte]);
         Self(std::array::from_fn(|at| u64::from_be_bytes(word(at))))
     }
 }
 
 impl Digest {
-    /// The hash that a template keeps as text; none where it is malformed, and then fits no token.
+    /// Parses the hexadecimal hash of a template; `None` if it is malformed, so it matches no token.
     fn parse(hash: &TokenHash) -> Option<Self> {
         let text = hash.0.as_bytes();
         if text.len() != 64 {
@@ -39,14 +39,14 @@
         Some(bytes.into())
     }
 
-    /// Zero for the same digest only.
+    /// Zero if and only if the digests are equal.
     fn difference(&self, other: &Self) -> u64 {
         let words = self.0.iter().zip(&other.0);
         words.fold(0, |all, (one, other)| all | (one ^ other))
     }
 }
 
-/// The hashes of all bearer tokens with their accounts.
+/// The hashes of all bearer tokens and their accounts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Tokens(Vec<(Digest, id::Account)>);
 
@@ -57,10 +57,10 @@
             .extend(digest.map(|digest| (digest, account.clone())));
     }
 
-    /// The account with this digest.
+    /// The account whose token has this digest.
     ///
-    /// Every hash is compared in full and in constant time: how long it takes tells nothing about
-    /// how near a guess was. Whole words make that cheap: a site has hundreds of tokens.
+    /// Every hash is compared in full and in constant time, so the duration reveals nothing about
+    /// how close a guess was. Comparing whole words keeps that cheap: a site has hundreds of tokens.
     pub(crate) fn find(&self, digest: &Digest) -> Option<&id::Account> {
         let mut found = u64::MAX;
         for (index, (known, _)) in (0_u64..).zip(&self.0) {
--- a/crates/view/tests/all/amend.rs
+++ b/crates/view/tests/all/amend.rs
@@ -1,4 +1,4 @@
-//! Amending: what was checked holds at the commit.
+//! Changes with conflict retries: what was checked still holds at the commit.
 
 use crate::{cases, template};
 use primroseroute_domain::{
@@ -11,7 +11,7 @@
 use std::{sync::Arc, time::Duration};
 
 cases! {
-    racing_increments_are_all_counted => racing_increments();
+    concurrent_increments_are_all_counted => concurrent_increments();
     refusal_commits_nothing => refusal();
     empty_decision_commits_nothing => empty();
 }
@@ -35,9 +35,9 @@
     );
 }
 
-/// Three entries each add one to a share, ten times, at the same time. An amendment that committed
-/// what it had decided on an older state would lose some.
-async fn racing_increments() {
+/// Three entries concurrently increment a share ten times each. Committing a decision that was based
+/// on an older state would lose increments.
+async fn concurrent_increments() {
     let platform = Platform::open(5, Options::default());
     platform
         .faults()
--- a/crates/view/tests/all/cell.rs
+++ b/crates/view/tests/all/cell.rs
@@ -1,10 +1,10 @@
-//! The cell publishes forward only.
+//! The published sequence number only increases.
 
 use crate::record;
 use primroseroute_domain::change::Seq;
 use primroseroute_view::{Apply, Cell, Snapshot};
 
-/// Names each case.
+/// Defines a named test per case.
 macro_rules! cases {
     ($($name:ident => $body:expr;)*) => {$(
         #[test]
@@ -17,9 +17,9 @@
 cases! {
     lower_snapshot_is_ignored => lower_snapshot();
     lower_record_is_ignored => lower_record();
-    gap_is_reported_and_what_came_before_is_in_force => gap();
-    records_after_a_jump_are_not_offered => after_jump();
-    kept_records_are_bounded => bounded();
+    gap_is_reported_and_earlier_records_are_published => gap();
+    records_before_a_loaded_snapshot_are_not_offered => after_loaded_snapshot();
+    retained_records_are_bounded => bounded();
     subscriber_sees_each_advance => subscriber();
     unreadable_row_changes_nothing => corrupt();
 }
@@ -40,8 +40,8 @@
     Snapshot::from_rows(Seq(seq), rows).expect("the row is readable")
 }
 
-/// A slow poll builds a snapshot, and a push from a peer is faster. When the slow one arrives it
-/// must not take the entry back to the old configuration.
+/// A snapshot built by a slow poll arrives after a faster push from a peer. It must not revert the
+/// entry to the older configuration.
 fn lower_snapshot() {
     let cell = Cell::default();
     assert!(cell.advance(snapshot(7, 70)));
@@ -71,16 +71,17 @@
     assert_eq!((cell.current().seq(), share(&cell)), (Seq(1), 10));
 }
 
-/// A peer that is at 3 asks for what follows. The records between 3 and the snapshot are not kept,
-/// so it must be offered the snapshot and not a list with a hole.
-fn after_jump() {
+/// A peer that is at 3 requests the records after it. Those between 3 and the snapshot are not
+/// retained, so it must get the snapshot instead of a list with a gap.
+fn after_loaded_snapshot() {
     let cell = Cell::default();
     cell.apply(&[record(1, 10), record(2, 20)])
         .expect("they follow each other");
     cell.advance(snapshot(7, 70));
-    cell.apply(&[record(8, 80)]).expect("it follows");
+    cell.apply(&[record(8, 80)])
+        .expect("the record is the next one");
     assert_eq!(cell.records_after(Seq(2)), None);
-    let after = cell.records_after(Seq(7)).expect("it is kept");
+    let after = cell.records_after(Seq(7)).expect("the record is retained");
     assert_eq!(after.iter().map(|r| r.seq.0).collect::<Vec<_>>(), [8]);
     assert_eq!(cell.records_after(Seq(8)), Some(Vec::new()));
 }
@@ -102,10 +103,11 @@
     let cell = Cell::default();
     let mut newest = cell.subscribe();
     cell.apply(&[record(1, 10)]).expect("it is the first");
-    assert!(newest.has_changed().expect("the cell stands"));
+    assert!(newest.has_changed().expect("the cell exists"));
     assert_eq!(*newest.borrow_and_update(), Seq(1));
-    cell.apply(&[record(1, 10)]).expect("it changes nothing");
-    assert!(!newest.has_changed().expect("the cell stands"));
+    cell.apply(&[record(1, 10)])
+        .expect("a known record is ignored");
+    assert!(!newest.has_changed().expect("the cell exists"));
 }
 
 fn corrupt() {
--- a/crates/view/tests/all/follow.rs
+++ b/crates/view/tests/all/follow.rs
@@ -1,4 +1,4 @@
-//! Following the ledger.
+//! Updating a view from the ledger.
 
 use crate::{cases, template};
 use primroseroute_domain::{change::Seq, time::Instant};
@@ -9,11 +9,11 @@
 use uuid::Uuid;
 
 cases! {
-    poll_without_change_reads_one_row => quiet_poll();
-    poll_applies_what_is_new => poll_applies();
-    poll_far_behind_loads_the_rows => poll_loads();
-    poll_over_trimmed_records_loads_the_rows => poll_over_trimmed();
-    load_beside_a_writer_is_one_state => load_beside_writer();
+    poll_without_change_reads_one_row => unchanged_poll();
+    poll_applies_new_records => poll_applies();
+    poll_with_a_large_lag_loads_the_rows => poll_loads();
+    poll_over_archived_records_loads_the_rows => poll_over_archived();
+    load_during_writes_is_consistent => load_during_writes();
 }
 
 fn open() -> (Platform, Ledger) {
@@ -34,7 +34,7 @@
     let mut change = Draft::new(head, Instant(1), "operator:test", "test", id);
     let template = template(account, share);
     change.put(key::account(&template.account), None, &template);
-    ledger.commit(&change).await.expect("nothing is in the way");
+    ledger.commit(&change).await.expect("no concurrent change");
 }
 
 fn shares(cell: &Cell) -> Vec<u32> {
@@ -45,7 +45,7 @@
         .collect()
 }
 
-async fn quiet_poll() {
+async fn unchanged_poll() {
     let (platform, ledger) = open();
     write(&ledger, "a", 1).await;
     let cell = Cell::default();
@@ -78,9 +78,9 @@
     assert_eq!(shares(&cell), [300]);
 }
 
-/// The records that the reader is missing were archived and deleted. Only the rows have the state;
-/// a reader that waited for the records would stay behind for ever.
-async fn poll_over_trimmed() {
+/// The records that the reader lacks have been archived and deleted, so only the rows contain the
+/// state. A reader that waited for the records would never catch up.
+async fn poll_over_archived() {
     use primroseroute_platform::table::{Txn, Write};
     let (_platform, ledger) = open();
     for share in 1..=5 {
@@ -97,15 +97,15 @@
         .table()
         .commit(trim)
         .await
-        .expect("nothing is in the way");
+        .expect("the commit has no conditions");
     let cell = Cell::default();
     assert_eq!(poll(&ledger, &cell).await, Ok(Seq(5)));
     assert_eq!((cell.current().seq(), shares(&cell)), (Seq(5), vec![5]));
 }
 
-/// Rows are read while a writer goes on changing two accounts, always to the same share. A reader
-/// that mixed two states would see different shares.
-async fn load_beside_writer() {
+/// Rows are loaded while a writer keeps setting two accounts to the same share. A load that mixed two
+/// states would see different shares.
+async fn load_during_writes() {
     let (platform, ledger) = open();
     platform
         .faults()
@@ -121,7 +121,10 @@
                 let template = template(account, share);
                 change.put(key::account(&template.account), None, &template);
             }
-            ledger.commit(&change).await.expect("there is one writer");
+            ledger
+                .commit(&change)
+                .await
+                .expect("there is only one writer");
         }
     };
     both(1).await;
@@ -141,5 +144,5 @@
         assert_eq!(shares[0], shares[1], "at {}", snapshot.seq());
         assert_eq!(u64::from(shares[0]), snapshot.seq().0);
     }
-    writer.await.expect("the writer ends well");
+    writer.await.expect("the writer does not panic");
 }
--- a/crates/view/tests/all/main.rs
+++ b/crates/view/tests/all/main.rs
@@ -1,11 +1,11 @@
-//! Views over the platform's stand-in: forward only, complete, and amended without losing a race.
+//! Views over the platform stand-in: they never go back, are complete, and lose no concurrent change.
 
 mod amend;
 mod cell;
 mod follow;
 mod routes;
 
-/// Names each case, which runs under paused time.
+/// Defines a named test per case; all run with paused time.
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident => $body:expr;)*) => {$(
         $(#[$doc])*
@@ -25,7 +25,7 @@
 use primroseroute_ledger::Versioned;
 use uuid::Uuid;
 
-/// A template of `account` with fair share `share` and one pool and service of its name.
+/// A template of `account` with fair share `share`, one pool and one service, both named like it.
 pub(crate) fn template(account: &str, share: u32) -> Template {
     Template {
         account: account.parse().expect("a name"),
@@ -55,7 +55,7 @@
         version: Seq(seq),
         value: template("a", share),
     };
-    let json = serde_json::to_string(&row).expect("templates serialize");
+    let json = serde_json::to_string(&row).expect("templates serialize to JSON");
     Record {
         seq: Seq(seq),
         at: Instant(seq),
--- a/crates/view/tests/all/routes.rs
+++ b/crates/view/tests/all/routes.rs
@@ -1,4 +1,4 @@
-//! Which service a host and a path name.
+//! Routing by host and path.
 
 use crate::template;
 use primroseroute_view::Routes;
@@ -9,7 +9,7 @@
     Routes::build(&[template("a", 1), nested])
 }
 
-macro_rules! finds {
+macro_rules! routes_to {
     ($($name:ident: $host:expr, $path:expr => $service:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -20,12 +20,12 @@
     )*};
 }
 
-finds! {
-    host_names_the_service: Some("a.example"), "/" => Some("a");
-    host_goes_before_the_path: Some("b.example"), "/a" => Some("b");
+routes_to! {
+    host_selects_the_service: Some("a.example"), "/" => Some("a");
+    host_takes_precedence_over_the_path: Some("b.example"), "/a" => Some("b");
     unknown_host_falls_back_to_the_path: Some("x.example"), "/a/beds" => Some("a");
     longest_prefix_wins: None, "/a/inner/beds" => Some("b");
     prefix_matches_whole_segments_only: None, "/ab" => None;
     shorter_segment_of_the_longer_prefix: None, "/a/inn" => Some("a");
-    root_names_nothing: None, "/" => None;
+    root_matches_nothing: None, "/" => None;
 }
