--- a/crates/controller/tests/all/jobs/mod.rs
+++ b/crates/controller/tests/all/jobs/mod.rs
@@ -1,13 +1,13 @@
-//! Jobs end to end over the platform's stand-in: never two runs of one job, whatever fails.
+//! Jobs end to end over the platform stand-in: no failure may cause two concurrent runs of one job.
 
-mod edge;
-mod fault;
-mod life;
-mod orders;
-mod size;
-mod world;
+mod lifecycle;
+mod operator;
+mod races;
+mod random_faults;
+mod row_writes;
+mod simulation;
 
-/// Names each case; all run under paused time.
+/// Defines a named test per case; all run with paused time.
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident => $body:expr;)*) => {$(
         $(#[$doc])*
--- a/crates/controller/tests/all/jobs/orders.rs
+++ b/crates/controller/tests/all/jobs/operator.rs
@@ -1,6 +1,6 @@
-//! What operators do, written as rows directly.
+//! Actions of operators, written directly as rows.
 
-use super::world::{SECOND, World, jobs_of, name, names, script};
+use super::simulation::{SECOND, Simulation, jobs_of, name, names, script};
 use primroseroute_domain::{
     change::{Record, Seq},
     id,
@@ -15,8 +15,8 @@
 use std::collections::BTreeMap;
 use tokio::time::sleep;
 
-impl World {
-    /// An operator's change, tried until the store takes it.
+impl Simulation {
+    /// Commits an operator's change, retrying until the store accepts it.
     pub async fn change(&self, decide: impl Fn(&Snapshot, &mut Draft) + Sync) {
         let author = Author {
             actor: "operator:test".into(),
@@ -52,7 +52,7 @@
         .await;
     }
 
-    /// Lets one short job of `kind` succeed, so that more than three of it run together.
+    /// Lets one short job of `kind` succeed, so that more than three of that kind may run together.
     pub async fn prove(&self, kind: &str, size: Resources) {
         let job = format!("prove-{kind}");
         let script = script(SECOND, Ending::Done);
@@ -63,10 +63,10 @@
         }
     }
 
-    /// Lets short jobs of `kind` succeed on every worker, so that each takes what it has room for.
+    /// Lets short jobs of `kind` succeed on every worker, so that each accepts as many as fit.
     pub async fn prove_workers(&self, kind: &str, size: Resources) {
         self.prove(kind, size).await;
-        // Three to a worker.
+        // Three per worker.
         let jobs = names("proof", 18);
         for job in &jobs {
             let script = script(5 * SECOND, Ending::Done);
@@ -77,7 +77,7 @@
         assert!(open.is_empty(), "{open:#?}");
     }
 
-    /// Every change so far.
+    /// All change records so far.
     pub async fn records(&self) -> Vec<Record> {
         let mut records: Vec<Record> = Vec::new();
         loop {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// How often the row of each job was written.
+    /// Number of writes of each job's row.
     pub async fn edits(&self) -> BTreeMap<String, usize> {
         let mut edits = BTreeMap::new();
         for edit in self.records().await.iter().flat_map(|record| &record.edits) {
@@ -124,7 +124,7 @@
         .await;
     }
 
-    /// Writes the instance `at` in `state`.
+    /// Sets the instance `at` to `state`.
     pub async fn put(&self, at: &str, state: instance::State, purpose: Option<Purpose>) {
         let at: id::Instance = name(at);
         let now = self.clock.now();
--- a/crates/controller/tests/all/jobs/fault.rs
+++ b/crates/controller/tests/all/jobs/random_faults.rs
@@ -1,8 +1,8 @@
-//! Many faults together, by seed.
+//! Random combinations of faults, by seed.
 
 use super::{
     cases,
-    world::{SECOND, WORKERS, World, name, names, quarter, script},
+    simulation::{SECOND, Simulation, WORKERS, name, names, quarter, script},
 };
 use primroseroute_domain::instance::{self, Purpose};
 use primroseroute_jobs::State;
@@ -12,21 +12,21 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Seeds of one run of the tests.
+/// Number of seeds tested by default.
 const SEEDS: u64 = 16;
 
-/// Disturbances of one seed.
+/// Disturbances per seed.
 const STEPS: usize = 40;
 
 const JOBS: usize = 80;
 
 cases! {
-    never_two_runs_of_one_job => many();
+    never_two_runs_of_one_job => all_seeds();
 }
 
-/// What one seed is at.
+/// State of the run of one seed.
 struct Run {
-    world: World,
+    sim: Simulation,
     rng: ChaCha8Rng,
     started: usize,
 }
@@ -41,100 +41,98 @@
     }
 
     fn controller(&mut self) -> String {
-        let running = self.world.running();
+        let running = self.sim.running();
         let count = u32::try_from(running.len()).expect("few");
         running[self.below(count) as usize].clone()
     }
 
-    /// One disturbance, or the end of one.
+    /// Starts one disturbance, or ends all.
     async fn disturb(&mut self) {
-        let faults = self.world.platform.faults().clone();
+        let faults = self.sim.platform.faults().clone();
         let count = self.below(8) as usize;
-        let late = Duration::from_secs(u64::from(self.below(10)));
+        let delay = Duration::from_secs(u64::from(self.below(10)));
         match self.below(18) {
             0 | 1 => {
-                let dead = self.controller();
-                self.world.kill(&dead);
+                let crashed = self.controller();
+                self.sim.kill(&crashed);
                 self.started += 1;
-                self.world.start(&format!("c{}", self.started));
+                self.sim.start(&format!("c{}", self.started));
             }
             2 => faults.set_outage(Some(Outage::Refuse)),
             3 => {
                 let paused = self.controller();
                 let hang = Duration::from_secs(u64::from(10 + self.below(120)));
-                self.world.pause(&paused, hang);
+                self.sim.pause(&paused, hang);
             }
-            4 => self.heal(),
+            4 => self.clear_faults(),
             5 => faults.lose_answers(Kind::StartTask, count),
-            6 => faults.delay_effects(Kind::StartTask, count, late),
+            6 => faults.delay_effects(Kind::StartTask, count, delay),
             7 => faults.lose_requests(Kind::StartTask, count),
-            8 => faults.delay_effects(Kind::RenewTask, 4 * count, late),
+            8 => faults.delay_effects(Kind::RenewTask, 4 * count, delay),
             9 => faults.lose_requests(Kind::RenewTask, 8 * count),
             10 => faults.lose_answers(Kind::Commit, count),
             11 => faults.lose_requests(Kind::StopTask, count),
             12 => {
                 let worker = name(&self.worker());
                 let ending = (count > 3).then_some(Ending::Failed);
-                self.world.platform.tasks().script_instance(worker, ending);
+                self.sim.platform.tasks().script_instance(worker, ending);
             }
-            13 => self.world.platform.tasks().set_lag(4 * late),
+            13 => self.sim.platform.tasks().set_lag(4 * delay),
             14 => self.drain().await,
             15 | 16 => {
-                let cut = self.controller();
+                let partitioned = self.controller();
                 let part = if count > 3 { "table" } else { "tasks" };
-                let client = self.world.client(&cut, part);
-                client.faults().set_outage(Some(Outage::Hang(8 * late)));
+                let client = self.sim.client(&partitioned, part);
+                client.faults().set_outage(Some(Outage::Hang(8 * delay)));
             }
             _ => self.cancel().await,
         }
     }
 
-    fn heal(&self) {
-        self.world.platform.faults().clear();
-        for name in self.world.running() {
-            self.world.wake(&name);
+    fn clear_faults(&self) {
+        self.sim.platform.faults().clear();
+        for name in self.sim.running() {
+            self.sim.resume(&name);
         }
     }
 
     async fn drain(&mut self) {
-        self.heal();
+        self.clear_faults();
         let at = self.worker();
-        let row = self.world.instance(&at).await;
+        let row = self.sim.instance(&at).await;
         match row.state {
             instance::State::Serving => {
                 let purpose = Some(Purpose::Operator);
-                self.world
-                    .put(&at, instance::State::Draining, purpose)
-                    .await;
+                self.sim.put(&at, instance::State::Draining, purpose).await;
             }
-            instance::State::Draining => self.world.put(&at, instance::State::Serving, None).await,
+            instance::State::Draining => self.sim.put(&at, instance::State::Serving, None).await,
             instance::State::Quarantined => {
-                self.world.put(&at, instance::State::Probation, None).await;
+                self.sim.put(&at, instance::State::Probation, None).await;
             }
             _ => {}
         }
     }
 
     async fn cancel(&mut self) {
-        self.heal();
+        self.clear_faults();
         let from = self.below(60) as usize;
         let jobs = names("j", JOBS);
-        self.world.cancel(&jobs[from..from + 5]).await;
+        self.sim.cancel(&jobs[from..from + 5]).await;
     }
 
-    /// All workers well and in service again.
-    async fn mend(&mut self) {
-        self.heal();
-        self.world.platform.tasks().set_lag(5 * SECOND);
+    /// Clears all faults and puts all workers back in service.
+    async fn restore_workers(&mut self) {
+        self.clear_faults();
+        self.sim.platform.tasks().set_lag(5 * SECOND);
         for number in 0..WORKERS {
             let at = format!("w{number}");
-            self.world.platform.tasks().script_instance(name(&at), None);
-            match self.world.instance(&at).await.state {
+            self.sim.platform.tasks().script_instance(name(&at), None);
+            match self.sim.instance(&at).await.state {
                 instance::State::Draining => {
-                    self.world.put(&at, instance::State::Serving, None).await;
+                    self.sim.put(&at, instance::State::Serving, None).await;
                 }
                 instance::State::Quarantined => {
-                    self.world.put(&at, instance::State::Probation, None).await;
+                    self.sim.put(&at, instance::State::Probation, None).await;
                 }
                 _ => {}
             }
@@ -142,42 +140,40 @@
     }
 }
 
-async fn one(seed: u64) {
+async fn run_seed(seed: u64) {
     let mut run = Run {
-        world: World::open(seed, 1).await,
+        sim: Simulation::open(seed, 1).await,
         rng: ChaCha8Rng::seed_from_u64(seed),
         started: 2,
     };
     for name in ["c0", "c1", "c2"] {
-        run.world.start(name);
+        run.sim.start(name);
     }
     for job in names("j", JOBS) {
         let length = Duration::from_secs(u64::from(5 + run.below(150)));
         let script = script(length, Ending::Done);
-        run.world.platform.tasks().script_job(name(&job), script);
+        run.sim.platform.tasks().script_job(name(&job), script);
     }
-    run.world.prove("k", quarter()).await;
-    run.world.prove("l", quarter()).await;
-    run.world
-        .submit(&names("j", JOBS / 2), "k", quarter())
-        .await;
+    run.sim.prove("k", quarter()).await;
+    run.sim.prove("l", quarter()).await;
+    run.sim.submit(&names("j", JOBS / 2), "k", quarter()).await;
     let later = names("j", JOBS).split_off(JOBS / 2);
-    run.world.submit(&later, "l", quarter()).await;
+    run.sim.submit(&later, "l", quarter()).await;
     for _ in 0..STEPS {
         run.disturb().await;
         let pause = Duration::from_secs(u64::from(1 + run.below(25)));
         sleep(pause).await;
     }
-    run.mend().await;
-    let open = run.world.until_ended(3600 * SECOND).await;
-    run.world.assert_single();
+    run.restore_workers().await;
+    let open = run.sim.until_ended(3600 * SECOND).await;
+    run.sim.assert_single();
     assert!(open.is_empty(), "seed {seed}: {open:#?}");
-    let rows = run.world.jobs().await;
+    let rows = run.sim.jobs().await;
     let count =
         |wanted: fn(&State) -> bool| rows.values().filter(|row| wanted(&row.value.state)).count();
     println!(
         "seed {seed}: {} starts, {} done, {} cancelled, {} parked",
-        run.world.starts(),
+        run.sim.starts(),
         count(|state| *state == State::Done),
         count(|state| *state == State::Cancelled),
         count(|state| matches!(state, State::Parked(_))),
@@ -185,12 +181,12 @@
     assert!(count(|state| *state == State::Done) > 0);
 }
 
-async fn many() {
+async fn all_seeds() {
     let first = std::env::var("SEED")
         .ok()
         .and_then(|seed| seed.parse().ok());
     let seeds = first.map_or(0..SEEDS, |seed: u64| seed..seed + 1);
     for seed in seeds {
-        one(seed).await;
+        run_seed(seed).await;
     }
 }
--- a/crates/controller/tests/all/jobs/world.rs
+++ b/crates/controller/tests/all/jobs/simulation.rs
@@ -1,4 +1,4 @@
-//! Controllers over the platform's stand-in, under paused time; operators write rows directly.
+//! Controllers over the platform stand-in, with paused time; operators write rows directly.
 
 use async_trait::async_trait;
 use parking_lot::Mutex;
@@ -35,12 +35,12 @@
 use tokio::time::sleep;
 use uuid::Uuid;
 
-/// The parts of the platform, each called by a client of its own.
+/// Parts of the platform, each called through its own client.
 const PARTS: [&str; 3] = ["table", "list", "tasks"];
 
 pub const SECOND: Duration = Duration::from_secs(1);
 
-/// Instances of the pool `a`; one of them may be out.
+/// Instances of pool `a`, one of which may be unavailable.
 pub const WORKERS: u32 = 6;
 
 pub fn name<T: std::str::FromStr<Err = id::Malformed>>(text: &str) -> T {
@@ -48,36 +48,36 @@
 }
 
 #[derive(Debug)]
-pub struct Wall(Platform);
+pub struct PlatformClock(Platform);
 
-impl Clock for Wall {
+impl Clock for PlatformClock {
     fn now(&self) -> time::Instant {
         self.0.now()
     }
 }
 
 #[derive(Debug)]
-struct Well;
+struct AlwaysHealthy;
 
 #[async_trait]
-impl Probe for Well {
+impl Probe for AlwaysHealthy {
     async fn is_well(&self, _address: SocketAddr) -> bool {
         true
     }
 }
 
-/// One entry that acknowledges what its view has, with nothing in flight but the given loads.
+/// One entry that acknowledges every drain in its view, with nothing in flight but the given loads.
 #[derive(Debug)]
-struct Desk {
+struct SingleEntry {
     cell: Arc<Cell>,
     loads: Arc<Mutex<BTreeMap<id::Instance, u16>>>,
-    mute: Arc<AtomicBool>,
+    hide_entries: Arc<AtomicBool>,
 }
 
 #[async_trait]
-impl Roster for Desk {
+impl Roster for SingleEntry {
     async fn voices(&self) -> Result<Vec<Voice>, Refusal> {
-        if self.mute.load(Ordering::Relaxed) {
+        if self.hide_entries.load(Ordering::Relaxed) {
             return Ok(Vec::new());
         }
         let snapshot = self.cell.current();
@@ -109,15 +109,15 @@
 }
 
 /// A pool of workers, controllers, and an operator.
-pub struct World {
+pub struct Simulation {
     pub platform: Platform,
     pub ledger: Ledger,
     pub loads: Arc<Mutex<BTreeMap<id::Instance, u16>>>,
-    /// Whether the registrations read as empty.
-    pub mute: Arc<AtomicBool>,
+    /// Whether the list of registrations is returned empty.
+    pub hide_entries: Arc<AtomicBool>,
     controllers: BTreeMap<String, Controller>,
     pub cell: Cell,
-    pub clock: Wall,
+    pub clock: PlatformClock,
 }
 
 fn template(pool: &str, promised: u32) -> Template {
@@ -163,13 +163,13 @@
     }
 }
 
-impl World {
-    /// Six workers in pool `a`, of which `promised` are promised, and an empty pool `b`.
+impl Simulation {
+    /// Pool `a` with six workers and a promise of `promised`, and an empty pool `b`.
     pub async fn open(seed: u64, promised: u32) -> Self {
         Self::open_with(seed, promised, WORKERS).await
     }
 
-    /// The same with this many workers.
+    /// As [`Self::open`], with this many workers.
     pub async fn open_with(seed: u64, promised: u32, workers: u32) -> Self {
         let platform = Platform::open(
             seed,
@@ -184,40 +184,39 @@
                 ..Options::default()
             },
         );
-        let world = Self {
+        let sim = Self {
             ledger: Ledger::open(Arc::new(platform.client("operator"))),
             loads: Arc::default(),
-            mute: Arc::default(),
+            hide_entries: Arc::default(),
             controllers: BTreeMap::new(),
             cell: Cell::default(),
-            clock: Wall(platform.clone()),
+            clock: PlatformClock(platform.clone()),
             platform,
         };
-        let now = world.clock.now();
-        world
-            .change(|_, draft| {
-                for (pool, promised) in [("a", promised), ("b", 0)] {
-                    let template = template(pool, promised);
-                    draft.put(key::account(&template.account), None, &template);
-                }
-                for number in 0..workers {
-                    let row = worker(number, now);
-                    draft.put(key::instance(&row.id), None, &row);
-                }
-            })
-            .await;
+        let now = sim.clock.now();
+        sim.change(|_, draft| {
+            for (pool, promised) in [("a", promised), ("b", 0)] {
+                let template = template(pool, promised);
+                draft.put(key::account(&template.account), None, &template);
+            }
+            for number in 0..workers {
+                let row = worker(number, now);
+                draft.put(key::instance(&row.id), None, &row);
+            }
+        })
+        .await;
         for number in 0..workers {
-            world.platform.fleet().add(listed(&worker(number, now)));
+            sim.platform.fleet().add(listed(&worker(number, now)));
         }
-        world
+        sim
     }
 
-    /// The client that the controller `entry` calls a part of the platform by.
+    /// The client through which the controller `entry` calls a part of the platform.
     pub fn client(&self, entry: &str, part: &str) -> Platform {
         self.platform.client(&format!("{entry}-{part}"))
     }
 
-    /// Has every call of the controller `entry` hang for `hang`, as if its process were paused.
+    /// Makes every call of the controller `entry` hang for `hang`, as if its process were paused.
     pub fn pause(&self, entry: &str, hang: Duration) {
         for part in PARTS {
             let client = self.client(entry, part);
@@ -225,8 +224,8 @@
         }
     }
 
-    /// Ends every fault of the controller `entry`.
-    pub fn wake(&self, entry: &str) {
+    /// Clears all faults of the controller `entry`.
+    pub fn resume(&self, entry: &str) {
         for part in PARTS {
             self.client(entry, part).faults().clear();
         }
@@ -243,17 +242,17 @@
             },
             ledger: Ledger::open(Arc::clone(&table) as _),
             cell: Arc::clone(&cell),
-            clock: Arc::new(Wall(self.platform.clone())),
+            clock: Arc::new(PlatformClock(self.platform.clone())),
             instances: Arc::new(self.client(entry, "list")),
             tasks: Arc::new(self.client(entry, "tasks")),
             jobs: Settings::default(),
             objects: table,
             keep: Keep::default(),
-            probe: Arc::new(Well),
-            roster: Arc::new(Desk {
+            probe: Arc::new(AlwaysHealthy),
+            roster: Arc::new(SingleEntry {
                 cell,
                 loads: Arc::clone(&self.loads),
-                mute: Arc::clone(&self.mute),
+                hide_entries: Arc::clone(&self.hide_entries),
             }),
             weights: primroseroute_fleet::placement::Weights::default(),
             limits: primroseroute_fleet::lifecycle::Limits::default(),
@@ -262,13 +261,13 @@
         self.controllers.insert(entry.to_owned(), controller);
     }
 
-    /// Kills the controller `entry`: its lease is left to lapse.
+    /// Kills the controller `entry`; its lease has to expire.
     pub fn kill(&mut self, entry: &str) {
-        let controller = self.controllers.remove(entry).expect("it runs");
+        let controller = self.controllers.remove(entry).expect("the controller runs");
         controller.abort();
     }
 
-    /// The running controllers' names.
+    /// Names of the running controllers.
     pub fn running(&self) -> Vec<String> {
         self.controllers.keys().cloned().collect()
     }
@@ -293,7 +292,7 @@
         self.snapshot().await.instances()[&name(at)].value.clone()
     }
 
-    /// Waits until every job has ended, at most `limit`; then says which haven't.
+    /// Waits until every job has ended, at most `limit`; returns those that have not.
     pub async fn until_ended(&self, limit: Duration) -> Vec<Row> {
         let mut open = Vec::new();
         for _ in 0..limit.as_secs() / 5 {
@@ -308,12 +307,12 @@
         open
     }
 
-    /// Every start so far.
+    /// Number of starts so far.
     pub fn starts(&self) -> usize {
         self.platform.tasks().runs().len()
     }
 
-    /// Jobs whose run truly goes on at `at`.
+    /// Number of jobs that actually run on `at`.
     pub fn running_at(&self, at: &str) -> usize {
         let at: id::Instance = name(at);
         let runs = self.platform.tasks().runs();
@@ -322,7 +321,7 @@
             .count()
     }
 
-    /// Fails where two runs of one job were ever under way together.
+    /// Panics if two runs of one job have ever overlapped.
     pub fn assert_single(&self) {
         let overlaps = self.platform.tasks().overlaps();
         assert!(overlaps.is_empty(), "{overlaps:#?}");
@@ -330,15 +329,15 @@
 }
 
 pub fn jobs_of(snapshot: &Snapshot) -> BTreeMap<id::Job, Versioned<Row>> {
-    snapshot.under(key::JOBS).expect("job rows are readable")
+    snapshot.under(key::JOBS).expect("job rows can be decoded")
 }
 
-/// `count` names with a prefix.
+/// `count` numbered names with a prefix.
 pub fn names(prefix: &str, count: usize) -> Vec<String> {
     (0..count).map(|n| format!("{prefix}{n}")).collect()
 }
 
-/// So much that one worker takes four.
+/// Resources of which one worker fits four.
 pub fn quarter() -> Resources {
     Resources {
         cores: 16.0,
@@ -347,7 +346,7 @@
     }
 }
 
-/// A script of `length` with `ending`.
+/// A run of `length` that ends with `ending`.
 pub fn script(length: Duration, ending: Ending) -> Script {
     Script {
         length,
@@ -356,7 +355,7 @@
     }
 }
 
-/// So much that one worker takes 64.
+/// Resources of which one worker fits 64.
 pub fn small() -> Resources {
     Resources {
         cores: 1.0,
--- a/crates/controller/tests/all/main.rs
+++ b/crates/controller/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! What the controller takes for an acknowledgement, and what it does not.
+//! Which reports of entries count as acknowledgements.
 
 mod jobs;
 mod waves;
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 use uuid::Uuid;
 
-/// The version of the row that drains.
+/// Version of the draining instance's row.
 const DRAINED: Seq = Seq(7);
 
 fn name<T: std::str::FromStr<Err = id::Malformed>>(text: &str) -> T {
@@ -37,7 +37,7 @@
     }
 }
 
-/// The report of an entry whose gates have `seq` in force, with the drain that it names.
+/// The report of an entry whose gates have applied `seq`, with the drain that it acknowledges.
 fn report(seq: u64, drain: Option<(u64, u32)>) -> Report {
     let identity = Identity {
         entry: name("e"),
@@ -71,8 +71,8 @@
     BTreeMap::from([(name("e"), line)])
 }
 
-/// Whether the drain is acknowledged, and whether the instance counts as empty.
-fn judged(reports: Vec<Option<Report>>, listed: &BTreeMap<id::Instance, Listed>) -> (bool, bool) {
+/// Whether the drain is acknowledged, and whether the instance counts as drained.
+fn evaluate(reports: Vec<Option<Report>>, listed: &BTreeMap<id::Instance, Listed>) -> (bool, bool) {
     let voices: Vec<Voice> = reports
         .into_iter()
         .map(|report| Voice {
@@ -89,32 +89,32 @@
     )
 }
 
-macro_rules! judges {
+macro_rules! evaluation_cases {
     ($($(#[$doc:meta])* $name:ident: $reports:expr, $listed:expr => $want:expr;)*) => {$(
         $(#[$doc])*
         #[test]
         fn $name() {
-            assert_eq!(judged($reports, &$listed), $want);
+            assert_eq!(evaluate($reports, &$listed), $want);
         }
     )*};
 }
 
-judges! {
-    drain_in_force_and_empty: vec![Some(report(7, Some((7, 0))))], BTreeMap::new() => (true, true);
-    drain_in_force_with_one_in_flight: vec![Some(report(7, Some((7, 1))))], BTreeMap::new()
+evaluation_cases! {
+    drain_in_effect_and_empty: vec![Some(report(7, Some((7, 0))))], BTreeMap::new() => (true, true);
+    drain_in_effect_with_one_in_flight: vec![Some(report(7, Some((7, 1))))], BTreeMap::new()
         => (true, false);
     view_before_the_drain: vec![Some(report(6, None))], BTreeMap::new() => (false, false);
-    /// The instance was drained, released and drained again. The entry's word is about the first
-    /// drain, between which and the second it may have sent.
+    /// The instance was drained, released and drained again. The entry's acknowledgement is of the
+    /// first drain; it may have sent requests between the two.
     drain_of_an_earlier_version: vec![Some(report(7, Some((4, 0))))], BTreeMap::new()
         => (true, false);
-    /// The entry has the view, and does not vouch for the drain: it stands alone, or the report
-    /// had no room. Its silence on the instance is not "nothing in flight".
+    /// The entry has the view but does not confirm the drain: it is isolated, or the report had no
+    /// space left. A missing drain does not mean that no requests are in flight.
     view_without_the_drain: vec![Some(report(9, None))], BTreeMap::new() => (true, false);
-    entry_that_was_never_heard: vec![None], BTreeMap::new() => (false, false);
-    one_silent_among_many: vec![Some(report(7, Some((7, 0)))), None], BTreeMap::new()
+    entry_that_never_reported: vec![None], BTreeMap::new() => (false, false);
+    one_unresponsive_entry_among_many: vec![Some(report(7, Some((7, 0)))), None], BTreeMap::new()
         => (false, false);
-    entry_that_the_platform_calls_gone: vec![None], listed(Phase::Gone) => (true, true);
-    entry_that_the_platform_calls_leaving: vec![None], listed(Phase::Leaving) => (false, false);
-    no_registrations_are_no_consent: vec![], BTreeMap::new() => (false, false);
+    entry_listed_as_terminated: vec![None], listed(Phase::Gone) => (true, true);
+    entry_listed_as_leaving: vec![None], listed(Phase::Leaving) => (false, false);
+    no_registrations_do_not_count_as_consent: vec![], BTreeMap::new() => (false, false);
 }
--- a/crates/controller/tests/all/waves/entry.rs
+++ b/crates/controller/tests/all/waves/entry.rs
@@ -1,4 +1,4 @@
-//! A small entry: a view that follows the table, requests in flight by it, and reports.
+//! A simulated entry: a view polled from the table, requests in flight, and reports.
 
 use parking_lot::Mutex;
 use primroseroute_domain::{id, instance::State};
@@ -20,11 +20,11 @@
 use tokio::time::{Instant, sleep, timeout};
 use uuid::Uuid;
 
-/// How often it polls, sends and reports.
+/// Interval at which it polls, sends requests and reports.
 const TICK: Duration = Duration::from_secs(1);
 
-/// Longest request, in ticks.
-const LONGEST: u64 = 6;
+/// Longest duration of a request, in ticks.
+const MAX_REQUEST_TICKS: u64 = 6;
 
 /// One request in flight.
 #[derive(Clone, Debug)]
@@ -48,8 +48,8 @@
     pub name: id::Entry,
     pub cell: Arc<Cell>,
     ledger: Ledger,
-    /// Whether it is cut off from the store and its peers; it goes on sending by its old view.
-    pub cut: AtomicBool,
+    /// Whether it is partitioned from the store and its peers; it keeps sending by its old view.
+    pub partitioned: AtomicBool,
     inner: Mutex<Inner>,
 }
 
@@ -64,7 +64,7 @@
             name: entry,
             cell: Arc::default(),
             ledger: Ledger::open(Arc::new(platform.client(name))),
-            cut: AtomicBool::new(false),
+            partitioned: AtomicBool::new(false),
             inner: Mutex::new(Inner {
                 random: ChaCha8Rng::seed_from_u64(seed),
                 requests: Vec::new(),
@@ -76,8 +76,8 @@
 
     pub async fn run(self: Arc<Self>) {
         loop {
-            if !self.cut.load(Ordering::SeqCst) {
-                // An outage leaves the view as it is; the next tick tries again.
+            if !self.partitioned.load(Ordering::SeqCst) {
+                // The view is unchanged during an outage; the next tick polls again.
                 let _polled = timeout(TICK, poll(&self.ledger, &self.cell)).await;
             }
             self.tick();
@@ -85,12 +85,12 @@
         }
     }
 
-    /// Its last report that a peer has heard.
+    /// Its last report that has reached a peer.
     pub fn report(&self) -> Report {
         self.inner.lock().report.clone()
     }
 
-    /// What it believed and did, at each time that it changed.
+    /// Its view of each tick.
     pub fn log(&self) -> Vec<(Instant, View)> {
         self.inner.lock().log.clone()
     }
@@ -109,8 +109,8 @@
         let chosen = (inner.random.next_u64() % 7).min(sends.len() as u64);
         for _ in 0..chosen {
             let at = inner.random.random_range(0..sends.len());
-            let ticks = inner.random.random_range(1..=LONGEST);
-            let (instance, pool) = sends.iter().nth(at).expect("it is in range");
+            let ticks = inner.random.random_range(1..=MAX_REQUEST_TICKS);
+            let (instance, pool) = sends.iter().nth(at).expect("the index is in range");
             let until = now + TICK.mul_f64(ticks as f64 / 2.0);
             let request = Request {
                 instance: instance.clone(),
@@ -125,7 +125,7 @@
             .map(|request| (request.instance.clone(), request.pool.clone()))
             .collect();
         inner.log.push((now, View { sends, in_flight }));
-        if !self.cut.load(Ordering::SeqCst) {
+        if !self.partitioned.load(Ordering::SeqCst) {
             let requests = inner.requests.clone();
             let count = |id: &id::Instance| {
                 let of_it = requests.iter().filter(|request| request.instance == *id);
--- a/crates/controller/tests/all/waves/fault.rs
+++ b/crates/controller/tests/all/waves/fault.rs
@@ -1,6 +1,6 @@
-//! Faults of the platform, the processes, the workers and the operators, drawn from a seed.
+//! Random faults of the platform, the processes and the workers, and concurrent operator actions.
 
-use super::world::World;
+use super::simulation::Simulation;
 use primroseroute_domain::{
     id,
     instance::{Purpose, State},
@@ -17,108 +17,110 @@
 use std::{collections::BTreeSet, sync::atomic::Ordering, time::Duration};
 use tokio::time::sleep;
 
-/// Faults of one run.
+/// Faults per run.
 const FAULTS: usize = 40;
 
-/// Workers lost on their own in one run, beside one whole rack; more could break any budget.
-const LOST_ALONE: usize = 2;
+/// Single workers lost per run, in addition to one whole rack; more could violate any budget.
+const MAX_SINGLE_LOSSES: usize = 2;
 
-pub async fn run(world: &mut World) {
-    let mut alone = 0;
+pub async fn run(sim: &mut Simulation) {
+    let mut single_losses = 0;
     let mut rack_lost = false;
     for _ in 0..FAULTS {
-        let pause = world.random.random_range(2..40);
+        let pause = sim.random.random_range(2..40);
         sleep(Duration::from_secs(pause)).await;
-        match world.random.random_range(0..12) {
-            0 => outage(world, Outage::Refuse).await,
-            1 => outage(world, Outage::Hang(Duration::from_secs(4))).await,
-            2 => world.platform.faults().lose_answers(Kind::Commit, 3),
-            3 => world.platform.faults().lose_requests(Kind::Commit, 2),
-            4 => world
+        match sim.random.random_range(0..12) {
+            0 => outage(sim, Outage::Refuse).await,
+            1 => outage(sim, Outage::Hang(Duration::from_secs(4))).await,
+            2 => sim.platform.faults().lose_answers(Kind::Commit, 3),
+            3 => sim.platform.faults().lose_requests(Kind::Commit, 2),
+            4 => sim
                 .platform
                 .faults()
                 .delay_effects(Kind::Commit, 2, Duration::from_secs(20)),
-            5 => restart(world),
-            6 | 7 => pause_holder(world).await,
-            8 => cut_entry(world).await,
-            9 if alone < LOST_ALONE => {
-                alone += 1;
-                lose_one(world);
+            5 => restart(sim),
+            6 | 7 => pause_holder(sim).await,
+            8 => partition_entry(sim).await,
+            9 if single_losses < MAX_SINGLE_LOSSES => {
+                single_losses += 1;
+                lose_one(sim);
             }
             10 if !rack_lost => {
                 rack_lost = true;
-                lose_rack(world);
+                lose_rack(sim);
             }
-            _ => race(world).await,
+            _ => operator_action(sim).await,
         }
     }
 }
 
-async fn outage(world: &mut World, outage: Outage) {
-    world.platform.faults().set_outage(Some(outage));
-    let length = world.random.random_range(1..90);
+async fn outage(sim: &mut Simulation, outage: Outage) {
+    sim.platform.faults().set_outage(Some(outage));
+    let length = sim.random.random_range(1..90);
     sleep(Duration::from_secs(length)).await;
-    world.platform.faults().set_outage(None);
+    sim.platform.faults().set_outage(None);
 }
 
-fn any_seat(world: &mut World) -> usize {
-    world.random.random_range(0..world.seats.len())
+fn any_controller(sim: &mut Simulation) -> usize {
+    sim.random.random_range(0..sim.controllers.len())
 }
 
-fn holder(world: &World) -> Option<usize> {
-    let name = world.seats[0].controller.holder()?;
-    world.entries.iter().position(|entry| entry.name == name)
+fn holder(sim: &Simulation) -> Option<usize> {
+    let name = sim.controllers[0].controller.holder()?;
+    sim.entries.iter().position(|entry| entry.name == name)
 }
 
-fn restart(world: &mut World) {
-    let index = any_seat(world);
-    let index = holder(world).unwrap_or(index);
-    world.restart(index);
+fn restart(sim: &mut Simulation) {
+    let index = any_controller(sim);
+    let index = holder(sim).unwrap_or(index);
+    sim.restart(index);
 }
 
-/// Pauses the holder for longer than its lease: another takes over, and then the first wakes up in
-/// the middle of whatever it was doing.
-async fn pause_holder(world: &mut World) {
-    let Some(index) = holder(world) else { return };
-    world.seats[index].paused.send_replace(true);
-    let length = world.random.random_range(5..60);
+/// Pauses the holder for longer than its lease, so that another takes over and the paused one resumes
+/// in the middle of an operation.
+async fn pause_holder(sim: &mut Simulation) {
+    let Some(index) = holder(sim) else { return };
+    sim.controllers[index].paused.send_replace(true);
+    let length = sim.random.random_range(5..60);
     sleep(Duration::from_secs(length)).await;
-    world.seats[index].paused.send_replace(false);
+    sim.controllers[index].paused.send_replace(false);
 }
 
-async fn cut_entry(world: &mut World) {
-    let index = world.random.random_range(0..world.entries.len());
-    world.entries[index].cut.store(true, Ordering::SeqCst);
-    let length = world.random.random_range(5..60);
+async fn partition_entry(sim: &mut Simulation) {
+    let index = sim.random.random_range(0..sim.entries.len());
+    sim.entries[index].partitioned.store(true, Ordering::SeqCst);
+    let length = sim.random.random_range(5..60);
     sleep(Duration::from_secs(length)).await;
-    world.entries[index].cut.store(false, Ordering::SeqCst);
+    sim.entries[index]
+        .partitioned
+        .store(false, Ordering::SeqCst);
 }
 
-fn lose_one(world: &mut World) {
-    let index = world.random.random_range(0..world.workers.len());
-    let worker = world.workers[index].clone();
-    if world.random.random_bool(0.5) {
-        world.losses.set(worker.address, true);
+fn lose_one(sim: &mut Simulation) {
+    let index = sim.random.random_range(0..sim.workers.len());
+    let worker = sim.workers[index].clone();
+    if sim.random.random_bool(0.5) {
+        sim.losses.set(worker.address, true);
     } else {
-        world.platform.fleet().set_reboot(&worker.id, Reboot::Hangs);
-        world.held.insert(worker.id);
+        sim.platform.fleet().set_reboot(&worker.id, Reboot::Hangs);
+        sim.held.insert(worker.id);
     }
 }
 
-fn lose_rack(world: &mut World) {
-    let index = world.random.random_range(0..world.workers.len());
-    let rack = world.workers[index].rack.clone();
-    let lost = world.workers.iter().filter(|worker| worker.rack == rack);
+fn lose_rack(sim: &mut Simulation) {
+    let index = sim.random.random_range(0..sim.workers.len());
+    let rack = sim.workers[index].rack.clone();
+    let lost = sim.workers.iter().filter(|worker| worker.rack == rack);
     for worker in lost {
-        world.losses.set(worker.address, true);
+        sim.losses.set(worker.address, true);
     }
 }
 
-/// An operator drains an instance beside the wave, or pauses and resumes the wave.
-async fn race(world: &mut World) {
-    let index = world.random.random_range(0..world.workers.len());
-    let id = world.workers[index].id.clone();
-    let now = world.platform.now();
+/// An operator drains an instance concurrently with the wave, or pauses and resumes the wave.
+async fn operator_action(sim: &mut Simulation) {
+    let index = sim.random.random_range(0..sim.workers.len());
+    let id = sim.workers[index].id.clone();
+    let now = sim.platform.now();
     let drain = |snapshot: &Snapshot, draft: &mut Draft| {
         let Some(found) = snapshot.instances().get(&id) else {
             return Ok(());
@@ -127,9 +129,9 @@
         draft.put(key::instance(&id), Some(found.version), &row);
         Ok(())
     };
-    // The budget or the state may refuse it; the operator takes that for an answer.
-    if world.operate(&drain).await.is_ok() {
-        world.held.insert(id);
+    // The command may be refused because of the budget or the instance's state.
+    if sim.operate(&drain).await.is_ok() {
+        sim.held.insert(id);
     }
 }
 
@@ -146,9 +148,9 @@
     }
 }
 
-/// Releases every instance that an operator's race took out.
-pub async fn release_all(world: &World) {
-    let now = world.platform.now();
+/// Releases every instance that an operator has drained.
+pub async fn release_all(sim: &Simulation) {
+    let now = sim.platform.now();
     let release = |snapshot: &Snapshot, draft: &mut Draft| {
         for (id, found) in snapshot.instances() {
             let row = &found.value;
@@ -164,23 +166,23 @@
         }
         Ok(())
     };
-    while world.operate(&release).await.is_err() {
+    while sim.operate(&release).await.is_err() {
         sleep(Duration::from_secs(1)).await;
     }
 }
 
 /// Resumes a halted wave.
-pub async fn resume(world: &World, name: &id::Wave) {
-    let now = world.platform.now();
+pub async fn resume(sim: &Simulation, name: &id::Wave) {
+    let now = sim.platform.now();
     let resume = |snapshot: &Snapshot, draft: &mut Draft| {
         let waves = snapshot
             .under::<id::Wave, Wave>(key::WAVES)
-            .expect("waves are readable");
+            .expect("wave rows can be decoded");
         let found = &waves[name];
         let next = found.value.command(Command::Resume, now)?;
         draft.put(key::wave(name), Some(found.version), &next);
         Ok(())
     };
-    // It may have gone on meanwhile.
-    let _refused: Result<(), Refusal> = world.operate(&resume).await;
+    // The wave may have been resumed in the meantime.
+    let _refused: Result<(), Refusal> = sim.operate(&resume).await;
 }
--- a/crates/controller/tests/all/waves/judge.rs
+++ b/crates/controller/tests/all/waves/history.rs
@@ -1,4 +1,4 @@
-//! The history of a run, moment by moment, for the independent checker.
+//! Replays the history of a run, state by state, through the independent checker.
 
 use primroseroute_domain::{
     account::{Budget, Template},
@@ -16,12 +16,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::time::Instant;
 
-/// How long a loss takes until the controller can know of it: three bad checks of a serving
-/// instance, one in 10 s, and a cycle.
-const KNOWN_AFTER: std::time::Duration = std::time::Duration::from_secs(45);
+/// Time until the controller must have detected a loss: three bad checks of a serving instance, one
+/// every 10 s, and a cycle.
+const DETECTED_AFTER: std::time::Duration = std::time::Duration::from_secs(45);
 
-/// Something that happened; at one instant entries act before the table changes, since a commit
-/// takes time to arrive.
+/// An event of the history. At equal times entries act before the table changes, since a commit
+/// takes time to propagate.
 enum Event<'a> {
     View(&'a id::Entry, &'a View),
     Lost(&'a BTreeSet<id::Instance>),
@@ -57,20 +57,20 @@
         }
     }
 
-    fn lose(&mut self, at: Instant, lost: &BTreeSet<id::Instance>) {
+    fn set_lost(&mut self, at: Instant, lost: &BTreeSet<id::Instance>) {
         self.lost.retain(|id, _| lost.contains(id));
         for id in lost {
             self.lost.entry(id.clone()).or_insert(at);
         }
     }
 
-    fn moment(&self, at: Instant, epoch: Instant) -> FleetSnapshot {
+    fn fleet_snapshot(&self, at: Instant, epoch: Instant) -> FleetSnapshot {
         let since = at.saturating_duration_since(epoch);
         let budgets: BTreeMap<id::Pool, Budget> = Fleet::budgets(self.templates.values());
         let known = self
             .lost
             .iter()
-            .filter(|(_, since)| at.duration_since(**since) > KNOWN_AFTER);
+            .filter(|(_, since)| at.duration_since(**since) > DETECTED_AFTER);
         FleetSnapshot {
             at: time::Instant::default().after(since),
             rows: self.rows.values().cloned().collect(),
@@ -83,7 +83,7 @@
 }
 
 /// Every breach of I1 and I2 in a run.
-pub fn judge(
+pub fn check_history(
     journal: &[Commit],
     views: &BTreeMap<id::Entry, Vec<(Instant, View)>>,
     losses: &[(Instant, BTreeSet<id::Instance>)],
@@ -112,13 +112,13 @@
             Event::View(entry, view) => {
                 state.views.insert(entry.clone(), view.clone());
             }
-            Event::Lost(lost) => state.lose(at, lost),
+            Event::Lost(lost) => state.set_lost(at, lost),
             Event::Commit(commit) => state.commit(commit),
         }
-        let moment = state.moment(at, epoch);
-        let found = check::step(before.as_ref(), &moment);
+        let fleet_snapshot = state.fleet_snapshot(at, epoch);
+        let found = check::step(before.as_ref(), &fleet_snapshot);
         breaches.extend(found);
-        before = Some(moment);
+        before = Some(fleet_snapshot);
     }
     breaches
 }
--- a/crates/controller/tests/all/waves/world.rs
+++ b/crates/controller/tests/all/waves/simulation.rs
@@ -1,6 +1,6 @@
-//! A deployment with its platform, its entries and their controllers, under paused time.
+//! A simulated deployment: the platform, the entries and their controllers, with paused time.
 
-use super::{entry::Entry, stall::Stall};
+use super::{entry::Entry, pausable_client::PausableClient};
 use async_trait::async_trait;
 use parking_lot::Mutex;
 use primroseroute_audit::Keep;
@@ -39,14 +39,14 @@
 };
 use uuid::Uuid;
 
-/// Racks of four in each of three zones: 52 workers, of which the pools need 49.
+/// Racks of four workers in each of three availability zones: 52 workers, of which the pools need 49.
 const RACKS: [usize; 3] = [5, 4, 4];
-const RACK: usize = 4;
+const RACK_SIZE: usize = 4;
 
-/// Longest virtual time that anything may take; only a wave that hangs gets there.
-const PATIENCE: Duration = Duration::from_secs(12 * 3600);
+/// Timeout of any wait in virtual time; only a hanging wave reaches it.
+const TIMEOUT: Duration = Duration::from_secs(12 * 3600);
 
-/// The platform's clock as every process reads it.
+/// The platform's clock, read by every process.
 #[derive(Clone, Debug)]
 pub struct PlatformClock(Platform);
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// Workers that are truly lost, and when that changed.
+/// Workers that are actually lost, and when that changed.
 #[derive(Debug, Default)]
 pub struct Losses {
     lost: Mutex<BTreeSet<SocketAddr>>,
@@ -82,14 +82,14 @@
     }
 }
 
-/// The registered entries: all of them, always.
+/// Registered entries: always all of them.
 #[derive(Debug)]
-struct All {
+struct StaticRoster {
     entries: Vec<Arc<Entry>>,
 }
 
 #[async_trait]
-impl Roster for All {
+impl Roster for StaticRoster {
     async fn voices(&self) -> Result<Vec<Voice>, Refusal> {
         let voice = |entry: &Arc<Entry>| Voice {
             entry: entry.name.clone(),
@@ -99,32 +99,32 @@
     }
 }
 
-/// One entry's controller, which may be paused and killed.
-pub struct Seat {
+/// One entry's controller, which can be paused and killed.
+pub struct ControllerProcess {
     pub controller: Controller,
     pub paused: watch::Sender<bool>,
 }
 
-pub struct World {
+pub struct Simulation {
     pub platform: Platform,
     pub entries: Vec<Arc<Entry>>,
-    pub seats: Vec<Seat>,
+    pub controllers: Vec<ControllerProcess>,
     pub losses: Arc<Losses>,
     pub random: ChaCha8Rng,
     pub workers: Vec<Listed>,
-    /// Workers whose reboot never came back, or that an operator held out: a wave reports them as
-    /// failed or skipped and ends without them.
+    /// Workers whose reboot hung, or that an operator took out: a wave reports them as failed or
+    /// skipped and ends without them.
     pub held: BTreeSet<id::Instance>,
-    onlooker: Ledger,
+    observer: Ledger,
     started: Instant,
-    runs: u128,
+    incarnations: u128,
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl Drop for World {
+impl Drop for Simulation {
     fn drop(&mut self) {
-        for seat in &self.seats {
-            seat.controller.abort();
+        for process in &self.controllers {
+            process.controller.abort();
         }
         for task in &self.tasks {
             task.abort();
@@ -136,7 +136,7 @@
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("../../examples")
         .join(folder);
-    let files = fs::read_dir(folder).expect("the folder is committed");
+    let files = fs::read_dir(folder).expect("the example folder exists");
     let text = |file: std::io::Result<fs::DirEntry>| {
         fs::read_to_string(file.expect("an entry").path()).expect("a text file")
     };
@@ -149,7 +149,7 @@
     let mut workers = Vec::new();
     for (zone, racks) in RACKS.iter().enumerate() {
         for rack in 0..*racks {
-            for slot in 0..RACK {
+            for slot in 0..RACK_SIZE {
                 let port = u16::try_from(1 + workers.len()).expect("few workers");
                 workers.push(Listed {
                     id: format!("z{zone}-r{rack}-w{slot}").parse().expect("a name"),
@@ -165,7 +165,7 @@
     workers
 }
 
-impl World {
+impl Simulation {
     /// The deployment with all workers placed and serving.
     pub async fn open(folder: &str, seed: u64) -> Self {
         let options = Options {
@@ -184,66 +184,66 @@
             .iter()
             .map(|entry| tokio::spawn(Arc::clone(entry).run()))
             .collect();
-        let mut world = Self {
-            onlooker: Ledger::open(Arc::new(platform.client("onlooker"))),
+        let mut sim = Self {
+            observer: Ledger::open(Arc::new(platform.client("onlooker"))),
             platform,
             entries,
-            seats: Vec::new(),
+            controllers: Vec::new(),
             losses: Arc::default(),
             random: ChaCha8Rng::seed_from_u64(seed),
             workers: workers(),
             held: BTreeSet::new(),
             started: Instant::now(),
-            runs: 0,
+            incarnations: 0,
             tasks,
         };
-        world.apply(&templates(folder)).await;
-        for index in 0..world.entries.len() {
-            let seat = world.seat(index);
-            world.seats.push(seat);
+        sim.apply(&templates(folder)).await;
+        for index in 0..sim.entries.len() {
+            let process = sim.start_controller(index);
+            sim.controllers.push(process);
         }
-        for listed in &world.workers {
-            world.platform.fleet().add(listed.clone());
+        for listed in &sim.workers {
+            sim.platform.fleet().add(listed.clone());
         }
-        world.until_placed().await;
-        world
+        sim.until_placed().await;
+        sim
     }
 
     async fn apply(&self, templates: &[Template]) {
-        let head = self.onlooker.head().await.expect("the store answers");
+        let head = self.observer.head().await.expect("the store answers");
         let id = Uuid::from_u128(u128::MAX);
         let mut draft = Draft::new(head, self.platform.now(), "operator:test", "set-up", id);
         for template in templates {
             draft.put(key::account(&template.account), None, template);
         }
-        self.onlooker
+        self.observer
             .commit(&draft)
             .await
-            .expect("nothing is in the way");
+            .expect("no concurrent change");
     }
 
-    /// A new run of the controller of the entry `index`.
-    pub fn seat(&mut self, index: usize) -> Seat {
-        self.runs += 1;
+    /// Starts a new incarnation of the controller of entry `index`.
+    pub fn start_controller(&mut self, index: usize) -> ControllerProcess {
+        self.incarnations += 1;
         let entry = &self.entries[index];
         let paused = watch::Sender::new(false);
         let client = self.platform.client(&format!("controller-{index}"));
-        let stall = Arc::new(Stall::open(client.clone(), paused.subscribe()));
+        let pausable_client = Arc::new(PausableClient::open(client.clone(), paused.subscribe()));
         let controller = Controller::spawn(Parts {
             identity: Identity {
                 entry: entry.name.clone(),
-                incarnation: Uuid::from_u128(self.runs),
+                incarnation: Uuid::from_u128(self.incarnations),
             },
-            ledger: Ledger::open(Arc::clone(&stall) as _),
+            ledger: Ledger::open(Arc::clone(&pausable_client) as _),
             cell: Arc::default(),
             clock: Arc::new(PlatformClock(self.platform.clone())),
-            instances: stall,
+            instances: pausable_client,
             objects: Arc::new(client.clone()),
             tasks: Arc::new(client),
             jobs: jobs::Settings::default(),
             keep: Keep::default(),
             probe: Arc::clone(&self.losses) as _,
-            roster: Arc::new(All {
+            roster: Arc::new(StaticRoster {
                 entries: self.entries.clone(),
             }),
             weights: primroseroute_fleet::placement::Weights::default(),
@@ -253,28 +253,28 @@
                 ..Timers::default()
             },
         });
-        Seat { controller, paused }
+        ControllerProcess { controller, paused }
     }
 
-    /// Kills the controller of the entry `index` and starts another run of it.
+    /// Kills the controller of entry `index` and starts a new incarnation.
     pub fn restart(&mut self, index: usize) {
-        self.seats[index].controller.abort();
-        let seat = self.seat(index);
-        self.seats[index] = seat;
+        self.controllers[index].controller.abort();
+        let process = self.start_controller(index);
+        self.controllers[index] = process;
     }
 
     async fn rows(&self) -> Vec<Row> {
         loop {
-            match self.onlooker.scan::<Versioned<Row>>(key::INSTANCES).await {
+            match self.observer.scan::<Versioned<Row>>(key::INSTANCES).await {
                 Ok(rows) => return rows.into_iter().map(|(_, row)| row.value).collect(),
                 Err(_) => sleep(Duration::from_secs(1)).await,
             }
         }
     }
 
-    /// Waits until every worker is known and placement has come to rest.
+    /// Waits until every worker is registered and placement is stable.
     async fn until_placed(&self) {
-        let give_up = Instant::now() + PATIENCE;
+        let give_up = Instant::now() + TIMEOUT;
         let mut before = Vec::new();
         loop {
             let rows = self.rows().await;
@@ -288,7 +288,7 @@
         }
     }
 
-    /// Makes one change as an operator would; a refusal is the operator's to live with.
+    /// Commits one change as an operator would, without retrying after a refusal.
     pub async fn operate(
         &self,
         decide: &(dyn Fn(&Snapshot, &mut Draft) -> Result<(), Refusal> + Sync),
@@ -300,7 +300,7 @@
         };
         let clock = PlatformClock(self.platform.clone());
         let cell = primroseroute_view::Cell::default();
-        amend(&self.onlooker, &cell, &clock, &author, decide)
+        amend(&self.observer, &cell, &clock, &author, decide)
             .await
             .map(|_done| ())
     }
@@ -324,14 +324,16 @@
         self.operate(&decide).await.expect("the store answers");
     }
 
-    /// Ends every fault: what is cut, paused, lost or out by an operator comes back.
-    pub async fn heal(&mut self) {
+    /// Clears every fault: partitions, pauses, losses, and drains by operators.
+    pub async fn clear_faults(&mut self) {
         self.platform.faults().clear();
         for entry in &self.entries {
-            entry.cut.store(false, std::sync::atomic::Ordering::SeqCst);
+            entry
+                .partitioned
+                .store(false, std::sync::atomic::Ordering::SeqCst);
         }
-        for seat in &self.seats {
-            seat.paused.send_replace(false);
+        for process in &self.controllers {
+            process.paused.send_replace(false);
         }
         for listed in &self.workers {
             self.losses.set(listed.address, false);
@@ -342,15 +344,15 @@
         super::fault::release_all(self).await;
     }
 
-    /// Waits until the wave has ended for good; a halted one is resumed, as an operator would.
+    /// Waits until the wave has ended; resumes it when it halts, as an operator would.
     pub async fn until_ended(&self, name: &str) -> Wave {
         let name: id::Wave = name.parse().expect("a name");
-        let give_up = Instant::now() + PATIENCE;
+        let give_up = Instant::now() + TIMEOUT;
         loop {
-            let found = self.onlooker.read::<Wave>(&key::wave(&name)).await;
+            let found = self.observer.read::<Wave>(&key::wave(&name)).await;
             let wave = found
                 .expect("the store answers")
-                .expect("the wave is there")
+                .expect("the wave exists")
                 .value;
             if wave.state == WaveState::Halted {
                 super::fault::resume(self, &name).await;
@@ -363,8 +365,8 @@
         }
     }
 
-    /// Every instance was rebooted, but for those that the wave reports as failed or could not have:
-    /// their reboots hung, an operator held them out, or they were lost.
+    /// Asserts that every instance was rebooted, except for those that the wave reports as failed or
+    /// could not reboot: their reboots hung, an operator took them out, or they were lost.
     pub fn assert_all_maintained(&self, wave: &Wave, seed: u64) {
         let losses = self.losses();
         let excused = |id: &id::Instance| {
@@ -375,7 +377,7 @@
         let left: Vec<_> = truth.iter().filter(is_left).collect();
         assert!(
             left.is_empty(),
-            "seed {seed}: {wave:?} has ended and left {left:?}"
+            "seed {seed}: {wave:?} has ended without rebooting {left:?}"
         );
         let twice: Vec<_> = truth.iter().filter(|listed| listed.boots > 2).collect();
         assert!(
@@ -391,14 +393,17 @@
             .collect()
     }
 
-    /// Which instances were truly lost, from when on.
+    /// Which instances were actually lost, from which time on.
     pub fn losses(&self) -> Vec<(Instant, BTreeSet<id::Instance>)> {
         let name = |address: &SocketAddr| {
             let worker = self
                 .workers
                 .iter()
                 .find(|listed| listed.address == *address);
-            worker.expect("every address is a worker's").id.clone()
+            worker
+                .expect("every address belongs to a worker")
+                .id
+                .clone()
         };
         let log = self.losses.log.lock();
         log.iter()
