--- a/crates/ledger/src/commit.rs
+++ b/crates/ledger/src/commit.rs
@@ -28,7 +28,7 @@
 pub enum Error {
     /// Another change was committed first; nothing of this one was written.
     #[error("another change was committed first (`{0}` moved)")]
-    Raced(Key),
+    Conflict(Key),
     /// The platform returned an error.
     #[error(transparent)]
     Platform(#[from] PlatformError),
@@ -45,7 +45,7 @@
 impl From<Error> for Refusal {
     fn from(error: Error) -> Self {
         let code = match &error {
-            Error::Raced(_) => Code::VersionConflict,
+            Error::Conflict(_) => Code::VersionConflict,
             Error::Platform(PlatformError::Unknown(_)) => Code::StoreUnknown,
             Error::Platform(PlatformError::Throttled) => Code::StoreThrottled,
             Error::Platform(_) | Error::Corrupt { .. } => Code::StoreUnavailable,
@@ -196,7 +196,7 @@
     /// Commits `draft` and returns its record.
     ///
     /// # Errors
-    /// [`Error::Raced`] if the head or a guard row has changed: nothing was written. A platform
+    /// [`Error::Conflict`] if the head or a guard row has changed: nothing was written. A platform
     /// error for which [`PlatformError::may_have_applied`] holds is returned only if the response
     /// was lost and the attempts to resolve the outcome failed too.
     pub async fn commit(&self, draft: &Draft) -> Result<Record, Error> {
@@ -211,7 +211,7 @@
                 Ok(Commit::Conflict(key)) if ambiguous_error.is_some() => {
                     return self.resolve_outcome(&record, key).await;
                 }
-                Ok(Commit::Conflict(key)) => return Err(Error::Raced(key)),
+                Ok(Commit::Conflict(key)) => return Err(Error::Conflict(key)),
                 Err(error) if error.may_have_applied() => ambiguous_error = Some(error),
                 Err(error) if ambiguous_error.is_none() => return Err(error.into()),
                 Err(_) => {}
@@ -235,11 +235,11 @@
                     return if found.operation == record.operation {
                         Ok(found)
                     } else {
-                        Err(Error::Raced(conflicting_key))
+                        Err(Error::Conflict(conflicting_key))
                     };
                 }
                 // The record is written together with the head, so a guard row changed, not the head.
-                Ok(None) => return Err(Error::Raced(conflicting_key)),
+                Ok(None) => return Err(Error::Conflict(conflicting_key)),
                 Err(_) => tokio::time::sleep(delay).await,
             }
             delay *= 2;
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -15,7 +15,7 @@
 //!
 //! A [`Draft`] is based on the rows as of one `Seq` and commits only if the head is still that
 //! `Seq`. Two concurrent operators cannot both commit on the same head; the second gets
-//! [`Error::Raced`], reads the rows again and decides again. A writer that resumes after a pause
+//! [`Error::Conflict`], reads the rows again and decides again. A writer that resumes after a pause
 //! finds a newer head and commits nothing.
 //!
 //! # Lost responses
--- a/crates/ledger/tests/all/commit.rs
+++ b/crates/ledger/tests/all/commit.rs
@@ -29,7 +29,7 @@
         .commit(&second)
         .await
         .expect_err("the head has changed");
-    assert_eq!(error, Error::Raced("head".into()));
+    assert_eq!(error, Error::Conflict("head".into()));
     assert_eq!(Refusal::from(error).code, Code::VersionConflict);
     assert_eq!(value(&ledger, "account/a").await, Some((Seq(1), 1)));
 }
@@ -88,7 +88,7 @@
     other.expect("no concurrent change");
     assert_eq!(
         own.expect_err("the other writer committed first"),
-        Error::Raced("head".into())
+        Error::Conflict("head".into())
     );
     assert_eq!(value(&ledger, "account/a").await, Some((Seq(1), 2)));
 }
@@ -129,7 +129,7 @@
         .commit(&change)
         .await
         .expect_err("the epoch has changed");
-    assert_eq!(error, Error::Raced("epoch/controller".into()));
+    assert_eq!(error, Error::Conflict("epoch/controller".into()));
     assert_eq!(value(&ledger, "account/a").await, None);
     assert_eq!(ledger.head().await.expect("it answers").seq, Seq(0));
 }
--- a/crates/view/src/amend.rs
+++ b/crates/view/src/amend.rs
@@ -69,7 +69,7 @@
                     .map_err(|error| refusal(error.into()))?;
                 return Ok(Some(record));
             }
-            Err(LedgerError::Raced(key)) if *key == *primroseroute_ledger::key::HEAD => {}
+            Err(LedgerError::Conflict(key)) if *key == *primroseroute_ledger::key::HEAD => {}
             Err(error) => return Err(error.into()),
         }
     }
