--- a/crates/audit/src/archive.rs
+++ b/crates/audit/src/archive.rs
@@ -62,7 +62,7 @@
     keep: Keep,
 ) -> Result<u32, Error> {
     let head = ledger.head().await?;
-    let oldest = ledger.after(Seq(0), 1).await?;
+    let oldest = ledger.records_after(Seq(0), 1).await?;
     let Some(oldest) = oldest.first().map(|record| record.seq) else {
         return Ok(0);
     };
@@ -70,7 +70,7 @@
     if stored < u64::from(keep.newest) + u64::from(keep.batch) {
         return Ok(0);
     }
-    let records = ledger.after(Seq(oldest.0 - 1), keep.batch).await?;
+    let records = ledger.records_after(Seq(oldest.0 - 1), keep.batch).await?;
     let (Some(first), Some(last)) = (records.first(), records.last()) else {
         return Ok(0);
     };
--- a/crates/audit/src/read.rs
+++ b/crates/audit/src/read.rs
@@ -65,7 +65,7 @@
             if left == 0 {
                 return Ok(found);
             }
-            let newer = self.ledger.after(from, left).await?;
+            let newer = self.ledger.records_after(from, left).await?;
             // The archive is asked only where the table has a gap, since it has older records only.
             match newer.first() {
                 None => return Ok(found),
--- a/crates/audit/tests/all/main.rs
+++ b/crates/audit/tests/all/main.rs
@@ -80,7 +80,7 @@
 
     async fn rows(&self) -> usize {
         self.ledger
-            .after(Seq(0), 1000)
+            .records_after(Seq(0), 1000)
             .await
             .expect("the platform answers")
             .len()
--- a/crates/controller/tests/all/jobs/operator.rs
+++ b/crates/controller/tests/all/jobs/operator.rs
@@ -82,7 +82,11 @@
         let mut records: Vec<Record> = Vec::new();
         loop {
             let at = records.last().map_or(Seq(0), |record| record.seq);
-            let more = self.ledger.after(at, 100).await.expect("it answers");
+            let more = self
+                .ledger
+                .records_after(at, 100)
+                .await
+                .expect("it answers");
             if more.is_empty() {
                 return records;
             }
--- a/crates/demo/src/stage/history.rs
+++ b/crates/demo/src/stage/history.rs
@@ -25,7 +25,7 @@
     let mut changes = Vec::new();
     let mut after = Seq(0);
     loop {
-        let page = ledger.after(after, PAGE).await?;
+        let page = ledger.records_after(after, PAGE).await?;
         let Some(last) = page.last() else {
             return Ok(changes);
         };
--- a/crates/ledger/src/read.rs
+++ b/crates/ledger/src/read.rs
@@ -104,7 +104,7 @@
     ///
     /// # Errors
     /// Errors of the table; [`Error::Corrupt`] if a record cannot be decoded.
-    pub async fn after(&self, seq: Seq, limit: u32) -> Result<Vec<Record>, Error> {
+    pub async fn records_after(&self, seq: Seq, limit: u32) -> Result<Vec<Record>, Error> {
         let scan = Scan {
             prefix: key::CHANGES.into(),
             after: Some(key::change(seq)),
--- a/crates/ledger/tests/all/commit.rs
+++ b/crates/ledger/tests/all/commit.rs
@@ -41,7 +41,14 @@
     platform.faults().lose_answers(Kind::Commit, 1);
     let record = ledger.commit(&draft(&ledger, "account/a", 1).await).await;
     assert_eq!(record.expect("it stands").seq, Seq(1));
-    assert_eq!(ledger.after(Seq(0), 10).await.expect("it answers").len(), 1);
+    assert_eq!(
+        ledger
+            .records_after(Seq(0), 10)
+            .await
+            .expect("it answers")
+            .len(),
+        1
+    );
 }
 
 async fn lost_request() {
--- a/crates/ledger/tests/all/read.rs
+++ b/crates/ledger/tests/all/read.rs
@@ -17,10 +17,17 @@
             .await
             .expect("it commits");
     }
-    let found = ledger.after(Seq(9), 100).await.expect("it answers");
+    let found = ledger.records_after(Seq(9), 100).await.expect("it answers");
     let seqs: Vec<u64> = found.iter().map(|record| record.seq.0).collect();
     assert_eq!(seqs, [10, 11, 12]);
-    assert_eq!(ledger.after(Seq(0), 5).await.expect("it answers").len(), 5);
+    assert_eq!(
+        ledger
+            .records_after(Seq(0), 5)
+            .await
+            .expect("it answers")
+            .len(),
+        5
+    );
 }
 
 async fn pages() {
@@ -56,7 +63,11 @@
     change.delete("account/a".into(), Some(Seq(1)));
     ledger.commit(&change).await.expect("it commits");
     assert_eq!(crate::value(&ledger, "account/a").await, None);
-    let record = ledger.after(Seq(1), 1).await.expect("it answers").remove(0);
+    let record = ledger
+        .records_after(Seq(1), 1)
+        .await
+        .expect("it answers")
+        .remove(0);
     let edit = record
         .edits
         .iter()
--- a/crates/view/src/sync.rs
+++ b/crates/view/src/sync.rs
@@ -41,7 +41,7 @@
         return Ok(head.seq);
     }
     if head.seq.0 - current_seq.0 <= u64::from(MAX_RECORDS) {
-        let records = ledger.after(current_seq, MAX_RECORDS).await?;
+        let records = ledger.records_after(current_seq, MAX_RECORDS).await?;
         match cell.apply(&records) {
             Ok(_) if cell.current().seq() >= head.seq => return Ok(head.seq),
             // The records have been moved to the archive, so the state must be read from the rows.
@@ -67,7 +67,7 @@
     }
     let mut snapshot = Snapshot::from_rows(initial_head.seq, rows)?;
     loop {
-        let records = ledger.after(snapshot.seq(), MAX_RECORDS).await?;
+        let records = ledger.records_after(snapshot.seq(), MAX_RECORDS).await?;
         if records.is_empty() {
             return Ok(snapshot);
         }
--- a/tests/all/report.rs
+++ b/tests/all/report.rs
@@ -130,7 +130,7 @@
     let stay = found.pools[&"stay".parse()?];
     let rest = found.pools[&"rest".parse()?];
     assert_eq!((found.total().moves, rest.rollout_seconds), (0, 0.0));
-    let records = site.ledger().after(Seq(0), 1_000).await?;
+    let records = site.ledger().records_after(Seq(0), 1_000).await?;
     let covered = covered(&records).as_secs_f64();
     assert!(
         (stay.rollout_seconds - covered).abs() < 1e-9,
@@ -152,7 +152,7 @@
     .await?
         > 0
     {}
-    let left = site.ledger().after(Seq(0), 1_000).await?;
+    let left = site.ledger().records_after(Seq(0), 1_000).await?;
     assert!(
         left.first().is_some_and(|record| record.seq.0 > 1),
         "{left:?}"
