--- a/crates/ledger/src/read.rs
+++ b/crates/ledger/src/read.rs
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// Errors of the table.
-    pub async fn rows(&self, prefix: &str) -> Result<Vec<Row>, Error> {
+    pub async fn rows_with_prefix(&self, prefix: &str) -> Result<Vec<Row>, Error> {
         let mut found = Vec::new();
         let mut after = None;
         loop {
@@ -92,9 +92,9 @@
     /// Reads every row whose key starts with `prefix`, decoded as `T`, with its key.
     ///
     /// # Errors
-    /// As [`Ledger::rows`]; [`Error::Corrupt`] if a row cannot be decoded as `T`.
+    /// As [`Ledger::rows_with_prefix`]; [`Error::Corrupt`] if a row cannot be decoded as `T`.
     pub async fn scan<T: DeserializeOwned>(&self, prefix: &str) -> Result<Vec<(Key, T)>, Error> {
-        let rows = self.rows(prefix).await?;
+        let rows = self.rows_with_prefix(prefix).await?;
         rows.iter()
             .map(|row| Ok((Key::clone(&row.key), decode(row)?)))
             .collect()
--- a/crates/view/src/sync.rs
+++ b/crates/view/src/sync.rs
@@ -61,7 +61,7 @@
     let initial_head = ledger.head().await?;
     let mut rows = Vec::new();
     for prefix in PREFIXES {
-        for row in ledger.rows(prefix).await? {
+        for row in ledger.rows_with_prefix(prefix).await? {
             rows.push((Key::clone(&row.key), json(&row)?));
         }
     }
