--- a/crates/view/src/amend.rs
+++ b/crates/view/src/amend.rs
@@ -82,6 +82,6 @@
 fn refusal(error: crate::Error) -> Refusal {
     match error {
         crate::Error::Ledger(error) => error.into(),
-        crate::Error::Apply(error) => Refusal::new(Code::ViewStale, error.to_string()),
+        crate::Error::ApplyError(error) => Refusal::new(Code::ViewStale, error.to_string()),
     }
 }
--- a/crates/view/src/cell.rs
+++ b/crates/view/src/cell.rs
@@ -1,6 +1,6 @@
 //! Publishes snapshots; the published sequence number only increases.
 
-use crate::{Apply, Snapshot};
+use crate::{ApplyError, Snapshot};
 use arc_swap::ArcSwap;
 use primroseroute_domain::change::{Record, Seq};
 use std::{
@@ -61,8 +61,8 @@
     /// Applies records in order and publishes the result; returns whether the snapshot changed.
     ///
     /// # Errors
-    /// [`Apply`] for the first record that cannot be applied; the records before it are published.
-    pub fn apply(&self, records: &[Record]) -> Result<bool, Apply> {
+    /// [`ApplyError`] for the first record that cannot be applied; the records before it are published.
+    pub fn apply(&self, records: &[Record]) -> Result<bool, ApplyError> {
         let mut recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
         let start = self.current.load().seq();
         let mut next = Snapshot::clone(&self.current.load());
--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -27,6 +27,6 @@
 pub use amend::{Author, amend};
 pub use cell::Cell;
 pub use route::{Routes, Target};
-pub use snapshot::{Apply, Snapshot};
+pub use snapshot::{ApplyError, Snapshot};
 pub use sync::{Error, load, poll};
 pub use token::Digest;
--- a/crates/view/src/snapshot.rs
+++ b/crates/view/src/snapshot.rs
@@ -13,7 +13,7 @@
 
 /// Error from applying a record or decoding a row.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Apply {
+pub enum ApplyError {
     /// Records between the snapshot and this one are missing.
     #[error("the view is at {have} and the record is {got}")]
     Gap {
@@ -46,11 +46,11 @@
     /// Builds the snapshot at `seq` from rows, each a key and its JSON value.
     ///
     /// # Errors
-    /// [`Apply::Corrupt`] if a row cannot be decoded.
+    /// [`ApplyError::Corrupt`] if a row cannot be decoded.
     pub fn from_rows(
         seq: Seq,
         rows: impl IntoIterator<Item = (Arc<str>, Arc<str>)>,
-    ) -> Result<Self, Apply> {
+    ) -> Result<Self, ApplyError> {
         let mut next = Self {
             seq,
             ..Self::default()
@@ -65,14 +65,14 @@
     /// The snapshot after `record`; records at or before this snapshot are ignored.
     ///
     /// # Errors
-    /// [`Apply::Gap`] if records in between are missing, [`Apply::Corrupt`] if a row cannot be
+    /// [`ApplyError::Gap`] if records in between are missing, [`ApplyError::Corrupt`] if a row cannot be
     /// decoded.
-    pub fn apply(&self, record: &Record) -> Result<Self, Apply> {
+    pub fn apply(&self, record: &Record) -> Result<Self, ApplyError> {
         if record.seq <= self.seq {
             return Ok(self.clone());
         }
         if record.seq != self.seq.next() {
-            return Err(Apply::Gap {
+            return Err(ApplyError::Gap {
                 have: self.seq,
                 got: record.seq,
             });
@@ -97,7 +97,7 @@
         self.routes = Arc::new(Routes::build(templates));
     }
 
-    fn set_row(&mut self, key: &Arc<str>, json: Option<&Arc<str>>) -> Result<(), Apply> {
+    fn set_row(&mut self, key: &Arc<str>, json: Option<&Arc<str>>) -> Result<(), ApplyError> {
         if let Some(name) = key.strip_prefix(key::ACCOUNTS) {
             set_decoded(&mut self.accounts, key, name, json)?;
         } else if let Some(name) = key.strip_prefix(key::INSTANCES) {
@@ -167,8 +167,8 @@
     /// jobs and marks, which only some roles need.
     ///
     /// # Errors
-    /// [`Apply::Corrupt`] if a row cannot be decoded as `T`.
-    pub fn under<I, T>(&self, prefix: &str) -> Result<BTreeMap<I, Versioned<T>>, Apply>
+    /// [`ApplyError::Corrupt`] if a row cannot be decoded as `T`.
+    pub fn under<I, T>(&self, prefix: &str) -> Result<BTreeMap<I, Versioned<T>>, ApplyError>
     where
         I: std::str::FromStr<Err = id::Malformed> + Ord,
         T: DeserializeOwned,
@@ -185,8 +185,8 @@
     }
 }
 
-fn decode<T: DeserializeOwned>(key: &Arc<str>, json: &str) -> Result<T, Apply> {
-    serde_json::from_str(json).map_err(|error| Apply::Corrupt {
+fn decode<T: DeserializeOwned>(key: &Arc<str>, json: &str) -> Result<T, ApplyError> {
+    serde_json::from_str(json).map_err(|error| ApplyError::Corrupt {
         key: Arc::clone(key),
         detail: error.to_string(),
     })
@@ -197,14 +197,14 @@
     key: &Arc<str>,
     name: &str,
     json: Option<&Arc<str>>,
-) -> Result<(), Apply>
+) -> Result<(), ApplyError>
 where
     I: std::str::FromStr<Err = id::Malformed> + Ord,
     T: DeserializeOwned,
 {
     let name = name
         .parse()
-        .map_err(|error: id::Malformed| Apply::Corrupt {
+        .map_err(|error: id::Malformed| ApplyError::Corrupt {
             key: Arc::clone(key),
             detail: error.to_string(),
         })?;
--- a/crates/view/src/sync.rs
+++ b/crates/view/src/sync.rs
@@ -1,7 +1,7 @@
 //! Keeps the view up to date with the ledger: reads one row if nothing has changed, else the new
 //! records.
 
-use crate::{Apply, Cell, Snapshot};
+use crate::{ApplyError, Cell, Snapshot};
 use primroseroute_domain::change::Seq;
 use primroseroute_ledger::{Error as LedgerError, Ledger, key};
 use primroseroute_platform::table::{Key, Row};
@@ -27,7 +27,7 @@
     Ledger(#[from] LedgerError),
     /// The rows or records that were read could not be applied.
     #[error(transparent)]
-    Apply(#[from] Apply),
+    ApplyError(#[from] ApplyError),
 }
 
 /// Updates `cell` to the ledger's head and returns the head's sequence number.
@@ -45,7 +45,7 @@
         match cell.apply(&records) {
             Ok(_) if cell.current().seq() >= head.seq => return Ok(head.seq),
             // The records have been moved to the archive, so the state must be read from the rows.
-            Ok(_) | Err(Apply::Gap { .. }) => {}
+            Ok(_) | Err(ApplyError::Gap { .. }) => {}
             Err(error) => return Err(error.into()),
         }
     }
--- a/crates/view/tests/all/cell.rs
+++ b/crates/view/tests/all/cell.rs
@@ -2,7 +2,7 @@
 
 use crate::record;
 use primroseroute_domain::change::Seq;
-use primroseroute_view::{Apply, Cell, Snapshot};
+use primroseroute_view::{ApplyError, Cell, Snapshot};
 
 /// Defines a named test per case.
 macro_rules! cases {
@@ -63,7 +63,7 @@
     let error = cell.apply(&[record(1, 10), record(3, 30)]);
     assert_eq!(
         error,
-        Err(Apply::Gap {
+        Err(ApplyError::Gap {
             have: Seq(1),
             got: Seq(3)
         })
@@ -115,6 +115,9 @@
     cell.apply(&[record(1, 10)]).expect("it is the first");
     let mut bad = record(2, 20);
     bad.edits[0].after = Some("{}".into());
-    assert!(matches!(cell.apply(&[bad]), Err(Apply::Corrupt { .. })));
+    assert!(matches!(
+        cell.apply(&[bad]),
+        Err(ApplyError::Corrupt { .. })
+    ));
     assert_eq!((cell.current().seq(), share(&cell)), (Seq(1), 10));
 }
