--- a/benches/request_path/inner.rs
+++ b/benches/request_path/inner.rs
@@ -25,7 +25,7 @@
 };
 use primroseroute_telemetry::{Meter, meter};
 use primroseroute_testbed::{caller_token, platform::Platform, template};
-use primroseroute_view::{Cell, Snapshot};
+use primroseroute_view::{Snapshot, SnapshotCell};
 use serde::Serialize;
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 use tokio::time::Instant;
@@ -125,7 +125,7 @@
 }
 
 fn path(guests: u32) -> Result<Path> {
-    let cell = Arc::new(Cell::default());
+    let cell = Arc::new(SnapshotCell::default());
     cell.advance(snapshot(guests)?);
     let entry: id::Entry = "entry-0".parse()?;
     let gates = Gates::open(entry.clone(), 1, Limits::default(), 1);
--- a/crates/admin/src/http/mod.rs
+++ b/crates/admin/src/http/mod.rs
@@ -17,7 +17,7 @@
 use primroseroute_front::{Options, Server};
 use primroseroute_ledger::Ledger;
 use primroseroute_platform::task::Resources;
-use primroseroute_view::Cell;
+use primroseroute_view::SnapshotCell;
 use std::{net::SocketAddr, panic::AssertUnwindSafe, sync::Arc};
 
 /// What the interface works on.
@@ -30,7 +30,7 @@
     /// The audit trail.
     pub trail: Trail,
     /// The entry's view.
-    pub cell: Arc<Cell>,
+    pub cell: Arc<SnapshotCell>,
     /// Wall-clock time for change records.
     pub clock: Arc<dyn Clock>,
     /// What the deployment weighs, for dry runs.
--- a/crates/capacity/src/stage.rs
+++ b/crates/capacity/src/stage.rs
@@ -22,7 +22,7 @@
     Layout, Site,
     platform::{self, fault::Outage},
 };
-use primroseroute_view::{Author, Cell, amend};
+use primroseroute_view::{Author, SnapshotCell, amend};
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 use tokio::time::{self, sleep};
 use uuid::Uuid;
@@ -64,7 +64,7 @@
     site: Site,
     clock: Arc<dyn Clock>,
     ledger: Ledger,
-    cell: Cell,
+    cell: SnapshotCell,
 }
 
 impl Stage {
@@ -116,7 +116,7 @@
             ledger: bed.ledger(),
             site: bed,
             clock,
-            cell: Cell::default(),
+            cell: SnapshotCell::default(),
         })
     }
 
--- a/crates/controller/src/role.rs
+++ b/crates/controller/src/role.rs
@@ -15,7 +15,7 @@
 use primroseroute_ledger::Ledger;
 use primroseroute_peer::report::Identity;
 use primroseroute_platform::{fleet::Instances, object::Store, task::Tasks};
-use primroseroute_view::Cell;
+use primroseroute_view::SnapshotCell;
 use std::{sync::Arc, time::Duration};
 use tokio::{
     sync::watch,
@@ -62,7 +62,7 @@
     /// Ledger to which changes are committed.
     pub ledger: Ledger,
     /// The entry's view.
-    pub cell: Arc<Cell>,
+    pub cell: Arc<SnapshotCell>,
     /// Wall-clock time.
     pub clock: Arc<dyn Clock>,
     /// The platform's instances.
--- a/crates/controller/tests/all/jobs/simulation.rs
+++ b/crates/controller/tests/all/jobs/simulation.rs
@@ -22,7 +22,7 @@
     fault::Outage,
     task::{Ending, Script},
 };
-use primroseroute_view::{Cell, Snapshot, poll};
+use primroseroute_view::{Snapshot, SnapshotCell, poll};
 use std::{
     collections::BTreeMap,
     net::SocketAddr,
@@ -69,7 +69,7 @@
 /// One entry that acknowledges every drain in its view, with nothing in flight but the given loads.
 #[derive(Debug)]
 struct SingleEntry {
-    cell: Arc<Cell>,
+    cell: Arc<SnapshotCell>,
     loads: Arc<Mutex<BTreeMap<id::Instance, u16>>>,
     hide_entries: Arc<AtomicBool>,
 }
@@ -116,7 +116,7 @@
     /// Whether the list of registrations is returned empty.
     pub hide_entries: Arc<AtomicBool>,
     controllers: BTreeMap<String, Controller>,
-    pub cell: Cell,
+    pub cell: SnapshotCell,
     pub clock: PlatformClock,
 }
 
@@ -189,7 +189,7 @@
             loads: Arc::default(),
             hide_entries: Arc::default(),
             controllers: BTreeMap::new(),
-            cell: Cell::default(),
+            cell: SnapshotCell::default(),
             clock: PlatformClock(platform.clone()),
             platform,
         };
@@ -234,7 +234,7 @@
     /// Starts the controller `entry`.
     pub fn start(&mut self, entry: &str) {
         let table = Arc::new(self.client(entry, "table"));
-        let cell: Arc<Cell> = Arc::default();
+        let cell: Arc<SnapshotCell> = Arc::default();
         let controller = Controller::spawn(Parts {
             identity: Identity {
                 entry: name(entry),
--- a/crates/controller/tests/all/waves/entry.rs
+++ b/crates/controller/tests/all/waves/entry.rs
@@ -6,7 +6,7 @@
 use primroseroute_ledger::Ledger;
 use primroseroute_peer::report::{Drain, Identity, Report};
 use primroseroute_standin::platform::Platform;
-use primroseroute_view::{Cell, poll};
+use primroseroute_view::{SnapshotCell, poll};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::{
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub struct Entry {
     pub name: id::Entry,
-    pub cell: Arc<Cell>,
+    pub cell: Arc<SnapshotCell>,
     ledger: Ledger,
     /// Whether it is partitioned from the store and its peers; it keeps sending by its old view.
     pub partitioned: AtomicBool,
--- a/crates/controller/tests/all/waves/simulation.rs
+++ b/crates/controller/tests/all/waves/simulation.rs
@@ -299,7 +299,7 @@
             guards: Vec::new(),
         };
         let clock = PlatformClock(self.platform.clone());
-        let cell = primroseroute_view::Cell::default();
+        let cell = primroseroute_view::SnapshotCell::default();
         amend(&self.observer, &cell, &clock, &author, decide)
             .await
             .map(|_done| ())
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -13,7 +13,7 @@
     report::{Drain, Identity, Load, Report, Sighting},
 };
 use primroseroute_route::Gates;
-use primroseroute_view::{Cell, Snapshot};
+use primroseroute_view::{Snapshot, SnapshotCell};
 use std::{
     collections::{BTreeMap, BTreeSet},
     sync::{
@@ -46,7 +46,7 @@
 pub(crate) struct Core {
     pub identity: Identity,
     pub ledger: Ledger,
-    pub cell: Arc<Cell>,
+    pub cell: Arc<SnapshotCell>,
     pub gates: Arc<Gates>,
     pub limits: membership::Limits,
     pub link: OnceLock<Arc<dyn Link>>,
--- a/crates/route/src/path/mod.rs
+++ b/crates/route/src/path/mod.rs
@@ -17,7 +17,7 @@
 use http::{HeaderMap, Method, Response, Uri, header};
 use primroseroute_claims::Claims;
 use primroseroute_domain::outcome::{Code, Refusal, Verdict};
-use primroseroute_view::Cell;
+use primroseroute_view::SnapshotCell;
 use reply::Reply;
 use std::{sync::Arc, time::Duration};
 use tokio::time::{Instant, timeout_at};
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug)]
 pub struct Parts {
     /// The view in force.
-    pub cell: Arc<Cell>,
+    pub cell: Arc<SnapshotCell>,
     /// The gates before the pools.
     pub gates: Arc<Gates>,
     /// The backend servers.
--- a/crates/view/src/amend.rs
+++ b/crates/view/src/amend.rs
@@ -1,6 +1,6 @@
 //! Changes the ledger: decides on the newest snapshot, commits, and decides again after a conflict.
 
-use crate::{Cell, Snapshot, poll};
+use crate::{Snapshot, SnapshotCell, poll};
 use primroseroute_domain::{
     change::Record,
     outcome::{Code, Refusal},
@@ -37,7 +37,7 @@
 /// changed; the store's codes if it fails.
 pub async fn amend(
     ledger: &Ledger,
-    cell: &Cell,
+    cell: &SnapshotCell,
     clock: &dyn Clock,
     author: &Author,
     decide: &(dyn Fn(&Snapshot, &mut Draft) -> Result<(), Refusal> + Sync),
--- a/crates/view/src/cell.rs
+++ b/crates/view/src/snapshot_cell.rs
@@ -18,13 +18,13 @@
 /// Lock order: `recent` is the only lock. It is held while a snapshot is swapped in, so that
 /// comparing and publishing are one atomic step.
 #[derive(Debug)]
-pub struct Cell {
+pub struct SnapshotCell {
     current: ArcSwap<Snapshot>,
     recent: Mutex<VecDeque<Record>>,
     newest: watch::Sender<Seq>,
 }
 
-impl Default for Cell {
+impl Default for SnapshotCell {
     fn default() -> Self {
         Self {
             current: ArcSwap::default(),
@@ -34,7 +34,7 @@
     }
 }
 
-impl Cell {
+impl SnapshotCell {
     /// The published snapshot.
     pub fn current(&self) -> Arc<Snapshot> {
         self.current.load_full()
--- a/crates/view/src/sync.rs
+++ b/crates/view/src/sync.rs
@@ -1,7 +1,7 @@
 //! Keeps the view up to date with the ledger: reads one row if nothing has changed, else the new
 //! records.
 
-use crate::{ApplyError, Cell, Snapshot};
+use crate::{ApplyError, Snapshot, SnapshotCell};
 use primroseroute_domain::change::Seq;
 use primroseroute_ledger::{Error as LedgerError, Ledger, key};
 use primroseroute_platform::table::{Key, Row};
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 /// [`Error`]; the cell then keeps its snapshot or a later one.
-pub async fn poll(ledger: &Ledger, cell: &Cell) -> Result<Seq, Error> {
+pub async fn poll(ledger: &Ledger, cell: &SnapshotCell) -> Result<Seq, Error> {
     let head = ledger.head().await?;
     let current_seq = cell.current().seq();
     if head.seq <= current_seq {
--- a/crates/view/tests/all/amend.rs
+++ b/crates/view/tests/all/amend.rs
@@ -7,7 +7,7 @@
 };
 use primroseroute_ledger::{Draft, Ledger, key};
 use primroseroute_standin::platform::{Options, Platform};
-use primroseroute_view::{Author, Cell, Snapshot, amend};
+use primroseroute_view::{Author, Snapshot, SnapshotCell, amend};
 use std::{sync::Arc, time::Duration};
 
 cases! {
@@ -46,7 +46,7 @@
     for name in ["a", "b", "c"] {
         let ledger = Ledger::open(Arc::new(platform.client(name)));
         running.spawn(async move {
-            let cell = Cell::default();
+            let cell = SnapshotCell::default();
             let decide = |snapshot: &Snapshot, draft: &mut Draft| {
                 increment(snapshot, draft);
                 Ok(())
@@ -64,7 +64,7 @@
         done.expect("no entry panics");
     }
     let ledger = Ledger::open(Arc::new(platform.client("reader")));
-    let cell = Cell::default();
+    let cell = SnapshotCell::default();
     primroseroute_view::poll(&ledger, &cell)
         .await
         .expect("it answers");
@@ -86,7 +86,14 @@
         draft.put("account/a".into(), None, &template("a", 1));
         Err(Refusal::new(Code::BudgetForbids, "no"))
     };
-    let done = amend(&ledger, &Cell::default(), &SystemClock, &author(), &decide).await;
+    let done = amend(
+        &ledger,
+        &SnapshotCell::default(),
+        &SystemClock,
+        &author(),
+        &decide,
+    )
+    .await;
     assert_eq!(
         done.map_err(|refusal| refusal.code),
         Err(Code::BudgetForbids)
@@ -98,7 +105,14 @@
     let platform = Platform::open(5, Options::default());
     let ledger = Ledger::open(Arc::new(platform.client("a")));
     let decide = |_: &Snapshot, _: &mut Draft| Ok(());
-    let done = amend(&ledger, &Cell::default(), &SystemClock, &author(), &decide).await;
+    let done = amend(
+        &ledger,
+        &SnapshotCell::default(),
+        &SystemClock,
+        &author(),
+        &decide,
+    )
+    .await;
     assert_eq!(done, Ok(None));
     assert_eq!(ledger.head().await.expect("it answers").seq.0, 0);
 }
--- a/crates/view/tests/all/follow.rs
+++ b/crates/view/tests/all/follow.rs
@@ -4,7 +4,7 @@
 use primroseroute_domain::{change::Seq, time::Instant};
 use primroseroute_ledger::{Draft, Ledger, key};
 use primroseroute_standin::platform::{Options, Platform, tally::Kind};
-use primroseroute_view::{Cell, load, poll};
+use primroseroute_view::{SnapshotCell, load, poll};
 use std::{sync::Arc, time::Duration};
 use uuid::Uuid;
 
@@ -37,7 +37,7 @@
     ledger.commit(&change).await.expect("no concurrent change");
 }
 
-fn shares(cell: &Cell) -> Vec<u32> {
+fn shares(cell: &SnapshotCell) -> Vec<u32> {
     cell.current()
         .accounts()
         .values()
@@ -48,7 +48,7 @@
 async fn unchanged_poll() {
     let (platform, ledger) = open();
     write(&ledger, "a", 1).await;
-    let cell = Cell::default();
+    let cell = SnapshotCell::default();
     poll(&ledger, &cell).await.expect("it answers");
     let before = platform.tally();
     poll(&ledger, &cell).await.expect("it answers");
@@ -59,7 +59,7 @@
 
 async fn poll_applies() {
     let (_platform, ledger) = open();
-    let cell = Cell::default();
+    let cell = SnapshotCell::default();
     write(&ledger, "a", 1).await;
     assert_eq!(poll(&ledger, &cell).await, Ok(Seq(1)));
     write(&ledger, "a", 2).await;
@@ -73,7 +73,7 @@
     for share in 1..=300 {
         write(&ledger, "a", share).await;
     }
-    let cell = Cell::default();
+    let cell = SnapshotCell::default();
     assert_eq!(poll(&ledger, &cell).await, Ok(Seq(300)));
     assert_eq!(shares(&cell), [300]);
 }
@@ -98,7 +98,7 @@
         .commit(trim)
         .await
         .expect("the commit has no conditions");
-    let cell = Cell::default();
+    let cell = SnapshotCell::default();
     assert_eq!(poll(&ledger, &cell).await, Ok(Seq(5)));
     assert_eq!((cell.current().seq(), shares(&cell)), (Seq(5), vec![5]));
 }
--- a/crates/view/tests/all/main.rs
+++ b/crates/view/tests/all/main.rs
@@ -1,9 +1,9 @@
 //! Views over the platform stand-in: they never go back, are complete, and lose no concurrent change.
 
 mod amend;
-mod cell;
 mod follow;
 mod routes;
+mod snapshot_cell;
 
 /// Defines a named test per case; all run with paused time.
 macro_rules! cases {
--- a/crates/view/tests/all/cell.rs
+++ b/crates/view/tests/all/snapshot_cell.rs
@@ -2,7 +2,7 @@
 
 use crate::record;
 use primroseroute_domain::change::Seq;
-use primroseroute_view::{ApplyError, Cell, Snapshot};
+use primroseroute_view::{ApplyError, Snapshot, SnapshotCell};
 
 /// Defines a named test per case.
 macro_rules! cases {
@@ -24,7 +24,7 @@
     unreadable_row_changes_nothing => corrupt();
 }
 
-fn share(cell: &Cell) -> u32 {
+fn share(cell: &SnapshotCell) -> u32 {
     cell.current()
         .accounts()
         .values()
@@ -43,7 +43,7 @@
 /// A snapshot built by a slow poll arrives after a faster push from a peer. It must not revert the
 /// entry to the older configuration.
 fn lower_snapshot() {
-    let cell = Cell::default();
+    let cell = SnapshotCell::default();
     assert!(cell.advance(snapshot(7, 70)));
     assert!(!cell.advance(snapshot(5, 50)));
     assert!(!cell.advance(snapshot(7, 71)));
@@ -51,7 +51,7 @@
 }
 
 fn lower_record() {
-    let cell = Cell::default();
+    let cell = SnapshotCell::default();
     cell.apply(&[record(1, 10), record(2, 20)])
         .expect("they follow each other");
     assert_eq!(cell.apply(&[record(1, 11)]), Ok(false));
@@ -59,7 +59,7 @@
 }
 
 fn gap() {
-    let cell = Cell::default();
+    let cell = SnapshotCell::default();
     let error = cell.apply(&[record(1, 10), record(3, 30)]);
     assert_eq!(
         error,
@@ -74,7 +74,7 @@
 /// A peer that is at 3 requests the records after it. Those between 3 and the snapshot are not
 /// retained, so it must get the snapshot instead of a list with a gap.
 fn after_loaded_snapshot() {
-    let cell = Cell::default();
+    let cell = SnapshotCell::default();
     cell.apply(&[record(1, 10), record(2, 20)])
         .expect("they follow each other");
     cell.advance(snapshot(7, 70));
@@ -87,7 +87,7 @@
 }
 
 fn bounded() {
-    let cell = Cell::default();
+    let cell = SnapshotCell::default();
     for seq in 1..=1000 {
         cell.apply(&[record(seq, 1)])
             .expect("they follow each other");
@@ -100,7 +100,7 @@
 }
 
 fn subscriber() {
-    let cell = Cell::default();
+    let cell = SnapshotCell::default();
     let mut newest = cell.subscribe();
     cell.apply(&[record(1, 10)]).expect("it is the first");
     assert!(newest.has_changed().expect("the cell exists"));
@@ -111,7 +111,7 @@
 }
 
 fn corrupt() {
-    let cell = Cell::default();
+    let cell = SnapshotCell::default();
     cell.apply(&[record(1, 10)]).expect("it is the first");
     let mut bad = record(2, 20);
     bad.edits[0].after = Some("{}".into());
