--- a/crates/admin/src/http/write.rs
+++ b/crates/admin/src/http/write.rs
@@ -16,7 +16,7 @@
     time::Instant,
 };
 use primroseroute_ledger::Draft;
-use primroseroute_view::{Author, Snapshot, amend};
+use primroseroute_view::{Author, Snapshot, commit_with_retry};
 use serde::de::DeserializeOwned;
 use std::sync::Arc;
 
@@ -76,7 +76,7 @@
             reason: Arc::clone(reason),
             guards: Vec::new(),
         };
-        let done = amend(
+        let done = commit_with_retry(
             &parts.ledger,
             &parts.cell,
             parts.clock.as_ref(),
--- a/crates/capacity/src/stage.rs
+++ b/crates/capacity/src/stage.rs
@@ -22,7 +22,7 @@
     Layout, Site,
     platform::{self, fault::Outage},
 };
-use primroseroute_view::{Author, SnapshotCell, amend};
+use primroseroute_view::{Author, SnapshotCell, commit_with_retry};
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 use tokio::time::{self, sleep};
 use uuid::Uuid;
@@ -290,7 +290,7 @@
             Ok(())
         };
         let clock = self.clock.as_ref();
-        let record = amend(&self.ledger, &self.cell, clock, &author, &decide).await?;
+        let record = commit_with_retry(&self.ledger, &self.cell, clock, &author, &decide).await?;
         Ok(record.ok_or_else(|| eyre!("nothing was changed"))?.seq)
     }
 }
--- a/crates/controller/src/cycle.rs
+++ b/crates/controller/src/cycle.rs
@@ -15,7 +15,7 @@
 };
 use primroseroute_ledger::Draft;
 use primroseroute_platform::fleet::{List, Listed};
-use primroseroute_view::{Author, Snapshot, amend};
+use primroseroute_view::{Author, Snapshot, commit_with_retry};
 use std::collections::BTreeMap;
 
 /// State that a controller keeps between cycles; its successor needs none of it.
@@ -90,7 +90,7 @@
         *reboots.lock() = decision::decide(snapshot, input, draft)?;
         Ok(())
     };
-    amend(
+    commit_with_retry(
         &parts.ledger,
         &parts.cell,
         parts.clock.as_ref(),
--- a/crates/controller/src/jobs/driver.rs
+++ b/crates/controller/src/jobs/driver.rs
@@ -16,7 +16,7 @@
 use primroseroute_jobs::{Action, Availability, Plan, Worker};
 use primroseroute_ledger::{Draft, key};
 use primroseroute_platform::task::Report;
-use primroseroute_view::{Author, Snapshot, amend};
+use primroseroute_view::{Author, Snapshot, commit_with_retry};
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 use tokio::{
     sync::Semaphore,
@@ -142,7 +142,7 @@
             guards: vec![self.held.guard()],
         };
         let clock = parts.clock.as_ref();
-        let record = amend(&parts.ledger, &parts.cell, clock, &author, &decide).await?;
+        let record = commit_with_retry(&parts.ledger, &parts.cell, clock, &author, &decide).await?;
         let Some(decision) = decision.into_inner() else {
             return Ok(());
         };
--- a/crates/controller/src/jobs/mod.rs
+++ b/crates/controller/src/jobs/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! # A cycle
 //!
-//! The task reports are read first. Inside [`primroseroute_view::amend`], on the newest rows, a copy
+//! The task reports are read first. Inside [`primroseroute_view::commit_with_retry`], on the newest rows, a copy
 //! of the scheduler applies the operators' changes and the reports, and plans. All rows of the plan,
 //! and the rows of instances that it quarantines, are committed as one change that is conditional on
 //! the epoch. Only after the commit does the copy replace the scheduler and are the calls sent. A
--- a/crates/controller/tests/all/jobs/operator.rs
+++ b/crates/controller/tests/all/jobs/operator.rs
@@ -11,7 +11,7 @@
 use primroseroute_ledger::{Draft, key};
 use primroseroute_platform::task::{Resources, Token};
 use primroseroute_standin::platform::task::Ending;
-use primroseroute_view::{Author, Snapshot, amend};
+use primroseroute_view::{Author, Snapshot, commit_with_retry};
 use std::collections::BTreeMap;
 use tokio::time::sleep;
 
@@ -28,7 +28,7 @@
             Ok(())
         };
         while let Err(refusal) =
-            amend(&self.ledger, &self.cell, &self.clock, &author, &decide).await
+            commit_with_retry(&self.ledger, &self.cell, &self.clock, &author, &decide).await
         {
             let _ = refusal;
             sleep(SECOND).await;
--- a/crates/controller/tests/all/waves/simulation.rs
+++ b/crates/controller/tests/all/waves/simulation.rs
@@ -21,7 +21,7 @@
 use primroseroute_peer::report::Identity;
 use primroseroute_platform::fleet::{Listed, Phase};
 use primroseroute_standin::platform::{Options, Platform};
-use primroseroute_view::{Author, Snapshot, amend};
+use primroseroute_view::{Author, Snapshot, commit_with_retry};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::{
@@ -300,7 +300,7 @@
         };
         let clock = PlatformClock(self.platform.clone());
         let cell = primroseroute_view::SnapshotCell::default();
-        amend(&self.observer, &cell, &clock, &author, decide)
+        commit_with_retry(&self.observer, &cell, &clock, &author, decide)
             .await
             .map(|_done| ())
     }
--- a/crates/view/src/amend.rs
+++ b/crates/view/src/commit_with_retry.rs
@@ -35,7 +35,7 @@
 /// # Errors
 /// Refusals of `decide`; [`Code::VersionConflict`] if every attempt conflicted or a guard has
 /// changed; the store's codes if it fails.
-pub async fn amend(
+pub async fn commit_with_retry(
     ledger: &Ledger,
     cell: &SnapshotCell,
     clock: &dyn Clock,
--- a/crates/view/src/lib.rs
+++ b/crates/view/src/lib.rs
@@ -17,14 +17,14 @@
 //! every record after that head. A row that was already newer when scanned is set back by an older
 //! record and forward again by its own; no intermediate state is published.
 
-mod amend;
+mod commit_with_retry;
 mod route;
 mod snapshot;
 mod snapshot_cell;
 mod sync;
 mod token;
 
-pub use amend::{Author, amend};
+pub use commit_with_retry::{Author, commit_with_retry};
 pub use route::{Routes, Target};
 pub use snapshot::{ApplyError, Snapshot};
 pub use snapshot_cell::SnapshotCell;
--- a/crates/view/tests/all/amend.rs
+++ b/crates/view/tests/all/commit_with_retry.rs
@@ -7,7 +7,7 @@
 };
 use primroseroute_ledger::{Draft, Ledger, key};
 use primroseroute_standin::platform::{Options, Platform};
-use primroseroute_view::{Author, Snapshot, SnapshotCell, amend};
+use primroseroute_view::{Author, Snapshot, SnapshotCell, commit_with_retry};
 use std::{sync::Arc, time::Duration};
 
 cases! {
@@ -53,7 +53,7 @@
             };
             let mut accepted = 0;
             while accepted < 10 {
-                match amend(&ledger, &cell, &SystemClock, &author(), &decide).await {
+                match commit_with_retry(&ledger, &cell, &SystemClock, &author(), &decide).await {
                     Ok(done) => accepted += u32::from(done.is_some()),
                     Err(refusal) => assert_eq!(refusal.code, Code::VersionConflict),
                 }
@@ -86,7 +86,7 @@
         draft.put("account/a".into(), None, &template("a", 1));
         Err(Refusal::new(Code::BudgetForbids, "no"))
     };
-    let done = amend(
+    let done = commit_with_retry(
         &ledger,
         &SnapshotCell::default(),
         &SystemClock,
@@ -105,7 +105,7 @@
     let platform = Platform::open(5, Options::default());
     let ledger = Ledger::open(Arc::new(platform.client("a")));
     let decide = |_: &Snapshot, _: &mut Draft| Ok(());
-    let done = amend(
+    let done = commit_with_retry(
         &ledger,
         &SnapshotCell::default(),
         &SystemClock,
--- a/crates/view/tests/all/main.rs
+++ b/crates/view/tests/all/main.rs
@@ -1,6 +1,6 @@
 //! Views over the platform stand-in: they never go back, are complete, and lose no concurrent change.
 
-mod amend;
+mod commit_with_retry;
 mod follow;
 mod routes;
 mod snapshot_cell;
