--- a/crates/admin/src/edit/job.rs
+++ b/crates/admin/src/edit/job.rs
@@ -52,7 +52,7 @@
 /// # Errors
 /// [`Code::ViewStale`] where one cannot be read.
 pub fn all(snapshot: &Snapshot) -> Result<BTreeMap<id::Job, Versioned<Row>>, Refusal> {
-    let rows = snapshot.under(key::JOBS);
+    let rows = snapshot.rows_with_prefix(key::JOBS);
     rows.map_err(|error| unreadable(&error))
 }
 
--- a/crates/admin/src/edit/wave.rs
+++ b/crates/admin/src/edit/wave.rs
@@ -30,7 +30,7 @@
 /// # Errors
 /// [`Code::ViewStale`] where a row cannot be read.
 pub fn waves(snapshot: &Snapshot) -> Result<BTreeMap<id::Wave, Versioned<Row>>, Refusal> {
-    let rows = snapshot.under(key::WAVES);
+    let rows = snapshot.rows_with_prefix(key::WAVES);
     rows.map_err(|error| Refusal::new(Code::ViewStale, error.to_string()))
 }
 
--- a/crates/controller/src/decision.rs
+++ b/crates/controller/src/decision.rs
@@ -60,7 +60,7 @@
             .map(|(name, row)| (name.clone(), row.version))
             .collect();
         let marks = snapshot
-            .under::<id::Instance, u64>(key::MARKS)
+            .rows_with_prefix::<id::Instance, u64>(key::MARKS)
             .map_err(|error| Refusal::new(Code::ViewStale, error.to_string()))?;
         let fleet = Fleet {
             budgets: Fleet::budgets(snapshot.templates()),
@@ -201,7 +201,7 @@
     draft: &mut Draft,
 ) -> Result<(), Refusal> {
     let waves = snapshot
-        .under::<id::Wave, wave::Row>(key::WAVES)
+        .rows_with_prefix::<id::Wave, wave::Row>(key::WAVES)
         .map_err(|error| Refusal::new(Code::ViewStale, error.to_string()))?;
     for (name, found) in waves {
         for action in wave::step(&fleet_state.fleet, &found.value, input.now) {
--- a/crates/controller/src/jobs/acknowledgement.rs
+++ b/crates/controller/src/jobs/acknowledgement.rs
@@ -34,7 +34,7 @@
         return Ok(None);
     }
     let rows = snapshot
-        .under::<id::Job, Row>(key::JOBS)
+        .rows_with_prefix::<id::Job, Row>(key::JOBS)
         .map_err(|error| Refusal::new(Code::ViewStale, error.to_string()))?;
     let mut in_flight: BTreeMap<id::Instance, u32> = BTreeMap::new();
     for at in rows.values().filter_map(|row| row.value.state.instance()) {
--- a/crates/controller/tests/all/jobs/lifecycle.rs
+++ b/crates/controller/tests/all/jobs/lifecycle.rs
@@ -267,7 +267,8 @@
     assert_eq!(state, State::Parked(Reason::FailsEverywhere));
     tasks.script_job(name("bad0"), script_of(Ending::Done));
     sim.change(|snapshot, draft| {
-        let rows = snapshot.under::<primroseroute_domain::id::Job, primroseroute_jobs::Row>("job/");
+        let rows = snapshot
+            .rows_with_prefix::<primroseroute_domain::id::Job, primroseroute_jobs::Row>("job/");
         let found = &rows.expect("rows can be decoded")[&name("bad0")];
         let mut row = found.value.clone();
         row.release().expect("the job is parked");
--- a/crates/controller/tests/all/jobs/simulation.rs
+++ b/crates/controller/tests/all/jobs/simulation.rs
@@ -329,7 +329,9 @@
 }
 
 pub fn jobs_of(snapshot: &Snapshot) -> BTreeMap<id::Job, Versioned<Row>> {
-    snapshot.under(key::JOBS).expect("job rows can be decoded")
+    snapshot
+        .rows_with_prefix(key::JOBS)
+        .expect("job rows can be decoded")
 }
 
 /// `count` numbered names with a prefix.
--- a/crates/controller/tests/all/waves/fault.rs
+++ b/crates/controller/tests/all/waves/fault.rs
@@ -176,7 +176,7 @@
     let now = sim.platform.now();
     let resume = |snapshot: &Snapshot, draft: &mut Draft| {
         let waves = snapshot
-            .under::<id::Wave, Wave>(key::WAVES)
+            .rows_with_prefix::<id::Wave, Wave>(key::WAVES)
             .expect("wave rows can be decoded");
         let found = &waves[name];
         let next = found.value.command(Command::Resume, now)?;
--- a/crates/view/src/snapshot.rs
+++ b/crates/view/src/snapshot.rs
@@ -168,7 +168,10 @@
     ///
     /// # Errors
     /// [`ApplyError::Corrupt`] if a row cannot be decoded as `T`.
-    pub fn under<I, T>(&self, prefix: &str) -> Result<BTreeMap<I, Versioned<T>>, ApplyError>
+    pub fn rows_with_prefix<I, T>(
+        &self,
+        prefix: &str,
+    ) -> Result<BTreeMap<I, Versioned<T>>, ApplyError>
     where
         I: std::str::FromStr<Err = id::Malformed> + Ord,
         T: DeserializeOwned,
