--- a/benches/request_path/inner.rs
+++ b/benches/request_path/inner.rs
@@ -126,7 +126,7 @@
 
 fn path(guests: u32) -> Result<Path> {
     let cell = Arc::new(SnapshotCell::default());
-    cell.advance(snapshot(guests)?);
+    cell.publish_if_newer(snapshot(guests)?);
     let entry: id::Entry = "entry-0".parse()?;
     let gates = Gates::open(entry.clone(), 1, Limits::default(), 1);
     gates.sync(&cell.current(), &[entry].into());
--- a/crates/entry/src/local.rs
+++ b/crates/entry/src/local.rs
@@ -60,7 +60,7 @@
         let pairs = snapshot.rows.into_iter().map(|row| (row.key, row.json));
         match Snapshot::from_rows(snapshot.seq, pairs) {
             Ok(next) => {
-                self.cell.advance(next);
+                self.cell.publish_if_newer(next);
             }
             Err(error) => log::warn!("a peer's snapshot was not applied: {error}"),
         }
--- a/crates/view/src/snapshot_cell.rs
+++ b/crates/view/src/snapshot_cell.rs
@@ -46,7 +46,7 @@
     }
 
     /// Publishes `next` if it is newer than the current snapshot; returns whether it was.
-    pub fn advance(&self, next: Snapshot) -> bool {
+    pub fn publish_if_newer(&self, next: Snapshot) -> bool {
         let mut recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
         if next.seq() <= self.current.load().seq() {
             return false;
--- a/crates/view/src/sync.rs
+++ b/crates/view/src/sync.rs
@@ -49,7 +49,7 @@
             Err(error) => return Err(error.into()),
         }
     }
-    cell.advance(load(ledger).await?);
+    cell.publish_if_newer(load(ledger).await?);
     Ok(head.seq)
 }
 
--- a/crates/view/tests/all/snapshot_cell.rs
+++ b/crates/view/tests/all/snapshot_cell.rs
@@ -44,9 +44,9 @@
 /// entry to the older configuration.
 fn lower_snapshot() {
     let cell = SnapshotCell::default();
-    assert!(cell.advance(snapshot(7, 70)));
-    assert!(!cell.advance(snapshot(5, 50)));
-    assert!(!cell.advance(snapshot(7, 71)));
+    assert!(cell.publish_if_newer(snapshot(7, 70)));
+    assert!(!cell.publish_if_newer(snapshot(5, 50)));
+    assert!(!cell.publish_if_newer(snapshot(7, 71)));
     assert_eq!((cell.current().seq(), share(&cell)), (Seq(7), 70));
 }
 
@@ -77,7 +77,7 @@
     let cell = SnapshotCell::default();
     cell.apply(&[record(1, 10), record(2, 20)])
         .expect("they follow each other");
-    cell.advance(snapshot(7, 70));
+    cell.publish_if_newer(snapshot(7, 70));
     cell.apply(&[record(8, 80)])
         .expect("the record is the next one");
     assert_eq!(cell.records_after(Seq(2)), None);
