--- a/crates/controller/src/cycle.rs
+++ b/crates/controller/src/cycle.rs
@@ -59,13 +59,13 @@
             listed,
             checks: self.health_checks.checks().clone(),
             may_plan: self.health_checks.has_min_checks(&rows, min_checks),
-            voices: parts.roster.voices().await?,
+            registered_entries: parts.roster.registered_entries().await?,
             now: parts.clock.now(),
             limits: parts.limits,
             weights: parts.weights,
         };
         observation.put(Observation::new(
-            &input.voices,
+            &input.registered_entries,
             decision::unavailable_instances(&rows, &input),
         ));
         let reboots = commit(parts, held, &input).await?;
--- a/crates/controller/src/decision.rs
+++ b/crates/controller/src/decision.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     jobs,
-    roster::{Voice, acknowledgements},
+    roster::{RegisteredEntry, acknowledgements},
 };
 
 /// Input of a cycle besides the snapshot.
@@ -30,7 +30,7 @@
     pub checks: BTreeMap<id::Instance, Checks>,
     /// Whether planned work may take instances out of service; false while losses may be undetected.
     pub may_plan: bool,
-    pub voices: Vec<Voice>,
+    pub registered_entries: Vec<RegisteredEntry>,
     pub now: Instant,
     pub limits: Limits,
     pub weights: Weights,
@@ -112,7 +112,7 @@
 fn workers(input: &CycleInput) -> BTreeMap<id::Instance, Listed> {
     let is_entry = |name: &id::Instance| {
         input
-            .voices
+            .registered_entries
             .iter()
             .any(|voice| voice.entry.as_str() == name.as_str())
     };
@@ -133,7 +133,7 @@
 ) -> Result<Vec<Reboot>, Refusal> {
     let mut fleet_state = FleetState::read(snapshot, input)?;
     let mut entries = acknowledgements(
-        &input.voices,
+        &input.registered_entries,
         &input.listed,
         &fleet_state.fleet.rows,
         &fleet_state.versions,
--- a/crates/controller/src/jobs/observation.rs
+++ b/crates/controller/src/jobs/observation.rs
@@ -1,6 +1,6 @@
 //! Observations of the lifecycle's cycle, for use by the job driver.
 
-use crate::roster::Voice;
+use crate::roster::RegisteredEntry;
 use parking_lot::Mutex;
 use primroseroute_domain::{id, instance::SLOTS};
 use std::{
@@ -24,10 +24,16 @@
 }
 
 impl Observation {
-    /// Sums the loads that the entries in `voices` report; `absent` are the unavailable instances.
-    pub(crate) fn new(voices: &[Voice], absent: BTreeSet<id::Instance>) -> Self {
+    /// Sums the loads that the entries in `registered_entries` report; `absent` are the unavailable instances.
+    pub(crate) fn new(
+        registered_entries: &[RegisteredEntry],
+        absent: BTreeSet<id::Instance>,
+    ) -> Self {
         let mut in_flight: BTreeMap<id::Instance, u32> = BTreeMap::new();
-        for report in voices.iter().filter_map(|voice| voice.report.as_ref()) {
+        for report in registered_entries
+            .iter()
+            .filter_map(|voice| voice.report.as_ref())
+        {
             for (name, load) in &report.loads {
                 *in_flight.entry(name.clone()).or_default() += u32::from(load.in_flight);
             }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -37,4 +37,4 @@
 pub use lease::{Epoch, Lease};
 pub use probe::{HttpProbe, Probe};
 pub use role::{Controller, Parts, Timers};
-pub use roster::{Roster, Voice, acknowledgements};
+pub use roster::{RegisteredEntry, Roster, acknowledgements};
--- a/crates/controller/src/roster.rs
+++ b/crates/controller/src/roster.rs
@@ -27,12 +27,12 @@
     /// # Errors
     /// If the registrations cannot be read. An empty or stale list must not be returned, as it
     /// would count as consent.
-    async fn voices(&self) -> Result<Vec<Voice>, Refusal>;
+    async fn registered_entries(&self) -> Result<Vec<RegisteredEntry>, Refusal>;
 }
 
 /// A registered entry and its report.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Voice {
+pub struct RegisteredEntry {
     /// Name of the entry.
     pub entry: id::Entry,
     /// Latest report of its current incarnation; `None` while it has not reported.
@@ -54,13 +54,13 @@
 /// A drain that an entry does not report as in effect counts as one with a request in flight: the
 /// report may be older than the drain, or the entry may not be able to confirm its view.
 pub fn acknowledgements(
-    voices: &[Voice],
+    registered_entries: &[RegisteredEntry],
     listed: &BTreeMap<id::Instance, Listed>,
     rows: &BTreeMap<id::Instance, Row>,
     versions: &BTreeMap<id::Instance, Seq>,
 ) -> Vec<Entry> {
     let not_serving = || rows.values().filter(|row| row.state != State::Serving);
-    voices
+    registered_entries
         .iter()
         .map(|voice| {
             let report = voice.report.as_ref();
--- a/crates/controller/tests/all/jobs/simulation.rs
+++ b/crates/controller/tests/all/jobs/simulation.rs
@@ -3,7 +3,9 @@
 use async_trait::async_trait;
 use parking_lot::Mutex;
 use primroseroute_audit::Keep;
-use primroseroute_controller::{Controller, Parts, Probe, Roster, Timers, Voice, jobs::Settings};
+use primroseroute_controller::{
+    Controller, Parts, Probe, RegisteredEntry, Roster, Timers, jobs::Settings,
+};
 use primroseroute_domain::{
     account::{Budget, Pool, Survive, Template},
     id, instance,
@@ -76,7 +78,7 @@
 
 #[async_trait]
 impl Roster for SingleEntry {
-    async fn voices(&self) -> Result<Vec<Voice>, Refusal> {
+    async fn registered_entries(&self) -> Result<Vec<RegisteredEntry>, Refusal> {
         if self.hide_entries.load(Ordering::Relaxed) {
             return Ok(Vec::new());
         }
@@ -101,7 +103,7 @@
                 incarnation: Uuid::nil(),
             })
         };
-        Ok(vec![Voice {
+        Ok(vec![RegisteredEntry {
             entry: name("e"),
             report: Some(report),
         }])
--- a/crates/controller/tests/all/main.rs
+++ b/crates/controller/tests/all/main.rs
@@ -3,7 +3,7 @@
 mod jobs;
 mod waves;
 
-use primroseroute_controller::{Voice, acknowledgements};
+use primroseroute_controller::{RegisteredEntry, acknowledgements};
 use primroseroute_domain::{
     change::Seq,
     id,
@@ -73,16 +73,16 @@
 
 /// Whether the drain is acknowledged, and whether the instance counts as drained.
 fn evaluate(reports: Vec<Option<Report>>, listed: &BTreeMap<id::Instance, Listed>) -> (bool, bool) {
-    let voices: Vec<Voice> = reports
+    let registered_entries: Vec<RegisteredEntry> = reports
         .into_iter()
-        .map(|report| Voice {
+        .map(|report| RegisteredEntry {
             entry: name("e"),
             report,
         })
         .collect();
     let rows = BTreeMap::from([(name("i"), row())]);
     let versions = BTreeMap::from([(name("i"), DRAINED)]);
-    let entries = acknowledgements(&voices, listed, &rows, &versions);
+    let entries = acknowledgements(&registered_entries, listed, &rows, &versions);
     (
         acknowledged_by_all(&entries, DRAINED),
         drained_by_all(&entries, &name("i"), DRAINED),
--- a/crates/controller/tests/all/waves/simulation.rs
+++ b/crates/controller/tests/all/waves/simulation.rs
@@ -4,7 +4,7 @@
 use async_trait::async_trait;
 use parking_lot::Mutex;
 use primroseroute_audit::Keep;
-use primroseroute_controller::{Controller, Parts, Probe, Roster, Timers, Voice, jobs};
+use primroseroute_controller::{Controller, Parts, Probe, RegisteredEntry, Roster, Timers, jobs};
 use primroseroute_domain::{
     account::Template,
     id,
@@ -90,8 +90,8 @@
 
 #[async_trait]
 impl Roster for StaticRoster {
-    async fn voices(&self) -> Result<Vec<Voice>, Refusal> {
-        let voice = |entry: &Arc<Entry>| Voice {
+    async fn registered_entries(&self) -> Result<Vec<RegisteredEntry>, Refusal> {
+        let voice = |entry: &Arc<Entry>| RegisteredEntry {
             entry: entry.name.clone(),
             report: Some(entry.report()),
         };
--- a/crates/entry/src/local.rs
+++ b/crates/entry/src/local.rs
@@ -5,7 +5,7 @@
 use parking_lot::Mutex;
 use primroseroute_admin::Local as AdminLocal;
 use primroseroute_api::Entry as EntryStatus;
-use primroseroute_controller::{Controller, Roster, Voice};
+use primroseroute_controller::{Controller, RegisteredEntry, Roster};
 use primroseroute_domain::{
     change::{Record, Seq},
     id,
@@ -164,7 +164,7 @@
 
 #[async_trait]
 impl Roster for Core {
-    async fn voices(&self) -> Result<Vec<Voice>, Refusal> {
+    async fn registered_entries(&self) -> Result<Vec<RegisteredEntry>, Refusal> {
         let sightings = self.sightings();
         let own = self.report();
         let rows = self.ledger.scan::<Registration>(key::ENTRIES).await?;
@@ -178,7 +178,7 @@
             } else {
                 heard.map(|s| s.report.clone())
             };
-            Voice {
+            RegisteredEntry {
                 entry: row.name,
                 report,
             }
