--- a/crates/controller/src/decision.rs
+++ b/crates/controller/src/decision.rs
@@ -114,7 +114,7 @@
         input
             .registered_entries
             .iter()
-            .any(|voice| voice.entry.as_str() == name.as_str())
+            .any(|registered| registered.entry.as_str() == name.as_str())
     };
     let listed = input.listed.iter().filter(|(name, _)| !is_entry(name));
     listed
@@ -141,7 +141,7 @@
     // An empty list of entries means a failed read. The tasks' acknowledgement alone must not make
     // it look like a complete set.
     if !entries.is_empty() {
-        entries.extend(jobs::voice(snapshot)?);
+        entries.extend(jobs::drain_acknowledgement(snapshot)?);
     }
     let workers = workers(input);
     let actions = lifecycle::step(&lifecycle::Input {
--- a/crates/controller/src/jobs/acknowledgement.rs
+++ b/crates/controller/src/jobs/acknowledgement.rs
@@ -28,7 +28,7 @@
 ///
 /// # Panics
 /// Never, as the name is valid.
-pub fn voice(snapshot: &Snapshot) -> Result<Option<Entry>, Refusal> {
+pub fn drain_acknowledgement(snapshot: &Snapshot) -> Result<Option<Entry>, Refusal> {
     let drains = |row: &primroseroute_domain::instance::Row| row.state == State::Draining;
     if !snapshot.instances().values().any(|row| drains(&row.value)) {
         return Ok(None);
--- a/crates/controller/src/jobs/mod.rs
+++ b/crates/controller/src/jobs/mod.rs
@@ -25,7 +25,7 @@
 //!
 //! # Drains
 //!
-//! [`voice`] adds an acknowledgement of the tasks to those of the entries: an instance is not empty
+//! [`drain_acknowledgement`] adds an acknowledgement of the tasks to those of the entries: an instance is not empty
 //! as long as a row says that a job runs or may run there.
 
 mod acknowledgement;
@@ -36,7 +36,7 @@
 mod row_cache;
 mod state;
 
-pub use acknowledgement::voice;
+pub use acknowledgement::drain_acknowledgement;
 pub(crate) use driver::DriverHandle;
 pub(crate) use observation::{LatestObservation, Observation};
 
--- a/crates/controller/src/jobs/observation.rs
+++ b/crates/controller/src/jobs/observation.rs
@@ -32,7 +32,7 @@
         let mut in_flight: BTreeMap<id::Instance, u32> = BTreeMap::new();
         for report in registered_entries
             .iter()
-            .filter_map(|voice| voice.report.as_ref())
+            .filter_map(|registered| registered.report.as_ref())
         {
             for (name, load) in &report.loads {
                 *in_flight.entry(name.clone()).or_default() += u32::from(load.in_flight);
--- a/crates/controller/src/roster.rs
+++ b/crates/controller/src/roster.rs
@@ -62,8 +62,8 @@
     let not_serving = || rows.values().filter(|row| row.state != State::Serving);
     registered_entries
         .iter()
-        .map(|voice| {
-            let report = voice.report.as_ref();
+        .map(|registered| {
+            let report = registered.report.as_ref();
             let in_flight = |row: &Row| {
                 let version = versions.get(&row.id).copied().unwrap_or(Seq(u64::MAX));
                 let drain = report.and_then(|report| report.drains.get(&row.id));
@@ -73,12 +73,12 @@
                 }
             };
             Entry {
-                id: voice.entry.clone(),
+                id: registered.entry.clone(),
                 seen: report.map_or(Seq(0), |report| report.seq),
                 in_flight: not_serving()
                     .map(|row| (row.id.clone(), in_flight(row)))
                     .collect(),
-                gone: is_terminated(&voice.entry, listed),
+                gone: is_terminated(&registered.entry, listed),
             }
         })
         .collect()
--- a/crates/controller/tests/all/waves/simulation.rs
+++ b/crates/controller/tests/all/waves/simulation.rs
@@ -91,11 +91,11 @@
 #[async_trait]
 impl Roster for StaticRoster {
     async fn registered_entries(&self) -> Result<Vec<RegisteredEntry>, Refusal> {
-        let voice = |entry: &Arc<Entry>| RegisteredEntry {
+        let registered = |entry: &Arc<Entry>| RegisteredEntry {
             entry: entry.name.clone(),
             report: Some(entry.report()),
         };
-        Ok(self.entries.iter().map(voice).collect())
+        Ok(self.entries.iter().map(registered).collect())
     }
 }
 
