--- a/crates/capacity/src/loaded.rs
+++ b/crates/capacity/src/loaded.rs
@@ -82,7 +82,7 @@
 
 #[async_trait]
 impl Probe for Well {
-    async fn is_well(&self, _: SocketAddr) -> bool {
+    async fn is_healthy(&self, _: SocketAddr) -> bool {
         true
     }
 }
--- a/crates/controller/src/checks.rs
+++ b/crates/controller/src/checks.rs
@@ -97,7 +97,7 @@
         for (name, address) in due {
             let probe = Arc::clone(probe);
             self.last_check.insert(name.clone(), Instant::now());
-            running.spawn(async move { (name, probe.is_well(address).await) });
+            running.spawn(async move { (name, probe.is_healthy(address).await) });
         }
         let collect_results = async {
             while let Some(done) = running.join_next().await {
--- a/crates/controller/src/probe.rs
+++ b/crates/controller/src/probe.rs
@@ -16,7 +16,7 @@
 #[async_trait]
 pub trait Probe: Send + Sync + fmt::Debug {
     /// Whether the worker at `address` is healthy.
-    async fn is_well(&self, address: SocketAddr) -> bool;
+    async fn is_healthy(&self, address: SocketAddr) -> bool;
 }
 
 /// Requests a path over HTTP and expects a complete 2xx response within the timeout.
@@ -60,7 +60,7 @@
 
 #[async_trait]
 impl Probe for HttpProbe {
-    async fn is_well(&self, address: SocketAddr) -> bool {
+    async fn is_healthy(&self, address: SocketAddr) -> bool {
         match timeout(CHECK_TIMEOUT, self.request_path(address)).await {
             Ok(Ok(status)) => status.is_success(),
             Ok(Err(error)) => {
--- a/crates/controller/tests/all/jobs/simulation.rs
+++ b/crates/controller/tests/all/jobs/simulation.rs
@@ -63,7 +63,7 @@
 
 #[async_trait]
 impl Probe for AlwaysHealthy {
-    async fn is_well(&self, _address: SocketAddr) -> bool {
+    async fn is_healthy(&self, _address: SocketAddr) -> bool {
         true
     }
 }
--- a/crates/controller/tests/all/waves/simulation.rs
+++ b/crates/controller/tests/all/waves/simulation.rs
@@ -77,7 +77,7 @@
 
 #[async_trait]
 impl Probe for Losses {
-    async fn is_well(&self, address: SocketAddr) -> bool {
+    async fn is_healthy(&self, address: SocketAddr) -> bool {
         !self.lost.lock().contains(&address)
     }
 }
--- a/tests/all/acknowledge.rs
+++ b/tests/all/acknowledge.rs
@@ -25,7 +25,7 @@
     let worker = backend::Backend::bind(address, backend::Options::default()).await?;
     let probe = HttpProbe::open(backend::HEALTH_PATH);
     for _ in 0..100 {
-        assert!(probe.is_well(worker.address()).await);
+        assert!(probe.is_healthy(worker.address()).await);
     }
     Ok(())
 }
