--- a/crates/controller/src/probe.rs
+++ b/crates/controller/src/probe.rs
@@ -27,7 +27,7 @@
 
 impl HttpProbe {
     /// A probe that requests `path`, such as `/healthz`.
-    pub fn open(path: impl Into<Arc<str>>) -> Self {
+    pub fn new(path: impl Into<Arc<str>>) -> Self {
         Self { path: path.into() }
     }
 
--- a/crates/serve/src/parts.rs
+++ b/crates/serve/src/parts.rs
@@ -71,7 +71,7 @@
         keep: Keep::default(),
         instances: Arc::clone(&client) as _,
         tasks: client,
-        probe: Arc::new(HttpProbe::open(fields.health_path)),
+        probe: Arc::new(HttpProbe::new(fields.health_path)),
         backend: Arc::new(Pool::open()),
         dial: Box::new(dial),
         clock: Arc::new(SystemClock),
--- a/crates/testbed/src/parts.rs
+++ b/crates/testbed/src/parts.rs
@@ -54,7 +54,7 @@
         },
         objects: Arc::new(platform.client(name.as_str())),
         keep: Keep::default(),
-        probe: Arc::new(HttpProbe::open(HEALTH_PATH)),
+        probe: Arc::new(HttpProbe::new(HEALTH_PATH)),
         backend: Arc::new(Pool::open()),
         dial: Box::new(Join(network.clone())),
         clock: Arc::new(SystemClock),
--- a/tests/all/acknowledge.rs
+++ b/tests/all/acknowledge.rs
@@ -23,7 +23,7 @@
 async fn healthy_worker() -> Result<()> {
     let address = "127.0.0.1:0".parse()?;
     let worker = backend::Backend::bind(address, backend::Options::default()).await?;
-    let probe = HttpProbe::open(backend::HEALTH_PATH);
+    let probe = HttpProbe::new(backend::HEALTH_PATH);
     for _ in 0..100 {
         assert!(probe.is_healthy(worker.address()).await);
     }
