--- a/crates/controller/src/cycle.rs
+++ b/crates/controller/src/cycle.rs
@@ -5,7 +5,7 @@
     decision::{self, CycleInput, Reboot},
     jobs::{LatestObservation, Observation},
     lease::HeldLease,
-    role::Parts,
+    role::Components,
 };
 use parking_lot::Mutex;
 use primroseroute_domain::{
@@ -28,8 +28,11 @@
 impl CycleState {
     /// The newest instance list. Lists lag, and an older one may be returned after a newer one;
     /// with an older list, an instance that has rebooted would look as if it had not.
-    async fn list(&mut self, parts: &Parts) -> Result<BTreeMap<id::Instance, Listed>, Refusal> {
-        let list = parts.instances.list().await;
+    async fn list(
+        &mut self,
+        components: &Components,
+    ) -> Result<BTreeMap<id::Instance, Listed>, Refusal> {
+        let list = components.instances.list().await;
         let list = list.map_err(|error| Refusal::new(Code::StoreUnavailable, error.to_string()))?;
         if list.as_of >= self.list.as_of {
             self.list = list;
@@ -45,42 +48,42 @@
     /// from the table again.
     pub(crate) async fn cycle(
         &mut self,
-        parts: &Parts,
+        components: &Components,
         held: &HeldLease,
         observation: &LatestObservation,
     ) -> Result<(), Refusal> {
-        let listed = self.list(parts).await?;
-        let rows: BTreeMap<id::Instance, Row> = parts.cell.current().instance_rows();
-        let min_checks = parts.limits.bad_checks;
+        let listed = self.list(components).await?;
+        let rows: BTreeMap<id::Instance, Row> = components.cell.current().instance_rows();
+        let min_checks = components.limits.bad_checks;
         self.health_checks
-            .run_due(&rows, &parts.probe, &parts.timers, min_checks)
+            .run_due(&rows, &components.probe, &components.timers, min_checks)
             .await;
         let input = CycleInput {
             listed,
             checks: self.health_checks.checks().clone(),
             may_plan: self.health_checks.has_min_checks(&rows, min_checks),
-            registered_entries: parts.roster.registered_entries().await?,
-            now: parts.clock.now(),
-            limits: parts.limits,
-            weights: parts.weights,
+            registered_entries: components.roster.registered_entries().await?,
+            now: components.clock.now(),
+            limits: components.limits,
+            weights: components.weights,
         };
         observation.put(Observation::new(
             &input.registered_entries,
             decision::unavailable_instances(&rows, &input),
         ));
-        let reboots = commit(parts, held, &input).await?;
-        request_reboots(parts, reboots).await;
+        let reboots = commit(components, held, &input).await?;
+        request_reboots(components, reboots).await;
         Ok(())
     }
 }
 
 async fn commit(
-    parts: &Parts,
+    components: &Components,
     held: &HeldLease,
     input: &CycleInput,
 ) -> Result<Vec<Reboot>, Refusal> {
     let author = Author {
-        actor: format!("controller:{}", parts.identity.entry).into(),
+        actor: format!("controller:{}", components.identity.entry).into(),
         reason: format!("cycle of epoch {}", held.number()).into(),
         guards: vec![held.guard()],
     };
@@ -91,9 +94,9 @@
         Ok(())
     };
     commit_with_retry(
-        &parts.ledger,
-        &parts.cell,
-        parts.clock.as_ref(),
+        &components.ledger,
+        &components.cell,
+        components.clock.as_ref(),
         &author,
         &decide,
     )
@@ -102,9 +105,9 @@
 }
 
 /// Requests the reboots whose marks were committed in an earlier cycle.
-async fn request_reboots(parts: &Parts, reboots: Vec<Reboot>) {
+async fn request_reboots(components: &Components, reboots: Vec<Reboot>) {
     for Reboot { instance, boots } in reboots {
-        if let Err(error) = parts.instances.reboot(&instance, boots).await {
+        if let Err(error) = components.instances.reboot(&instance, boots).await {
             // Requested again in the next cycle; the boot count makes a repeated call harmless.
             log::warn!("reboot of {instance} was not confirmed: {error}");
         }
--- a/crates/controller/src/housekeeping.rs
+++ b/crates/controller/src/housekeeping.rs
@@ -1,6 +1,6 @@
 //! Housekeeping by the lease holder: deletes old claims and archives old change records.
 
-use crate::{lease::HeldLease, role::Parts};
+use crate::{lease::HeldLease, role::Components};
 use primroseroute_audit::step;
 use primroseroute_claims::Sweep;
 use std::{sync::Arc, time::Duration};
@@ -18,16 +18,16 @@
 }
 
 impl Housekeeping {
-    pub(crate) fn open(parts: &Parts) -> Self {
-        let table = Arc::clone(parts.ledger.table());
+    pub(crate) fn open(components: &Components) -> Self {
+        let table = Arc::clone(components.ledger.table());
         Self {
-            sweep: Sweep::open(table, Arc::clone(&parts.clock)),
+            sweep: Sweep::open(table, Arc::clone(&components.clock)),
             due: Instant::now(),
         }
     }
 
     /// Runs one step of each kind if due. A failed step is retried at the next one.
-    pub(crate) async fn step(&mut self, parts: &Parts, held: &HeldLease) {
+    pub(crate) async fn step(&mut self, components: &Components, held: &HeldLease) {
         if Instant::now() < self.due {
             return;
         }
@@ -35,8 +35,8 @@
         if let Err(error) = self.sweep.step().await {
             log::warn!("could not delete old claims: {error}");
         }
-        let objects = parts.objects.as_ref();
-        if let Err(error) = step(&parts.ledger, objects, held.guard(), parts.keep).await {
+        let objects = components.objects.as_ref();
+        if let Err(error) = step(&components.ledger, objects, held.guard(), components.keep).await {
             log::warn!("could not archive old change records: {error}");
         }
     }
--- a/crates/controller/src/jobs/driver.rs
+++ b/crates/controller/src/jobs/driver.rs
@@ -6,7 +6,7 @@
     observation::{LatestObservation, Observation},
     state::DriverState,
 };
-use crate::{lease::HeldLease, role::Parts};
+use crate::{lease::HeldLease, role::Components};
 use parking_lot::Mutex;
 use primroseroute_domain::{
     id,
@@ -43,12 +43,12 @@
 impl DriverHandle {
     /// Spawns the driver under the epoch of `held`.
     pub(crate) fn spawn(
-        parts: Parts,
+        components: Components,
         held: HeldLease,
         latest_observation: Arc<LatestObservation>,
     ) -> Self {
         let mut task = JoinSet::new();
-        task.spawn(Driver::new(parts, held, latest_observation).run());
+        task.spawn(Driver::new(components, held, latest_observation).run());
         Self { _task: task }
     }
 }
@@ -62,7 +62,7 @@
 }
 
 struct Driver {
-    parts: Parts,
+    components: Components,
     held: HeldLease,
     latest_observation: Arc<LatestObservation>,
     caller: TaskCaller,
@@ -73,14 +73,18 @@
 }
 
 impl Driver {
-    fn new(parts: Parts, held: HeldLease, latest_observation: Arc<LatestObservation>) -> Self {
+    fn new(
+        components: Components,
+        held: HeldLease,
+        latest_observation: Arc<LatestObservation>,
+    ) -> Self {
         let caller = TaskCaller {
-            tasks: Arc::clone(&parts.tasks),
+            tasks: Arc::clone(&components.tasks),
             permits: Arc::new(Semaphore::new(MAX_CONCURRENT_CALLS)),
         };
         let started = Instant::now();
         Self {
-            parts,
+            components,
             held,
             latest_observation,
             caller,
@@ -92,7 +96,7 @@
     }
 
     async fn run(mut self) {
-        let mut ticks = interval(self.parts.jobs.cycle);
+        let mut ticks = interval(self.components.jobs.cycle);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -135,14 +139,21 @@
             *decision.lock() = Some(self.decide(snapshot, reports.as_deref(), draft)?);
             Ok(())
         };
-        let parts = &self.parts;
+        let components = &self.components;
         let author = Author {
-            actor: format!("controller:{}", parts.identity.entry).into(),
+            actor: format!("controller:{}", components.identity.entry).into(),
             reason: format!("jobs of epoch {}", self.held.number()).into(),
             guards: vec![self.held.guard()],
         };
-        let clock = parts.clock.as_ref();
-        let record = commit_with_retry(&parts.ledger, &parts.cell, clock, &author, &decide).await?;
+        let clock = components.clock.as_ref();
+        let record = commit_with_retry(
+            &components.ledger,
+            &components.cell,
+            clock,
+            &author,
+            &decide,
+        )
+        .await?;
         let Some(decision) = decision.into_inner() else {
             return Ok(());
         };
@@ -155,7 +166,7 @@
 
     /// The task reports, or `None` if they could not be read.
     async fn reports(&self) -> Option<Vec<Report>> {
-        match timeout(REPORTS_TIMEOUT, self.parts.tasks.reports()).await {
+        match timeout(REPORTS_TIMEOUT, self.components.tasks.reports()).await {
             Ok(Ok(reports)) => Some(reports),
             Ok(Err(error)) => {
                 log::warn!("could not read task reports: {error}");
@@ -171,7 +182,7 @@
     /// Fails if another controller has taken over. A plan without rows needs this check, as it
     /// commits nothing that would detect the takeover.
     async fn verify_epoch(&self) -> Result<(), Refusal> {
-        let table = self.parts.ledger.table();
+        let table = self.components.ledger.table();
         let row = table.read(&key::EPOCH.into()).await;
         let row = row.map_err(|error| Refusal::new(Code::StoreUnavailable, error.to_string()))?;
         if row.is_some_and(|row| self.held.matches_epoch(row.revision)) {
@@ -188,8 +199,8 @@
     ) -> Result<Decision, Refusal> {
         let decided_at = Instant::now();
         let now = decided_at.saturating_duration_since(self.started);
-        let wall = self.parts.clock.now();
-        let settings = &self.parts.jobs;
+        let wall = self.components.clock.now();
+        let settings = &self.components.jobs;
         let mut state = if let Some(state) = &self.state {
             let mut state = state.clone();
             state.apply_snapshot(snapshot, settings, now)?;
@@ -223,7 +234,7 @@
         observation: Option<&Observation>,
         at: Instant,
     ) -> BTreeMap<id::Instance, Worker> {
-        let settings = &self.parts.jobs;
+        let settings = &self.components.jobs;
         // Between the thresholds, so that an unknown pressure neither starts nor ends throttling.
         let unknown = f64::midpoint(settings.limits.pressure_low, settings.limits.pressure_high);
         let rows = snapshot.instances().values().map(|row| &row.value);
@@ -244,7 +255,7 @@
         match row.state {
             instance::State::Serving if at >= self.starts_blocked_until => Availability::Open,
             instance::State::Draining => {
-                let spent = self.parts.clock.now().since(row.since);
+                let spent = self.components.clock.now().since(row.since);
                 let now = at.saturating_duration_since(self.started);
                 Availability::Draining(now + settings.drain.saturating_sub(spent))
             }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -36,5 +36,5 @@
 
 pub use lease::{Epoch, Lease};
 pub use probe::{HttpProbe, Probe};
-pub use role::{Controller, Parts, Timers};
+pub use role::{Components, Controller, Timers};
 pub use roster::{RegisteredEntry, Roster, acknowledgements};
--- a/crates/controller/src/role.rs
+++ b/crates/controller/src/role.rs
@@ -56,7 +56,7 @@
 
 /// Dependencies and settings of the role.
 #[derive(Clone, Debug)]
-pub struct Parts {
+pub struct Components {
     /// Name and incarnation of the entry.
     pub identity: Identity,
     /// Ledger to which changes are committed.
@@ -100,10 +100,10 @@
 
 impl Controller {
     /// Spawns the task that contends for the lease.
-    pub fn spawn(parts: Parts) -> Self {
+    pub fn spawn(components: Components) -> Self {
         let holder = Arc::new(Mutex::new(None));
         let stop = watch::Sender::new(false);
-        let role = Role::new(parts, Arc::clone(&holder));
+        let role = Role::new(components, Arc::clone(&holder));
         let task = tokio::spawn(role.run(stop.subscribe()));
         Self {
             holder,
@@ -137,7 +137,7 @@
 }
 
 struct Role {
-    parts: Parts,
+    components: Components,
     contender: Contender,
     held: Option<HeldLease>,
     cycle_state: CycleState,
@@ -149,17 +149,17 @@
 }
 
 impl Role {
-    fn new(parts: Parts, holder: Arc<Mutex<Option<id::Entry>>>) -> Self {
+    fn new(components: Components, holder: Arc<Mutex<Option<id::Entry>>>) -> Self {
         let contender = Contender::new(
-            Arc::clone(parts.ledger.table()),
-            parts.identity.entry.clone(),
-            parts.identity.incarnation,
-            parts.timers.lease,
+            Arc::clone(components.ledger.table()),
+            components.identity.entry.clone(),
+            components.identity.incarnation,
+            components.timers.lease,
         );
         let cycle_state = CycleState::default();
-        let housekeeping = Housekeeping::open(&parts);
+        let housekeeping = Housekeeping::open(&components);
         Self {
-            parts,
+            components,
             contender,
             held: None,
             cycle_state,
@@ -192,12 +192,12 @@
     async fn round(&mut self) -> Duration {
         self.maintain_lease().await;
         let Some(held) = self.held.clone() else {
-            return self.parts.timers.renew;
+            return self.components.timers.renew;
         };
         match timeout(
             CYCLE_TIMEOUT,
             self.cycle_state
-                .cycle(&self.parts, &held, &self.observation),
+                .cycle(&self.components, &held, &self.observation),
         )
         .await
         {
@@ -205,13 +205,13 @@
             Ok(Err(refusal)) => log::warn!("controller cycle failed: {refusal}"),
             Err(elapsed) => log::warn!("controller cycle timed out: {elapsed}"),
         }
-        self.housekeeping.step(&self.parts, &held).await;
-        self.parts.timers.cycle
+        self.housekeeping.step(&self.components, &held).await;
+        self.components.timers.cycle
     }
 
     async fn maintain_lease(&mut self) {
-        let now = self.parts.clock.now();
-        let limit = self.parts.timers.renew;
+        let now = self.components.clock.now();
+        let limit = self.components.timers.renew;
         let outcome = match &self.held {
             Some(_) if self.renewed_at.elapsed() < limit => return,
             Some(held) => timeout(limit, self.contender.renew(held, now)).await,
@@ -236,15 +236,16 @@
         match held {
             None => self.job_driver = None,
             Some(held) if self.job_driver.is_none() => {
-                let (parts, observation) = (self.parts.clone(), Arc::clone(&self.observation));
-                self.job_driver = Some(DriverHandle::spawn(parts, held.clone(), observation));
+                let (components, observation) =
+                    (self.components.clone(), Arc::clone(&self.observation));
+                self.job_driver = Some(DriverHandle::spawn(components, held.clone(), observation));
             }
             Some(_) => {}
         }
     }
 
     fn log_transition(&self, held: Option<&HeldLease>) {
-        let name = &self.parts.identity.entry;
+        let name = &self.components.identity.entry;
         match (&self.held, held) {
             (None, Some(held)) => log::info!("{name} acquired the lease, epoch {}", held.number()),
             (Some(_), None) => log::warn!("{name} lost the lease"),
--- a/crates/controller/tests/all/jobs/simulation.rs
+++ b/crates/controller/tests/all/jobs/simulation.rs
@@ -4,7 +4,7 @@
 use parking_lot::Mutex;
 use primroseroute_audit::Keep;
 use primroseroute_controller::{
-    Controller, Parts, Probe, RegisteredEntry, Roster, Timers, jobs::Settings,
+    Components, Controller, Probe, RegisteredEntry, Roster, Timers, jobs::Settings,
 };
 use primroseroute_domain::{
     account::{Budget, Pool, Survive, Template},
@@ -237,7 +237,7 @@
     pub fn start(&mut self, entry: &str) {
         let table = Arc::new(self.client(entry, "table"));
         let cell: Arc<SnapshotCell> = Arc::default();
-        let controller = Controller::spawn(Parts {
+        let controller = Controller::spawn(Components {
             identity: Identity {
                 entry: name(entry),
                 incarnation: Uuid::new_v4(),
--- a/crates/controller/tests/all/waves/simulation.rs
+++ b/crates/controller/tests/all/waves/simulation.rs
@@ -4,7 +4,9 @@
 use async_trait::async_trait;
 use parking_lot::Mutex;
 use primroseroute_audit::Keep;
-use primroseroute_controller::{Controller, Parts, Probe, RegisteredEntry, Roster, Timers, jobs};
+use primroseroute_controller::{
+    Components, Controller, Probe, RegisteredEntry, Roster, Timers, jobs,
+};
 use primroseroute_domain::{
     account::Template,
     id,
@@ -229,7 +231,7 @@
         let paused = watch::Sender::new(false);
         let client = self.platform.client(&format!("controller-{index}"));
         let pausable_client = Arc::new(PausableClient::open(client.clone(), paused.subscribe()));
-        let controller = Controller::spawn(Parts {
+        let controller = Controller::spawn(Components {
             identity: Identity {
                 entry: entry.name.clone(),
                 incarnation: Uuid::from_u128(self.incarnations),
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -12,7 +12,7 @@
 use primroseroute_admin::{Admin, Parts as AdminParts};
 use primroseroute_audit::Trail;
 use primroseroute_claims::{Claims, Options};
-use primroseroute_controller::{Controller, Parts as ControllerParts, Roster};
+use primroseroute_controller::{Components as ControllerComponents, Controller, Roster};
 use primroseroute_domain::change::Seq;
 use primroseroute_ledger::Ledger;
 use primroseroute_peer::Local;
@@ -60,7 +60,7 @@
             .wrap_err("opening the peer link")?;
         core.link.set(dialed.link).expect("the link is set once");
 
-        let controller = Controller::spawn(ControllerParts {
+        let controller = Controller::spawn(ControllerComponents {
             identity: core.identity.clone(),
             ledger: core.ledger.clone(),
             cell: Arc::clone(&core.cell),
