--- a/crates/controller/src/jobs/driver.rs
+++ b/crates/controller/src/jobs/driver.rs
@@ -257,7 +257,7 @@
             instance::State::Draining => {
                 let spent = self.components.clock.now().since(row.since);
                 let now = at.saturating_duration_since(self.started);
-                Availability::Draining(now + settings.drain.saturating_sub(spent))
+                Availability::Draining(now + settings.drain_timeout.saturating_sub(spent))
             }
             _ => Availability::Closed,
         }
--- a/crates/controller/src/jobs/mod.rs
+++ b/crates/controller/src/jobs/mod.rs
@@ -63,7 +63,7 @@
     /// Limits of the scheduler.
     pub limits: Limits,
     /// How long a drain waits for checkpoints before jobs are stopped without one.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// Interval between plans.
     pub cycle: Duration,
 }
@@ -82,7 +82,7 @@
                 starts: MAX_STARTS,
                 ..Limits::default()
             },
-            drain: Duration::from_secs(60),
+            drain_timeout: Duration::from_secs(60),
             cycle: Duration::from_secs(2),
         }
     }
