--- a/crates/controller/src/cycle.rs
+++ b/crates/controller/src/cycle.rs
@@ -44,8 +44,8 @@
     /// Runs one cycle.
     ///
     /// # Errors
-    /// If the platform could not be read or the change could not be committed; the next cycle starts
-    /// from the table again.
+    /// If the platform could not be read or the change could not be committed; the next cycle
+    /// starts from the table again.
     pub(crate) async fn cycle(
         &mut self,
         components: &Components,
--- a/crates/controller/src/decision.rs
+++ b/crates/controller/src/decision.rs
@@ -28,7 +28,8 @@
 pub(crate) struct CycleInput {
     pub listed: BTreeMap<id::Instance, Listed>,
     pub checks: BTreeMap<id::Instance, Checks>,
-    /// Whether planned work may take instances out of service; false while losses may be undetected.
+    /// Whether planned work may take instances out of service; false while losses may be
+    /// undetected.
     pub may_plan: bool,
     pub registered_entries: Vec<RegisteredEntry>,
     pub now: Instant,
--- a/crates/controller/src/jobs/acknowledgement.rs
+++ b/crates/controller/src/jobs/acknowledgement.rs
@@ -15,8 +15,8 @@
 /// Name under which the tasks acknowledge; an entry of the same name does no harm.
 const TASKS_NAME: &str = "tasks";
 
-/// The tasks' acknowledgement of every drain. Each job that runs or may run on an instance counts as
-/// in flight.
+/// The tasks' acknowledgement of every drain. Each job that runs or may run on an instance counts
+/// as in flight.
 ///
 /// The rows are those of the snapshot on which the lifecycle decides, and starts are ordered by the
 /// same head, so no start can be committed between this count and the change that ends the drain.
--- a/crates/controller/src/jobs/mod.rs
+++ b/crates/controller/src/jobs/mod.rs
@@ -5,11 +5,12 @@
 //!
 //! # A cycle
 //!
-//! The task reports are read first. Inside [`primroseroute_view::commit_with_retry`], on the newest rows, a copy
-//! of the scheduler applies the operators' changes and the reports, and plans. All rows of the plan,
-//! and the rows of instances that it quarantines, are committed as one change that is conditional on
-//! the epoch. Only after the commit does the copy replace the scheduler and are the calls sent. A
-//! plan without rows commits nothing; in that case the epoch row is read before anything is sent.
+//! The task reports are read first. Inside [`primroseroute_view::commit_with_retry`], on the newest
+//! rows, a copy of the scheduler applies the operators' changes and the reports, and plans. All
+//! rows of the plan, and the rows of instances that it quarantines, are committed as one change
+//! that is conditional on the epoch. Only after the commit does the copy replace the scheduler and
+//! are the calls sent. A plan without rows commits nothing; in that case the epoch row is read
+//! before anything is sent.
 //!
 //! # Commits with an unknown outcome
 //!
@@ -19,14 +20,14 @@
 //!
 //! # Paused controllers
 //!
-//! Each call is sent within [`calls::SEND_TIMEOUT`] of the decision that was validated by the epoch, or not
-//! at all. A successor assumes that each run was renewed until one whole lease after its takeover,
-//! which is longer.
+//! Each call is sent within `calls::SEND_TIMEOUT` of the decision that was validated by the
+//! epoch, or not at all. A successor assumes that each run was renewed until one whole lease after
+//! its takeover, which is longer.
 //!
 //! # Drains
 //!
-//! [`drain_acknowledgement`] adds an acknowledgement of the tasks to those of the entries: an instance is not empty
-//! as long as a row says that a job runs or may run there.
+//! [`drain_acknowledgement`] adds an acknowledgement of the tasks to those of the entries: an
+//! instance is not empty as long as a row says that a job runs or may run there.
 
 mod acknowledgement;
 mod calls;
@@ -44,8 +45,8 @@
 use primroseroute_platform::task::Resources;
 use std::time::Duration;
 
-/// Starts per plan. With as many ends and as many deletions that makes 300 rows in 2 s, a quarter of
-/// the store's write rate.
+/// Starts per plan. With as many ends and as many deletions that makes 300 rows in 2 s, a quarter
+/// of the store's write rate.
 const MAX_STARTS: usize = 100;
 
 /// Default cores of a worker.
--- a/crates/controller/src/jobs/observation.rs
+++ b/crates/controller/src/jobs/observation.rs
@@ -24,7 +24,8 @@
 }
 
 impl Observation {
-    /// Sums the loads that the entries in `registered_entries` report; `absent` are the unavailable instances.
+    /// Sums the loads that the entries in `registered_entries` report; `absent` are the unavailable
+    /// instances.
     pub(crate) fn new(
         registered_entries: &[RegisteredEntry],
         absent: BTreeSet<id::Instance>,
--- a/crates/controller/src/jobs/row_cache.rs
+++ b/crates/controller/src/jobs/row_cache.rs
@@ -10,7 +10,7 @@
 use primroseroute_view::Snapshot;
 use std::{collections::BTreeMap, ops::Bound, sync::Arc};
 
-/// Rows of ended jobs that are retained for operators, newest first.
+/// Number of ended jobs, the newest ones, whose rows are retained for operators.
 const MAX_ENDED_ROWS: usize = 1000;
 
 /// Rows of ended jobs that one change deletes at most.
--- a/crates/controller/src/jobs/state.rs
+++ b/crates/controller/src/jobs/state.rs
@@ -100,7 +100,8 @@
         let same_start = own.token == row.token;
         match (&own.state, &row.state) {
             (own, theirs) if own == theirs && same_start => RowChange::Unchanged,
-            // The scheduler knows that the start had no effect; the next change will update the row.
+            // The scheduler knows that the start had no effect; the next change will update the
+            // row.
             (Job::Queued, Job::Running(_)) | (Job::Cancelled, Job::Cancelling(_)) if same_start => {
                 RowChange::Unchanged
             }
--- a/crates/controller/src/lease.rs
+++ b/crates/controller/src/lease.rs
@@ -197,8 +197,8 @@
     /// Renews a held lease; returns `None` if another entry has acquired it.
     ///
     /// If the response was lost the lease may have been renewed with an unknown revision, and the
-    /// next renewal conflicts. The holder then gives up its role and contends again, which costs one
-    /// lease duration but never results in two holders.
+    /// next renewal conflicts. The holder then gives up its role and contends again, which costs
+    /// one lease duration but never results in two holders.
     pub(crate) async fn renew(
         &mut self,
         held: &HeldLease,
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -20,9 +20,10 @@
 //!
 //! The instance list, the health checks and the entries' acknowledgements are read first. Then the
 //! pure decisions of the `fleet` crate run on the newest snapshot, inside
-//! [`primroseroute_view::commit_with_retry`], and all rows that they write are committed as one change. If
-//! another change was committed first they run again, so a budget that was checked holds at the
-//! commit. A successor continues from the table alone; only the health check counts start over.
+//! [`primroseroute_view::commit_with_retry`], and all rows that they write are committed as one
+//! change. If another change was committed first they run again, so a budget that was checked holds
+//! at the commit. A successor continues from the table alone; only the health check counts start
+//! over.
 
 mod checks;
 mod cycle;
--- a/crates/controller/src/probe.rs
+++ b/crates/controller/src/probe.rs
@@ -46,8 +46,8 @@
             eyre::Ok(status)
         };
         let mut exchange = pin!(exchange);
-        // The connection is polled here instead of in its own task, so it always ends with the check.
-        // It may complete before the exchange has read the response, which is not a failure.
+        // The connection is polled here instead of in its own task, so it always ends with the
+        // check. It may complete before the exchange has read the response, which is not a failure.
         tokio::select! {
             status = &mut exchange => status,
             ended = connection => {
--- a/crates/controller/src/role.rs
+++ b/crates/controller/src/role.rs
@@ -188,7 +188,8 @@
         }
     }
 
-    /// Contends for the lease, or renews it and runs a cycle; returns the delay until the next round.
+    /// Contends for the lease, or renews it and runs a cycle; returns the delay until the next
+    /// round.
     async fn round(&mut self) -> Duration {
         self.maintain_lease().await;
         let Some(held) = self.held.clone() else {
@@ -225,7 +226,8 @@
                 self.renewed_at = Instant::now();
             }
             // A holder that cannot reach the store keeps its epoch: its changes are fenced by the
-            // epoch row, and once the store is back the next renewal tells whether it is still valid.
+            // epoch row, and once the store is back the next renewal tells whether it is still
+            // valid.
             Ok(Err(error)) => log::warn!("could not read or renew the controller lease: {error}"),
             Err(elapsed) => log::warn!("access to the controller lease timed out: {elapsed}"),
         }
--- a/crates/controller/src/roster.rs
+++ b/crates/controller/src/roster.rs
@@ -35,7 +35,7 @@
 pub struct RegisteredEntry {
     /// Name of the entry.
     pub entry: id::Entry,
-    /// Latest report of its current incarnation; `None` while it has not reported.
+    /// Latest report of its current incarnation; `None` while it is unresponsive.
     pub report: Option<Report>,
 }
 
--- a/crates/controller/tests/all/jobs/lifecycle.rs
+++ b/crates/controller/tests/all/jobs/lifecycle.rs
@@ -76,8 +76,8 @@
     all_done(&sim, 41).await;
 }
 
-/// All calls of the holder hang for two minutes, and another takes over. When the holder resumes, its
-/// epoch is outdated: it must start nothing, renew nothing, and write no rows.
+/// All calls of the holder hang for two minutes, and another takes over. When the holder resumes,
+/// its epoch is outdated: it must start nothing, renew nothing, and write no rows.
 async fn resumes() {
     let mut sim = open().await;
     let jobs = names("j", 60);
@@ -161,8 +161,9 @@
     assert!(sim.starts() > 1, "the lease has not expired");
 }
 
-/// Most of the cancelled jobs are queued, at least 18 run, and the first stop calls are lost. Each run
-/// must end by a stop and not by lease expiry, and the cancellation must take only a few changes.
+/// Most of the cancelled jobs are queued, at least 18 run, and the first stop calls are lost. Each
+/// run must end by a stop and not by lease expiry, and the cancellation must take only a few
+/// changes.
 async fn cancellations() {
     let sim = open().await;
     let jobs = names("j", 200);
@@ -190,8 +191,8 @@
     sim.assert_single();
 }
 
-/// A worker passes its health checks but fails every job. The jobs must run on other workers, and the
-/// worker must stay out of service until an operator puts it back.
+/// A worker passes its health checks but fails every job. The jobs must run on other workers, and
+/// the worker must stay out of service until an operator puts it back.
 async fn faulty_worker() {
     let sim = open().await;
     sim.platform
--- a/crates/controller/tests/all/jobs/operator.rs
+++ b/crates/controller/tests/all/jobs/operator.rs
@@ -86,7 +86,7 @@
                 .ledger
                 .records_after(at, 100)
                 .await
-                .expect("it answers");
+                .expect("the store answers");
             if more.is_empty() {
                 return records;
             }
--- a/crates/controller/tests/all/jobs/races.rs
+++ b/crates/controller/tests/all/jobs/races.rs
@@ -36,8 +36,8 @@
     sleep(20 * SECOND).await;
 }
 
-/// The holder is paused until another has taken over, and resumes while renewals of its runs are due.
-/// Its plan has no rows, so no commit reveals that its epoch is outdated.
+/// The holder is paused until another has taken over, and resumes while renewals of its runs are
+/// due. Its plan has no rows, so no commit reveals that its epoch is outdated.
 async fn resumed() {
     let mut sim = open().await;
     start_long_runs(&sim).await;
@@ -169,7 +169,8 @@
     assert_eq!(sim.instance("w0").await.state, instance::State::Draining);
 }
 
-/// The platform refuses every start for two minutes. Each attempt writes a row, so there must be few.
+/// The platform refuses every start for two minutes. Each attempt writes a row, so there must be
+/// few.
 async fn refused() {
     let sim = open().await;
     sim.prove("k", quarter()).await;
--- a/crates/controller/tests/all/waves/fault.rs
+++ b/crates/controller/tests/all/waves/fault.rs
@@ -76,8 +76,8 @@
     sim.restart(index);
 }
 
-/// Pauses the holder for longer than its lease, so that another takes over and the paused one resumes
-/// in the middle of an operation.
+/// Pauses the holder for longer than its lease, so that another takes over and the paused one
+/// resumes in the middle of an operation.
 async fn pause_holder(sim: &mut Simulation) {
     let Some(index) = holder(sim) else { return };
     sim.controllers[index].paused.send_replace(true);
--- a/crates/controller/tests/all/waves/mod.rs
+++ b/crates/controller/tests/all/waves/mod.rs
@@ -1,5 +1,5 @@
-//! Complete waves in both example deployments, for several seeds, with faults of the platform and of
-//! processes. The independent checker verifies the committed rows and the entries' views.
+//! Complete waves in both example deployments, for several seeds, with faults of the platform and
+//! of processes. The independent checker verifies the committed rows and the entries' views.
 
 mod entry;
 mod fault;
--- a/crates/controller/tests/all/waves/simulation.rs
+++ b/crates/controller/tests/all/waves/simulation.rs
@@ -41,7 +41,8 @@
 };
 use uuid::Uuid;
 
-/// Racks of four workers in each of three availability zones: 52 workers, of which the pools need 49.
+/// Racks of four workers in each of three availability zones: 52 workers, of which the pools need
+/// 49.
 const RACKS: [usize; 3] = [5, 4, 4];
 const RACK_SIZE: usize = 4;
 
@@ -367,8 +368,8 @@
         }
     }
 
-    /// Asserts that every instance was rebooted, except for those that the wave reports as failed or
-    /// could not reboot: their reboots hung, an operator took them out, or they were lost.
+    /// Asserts that every instance was rebooted, except for those that the wave reports as failed
+    /// or could not reboot: their reboots hung, an operator took them out, or they were lost.
     pub fn assert_all_maintained(&self, wave: &Wave, seed: u64) {
         let losses = self.losses();
         let excused = |id: &id::Instance| {
--- a/crates/ledger/src/commit.rs
+++ b/crates/ledger/src/commit.rs
@@ -238,7 +238,8 @@
                         Err(Error::Conflict(conflicting_key))
                     };
                 }
-                // The record is written together with the head, so a guard row changed, not the head.
+                // The record is written together with the head, so a guard row changed, not the
+                // head.
                 Ok(None) => return Err(Error::Conflict(conflicting_key)),
                 Err(_) => tokio::time::sleep(delay).await,
             }
--- a/crates/ledger/tests/all/commit.rs
+++ b/crates/ledger/tests/all/commit.rs
@@ -40,12 +40,12 @@
     let (platform, ledger) = open();
     platform.faults().lose_answers(Kind::Commit, 1);
     let record = ledger.commit(&draft(&ledger, "account/a", 1).await).await;
-    assert_eq!(record.expect("it stands").seq, Seq(1));
+    assert_eq!(record.expect("the change is committed").seq, Seq(1));
     assert_eq!(
         ledger
             .records_after(Seq(0), 10)
             .await
-            .expect("it answers")
+            .expect("the store answers")
             .len(),
         1
     );
@@ -55,12 +55,13 @@
     let (platform, ledger) = open();
     platform.faults().lose_requests(Kind::Commit, 1);
     let record = ledger.commit(&draft(&ledger, "account/a", 1).await).await;
-    assert_eq!(record.expect("it stands").seq, Seq(1));
+    assert_eq!(record.expect("the change is committed").seq, Seq(1));
     assert_eq!(value(&ledger, "account/a").await, Some((Seq(1), 1)));
 }
 
-/// The response is lost and the commit takes effect only seconds later, after the writer has sent it
-/// again. The second attempt commits; the late one must change nothing although it is the same change.
+/// The response is lost and the commit takes effect only seconds later, after the writer has sent
+/// it again. The second attempt commits; the late one must change nothing although it is the same
+/// change.
 async fn late_effect() {
     let (platform, ledger) = open();
     platform
@@ -76,7 +77,7 @@
         .expect("no concurrent change");
     tokio::time::sleep(Duration::from_secs(10)).await;
     assert_eq!(value(&ledger, "account/a").await, Some((Seq(2), 2)));
-    assert_eq!(ledger.head().await.expect("it answers").seq, Seq(2));
+    assert_eq!(ledger.head().await.expect("the store answers").seq, Seq(2));
 }
 
 /// The writer's request is lost, and another writer commits before the retry. The record with that
@@ -138,5 +139,5 @@
         .expect_err("the epoch has changed");
     assert_eq!(error, Error::Conflict("epoch/controller".into()));
     assert_eq!(value(&ledger, "account/a").await, None);
-    assert_eq!(ledger.head().await.expect("it answers").seq, Seq(0));
+    assert_eq!(ledger.head().await.expect("the store answers").seq, Seq(0));
 }
--- a/crates/view/src/route.rs
+++ b/crates/view/src/route.rs
@@ -75,7 +75,8 @@
         }
     }
 
-    /// The service for a request to `host` (without its port) and `path`; the host takes precedence.
+    /// The service for a request to `host` (without its port) and `path`; the host takes
+    /// precedence.
     pub fn find(&self, host: Option<&str>, path: &str) -> Option<&Arc<Target>> {
         host.and_then(|host| self.hosts.get(host))
             .or_else(|| self.by_prefix(path))
--- a/crates/view/src/snapshot.rs
+++ b/crates/view/src/snapshot.rs
@@ -65,8 +65,8 @@
     /// The snapshot after `record`; records at or before this snapshot are ignored.
     ///
     /// # Errors
-    /// [`ApplyError::Gap`] if records in between are missing, [`ApplyError::Corrupt`] if a row cannot be
-    /// decoded.
+    /// [`ApplyError::Gap`] if records in between are missing, [`ApplyError::Corrupt`] if a row
+    /// cannot be decoded.
     pub fn apply(&self, record: &Record) -> Result<Self, ApplyError> {
         if record.seq <= self.seq {
             return Ok(self.clone());
--- a/crates/view/src/snapshot_cell.rs
+++ b/crates/view/src/snapshot_cell.rs
@@ -61,7 +61,8 @@
     /// Applies records in order and publishes the result; returns whether the snapshot changed.
     ///
     /// # Errors
-    /// [`ApplyError`] for the first record that cannot be applied; the records before it are published.
+    /// [`ApplyError`] for the first record that cannot be applied; the records before it are
+    /// published.
     pub fn apply(&self, records: &[Record]) -> Result<bool, ApplyError> {
         let mut recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
         let start = self.current.load().seq();
--- a/crates/view/src/token.rs
+++ b/crates/view/src/token.rs
@@ -25,7 +25,8 @@
 }
 
 impl Digest {
-    /// Parses the hexadecimal hash of a template; `None` if it is malformed, so it matches no token.
+    /// Parses the hexadecimal hash of a template; `None` if it is malformed, so it matches no
+    /// token.
     fn parse(hash: &TokenHash) -> Option<Self> {
         let text = hash.0.as_bytes();
         if text.len() != 64 {
@@ -60,7 +61,8 @@
     /// The account whose token has this digest.
     ///
     /// Every hash is compared in full and in constant time, so the duration reveals nothing about
-    /// how close a guess was. Comparing whole words keeps that cheap: a site has hundreds of tokens.
+    /// how close a guess was. Comparing whole words keeps that cheap: a site has hundreds of
+    /// tokens.
     pub(crate) fn find(&self, digest: &Digest) -> Option<&id::Account> {
         let mut found = u64::MAX;
         for (index, (known, _)) in (0_u64..).zip(&self.0) {
--- a/crates/view/tests/all/commit_with_retry.rs
+++ b/crates/view/tests/all/commit_with_retry.rs
@@ -35,8 +35,8 @@
     );
 }
 
-/// Three entries concurrently increment a share ten times each. Committing a decision that was based
-/// on an older state would lose increments.
+/// Three entries concurrently increment a share ten times each. Committing a decision that was
+/// based on an older state would lose increments.
 async fn concurrent_increments() {
     let platform = Platform::open(5, Options::default());
     platform
@@ -67,7 +67,7 @@
     let cell = SnapshotCell::default();
     primroseroute_view::poll(&ledger, &cell)
         .await
-        .expect("it answers");
+        .expect("the store answers");
     assert_eq!(
         cell.current()
             .accounts()
@@ -98,7 +98,7 @@
         done.map_err(|refusal| refusal.code),
         Err(Code::BudgetForbids)
     );
-    assert_eq!(ledger.head().await.expect("it answers").seq.0, 0);
+    assert_eq!(ledger.head().await.expect("the store answers").seq.0, 0);
 }
 
 async fn empty() {
@@ -114,5 +114,5 @@
     )
     .await;
     assert_eq!(done, Ok(None));
-    assert_eq!(ledger.head().await.expect("it answers").seq.0, 0);
+    assert_eq!(ledger.head().await.expect("the store answers").seq.0, 0);
 }
--- a/crates/view/tests/all/main.rs
+++ b/crates/view/tests/all/main.rs
@@ -1,9 +1,10 @@
-//! Views over the platform stand-in: they never go back, are complete, and lose no concurrent change.
+//! Views over the platform stand-in: they never go back, are complete, and lose no concurrent
+//! change.
 
 mod commit_with_retry;
-mod follow;
 mod routes;
 mod snapshot_cell;
+mod sync;
 
 /// Defines a named test per case; all run with paused time.
 macro_rules! cases {
--- a/crates/view/tests/all/snapshot_cell.rs
+++ b/crates/view/tests/all/snapshot_cell.rs
@@ -36,7 +36,7 @@
 
 fn snapshot(seq: u64, share: u32) -> Snapshot {
     let row = record(seq, share).edits.remove(0);
-    let rows = [(row.key, row.after.expect("it sets a row"))];
+    let rows = [(row.key, row.after.expect("the edit sets a row"))];
     Snapshot::from_rows(Seq(seq), rows).expect("the row is readable")
 }
 
@@ -53,7 +53,7 @@
 fn lower_record() {
     let cell = SnapshotCell::default();
     cell.apply(&[record(1, 10), record(2, 20)])
-        .expect("they follow each other");
+        .expect("the records are consecutive");
     assert_eq!(cell.apply(&[record(1, 11)]), Ok(false));
     assert_eq!((cell.current().seq(), share(&cell)), (Seq(2), 20));
 }
@@ -76,7 +76,7 @@
 fn after_loaded_snapshot() {
     let cell = SnapshotCell::default();
     cell.apply(&[record(1, 10), record(2, 20)])
-        .expect("they follow each other");
+        .expect("the records are consecutive");
     cell.publish_if_newer(snapshot(7, 70));
     cell.apply(&[record(8, 80)])
         .expect("the record is the next one");
@@ -90,7 +90,7 @@
     let cell = SnapshotCell::default();
     for seq in 1..=1000 {
         cell.apply(&[record(seq, 1)])
-            .expect("they follow each other");
+            .expect("the records are consecutive");
     }
     assert_eq!(cell.records_after(Seq(0)), None);
     assert_eq!(
@@ -102,7 +102,8 @@
 fn subscriber() {
     let cell = SnapshotCell::default();
     let mut newest = cell.subscribe();
-    cell.apply(&[record(1, 10)]).expect("it is the first");
+    cell.apply(&[record(1, 10)])
+        .expect("the record is the first one");
     assert!(newest.has_changed().expect("the cell exists"));
     assert_eq!(*newest.borrow_and_update(), Seq(1));
     cell.apply(&[record(1, 10)])
@@ -112,7 +113,8 @@
 
 fn corrupt() {
     let cell = SnapshotCell::default();
-    cell.apply(&[record(1, 10)]).expect("it is the first");
+    cell.apply(&[record(1, 10)])
+        .expect("the record is the first one");
     let mut bad = record(2, 20);
     bad.edits[0].after = Some("{}".into());
     assert!(matches!(
--- a/crates/view/tests/all/follow.rs
+++ b/crates/view/tests/all/sync.rs
@@ -29,7 +29,7 @@
 }
 
 async fn write(ledger: &Ledger, account: &str, share: u32) {
-    let head = ledger.head().await.expect("it answers");
+    let head = ledger.head().await.expect("the store answers");
     let id = Uuid::from_u128(u128::from(head.seq.0) + 1);
     let mut change = Draft::new(head, Instant(1), "operator:test", "test", id);
     let template = template(account, share);
@@ -49,9 +49,9 @@
     let (platform, ledger) = open();
     write(&ledger, "a", 1).await;
     let cell = SnapshotCell::default();
-    poll(&ledger, &cell).await.expect("it answers");
+    poll(&ledger, &cell).await.expect("the store answers");
     let before = platform.tally();
-    poll(&ledger, &cell).await.expect("it answers");
+    poll(&ledger, &cell).await.expect("the store answers");
     let after = platform.tally();
     assert_eq!(after.of(Kind::Read).calls - before.of(Kind::Read).calls, 1);
     assert_eq!(after.of(Kind::Scan).calls, before.of(Kind::Scan).calls);
@@ -103,8 +103,8 @@
     assert_eq!((cell.current().seq(), shares(&cell)), (Seq(5), vec![5]));
 }
 
-/// Rows are loaded while a writer keeps setting two accounts to the same share. A load that mixed two
-/// states would see different shares.
+/// Rows are loaded while a writer keeps setting two accounts to the same share. A load that mixed
+/// two states would see different shares.
 async fn load_during_writes() {
     let (platform, ledger) = open();
     platform
@@ -114,7 +114,7 @@
     let both = move |share: u32| {
         let ledger = writing.clone();
         async move {
-            let head = ledger.head().await.expect("it answers");
+            let head = ledger.head().await.expect("the store answers");
             let id = Uuid::from_u128(u128::from(share));
             let mut change = Draft::new(head, Instant(1), "operator:test", "test", id);
             for account in ["a", "b"] {
@@ -134,7 +134,7 @@
         }
     });
     while !writer.is_finished() {
-        let snapshot = load(&ledger).await.expect("it answers");
+        let snapshot = load(&ledger).await.expect("the store answers");
         let shares: Vec<u32> = snapshot
             .accounts()
             .values()
