--- a/crates/controller/tests/all/jobs/orders.rs
+++ b/crates/controller/tests/all/jobs/operator.rs
@@ -1,6 +1,6 @@
-//! What operators do, written as rows directly.
+//! Actions of operators, written directly as rows.
 
-use super::world::{SECOND, World, jobs_of, name, names, script};
+use super::simulation::{SECOND, Simulation, jobs_of, name, names, script};
 use primroseroute_domain::{
     change::{Record, Seq},
     id,
@@ -11,12 +11,12 @@
 use primroseroute_ledger::{Draft, key};
 use primroseroute_platform::task::{Resources, Token};
 use primroseroute_standin::platform::task::Ending;
-use primroseroute_view::{Author, Snapshot, amend};
+use primroseroute_view::{Author, Snapshot, commit_with_retry};
 use std::collections::BTreeMap;
 use tokio::time::sleep;
 
-impl World {
-    /// An operator's change, tried until the store takes it.
+impl Simulation {
+    /// Commits an operator's change, retrying until the store accepts it.
     pub async fn change(&self, decide: impl Fn(&Snapshot, &mut Draft) + Sync) {
         let author = Author {
             actor: "operator:test".into(),
@@ -28,7 +28,7 @@
             Ok(())
         };
         while let Err(refusal) =
-            amend(&self.ledger, &self.cell, &self.clock, &author, &decide).await
+            commit_with_retry(&self.ledger, &self.cell, &self.clock, &author, &decide).await
         {
             let _ = refusal;
             sleep(SECOND).await;
@@ -52,7 +52,7 @@
         .await;
     }
 
-    /// Lets one short job of `kind` succeed, so that more than three of it run together.
+    /// Lets one short job of `kind` succeed, so that more than three of that kind may run together.
     pub async fn prove(&self, kind: &str, size: Resources) {
         let job = format!("prove-{kind}");
         let script = script(SECOND, Ending::Done);
@@ -63,10 +63,10 @@
         }
     }
 
-    /// Lets short jobs of `kind` succeed on every worker, so that each takes what it has room for.
+    /// Lets short jobs of `kind` succeed on every worker, so that each accepts as many as fit.
     pub async fn prove_workers(&self, kind: &str, size: Resources) {
         self.prove(kind, size).await;
-        // Three to a worker.
+        // Three per worker.
         let jobs = names("proof", 18);
         for job in &jobs {
             let script = script(5 * SECOND, Ending::Done);
@@ -77,12 +77,16 @@
         assert!(open.is_empty(), "{open:#?}");
     }
 
-    /// Every change so far.
+    /// All change records so far.
     pub async fn records(&self) -> Vec<Record> {
         let mut records: Vec<Record> = Vec::new();
         loop {
             let at = records.last().map_or(Seq(0), |record| record.seq);
-            let more = self.ledger.after(at, 100).await.expect("it answers");
+            let more = self
+                .ledger
+                .records_after(at, 100)
+                .await
+                .expect("the store answers");
             if more.is_empty() {
                 return records;
             }
@@ -90,7 +94,7 @@
         }
     }
 
-    /// How often the row of each job was written.
+    /// Number of writes of each job's row.
     pub async fn edits(&self) -> BTreeMap<String, usize> {
         let mut edits = BTreeMap::new();
         for edit in self.records().await.iter().flat_map(|record| &record.edits) {
@@ -124,7 +128,7 @@
         .await;
     }
 
-    /// Writes the instance `at` in `state`.
+    /// Sets the instance `at` to `state`.
     pub async fn put(&self, at: &str, state: instance::State, purpose: Option<Purpose>) {
         let at: id::Instance = name(at);
         let now = self.clock.now();
--- a/crates/view/tests/all/amend.rs
+++ b/crates/view/tests/all/commit_with_retry.rs
@@ -1,4 +1,4 @@
-//! Amending: what was checked holds at the commit.
+//! Changes with conflict retries: what was checked still holds at the commit.
 
 use crate::{cases, template};
 use primroseroute_domain::{
@@ -7,11 +7,11 @@
 };
 use primroseroute_ledger::{Draft, Ledger, key};
 use primroseroute_standin::platform::{Options, Platform};
-use primroseroute_view::{Author, Cell, Snapshot, amend};
+use primroseroute_view::{Author, Snapshot, SnapshotCell, commit_with_retry};
 use std::{sync::Arc, time::Duration};
 
 cases! {
-    racing_increments_are_all_counted => racing_increments();
+    concurrent_increments_are_all_counted => concurrent_increments();
     refusal_commits_nothing => refusal();
     empty_decision_commits_nothing => empty();
 }
@@ -35,9 +35,9 @@
     );
 }
 
-/// Three entries each add one to a share, ten times, at the same time. An amendment that committed
-/// what it had decided on an older state would lose some.
-async fn racing_increments() {
+/// Three entries concurrently increment a share ten times each. Committing a decision that was
+/// based on an older state would lose increments.
+async fn concurrent_increments() {
     let platform = Platform::open(5, Options::default());
     platform
         .faults()
@@ -46,14 +46,14 @@
     for name in ["a", "b", "c"] {
         let ledger = Ledger::open(Arc::new(platform.client(name)));
         running.spawn(async move {
-            let cell = Cell::default();
+            let cell = SnapshotCell::default();
             let decide = |snapshot: &Snapshot, draft: &mut Draft| {
                 increment(snapshot, draft);
                 Ok(())
             };
             let mut accepted = 0;
             while accepted < 10 {
-                match amend(&ledger, &cell, &SystemClock, &author(), &decide).await {
+                match commit_with_retry(&ledger, &cell, &SystemClock, &author(), &decide).await {
                     Ok(done) => accepted += u32::from(done.is_some()),
                     Err(refusal) => assert_eq!(refusal.code, Code::VersionConflict),
                 }
@@ -64,10 +64,10 @@
         done.expect("no entry panics");
     }
     let ledger = Ledger::open(Arc::new(platform.client("reader")));
-    let cell = Cell::default();
+    let cell = SnapshotCell::default();
     primroseroute_view::poll(&ledger, &cell)
         .await
-        .expect("it answers");
+        .expect("the store answers");
     assert_eq!(
         cell.current()
             .accounts()
@@ -86,19 +86,33 @@
         draft.put("account/a".into(), None, &template("a", 1));
         Err(Refusal::new(Code::BudgetForbids, "no"))
     };
-    let done = amend(&ledger, &Cell::default(), &SystemClock, &author(), &decide).await;
+    let done = commit_with_retry(
+        &ledger,
+        &SnapshotCell::default(),
+        &SystemClock,
+        &author(),
+        &decide,
+    )
+    .await;
     assert_eq!(
         done.map_err(|refusal| refusal.code),
         Err(Code::BudgetForbids)
     );
-    assert_eq!(ledger.head().await.expect("it answers").seq.0, 0);
+    assert_eq!(ledger.head().await.expect("the store answers").seq.0, 0);
 }
 
 async fn empty() {
     let platform = Platform::open(5, Options::default());
     let ledger = Ledger::open(Arc::new(platform.client("a")));
     let decide = |_: &Snapshot, _: &mut Draft| Ok(());
-    let done = amend(&ledger, &Cell::default(), &SystemClock, &author(), &decide).await;
+    let done = commit_with_retry(
+        &ledger,
+        &SnapshotCell::default(),
+        &SystemClock,
+        &author(),
+        &decide,
+    )
+    .await;
     assert_eq!(done, Ok(None));
-    assert_eq!(ledger.head().await.expect("it answers").seq.0, 0);
+    assert_eq!(ledger.head().await.expect("the store answers").seq.0, 0);
 }
