--- a/crates/route/src/backend/idle.rs
+++ b/crates/route/src/backend/idle.rs
@@ -1,4 +1,4 @@
-//! Idle connections by address, newest first.
+//! IdleConnection connections by address, most recently used first.
 
 use super::Body;
 use hyper::client::conn::http1::SendRequest;
@@ -6,61 +6,65 @@
 use std::{collections::BTreeMap, fmt, net::SocketAddr, time::Duration};
 use tokio::time::Instant;
 
-/// Longest time that a connection may wait for its next request. Common backend servers close
-/// idle connections after 15 s to 75 s; closing first avoids a request that meets their close.
-const MAX_IDLE: Duration = Duration::from_secs(10);
+/// Longest time that a connection stays idle. Common backend servers close idle connections after
+/// 15 s to 75 s; closing earlier avoids sending a request while the server closes the connection.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(10);
 
-/// Idle connections kept for one worker. An entry's part of a worker's 64 connections is 9 with 7
+/// IdleConnection connections connections for one worker. An entry's part of a worker's 64 connections is 9 with 7
 /// entries, of which up to 8 carry requests.
-const MAX_KEPT: usize = 8;
+const MAX_IDLE_PER_WORKER: usize = 8;
 
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Body>,
     since: Instant,
 }
 
-/// The idle connections of one entry. One lock, never held across an await.
+/// The idle connections of one entry. Its lock is never held across an await.
 #[derive(Default)]
-pub(super) struct Shelf {
-    idle: Mutex<BTreeMap<SocketAddr, Vec<Idle>>>,
+pub(super) struct IdleConnections {
+    idle: Mutex<BTreeMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
-impl fmt::Debug for Shelf {
+impl fmt::Debug for IdleConnections {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let counts = self.idle.lock().values().map(Vec::len).sum::<usize>();
-        f.debug_struct("Shelf").field("idle", &counts).finish()
+        let count = self.idle.lock().values().map(Vec::len).sum::<usize>();
+        f.debug_struct("Shelf").field("idle", &count).finish()
     }
 }
 
-impl Shelf {
-    /// Takes the most recently used connection to `to` that is still open.
+impl IdleConnections {
+    /// Takes the most recently used connection to `to` that is still usable.
     pub(super) fn take(&self, to: SocketAddr) -> Option<SendRequest<Body>> {
         let mut idle = self.idle.lock();
-        let kept = idle.get_mut(&to)?;
-        let usable = |found: &Idle| found.sender.is_ready() && found.since.elapsed() < MAX_IDLE;
-        std::iter::from_fn(|| kept.pop())
+        let connections = idle.get_mut(&to)?;
+        let usable = |connection: &IdleConnection| {
+            connection.sender.is_ready() && connection.since.elapsed() < MAX_IDLE_TIME
+        };
+        std::iter::from_fn(|| connections.pop())
             .find(usable)
-            .map(|found| found.sender)
+            .map(|connection| connection.sender)
     }
 
-    /// Keeps a connection whose last answer was read to its end.
+    /// Returns a connection whose last response was read to its end.
     pub(super) fn put(&self, to: SocketAddr, sender: SendRequest<Body>) {
         let mut idle = self.idle.lock();
-        let kept = idle.entry(to).or_default();
-        if kept.len() < MAX_KEPT {
-            kept.push(Idle {
+        let connections = idle.entry(to).or_default();
+        if connections.len() < MAX_IDLE_PER_WORKER {
+            connections.push(IdleConnection {
                 sender,
                 since: Instant::now(),
             });
         }
     }
 
-    /// Drops connections that are closed or idle too long, and addresses that have none left.
+    /// Drops connections that are closed or idle too long, and addresses without connections.
     pub(super) fn sweep(&self) {
         let mut idle = self.idle.lock();
-        for kept in idle.values_mut() {
-            kept.retain(|found| !found.sender.is_closed() && found.since.elapsed() < MAX_IDLE);
+        for connections in idle.values_mut() {
+            connections.retain(|connection| {
+                !connection.sender.is_closed() && connection.since.elapsed() < MAX_IDLE_TIME
+            });
         }
-        idle.retain(|_, kept| !kept.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 }
--- a/crates/route/src/backend/pool.rs
+++ b/crates/route/src/backend/pool.rs
@@ -1,6 +1,6 @@
-//! HTTP/1 connections to backend servers, one request at a time on each.
+//! Pooled HTTP/1 connections to backend servers, each with one request at a time.
 
-use super::{Backend, Body, Failure, idle::Shelf};
+use super::{Backend, Body, Failure, idle::IdleConnections};
 use async_trait::async_trait;
 use bytes::Bytes;
 use http::{Request, Response};
@@ -24,17 +24,17 @@
 };
 
 /// Longest time to open a connection. One-way latency is about 1 ms within a region and tens of
-/// milliseconds between regions; a second also covers one lost SYN, which is sent again after 1 s.
+/// milliseconds between regions; this also covers one lost SYN, which is retransmitted after 1 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Connections to backend servers over TCP.
+/// TCP connections to backend servers.
 #[derive(Debug, Default)]
 pub struct Pool {
-    shelf: Arc<Shelf>,
+    idle: Arc<IdleConnections>,
 }
 
 impl Pool {
-    /// Opens a pool without connections.
+    /// Creates a pool without connections.
     pub fn open() -> Self {
         Self::default()
     }
@@ -44,14 +44,15 @@
         to: SocketAddr,
         not_after: Instant,
     ) -> Result<SendRequest<Body>, Failure> {
-        let give_up = not_after.min(Instant::now() + CONNECT_TIMEOUT);
+        let connect_deadline = not_after.min(Instant::now() + CONNECT_TIMEOUT);
         let not_sent = |error: &dyn std::fmt::Display| Failure::NotSent(format!("{to}: {error}"));
-        let socket = match timeout_at(give_up, TcpStream::connect(to)).await {
+        let socket = match timeout_at(connect_deadline, TcpStream::connect(to)).await {
             Ok(Ok(socket)) => socket,
             Ok(Err(error)) => return Err(not_sent(&error)),
             Err(elapsed) => return Err(not_sent(&elapsed)),
         };
-        // Without this the end of a small request waits for the worker's delayed acknowledgement.
+        // With Nagle's algorithm the end of a small request waits for the worker's delayed
+        // acknowledgement.
         socket.set_nodelay(true).map_err(|error| not_sent(&error))?;
         let (sender, connection) = http1::handshake(TokioIo::new(socket))
             .await
@@ -65,11 +66,11 @@
     }
 }
 
-/// How one try on one connection ended.
-enum Tried {
-    Answered(Response<Incoming>),
-    /// The connection was closed before a byte of the request was written; here it is again.
-    Unsent(Request<Body>, String),
+/// Outcome of sending a request on one connection.
+enum SendOutcome {
+    Responded(Response<Incoming>),
+    /// The connection was closed before a byte of the request was written; returns the request.
+    NotSent(Request<Body>, String),
     Failed(Failure),
 }
 
@@ -78,16 +79,16 @@
     request: Request<Body>,
     to: SocketAddr,
     not_after: Instant,
-) -> Tried {
+) -> SendOutcome {
     match timeout_at(not_after, sender.try_send_request(request)).await {
-        Ok(Ok(response)) => Tried::Answered(response),
-        Err(_elapsed) => Tried::Failed(Failure::Late),
+        Ok(Ok(response)) => SendOutcome::Responded(response),
+        Err(_elapsed) => SendOutcome::Failed(Failure::Late),
         Ok(Err(mut failed)) => {
-            let unsent = failed.take_message();
+            let returned = failed.take_message();
             let error = format!("{to}: {}", failed.into_error());
-            unsent.map_or_else(
-                || Tried::Failed(Failure::Lost(error.clone())),
-                |request| Tried::Unsent(request, error.clone()),
+            returned.map_or_else(
+                || SendOutcome::Failed(Failure::Lost(error.clone())),
+                |request| SendOutcome::NotSent(request, error.clone()),
             )
         }
     }
@@ -101,66 +102,67 @@
         mut request: Request<Body>,
         not_after: Instant,
     ) -> Result<Response<Body>, Failure> {
-        // A kept connection may have been closed by the worker meanwhile. hyper hands the request
-        // back where it wrote no byte of it, which proves that trying the next one is safe; the
-        // last try is a new connection.
-        while let Some(mut sender) = self.shelf.take(to) {
+        // The worker may have closed an idle connection in the meantime. hyper returns the request
+        // if it wrote no byte of it, so trying the next connection is safe; the last one is new.
+        while let Some(mut sender) = self.idle.take(to) {
             match try_send(&mut sender, request, to, not_after).await {
-                Tried::Answered(response) => return Ok(self.lease(to, sender, response)),
-                Tried::Unsent(unsent, _error) => request = unsent,
-                Tried::Failed(failure) => return Err(failure),
+                SendOutcome::Responded(response) => {
+                    return Ok(self.pooled_response(to, sender, response));
+                }
+                SendOutcome::NotSent(returned, _error) => request = returned,
+                SendOutcome::Failed(failure) => return Err(failure),
             }
         }
         let mut sender = self.connect(to, not_after).await?;
         match try_send(&mut sender, request, to, not_after).await {
-            Tried::Answered(response) => Ok(self.lease(to, sender, response)),
-            Tried::Unsent(_unsent, error) => Err(Failure::NotSent(error)),
-            Tried::Failed(failure) => Err(failure),
+            SendOutcome::Responded(response) => Ok(self.pooled_response(to, sender, response)),
+            SendOutcome::NotSent(_request, error) => Err(Failure::NotSent(error)),
+            SendOutcome::Failed(failure) => Err(failure),
         }
     }
 
     fn sweep(&self) {
-        self.shelf.sweep();
+        self.idle.sweep();
     }
 }
 
 impl Pool {
-    fn lease(
+    fn pooled_response(
         &self,
         to: SocketAddr,
         sender: SendRequest<Body>,
         response: Response<Incoming>,
     ) -> Response<Body> {
-        let home = Home {
-            shelf: Arc::clone(&self.shelf),
+        let connection = PooledConnection {
+            idle: Arc::clone(&self.idle),
             to,
             sender,
         };
         response.map(|incoming| {
-            Body::new(Leased {
+            Body::new(PooledBody {
                 incoming,
-                home: Some(home),
+                connection: Some(connection),
             })
         })
     }
 }
 
-struct Home {
-    shelf: Arc<Shelf>,
+struct PooledConnection {
+    idle: Arc<IdleConnections>,
     to: SocketAddr,
     sender: SendRequest<Body>,
 }
 
-/// An answer's body that gives its connection back only at its proper end.
+/// A response body that returns its connection to the pool only when it was read to its end.
 ///
 /// Dropped earlier, or ended by an error, it drops the sender too, and hyper closes the connection:
-/// the rest of the answer can then never be read as the answer to the next request.
-struct Leased {
+/// the rest of the response can then never be read as the response to the next request.
+struct PooledBody {
     incoming: Incoming,
-    home: Option<Home>,
+    connection: Option<PooledConnection>,
 }
 
-impl HttpBody for Leased {
+impl HttpBody for PooledBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -171,13 +173,13 @@
         let polled = Pin::new(&mut self.incoming).poll_frame(cx);
         match polled {
             Poll::Ready(None) => {
-                if let Some(Home { shelf, to, sender }) = self.home.take() {
-                    shelf.put(to, sender);
+                if let Some(PooledConnection { idle, to, sender }) = self.connection.take() {
+                    idle.put(to, sender);
                 }
                 Poll::Ready(None)
             }
             Poll::Ready(Some(Err(error))) => {
-                self.home = None;
+                self.connection = None;
                 Poll::Ready(Some(Err(io::Error::other(error))))
             }
             Poll::Ready(Some(Ok(frame))) => Poll::Ready(Some(Ok(frame))),
@@ -186,7 +188,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        // The connection goes back when the end is polled, so the end must be polled.
+        // The connection is returned when the end is polled, so the end must be polled.
         false
     }
 
--- a/crates/route/src/backend/answer.rs
+++ b/crates/route/src/backend/response.rs
@@ -1,9 +1,11 @@
-//! Reading the start of an answer, and the whole of it where it is small.
+//! Buffering of responses: small ones completely, larger ones up to a limit.
 //!
-//! The head goes to the caller only after the first [`Bounds::buffer`] bytes of the body, or all
-//! of a smaller one, have arrived. A worker that dies inside a small answer then becomes a clean
-//! numbered error. A larger answer streams; if it breaks off, the caller's connection is broken
-//! off too, so that a short answer never looks whole.
+//! The head is forwarded to the caller only after the first [`Options::buffer`] bytes of the body,
+//! or all of a smaller one, have arrived. A worker that fails within a small response then results
+//! in a proper result code. A larger response streams; if it breaks off, the caller's connection is
+//! aborted too, so that a truncated response never looks complete.
+//!
+//! [`Options::buffer`]: crate::Options::buffer
 
 use super::{Body, Failure};
 use bytes::{Bytes, BytesMut};
@@ -17,44 +19,44 @@
 };
 use tokio::time::{Instant, timeout_at};
 
-/// An answer as far as it was read.
-pub(crate) enum Answer {
-    /// The whole of it.
-    Whole(Parts, Bytes),
-    /// Its start, and the rest to come.
+/// A response as far as it has been read.
+pub(crate) enum ReceivedResponse {
+    /// The complete response.
+    Complete(Parts, Bytes),
+    /// Its head, its first bytes, and the unread remainder.
     Streaming(Parts, Bytes, Body),
 }
 
-/// Reads an answer up to `buffer` bytes.
-pub(crate) async fn collect(
+/// Reads a response up to `buffer` bytes of its body.
+pub(crate) async fn buffer_response(
     response: Response<Body>,
     buffer: usize,
     to_head: bool,
     not_after: Instant,
-) -> Result<Answer, Failure> {
+) -> Result<ReceivedResponse, Failure> {
     let (parts, mut body) = response.into_parts();
     if !is_framed(parts.status, &parts.headers, to_head) {
         return Err(Failure::Invalid(
             "it has no length, so its end cannot be told".to_owned(),
         ));
     }
-    let mut start = BytesMut::new();
-    while start.len() < buffer {
+    let mut prefix = BytesMut::new();
+    while prefix.len() < buffer {
         let frame = timeout_at(not_after, body.frame()).await;
         match frame.map_err(|_elapsed| Failure::Late)? {
-            None => return Ok(Answer::Whole(parts, start.freeze())),
+            None => return Ok(ReceivedResponse::Complete(parts, prefix.freeze())),
             Some(Err(error)) => return Err(Failure::Lost(error.to_string())),
             Some(Ok(frame)) => {
                 if let Ok(data) = frame.into_data() {
-                    start.extend_from_slice(&data);
+                    prefix.extend_from_slice(&data);
                 }
             }
         }
     }
-    Ok(Answer::Streaming(parts, start.freeze(), body))
+    Ok(ReceivedResponse::Streaming(parts, prefix.freeze(), body))
 }
 
-/// Whether the end of the answer can be told from a connection that breaks off.
+/// Whether the end of the response can be distinguished from a connection that breaks off.
 fn is_framed(status: StatusCode, headers: &HeaderMap, to_head: bool) -> bool {
     let bodiless =
         to_head || status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED;
@@ -63,22 +65,22 @@
         || headers.contains_key(header::TRANSFER_ENCODING)
 }
 
-/// A body that starts with bytes already read.
-pub(crate) struct Resumed {
-    start: Option<Bytes>,
+/// A body that begins with bytes that have already been read.
+pub(crate) struct PrefixedBody {
+    prefix: Option<Bytes>,
     rest: Body,
 }
 
-impl Resumed {
-    pub(crate) fn boxed(start: Bytes, rest: Body) -> Body {
+impl PrefixedBody {
+    pub(crate) fn boxed(prefix: Bytes, rest: Body) -> Body {
         Body::new(Self {
-            start: Some(start).filter(|start| !start.is_empty()),
+            prefix: Some(prefix).filter(|prefix| !prefix.is_empty()),
             rest,
         })
     }
 }
 
-impl HttpBody for Resumed {
+impl HttpBody for PrefixedBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -86,19 +88,19 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        match self.start.take() {
-            Some(start) => Poll::Ready(Some(Ok(Frame::data(start)))),
+        match self.prefix.take() {
+            Some(prefix) => Poll::Ready(Some(Ok(Frame::data(prefix)))),
             None => Pin::new(&mut self.rest).poll_frame(cx),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
-        let held = self.start.as_ref().map_or(0, Bytes::len) as u64;
+        let prefix_len = self.prefix.as_ref().map_or(0, Bytes::len) as u64;
         let mut hint = self.rest.size_hint();
         if let Some(upper) = hint.upper() {
-            hint.set_upper(upper + held);
+            hint.set_upper(upper + prefix_len);
         }
-        hint.set_lower(hint.lower() + held);
+        hint.set_lower(hint.lower() + prefix_len);
         hint
     }
 }
--- a/crates/route/src/headers.rs
+++ b/crates/route/src/headers.rs
@@ -1,13 +1,13 @@
-//! Which headers cross the entry.
+//! Filtering of request and response headers at the entry.
 
 use crate::request::{REQUEST_ID, TIMEOUT_MS};
 use http::{HeaderMap, HeaderName, HeaderValue, header};
 use primroseroute_domain::id;
 
-/// Tells the backend server which account calls.
+/// Names the calling account to the backend server.
 pub const ACCOUNT: &str = "x-client-account";
 
-/// Headers of one connection, which never cross it (RFC 9110, 7.6.1).
+/// Hop-by-hop headers, which are not forwarded (RFC 9110, 7.6.1).
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -19,7 +19,7 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Removes headers of one connection, those named by `Connection` among them.
+/// Removes hop-by-hop headers, including those named by `Connection`.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -33,11 +33,11 @@
     }
 }
 
-/// The headers that go to the backend server.
+/// The headers that are forwarded to the backend server.
 ///
-/// The caller's token stays here: a backend server must not be able to act as the account. The
-/// body's length is set anew by the HTTP library from the body that is sent.
-pub(crate) fn towards_backend(
+/// The caller's token is removed: a backend server must not be able to act as the account. The
+/// HTTP library sets the content length from the body that is sent.
+pub(crate) fn backend_headers(
     mut headers: HeaderMap,
     id: &str,
     account: &id::Account,
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,40 +1,42 @@
-//! The request path: a caller's request through one entry, whole, fair and at most once.
+//! The request path of one entry: validation, dispatch, idempotency claims and backend attempts.
 //!
-//! # The way of a request
+//! # Stages of a request
 //!
-//! 1. [`request`] checks the head against the view in force: token, service, key, timeout.
+//! 1. [`request`] validates the head against the current view: token, service, key, timeout.
 //! 2. The body is read into a bounded buffer; a larger one streams, unless the request is claimed.
-//! 3. A [`gate`] stands before each pool. It asks the pure decisions of the `flow` crate which
-//!    worker takes the request and when, and refuses at once what cannot be served in time.
-//! 4. A non-idempotent request with a key is claimed, once a worker is free for it and before a
+//! 3. The [`dispatch`] module has a dispatcher per pool. It asks the state machine of the `flow`
+//!    crate which worker takes the request and when, and refuses at once what cannot be served in
+//!    time.
+//! 4. A non-idempotent request with a key is claimed once a worker is free for it and before a
 //!    byte is sent.
-//! 5. [`backend`] sends one attempt at a time and says what a failure proves.
-//! 6. The answer goes to the caller whole, or as a numbered error with its outcome.
+//! 5. [`backend`] sends one attempt at a time and classifies failures by whether the request may
+//!    have been executed.
+//! 6. The caller receives the complete response, or a result code with the request's outcome.
 //!
-//! # What is said of the outcome
+//! # Reported outcome
 //!
-//! `not-run` is said only where nothing was sent in any attempt. As soon as one attempt may have
-//! reached a worker, later refusals of the same request say `unknown` (I4).
+//! `not-run` is reported only if no attempt sent anything. As soon as one attempt may have reached
+//! a worker, later refusals of the same request report `unknown` (invariant I4).
 //!
-//! # Callers that go away
+//! # Callers that disconnect
 //!
 //! A claimed request runs on a task of its own: when its caller's connection breaks, the attempt
-//! goes on and its outcome is kept, so the caller's repeat is told what happened. Other requests
-//! are dropped with their connection.
+//! continues and its outcome is stored, so that a repeat receives it. Other requests are cancelled
+//! with their connection.
 
 pub mod backend;
 mod body;
-mod front;
-mod gate;
+mod dispatch;
 mod headers;
 mod observe;
 mod path;
 pub mod request;
+mod server;
 
-pub use front::Front;
-pub use gate::Gates;
+pub use dispatch::Gates;
 pub use observe::{Finished, Observer};
 #[doc(no_inline)]
 pub use primroseroute_front::problem;
+pub use server::Front;
 
 pub use path::{Options, Parts, Path};
--- a/crates/route/src/observe.rs
+++ b/crates/route/src/observe.rs
@@ -1,4 +1,4 @@
-//! What the request path reports of each request that has ended.
+//! Reporting of finished requests, for metrics.
 
 use primroseroute_domain::{
     id,
@@ -6,28 +6,28 @@
 };
 use std::{fmt, time::Duration};
 
-/// A request that has ended.
+/// A finished request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finished {
-    /// The account; none where the token was refused.
+    /// The account; none if the token was refused.
     pub account: Option<id::Account>,
-    /// The service; none where the head was refused.
+    /// The service; none if the head was refused.
     pub service: Option<id::Service>,
-    /// The result code; none where the backend server's answer was passed on.
+    /// The result code; none if the backend server's response was forwarded.
     pub code: Option<Code>,
-    /// What the caller was told.
+    /// The outcome reported to the caller.
     pub verdict: Verdict,
-    /// From the end of the head to the head of the answer.
+    /// From the end of the request head to the head of the response.
     pub latency: Duration,
-    /// Attempts that were made.
+    /// Number of attempts.
     pub attempts: u32,
 }
 
-/// Takes note of requests that have ended; called on the request path, so it must not block.
+/// Is notified of finished requests; called on the request path, so it must not block.
 pub trait Observer: Send + Sync + fmt::Debug {
-    /// A request has ended.
+    /// A request has finished.
     fn finished(&self, finished: &Finished);
 
-    /// A request of `service` is tried again after an attempt that failed with `code`.
+    /// A request of `service` is retried after an attempt that failed with `code`.
     fn retried(&self, service: &id::Service, code: Code);
 }
--- a/crates/route/src/path/attempt.rs
+++ b/crates/route/src/path/attempt.rs
@@ -1,10 +1,10 @@
-//! Attempts at one request, one at a time, until it has an answer or is given up.
+//! Attempts at one request, one at a time, until it gets a response or is refused.
 
-use super::{Parts, Upload, reply, reply::Reply, stream::Watched};
+use super::{Parts, Upload, reply, reply::Reply, stream::TrackedBody};
 use crate::{
-    backend::{Answer, Body, Failure, Resumed, collect},
-    gate::{Step, Ticket},
-    headers::towards_backend,
+    backend::{Body, Failure, PrefixedBody, ReceivedResponse, buffer_response},
+    dispatch::{Decision, RequestHandle},
+    headers::backend_headers,
     problem,
     request::{Head, REPEAT, REQUEST_ID},
 };
@@ -25,21 +25,21 @@
     head: &'a Head,
     upload: Upload,
     deadline: Instant,
-    ticket: Ticket,
-    made: &'a mut u32,
+    handle: RequestHandle,
+    attempt_count: &'a mut u32,
     claim: Option<ClaimRequest>,
     permit: Option<Permit>,
-    /// Ends when the caller has gone away.
-    gone: CancellationToken,
-    /// The failure of the last attempt that may have run; while there is one, "not run" is a lie.
+    /// Cancelled when the caller has disconnected.
+    disconnected: CancellationToken,
+    /// The failure of the last attempt that may have run; if set, "not run" must not be reported.
     may_have_run: Option<Refusal>,
-    /// How the last attempt failed, until another is made.
-    failed_with: Option<Code>,
+    /// How the previous attempt failed, until the next one is attempt_count.
+    last_failure: Option<Code>,
 }
 
-/// The claim that a request needs, where it names a key and its whole body is here.
-fn claim_of(head: &Head, upload: &Upload) -> Option<ClaimRequest> {
-    let (Some(key), Upload::Whole(body), true) = (&head.key, upload, head.is_claimed()) else {
+/// The claim that a request needs, if it has a key and its complete body has been buffered.
+fn claim_request(head: &Head, upload: &Upload) -> Option<ClaimRequest> {
+    let (Some(key), Upload::Buffered(body), true) = (&head.key, upload, head.is_claimed()) else {
         return None;
     };
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
@@ -52,9 +52,9 @@
 }
 
 /// What to do after an attempt.
-enum After {
+enum Next {
     Reply(Reply),
-    Again,
+    Retry,
 }
 
 impl<'a> Attempts<'a> {
@@ -63,36 +63,36 @@
         head: &'a Head,
         upload: Upload,
         deadline: Instant,
-        ticket: Ticket,
-        gone: CancellationToken,
-        made: &'a mut u32,
+        handle: RequestHandle,
+        disconnected: CancellationToken,
+        attempt_count: &'a mut u32,
     ) -> Self {
-        let claim = claim_of(head, &upload);
+        let claim = claim_request(head, &upload);
         Self {
             parts,
             head,
             upload,
             deadline,
-            ticket,
-            made,
+            handle,
+            attempt_count,
             claim,
             permit: None,
-            gone,
+            disconnected,
             may_have_run: None,
-            failed_with: None,
+            last_failure: None,
         }
     }
 
     pub(super) async fn run(mut self) -> Reply {
         loop {
-            let (instance, not_after) = match self.next().await {
+            let (instance, not_after) = match self.next_decision().await {
                 Err(reply) => return reply,
-                Ok(Step::Refuse { code, retry_after }) => {
+                Ok(Decision::Refuse { code, retry_after }) => {
                     let detail = format!("service {}", self.head.target.service);
-                    let reply = self.take_back(Refusal::new(code, detail));
+                    let reply = self.final_refusal(Refusal::new(code, detail));
                     return reply.retry_after(retry_after);
                 }
-                Ok(Step::Send {
+                Ok(Decision::Send {
                     instance,
                     not_after,
                 }) => (instance, not_after),
@@ -101,38 +101,39 @@
                 return reply;
             }
             let Some(address) = self.address(&instance) else {
-                self.ticket.finish(AttemptOutcome::NotSent);
+                self.handle.finish(AttemptOutcome::NotSent);
                 continue;
             };
-            *self.made += 1;
-            if let Some(code) = self.failed_with.take() {
+            *self.attempt_count += 1;
+            if let Some(code) = self.last_failure.take() {
                 self.parts.observer.retried(&self.head.target.service, code);
             }
             match self.send(address, not_after).await {
-                After::Reply(reply) => return reply,
-                After::Again => {}
+                Next::Reply(reply) => return reply,
+                Next::Retry => {}
             }
         }
     }
 
-    /// The gate's next step, as long as somebody waits for the answer or the key is claimed.
+    /// Waits for the dispatcher's next decision, unless the caller disconnects before the key is
+    /// claimed.
     ///
-    /// A request that went on waiting after its caller had gone could run minutes after the caller
-    /// was told, at another entry, that its key had not run. Nothing has been claimed or sent yet,
-    /// so ending it here is safe.
-    async fn next(&mut self) -> Result<Step, Reply> {
+    /// A request that kept waiting after its caller had disconnected could run minutes after
+    /// another entry told the caller that its key had not run. Nothing has been claimed or sent
+    /// yet, so outcome it here is safe.
+    async fn next_decision(&mut self) -> Result<Decision, Reply> {
         if self.permit.is_some() {
-            return Ok(self.ticket.next().await);
+            return Ok(self.handle.next_decision().await);
         }
         tokio::select! {
-            step = self.ticket.next() => Ok(step),
-            () = self.gone.cancelled() => Err(self.abandon()),
+            decision = self.handle.next_decision() => Ok(decision),
+            () = self.disconnected.cancelled() => Err(self.abandon()),
         }
     }
 
     fn abandon(&mut self) -> Reply {
-        self.ticket.finish(AttemptOutcome::Cancelled);
-        self.take_back(Refusal::new(
+        self.handle.finish(AttemptOutcome::Cancelled);
+        self.final_refusal(Refusal::new(
             Code::DeadlineUnreachable,
             "the caller has gone",
         ))
@@ -143,32 +144,33 @@
         let Some(request) = self.claim.as_ref().filter(|_| self.permit.is_none()) else {
             return Ok(());
         };
-        let left = self.deadline.saturating_duration_since(Instant::now());
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
         let claimed = tokio::select! {
-            claimed = self.parts.claims.claim(request, left) => claimed,
-            // A row that was committed meanwhile is released: it was never used.
-            () = self.gone.cancelled() => return Err(self.abandon()),
+            claimed = self.parts.claims.claim(request, remaining) => claimed,
+            // A row that has been committed in the meantime is released: it was never used.
+            () = self.disconnected.cancelled() => return Err(self.abandon()),
         };
         let reply = match claimed {
             Claim::Granted(permit) => {
                 self.permit = Some(permit);
                 return Ok(());
             }
-            Claim::Repeat(first) => Reply::repeated(first),
+            Claim::Repeat(stored) => Reply::stored(stored),
             other => {
                 let code = other.code().unwrap_or(Code::ClaimUnavailable);
                 Reply::refused(Refusal::new(code, "see the result code's page"))
             }
         };
         // Nothing was sent, and the slot is free again.
-        self.ticket.finish(AttemptOutcome::Cancelled);
+        self.handle.finish(AttemptOutcome::Cancelled);
         Err(reply)
     }
 
-    /// The instance's address, if it still takes requests.
+    /// The instance's address, if it still accepts requests.
     ///
-    /// The claim may have waited for the store while the instance began to drain. Sending all the
-    /// same would give new work to a leaving instance (I6); the gate picks another instead.
+    /// The claim may have waited for the store while the instance began to drain. Sending anyway
+    /// would give new work to a draining instance (invariant I6); the dispatcher picks another
+    /// one instead.
     fn address(&self, instance: &id::Instance) -> Option<SocketAddr> {
         let snapshot = self.parts.cell.current();
         let row = &snapshot.instances().get(instance)?.value;
@@ -176,23 +178,23 @@
         fits.then_some(row.address)
     }
 
-    async fn send(&mut self, to: SocketAddr, not_after: Instant) -> After {
+    async fn send(&mut self, to: SocketAddr, not_after: Instant) -> Next {
         let Some(body) = self.body() else {
-            // The body streamed into an earlier attempt and is gone.
-            self.ticket.finish(AttemptOutcome::Cancelled);
+            // The body was streamed into an earlier attempt and cannot be replayed.
+            self.handle.finish(AttemptOutcome::Cancelled);
             let refusal = Refusal::new(Code::ConnectFailed, "a streamed body cannot be sent again");
-            return After::Reply(self.take_back(refusal));
+            return Next::Reply(self.final_refusal(refusal));
         };
-        let since = Instant::now();
+        let sent_at = Instant::now();
         match self.exchange(to, body, not_after).await {
-            Ok(answer) => After::Reply(self.answered(answer, since)),
-            Err(failure) => self.failed(&failure),
+            Ok(response) => Next::Reply(self.on_response(response, sent_at)),
+            Err(failure) => self.on_failure(&failure),
         }
     }
 
     fn body(&mut self) -> Option<Body> {
         match &mut self.upload {
-            Upload::Whole(bytes) => Some(problem::full(bytes.clone())),
+            Upload::Buffered(bytes) => Some(problem::full(bytes.clone())),
             Upload::Streaming(body) => body.take(),
         }
     }
@@ -202,31 +204,32 @@
         to: SocketAddr,
         body: Body,
         not_after: Instant,
-    ) -> Result<Answer, Failure> {
-        let request = self.request(body);
+    ) -> Result<ReceivedResponse, Failure> {
+        let request = self.backend_request(body);
         let response = self.parts.backend.send(to, request, not_after).await?;
-        self.check_pairing(&response)?;
+        self.check_request_id(&response)?;
         let to_head = self.head.method == Method::HEAD;
-        collect(response, self.parts.options.buffer, to_head, not_after).await
+        buffer_response(response, self.parts.options.buffer, to_head, not_after).await
     }
 
-    fn request(&self, body: Body) -> Request<Body> {
+    fn backend_request(&self, body: Body) -> Request<Body> {
         let head = self.head;
         let mut request = Request::new(body);
         *request.method_mut() = head.method.clone();
-        *request.headers_mut() = towards_backend(head.headers.clone(), &head.id, &head.account);
-        // A server wants the path alone; only a proxy is sent the whole address.
+        *request.headers_mut() = backend_headers(head.headers.clone(), &head.id, &head.account);
+        // Servers expect the origin form (the path); only proxies receive the absolute form.
         let path = head.uri.path_and_query().cloned();
         *request.uri_mut() = path.map_or_else(Uri::default, Uri::from);
         request
     }
 
-    /// Refuses an answer that names another request.
+    /// Rejects a response that carries the id of another request.
     ///
-    /// Connections carry one request at a time and are closed when anything was late, so answers
-    /// pair by order. A worker that mixes its answers up breaks that order; where it returns the
-    /// request id, the mix-up shows, and the caller gets an error in place of another's answer.
-    fn check_pairing(&self, response: &Response<Body>) -> Result<(), Failure> {
+    /// Connections carry one request at a time and are closed when anything was late, so responses
+    /// match requests by order. A worker that mixes up its responses breaks that order; if it
+    /// echoes the request id, this is detected, and the caller gets an error instead of another
+    /// caller's response.
+    fn check_request_id(&self, response: &Response<Body>) -> Result<(), Failure> {
         match response.headers().get(REQUEST_ID) {
             Some(id) if id.as_bytes() != self.head.id.as_bytes() => {
                 Err(Failure::Invalid("it names another request".to_owned()))
@@ -235,34 +238,35 @@
         }
     }
 
-    fn answered(&mut self, answer: Answer, since: Instant) -> Reply {
-        match answer {
-            Answer::Whole(parts, body) => {
+    fn on_response(&mut self, response: ReceivedResponse, sent_at: Instant) -> Reply {
+        match response {
+            ReceivedResponse::Complete(parts, body) => {
                 let failure = parts.status.is_server_error();
-                self.ticket.finish(AttemptOutcome::Responded {
-                    latency: since.elapsed(),
+                self.handle.finish(AttemptOutcome::Responded {
+                    latency: sent_at.elapsed(),
                     failure,
                 });
                 if let Some(permit) = self.permit.take() {
-                    permit.completed(reply::keep(&parts, &body));
+                    permit.completed(reply::stored_response(&parts, &body));
                 }
-                Reply::answered(parts, problem::full(body))
+                Reply::response(parts, problem::full(body))
             }
-            Answer::Streaming(parts, start, rest) => {
+            ReceivedResponse::Streaming(parts, start, rest) => {
                 if let Some(permit) = self.permit.take() {
-                    // Longer than what is kept: the row says that the request completed, and no more.
-                    permit.completed(reply::keep(&parts, &start));
+                    // Too large to be stored: the row only states that the request completed.
+                    permit.completed(reply::stored_response(&parts, &start));
                 }
                 let failure = parts.status.is_server_error();
-                let ticket = self.ticket.hand_over();
-                let body = Watched::boxed(Resumed::boxed(start, rest), ticket, since, failure);
-                Reply::answered(parts, body)
+                let handle = self.handle.hand_over();
+                let body =
+                    TrackedBody::boxed(PrefixedBody::boxed(start, rest), handle, sent_at, failure);
+                Reply::response(parts, body)
             }
         }
     }
 
-    fn failed(&mut self, failure: &Failure) -> After {
-        let (code, ending) = match failure {
+    fn on_failure(&mut self, failure: &Failure) -> Next {
+        let (code, outcome) = match failure {
             Failure::NotSent(_) => (Code::ConnectFailed, AttemptOutcome::NotSent),
             Failure::Lost(_) => (Code::AnswerLost, AttemptOutcome::ConnectionLost),
             Failure::Late => (Code::AnswerTimeout, AttemptOutcome::TimedOut),
@@ -271,33 +275,38 @@
         if !matches!(failure, Failure::NotSent(_)) {
             self.may_have_run = Some(Refusal::new(code, failure.to_string()));
         }
-        log::debug!("request {}: attempt {}: {failure}", self.head.id, self.made);
-        self.failed_with = Some(code);
-        self.ticket.finish(ending);
-        After::Again
+        log::debug!(
+            "request {}: attempt {}: {failure}",
+            self.head.id,
+            self.attempt_count
+        );
+        self.last_failure = Some(code);
+        self.handle.finish(outcome);
+        Next::Retry
     }
 }
 
 impl Attempts<'_> {
-    /// The refusal that is true for all attempts together: once one may have run, none "did not".
-    fn take_back(&mut self, refusal: Refusal) -> Reply {
-        let first = self.may_have_run.take();
+    /// The refusal that holds for all attempts together: if one may have run, its failure is
+    /// reported instead of `refusal`.
+    fn final_refusal(&mut self, refusal: Refusal) -> Reply {
+        let ambiguous = self.may_have_run.take();
         if let Some(permit) = self.permit.take() {
-            if first.is_some() {
+            if ambiguous.is_some() {
                 permit.unknown();
             } else {
                 permit.not_run();
             }
-            return Reply::refused(first.unwrap_or(refusal));
+            return Reply::refused(ambiguous.unwrap_or(refusal));
         }
-        Reply::refused(first.unwrap_or_else(|| self.truthful(refusal)))
+        Reply::refused(ambiguous.unwrap_or_else(|| self.refusal_for_key(refusal)))
     }
 
-    /// The refusal of a request that was not claimed, in view of earlier attempts under its key.
+    /// The refusal of a request that was not claimed, given earlier attempts under its key.
     ///
-    /// A caller that was told "unknown" and tries again asks what became of its hold. "Not run"
-    /// would be true of this try and a lie about the hold.
-    fn truthful(&self, refusal: Refusal) -> Refusal {
+    /// A caller that was told "unknown" and retries asks for the outcome of its original request.
+    /// "Not run" would be true of this attempt, but possibly false for the original one.
+    fn refusal_for_key(&self, refusal: Refusal) -> Refusal {
         let is_repeat = |request| self.parts.claims.is_repeat(request);
         if !self.claim.as_ref().is_some_and(is_repeat) {
             return refusal;
--- a/crates/route/src/path/mod.rs
+++ b/crates/route/src/path/mod.rs
@@ -1,4 +1,4 @@
-//! One request from its head to its answer.
+//! Handling of one request from its head to its response.
 
 mod attempt;
 mod reply;
@@ -7,8 +7,8 @@
 use crate::{
     Finished, Gates, Observer,
     backend::{Backend, Body},
-    body::{self, Received},
-    gate::Entrant,
+    body::{self, ReceivedBody},
+    dispatch::PendingRequest,
     problem,
     request::{self, Head, Timeouts},
 };
@@ -23,24 +23,25 @@
 use tokio::time::{Instant, timeout_at};
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
-/// How long a stopping entry waits for outcomes to be written. The store's usual blips are over
-/// by then; what is left is answered `unknown` to repeats, which is true.
-const SETTLE: Duration = Duration::from_secs(10);
+/// How long a stopping entry waits for outcomes to be written. Short store failures are over by
+/// then; for outcomes that remain unwritten, repeats are answered `unknown`, which is correct.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Bounds on one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Largest request body in bytes.
     pub body_bytes: usize,
-    /// Bytes of a body, either way, that are held before it streams.
+    /// Bytes of a request or response body that are buffered before it streams.
     pub buffer: usize,
     /// Bounds on its time.
     pub timeouts: Timeouts,
 }
 
 impl Default for Options {
-    /// 8 MiB of body for a scanned document; 64 KiB held, which the answers kept for repeats
-    /// share; 10 s where the caller names no timeout, as most HTTP clients do, and 60 s at most.
+    /// 8 MiB of body, enough for a scanned document; 64 KiB buffered, which is also the limit of
+    /// responses stored for repeats; 10 s if the caller sets no timeout, as most HTTP clients do,
+    /// and 60 s at most.
     fn default() -> Self {
         Self {
             body_bytes: 8 << 20,
@@ -53,18 +54,18 @@
     }
 }
 
-/// What the request path works on.
+/// The components that the request path uses.
 #[derive(Clone, Debug)]
 pub struct Parts {
-    /// The view in force.
+    /// The current view.
     pub cell: Arc<Cell>,
-    /// The gates before the pools.
+    /// The dispatchers of the pools.
     pub gates: Arc<Gates>,
     /// The backend servers.
     pub backend: Arc<dyn Backend>,
     /// Claims on idempotency keys.
     pub claims: Claims,
-    /// Who takes note of requests that have ended.
+    /// Receives the result of each request.
     pub observer: Arc<dyn Observer>,
     /// Bounds.
     pub options: Options,
@@ -74,27 +75,27 @@
 #[derive(Clone, Debug)]
 pub struct Path {
     parts: Parts,
-    running: TaskTracker,
+    tasks: TaskTracker,
 }
 
-/// A body on its way to a backend server.
+/// A request body to be sent to a backend server.
 enum Upload {
-    /// All of it is here, so that another attempt can be made.
-    Whole(Bytes),
-    /// It streams; gone after the first attempt.
+    /// The complete body, which can be sent in several attempts.
+    Buffered(Bytes),
+    /// A streaming body; `None` after the first attempt.
     Streaming(Option<Body>),
 }
 
 impl Path {
-    /// Opens the path over `parts`.
+    /// Creates a request handler with `parts`.
     pub fn open(parts: Parts) -> Self {
         Self {
             parts,
-            running: TaskTracker::new(),
+            tasks: TaskTracker::new(),
         }
     }
 
-    /// Serves one request; every way out is an answer.
+    /// Serves one request; every outcome, including errors, is a response.
     pub async fn serve(
         self: &Arc<Self>,
         method: Method,
@@ -106,22 +107,23 @@
         let id = request::request_id(&headers);
         let snapshot = self.parts.cell.current();
         let timeouts = self.parts.options.timeouts;
-        let checked = request::check(Arc::clone(&id), method, uri, headers, &snapshot, timeouts);
-        let head = match checked {
+        let validated =
+            request::validate(Arc::clone(&id), method, uri, headers, &snapshot, timeouts);
+        let head = match validated {
             Ok(head) => head,
             Err(refusal) => return self.refuse_head(&refusal, &id, started),
         };
-        let gone = CancellationToken::new();
+        let disconnected = CancellationToken::new();
         if !head.is_claimed() {
-            return self.run(head, body, started, gone).await;
+            return self.run(head, body, started, disconnected).await;
         }
-        let _waiting = gone.clone().drop_guard();
+        let _disconnect_guard = disconnected.clone().drop_guard();
         let path = Arc::clone(self);
         let task = self
-            .running
-            .spawn(async move { path.run(head, body, started, gone).await });
+            .tasks
+            .spawn(async move { path.run(head, body, started, disconnected).await });
         task.await.unwrap_or_else(|error| {
-            log::error!("request {id} ended in a panic: {error}");
+            log::error!("task of request {id} panicked: {error}");
             let detail = "the entry failed inside the request";
             problem::answer(&Refusal::new(Code::AnswerLost, detail), &id, None)
         })
@@ -144,26 +146,26 @@
         head: Head,
         body: Body,
         started: Instant,
-        gone: CancellationToken,
+        disconnected: CancellationToken,
     ) -> Response<Body> {
         let deadline = started + head.timeout;
         let mut attempts = 0;
         let reply = match self.receive(&head, body, deadline).await {
             Ok(upload) => {
-                self.attempt(&head, upload, deadline, gone, &mut attempts)
+                self.attempt(&head, upload, deadline, disconnected, &mut attempts)
                     .await
             }
-            // A body over the limit is no repeat of one that ran.
+            // A request whose body exceeds the limit cannot have run earlier.
             Err(refusal) if refusal.code == Code::BodyTooLarge => Reply::refused(refusal),
-            Err(refusal) => Reply::refused(head.refused_unseen(refusal)),
+            Err(refusal) => Reply::refused(head.refuse_without_lookup(refusal)),
         };
-        self.note(&head, &reply, started, attempts);
+        self.report_finished(&head, &reply, started, attempts);
         reply.into_response(&head.id)
     }
 
-    fn note(&self, head: &Head, reply: &Reply, started: Instant, attempts: u32) {
+    fn report_finished(&self, head: &Head, reply: &Reply, started: Instant, attempts: u32) {
         let (code, verdict) = match reply {
-            Reply::Answered(_) => (None, Verdict::Completed),
+            Reply::Response(_) => (None, Verdict::Completed),
             Reply::Refused { refusal, .. } => (Some(refusal.code), refusal.code.verdict()),
         };
         self.parts.observer.finished(&Finished {
@@ -191,12 +193,12 @@
         if declared.is_some_and(|length| length > options.body_bytes) {
             return Err(too_large());
         }
-        let hold = if head.is_claimed() {
+        let buffer_limit = if head.is_claimed() {
             options.body_bytes
         } else {
             options.buffer.min(options.body_bytes)
         };
-        let received = timeout_at(deadline, body::receive(body, hold)).await;
+        let received = timeout_at(deadline, body::receive(body, buffer_limit)).await;
         let received = received.map_err(|_elapsed| {
             Refusal::new(
                 Code::BodyIncomplete,
@@ -204,15 +206,15 @@
             )
         })??;
         match received {
-            Received::Whole(bytes) => Ok(Upload::Whole(bytes)),
-            Received::Partial(..) if head.is_claimed() => Err(too_large()),
-            Received::Partial(start, rest) => {
-                // What arrives in one piece may reach past the limit at once.
-                let left = options.body_bytes.checked_sub(start.len());
-                let rest = stream::bounded(rest, left.ok_or_else(too_large)?);
-                Ok(Upload::Streaming(Some(crate::backend::Resumed::boxed(
-                    start, rest,
-                ))))
+            ReceivedBody::Complete(bytes) => Ok(Upload::Buffered(bytes)),
+            ReceivedBody::Partial(..) if head.is_claimed() => Err(too_large()),
+            ReceivedBody::Partial(start, rest) => {
+                // A single large frame may exceed the limit.
+                let remaining = options.body_bytes.checked_sub(start.len());
+                let rest = stream::limited(rest, remaining.ok_or_else(too_large)?);
+                Ok(Upload::Streaming(Some(
+                    crate::backend::PrefixedBody::boxed(start, rest),
+                )))
             }
         }
     }
@@ -222,37 +224,45 @@
         head: &Head,
         upload: Upload,
         deadline: Instant,
-        gone: CancellationToken,
+        disconnected: CancellationToken,
         attempts: &mut u32,
     ) -> Reply {
-        let entrant = Entrant {
+        let request = PendingRequest {
             account: head.account.clone(),
             service: head.target.service.clone(),
             class: head.target.class,
             deadline,
-            idempotent: head.is_idempotent() && matches!(upload, Upload::Whole(_)),
+            idempotent: head.is_idempotent() && matches!(upload, Upload::Buffered(_)),
         };
-        let Some(ticket) = self.parts.gates.enter(&head.target.pool, entrant) else {
+        let Some(handle) = self.parts.gates.enter(&head.target.pool, request) else {
             let detail = format!("pool {} has no instances", head.target.pool);
             let refusal = Refusal::new(Code::NoInstance, detail);
-            return Reply::refused(head.refused_unseen(refusal));
+            return Reply::refused(head.refuse_without_lookup(refusal));
         };
-        Attempts::new(&self.parts, head, upload, deadline, ticket, gone, attempts)
-            .run()
-            .await
+        Attempts::new(
+            &self.parts,
+            head,
+            upload,
+            deadline,
+            handle,
+            disconnected,
+            attempts,
+        )
+        .run()
+        .await
     }
 
-    /// Waits for claimed requests whose callers have gone, and for outcomes to be written.
+    /// Waits for claimed requests whose callers have disconnected, and for outcomes to be written.
     pub async fn settle(&self) {
-        self.running.close();
-        self.running.wait().await;
-        let left = self.parts.claims.drain(SETTLE).await;
-        if left > 0 {
-            log::warn!("{left} outcomes could not be written before the stop");
+        self.tasks.close();
+        self.tasks.wait().await;
+        let unwritten = self.parts.claims.drain(DRAIN_TIMEOUT).await;
+        if unwritten > 0 {
+            log::warn!("{unwritten} request outcomes not written to the store before shutdown");
         }
     }
 
-    /// Drops what a killed process would lose.
+    /// Discards unwritten claims and outcomes, as a killed process would.
     pub fn abort(&self) {
         self.parts.claims.abort();
     }
--- a/crates/route/src/path/reply.rs
+++ b/crates/route/src/path/reply.rs
@@ -1,4 +1,4 @@
-//! What the caller gets in the end.
+//! The final response to the caller.
 
 use crate::{
     backend::Body,
@@ -11,11 +11,11 @@
 use primroseroute_domain::outcome::{Refusal, Verdict};
 use std::time::Duration;
 
-/// What the caller gets.
+/// The final response to the caller.
 pub(super) enum Reply {
-    /// The backend server's answer.
-    Answered(Response<Body>),
-    /// A numbered error.
+    /// The backend server's response.
+    Response(Response<Body>),
+    /// A result code of the entry.
     Refused {
         refusal: Refusal,
         retry_after: Option<Duration>,
@@ -30,35 +30,35 @@
         }
     }
 
-    /// The same, with the time after which another try is likely to fare better.
-    pub(super) fn retry_after(self, pause: Duration) -> Self {
+    /// Adds the time after which a retry is likely to succeed.
+    pub(super) fn retry_after(self, delay: Duration) -> Self {
         match self {
             Self::Refused { refusal, .. } => Self::Refused {
                 refusal,
-                retry_after: Some(pause),
+                retry_after: Some(delay),
             },
-            answered @ Self::Answered(_) => answered,
+            response @ Self::Response(_) => response,
         }
     }
 
-    /// A backend server's answer with `body`.
-    pub(super) fn answered(mut parts: Parts, body: Body) -> Self {
+    /// A backend server's response with `body`.
+    pub(super) fn response(mut parts: Parts, body: Body) -> Self {
         strip_hop_by_hop(&mut parts.headers);
-        Self::Answered(Response::from_parts(parts, body))
+        Self::Response(Response::from_parts(parts, body))
     }
 
-    /// The first answer to a key, as it was kept.
-    pub(super) fn repeated(first: Answer) -> Self {
-        let mut response = Response::new(problem::full(first.body.0));
-        *response.status_mut() = StatusCode::from_u16(first.status).unwrap_or(StatusCode::OK);
-        for Header { name, value } in first.headers {
+    /// The stored stored response to a key.
+    pub(super) fn stored(stored: Answer) -> Self {
+        let mut response = Response::new(problem::full(stored.body.0));
+        *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
+        for Header { name, value } in stored.headers {
             let name = HeaderName::from_bytes(name.as_bytes());
             let value = HeaderValue::from_maybe_shared(value.0);
             if let (Ok(name), Ok(value)) = (name, value) {
                 response.headers_mut().append(name, value);
             }
         }
-        Self::Answered(response)
+        Self::Response(response)
     }
 
     pub(super) fn into_response(self, id: &str) -> Response<Body> {
@@ -67,7 +67,7 @@
                 refusal,
                 retry_after,
             } => problem::answer(&refusal, id, retry_after),
-            Self::Answered(mut response) => {
+            Self::Response(mut response) => {
                 let headers = response.headers_mut();
                 headers.insert(
                     OUTCOME,
@@ -82,8 +82,8 @@
     }
 }
 
-/// The answer as it is kept for repeats of its key.
-pub(super) fn keep(parts: &Parts, body: &bytes::Bytes) -> Answer {
+/// The response in the form in which it is stored for repeats of its key.
+pub(super) fn stored_response(parts: &Parts, body: &bytes::Bytes) -> Answer {
     let mut headers = parts.headers.clone();
     strip_hop_by_hop(&mut headers);
     let headers = headers.iter().map(|(name, value)| Header {
--- a/crates/route/src/path/stream.rs
+++ b/crates/route/src/path/stream.rs
@@ -1,6 +1,6 @@
-//! Bodies that stream: bounded on the way up, watched on the way down.
+//! Streaming bodies: limited request bodies and tracked response bodies.
 
-use crate::{backend::Body, gate::Ticket};
+use crate::{backend::Body, dispatch::RequestHandle};
 use bytes::Bytes;
 use http_body::{Body as HttpBody, Frame, SizeHint};
 use http_body_util::{BodyExt, Limited};
@@ -12,46 +12,51 @@
 };
 use tokio::time::Instant;
 
-/// `body`, which fails after `limit` bytes; the attempt that carries it then fails too.
-pub(super) fn bounded(body: Body, limit: usize) -> Body {
+/// Makes `body` fail after `limit` bytes, which fails the attempt that sends it.
+pub(super) fn limited(body: Body, limit: usize) -> Body {
     Body::new(Limited::new(body, limit).map_err(io::Error::other))
 }
 
-/// An answer's body on its way to the caller.
+/// A response body that reports its end to the dispatcher.
 ///
-/// The worker's slot is in use until the body's end, so the gate learns of the end from here. A
-/// body that breaks off ends in an error, and the caller's connection is closed without the end
-/// of the message: a short answer never looks whole.
-pub(super) struct Watched {
+/// The worker's slot is in use until the end of the body. A body that breaks off ends in an error,
+/// and the caller's connection is closed without the end of the message: a truncated response
+/// never looks complete.
+pub(super) struct TrackedBody {
     body: Body,
-    ticket: Option<Ticket>,
-    since: Instant,
+    handle: Option<RequestHandle>,
+    sent_at: Instant,
     failure: bool,
 }
 
-impl Watched {
-    pub(super) fn boxed(body: Body, ticket: Ticket, since: Instant, failure: bool) -> Body {
+impl TrackedBody {
+    pub(super) fn boxed(
+        body: Body,
+        handle: RequestHandle,
+        sent_at: Instant,
+        failure: bool,
+    ) -> Body {
         Body::new(Self {
             body,
-            ticket: Some(ticket),
-            since,
+            handle: Some(handle),
+            sent_at,
             failure,
         })
     }
 
-    /// Ends the request at the gate. A broken stream counts as a failed answer and not as a lost
-    /// one, which the gate might try again: its head has already gone to the caller.
+    /// Reports the end of the request. A broken stream counts as a failed response and not as a lost
+    /// connection, which the dispatcher might retry: its head has already been sent to the caller.
     fn end(&mut self, failure: bool) {
-        if let Some(mut ticket) = self.ticket.take() {
-            ticket.finish(AttemptOutcome::Responded {
-                latency: self.since.elapsed(),
+        if let Some(mut handle) = self.handle.take() {
+            handle.finish(AttemptOutcome::Responded {
+                latency: self.sent_at.elapsed(),
                 failure,
             });
         }
     }
 }
 
-impl HttpBody for Watched {
+impl HttpBody for TrackedBody {
     type Data = Bytes;
     type Error = io::Error;
 
--- a/crates/route/src/request.rs
+++ b/crates/route/src/request.rs
@@ -1,4 +1,4 @@
-//! What a caller's request head says, checked.
+//! Validation of request heads.
 
 use http::{HeaderMap, Method, Uri, header};
 use primroseroute_claims::Key;
@@ -11,29 +11,29 @@
 use sha2::{Digest, Sha256};
 use std::{sync::Arc, time::Duration};
 
-/// Makes a non-idempotent request safe to send again.
+/// Makes a non-idempotent request safe to retry.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Says that the caller has sent the idempotency key before; see the caller contract.
+/// States that the caller has sent the idempotency key before; see the caller contract.
 pub const REPEAT: &str = "idempotency-repeat";
-/// How long the caller waits, in milliseconds.
+/// The caller's timeout in milliseconds.
 pub const TIMEOUT_MS: &str = "request-timeout-ms";
 
 #[doc(no_inline)]
 pub use primroseroute_front::problem::{OUTCOME, REQUEST_ID};
 
-/// Longest request id in bytes that is taken over from a caller.
-const MAX_ID: usize = 128;
+/// Longest request id in bytes that is accepted from a caller.
+const MAX_REQUEST_ID_BYTES: usize = 128;
 
-/// Bounds on the time a request may take.
+/// Limits on the duration of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// Where the caller names none.
+    /// Used if the caller sets none.
     pub default: Duration,
-    /// The most a caller may ask for; more is cut to this.
+    /// Upper limit; longer timeouts are reduced to it.
     pub max: Duration,
 }
 
-/// A request head that may be served.
+/// A validated request head.
 #[derive(Clone, Debug)]
 pub(crate) struct Head {
     pub id: Arc<str>,
@@ -47,32 +47,32 @@
 }
 
 impl Head {
-    /// Whether running the request twice is the same as running it once (RFC 9110, 9.2.2).
+    /// Whether executing the request twice has the same effect as once (RFC 9110, 9.2.2).
     pub(crate) fn is_idempotent(&self) -> bool {
         self.method.is_idempotent()
     }
 
-    /// Whether the request needs a claim: it changes something and its caller named a key.
+    /// Whether the request needs a claim: its method is not safe and it has a key.
     pub(crate) fn is_claimed(&self) -> bool {
         self.key.is_some() && !self.method.is_safe()
     }
 
     /// The refusal of a request whose key has not been looked up.
     ///
-    /// It proves that this attempt does not run. But a caller that marks a repeat asks what became
-    /// of its request, and an earlier attempt may have run: told "not run", it would send the
-    /// request under a new key, and a second hold would be placed. So a repeat is told "unknown".
-    pub(crate) fn refused_unseen(&self, refusal: Refusal) -> Refusal {
+    /// This attempt does not run. But a caller that marks a repeat asks for the outcome of its
+    /// original request, and an earlier attempt may have run: told "not run", the caller would send
+    /// the request under a new key, and it would be executed twice. So a repeat is told "unknown".
+    pub(crate) fn refuse_without_lookup(&self, refusal: Refusal) -> Refusal {
         if self.is_claimed() {
-            unseen(&self.headers, refusal)
+            unknown_if_repeat(&self.headers, refusal)
         } else {
             refusal
         }
     }
 }
 
-/// [`Head::refused_unseen`] where only the headers are known.
-pub(crate) fn unseen(headers: &HeaderMap, refusal: Refusal) -> Refusal {
+/// Like [`Head::refuse_without_lookup`], for requests of which only the headers are known.
+pub(crate) fn unknown_if_repeat(headers: &HeaderMap, refusal: Refusal) -> Refusal {
     let is_repeat = headers.contains_key(IDEMPOTENCY_KEY) && headers.contains_key(REPEAT);
     if !is_repeat || refusal.code.verdict() != Verdict::NotRun {
         return refusal;
@@ -84,19 +84,20 @@
     Refusal::new(Code::KeyOutcomeUnknown, detail)
 }
 
-/// The request's id: the caller's where it is short and printable, else a new one.
+/// The request's id: the caller's if it is short and printable, otherwise a new one.
 pub(crate) fn request_id(headers: &HeaderMap) -> Arc<str> {
     headers
         .get(REQUEST_ID)
         .and_then(|value| value.to_str().ok())
         .filter(|text| {
-            (1..=MAX_ID).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic())
+            (1..=MAX_REQUEST_ID_BYTES).contains(&text.len())
+                && text.bytes().all(|b| b.is_ascii_graphic())
         })
         .map_or_else(|| uuid::Uuid::new_v4().to_string().into(), Into::into)
 }
 
-/// Checks the head of a request against the configuration in force.
-pub(crate) fn check(
+/// Validates the head of a request against the current configuration.
+pub(crate) fn validate(
     id: Arc<str>,
     method: Method,
     uri: Uri,
@@ -106,7 +107,7 @@
 ) -> Result<Head, Refusal> {
     if snapshot.seq() == Seq(0) {
         let refusal = Refusal::new(Code::ViewStale, "the entry has just started");
-        return Err(unseen(&headers, refusal));
+        return Err(unknown_if_repeat(&headers, refusal));
     }
     let routes = snapshot.routes();
     let account = account(&headers, routes)?;
--- a/crates/route/src/front.rs
+++ b/crates/route/src/server.rs
@@ -1,11 +1,11 @@
-//! The callers' side of an entry: a gotham handler over the request path.
+//! The HTTP server for callers: a gotham handler over the request path.
 
 use crate::Path;
 use eyre::Result;
 use primroseroute_front::{Call, Options, Server, each};
 use std::{net::SocketAddr, sync::Arc};
 
-/// The running listener for callers.
+/// The running HTTP server for callers.
 #[derive(Debug)]
 pub struct Front {
     server: Server,
@@ -16,7 +16,7 @@
     /// Binds `address` and serves callers on it.
     ///
     /// # Errors
-    /// Where the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn bind(address: SocketAddr, options: Options, path: Arc<Path>) -> Result<Self> {
         let handler = each(Arc::clone(&path), |path, call: Call| async move {
             let Call {
@@ -38,18 +38,18 @@
         self.server.address()
     }
 
-    /// Goes on serving, and closes each connection after its next answer.
+    /// Continues to serve, but closes each connection after its next response.
     pub fn retire(&self) {
         self.server.retire();
     }
 
-    /// Stops listening and finishes every request in flight, and every claim.
+    /// Stops listening; waits for requests in flight and for claims to be settled.
     pub async fn stop(self) {
         self.server.stop().await;
         self.path.settle().await;
     }
 
-    /// Closes at once, as a killed process would.
+    /// Closes immediately, as a killed process would.
     pub fn abort(self) {
         self.server.abort();
         self.path.abort();
--- a/crates/route/tests/all/main.rs
+++ b/crates/route/tests/all/main.rs
@@ -1,3 +1,3 @@
-//! Tests of the request path's parts over real sockets on loopback.
+//! Tests of request path components over loopback sockets.
 
-mod kept;
+mod reuse;
