--- a/crates/claims/src/claims.rs
+++ b/crates/claims/src/claims.rs
@@ -1,15 +1,15 @@
 //! The claims of one entry.
 
 use crate::{
-    answer::Answer,
+    batch::Precondition,
+    batcher::{BatchLimits, Batcher},
     clock::Clock,
-    group::Expect,
     insert::{Insert, Reply},
-    lane::{Lane, Pace},
+    outcome::OutcomeWriter,
     permit::Permit,
-    recent::Recent,
-    record::Records,
+    recent::RecentGrants,
     request::Request,
+    response::Answer,
     row::{Row, State},
 };
 use parking_lot::Mutex;
@@ -30,34 +30,35 @@
 };
 use uuid::Uuid;
 
-/// Randomness of one entry's start; it must come from the operating system.
+/// Random seed of one start of an entry; it must come from the operating system.
 ///
-/// Operation ids are drawn from it. Two entries with one seed would take each other's rows for
-/// their own and could both run a request; 256 random bits make that impossible in practice.
+/// Operation ids are generated from it. Two entries with the same seed would mistake each other's
+/// rows for their own and could both run a request; 256 random bits make that practically
+/// impossible.
 pub type Seed = [u8; 32];
 
-/// Limits and times.
+/// Limits and timeouts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// How long a claim waits for others to share its transaction.
+    /// How long a claim waits for others to join its batch.
     pub window: Duration,
-    /// Most claims of one transaction.
+    /// Most rows in one batch.
     pub group: usize,
-    /// Most transactions of claims in flight.
+    /// Most batches in flight.
     pub flights: usize,
-    /// Most claims, and most outcomes, that wait for the store.
+    /// Most pending claims, and most pending outcomes.
     pub waiting: usize,
-    /// How long one call to the store may take.
+    /// Timeout of one call to the store.
     pub call: Duration,
-    /// Longest wait of a claim while the store fails, within its request's own time.
+    /// Longest wait of a claim while the store fails, within the request's own timeout.
     pub patience: Duration,
-    /// Largest answer that is kept for repeats, in bytes.
+    /// Largest response that is stored for repeats, in bytes.
     pub answer_limit: usize,
-    /// Bytes of answers that may wait to be written.
+    /// Total size of responses that are waiting to be written, in bytes.
     pub answers_limit: usize,
-    /// How long an outcome is tried before it is given up and repeats are answered "unknown".
+    /// How long writing an outcome is retried; after that, repeats are answered "unknown".
     pub keep_trying: Duration,
-    /// Granted keys that the entry remembers for store outages.
+    /// Number of recently granted keys that the entry remembers for store outages.
     pub recent: usize,
 }
 
@@ -78,37 +79,37 @@
     }
 }
 
-/// First pause after the store failed: a blip costs a caller little.
-const PAUSE: Duration = Duration::from_millis(20);
+/// First delay after a store failure; short, so that brief failures add little latency.
+const BASE_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Longest pause: a store that is back is noticed within a second.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+/// Longest delay between retries, so that a store's recovery is noticed within a second.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// After a request's time is up, how long its outcome may take to be written before a repeat is
-/// told "unknown" in place of "in progress".
-const GRACE: Duration = Duration::from_secs(5);
+/// How long after a request's timeout its outcome may still be written; until then, a repeat is
+/// told "in progress" and afterwards "unknown".
+const OUTCOME_GRACE: Duration = Duration::from_secs(5);
 
-/// What became of a claim.
+/// Result of a claim.
 #[derive(Debug)]
 pub enum Claim {
-    /// The claim's row stands; the request may now be sent, once.
+    /// The claim's row is committed; the request may now be sent, once.
     Granted(Permit),
-    /// The request completed before; this is its first answer.
+    /// The request has already completed; this is its first response.
     Repeat(Answer),
     /// The request is in progress.
     InProgress,
-    /// The request may have run; its answer is not known.
+    /// The request may have run; its response is not known.
     OutcomeUnknown,
-    /// The request completed; its answer was too large to keep.
+    /// The request completed; its response was too large to store.
     NotKept,
-    /// The key stands for another request.
+    /// The key was used for another request.
     KeyReused,
-    /// The store could not be used in time: this attempt did not and will not run.
+    /// The store was not available in time: this attempt did not and will not run.
     Unavailable,
 }
 
 impl Claim {
-    /// The result code of the caller's answer; none for a grant or the first answer.
+    /// The result code for the caller; none for a grant or a stored response.
     pub fn code(&self) -> Option<Code> {
         match self {
             Self::Granted(_) | Self::Repeat(_) => None,
@@ -121,101 +122,102 @@
     }
 }
 
-/// Counts since the start, for metrics.
+/// Counts for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Claims that wait for the store.
+    /// Claims waiting for the store.
     pub claims_waiting: usize,
-    /// Outcomes that wait to be written.
+    /// Outcomes waiting to be written.
     pub outcomes_waiting: usize,
-    /// Outcomes that were given up: repeats of these are answered "unknown".
+    /// Outcomes that could not be written since the start: their repeats are answered "unknown".
     pub outcomes_lost: u64,
 }
 
-/// The claims of one entry, over the platform's table.
+/// Claims of one entry, stored in the platform's table.
 #[derive(Clone, Debug)]
 pub struct Claims {
     options: Options,
     clock: Arc<dyn Clock>,
-    operations: Arc<Mutex<ChaCha12Rng>>,
-    inserts: Lane<Insert>,
-    records: Records,
-    recent: Arc<Recent>,
+    operation_ids: Arc<Mutex<ChaCha12Rng>>,
+    inserts: Batcher<Insert>,
+    outcomes: OutcomeWriter,
+    recent_grants: Arc<RecentGrants>,
 }
 
 impl Claims {
     /// Starts the tasks that write claims and outcomes to `table`.
     ///
     /// # Panics
-    /// Outside a tokio runtime.
+    /// If called outside a tokio runtime.
     pub fn spawn(
         table: Arc<dyn Table>,
         clock: Arc<dyn Clock>,
         options: Options,
         seed: Seed,
     ) -> Self {
-        let mut random = ChaCha12Rng::from_seed(seed);
-        let pace = Pace {
+        let mut rng = ChaCha12Rng::from_seed(seed);
+        let limits = BatchLimits {
             window: options.window,
-            rows: options.group,
-            flights: options.flights,
-            waiting: options.waiting,
-            call: options.call,
-            pause: PAUSE,
-            longest_pause: LONGEST_PAUSE,
+            max_rows: options.group,
+            max_in_flight: options.flights,
+            max_pending: options.waiting,
+            call_timeout: options.call,
+            base_delay: BASE_RETRY_DELAY,
+            max_delay: MAX_RETRY_DELAY,
         };
-        let records = Records {
-            lane: Lane::spawn(Arc::clone(&table), pace, ChaCha12Rng::from_rng(&mut random)),
-            keep_trying: options.keep_trying,
-            answer_limit: options.answer_limit,
-            answers_limit: options.answers_limit,
-            used: Arc::new(AtomicUsize::new(0)),
-            lost: Arc::new(AtomicU64::new(0)),
+        let outcomes = OutcomeWriter {
+            batcher: Batcher::spawn(Arc::clone(&table), limits, ChaCha12Rng::from_rng(&mut rng)),
+            write_timeout: options.keep_trying,
+            max_response_bytes: options.answer_limit,
+            max_pending_bytes: options.answers_limit,
+            reserved_bytes: Arc::new(AtomicUsize::new(0)),
+            lost_count: Arc::new(AtomicU64::new(0)),
         };
         Self {
-            inserts: Lane::spawn(table, pace, ChaCha12Rng::from_rng(&mut random)),
-            recent: Arc::new(Recent::new(options.recent)),
-            operations: Arc::new(Mutex::new(random)),
-            records,
+            inserts: Batcher::spawn(table, limits, ChaCha12Rng::from_rng(&mut rng)),
+            recent_grants: Arc::new(RecentGrants::new(options.recent)),
+            operation_ids: Arc::new(Mutex::new(rng)),
+            outcomes,
             clock,
             options,
         }
     }
 
-    /// Claims `request`, which has `within` left before its caller gives up.
+    /// Claims the key of `request`, whose caller waits for at most `within`.
     ///
-    /// Dropping the future is safe: a row that was committed meanwhile is released.
+    /// Dropping the future is safe: a row that has been committed in the meantime is released.
     pub async fn claim(&self, request: &Request, within: Duration) -> Claim {
-        let key = request.row();
-        let give_up = Instant::now() + within.min(self.options.patience);
-        let (reply, answer) = oneshot::channel();
-        let insert = self.insert(request, Key::clone(&key), within, give_up, reply);
-        let taken = Arc::clone(&insert.taken);
-        if self.inserts.push(insert).is_err() {
+        let key = request.row_key();
+        let deadline = Instant::now() + within.min(self.options.patience);
+        let (reply, receiver) = oneshot::channel();
+        let insert = self.insert(request, Key::clone(&key), within, deadline, reply);
+        let row_unread = Arc::clone(&insert.row_unread);
+        if self.inserts.submit(insert).is_err() {
             return self.unavailable(request, &key, false);
         }
-        match timeout_at(give_up, answer).await {
-            Ok(Ok(Reply::Grant(grant))) => {
-                self.recent.insert(key, request.fingerprint.clone());
-                Claim::Granted(grant.accept())
+        match timeout_at(deadline, receiver).await {
+            Ok(Ok(Reply::Granted(permit))) => {
+                self.recent_grants.insert(key, request.fingerprint.clone());
+                Claim::Granted(permit.accept())
             }
-            Ok(Ok(Reply::Repeat(first))) => Claim::Repeat(first),
+            Ok(Ok(Reply::Repeat(response))) => Claim::Repeat(response),
             Ok(Ok(Reply::InProgress)) => Claim::InProgress,
             Ok(Ok(Reply::OutcomeUnknown)) => Claim::OutcomeUnknown,
             Ok(Ok(Reply::NotKept)) => Claim::NotKept,
             Ok(Ok(Reply::KeyReused)) => Claim::KeyReused,
             Ok(Ok(Reply::Unavailable) | Err(_)) | Err(_) => {
-                self.unavailable(request, &key, taken.load(Ordering::Relaxed))
+                self.unavailable(request, &key, row_unread.load(Ordering::Relaxed))
             }
         }
     }
 
     /// Whether an earlier attempt under the request's key may have run, without asking the store.
     ///
-    /// The caller says so, or this entry granted the key. A request that is refused before it was
-    /// claimed must then not be told "not run": the caller asks about its key, not about this try.
+    /// True if the caller says so or this entry granted the key. If such a request is refused
+    /// before it was claimed, the caller must not be told "not run": it asks for the outcome under
+    /// its key, not for that of this attempt.
     pub fn is_repeat(&self, request: &Request) -> bool {
-        request.repeat || self.recent.get(&request.row()).is_some()
+        request.repeat || self.recent_grants.get(&request.row_key()).is_some()
     }
 
     fn insert(
@@ -223,75 +225,75 @@
         request: &Request,
         key: Key,
         within: Duration,
-        give_up: Instant,
+        deadline: Instant,
         reply: oneshot::Sender<Reply>,
     ) -> Insert {
-        let wall = self.clock.now();
+        let wall_time = self.clock.now();
         let row = Row {
-            operation: self.operation(),
+            operation: self.next_operation_id(),
             fingerprint: request.fingerprint.clone(),
-            claimed: wall,
-            until: wall.after(within + GRACE),
+            claimed: wall_time,
+            until: wall_time.after(within + OUTCOME_GRACE),
             state: State::Claimed,
         };
         Insert {
             key,
             row,
-            expect: Expect::Absent,
+            precondition: Precondition::Absent,
             unresolved: false,
-            taken: Arc::new(AtomicBool::new(false)),
-            give_up,
-            wall,
+            row_unread: Arc::new(AtomicBool::new(false)),
+            deadline,
+            wall_time,
             reply,
-            records: self.records.clone(),
-            recent: Arc::clone(&self.recent),
+            outcomes: self.outcomes.clone(),
+            recent_grants: Arc::clone(&self.recent_grants),
         }
     }
 
-    fn operation(&self) -> Uuid {
+    fn next_operation_id(&self) -> Uuid {
         let mut bytes = [0; 16];
-        self.operations.lock().fill_bytes(&mut bytes);
+        self.operation_ids.lock().fill_bytes(&mut bytes);
         uuid::Builder::from_random_bytes(bytes).into_uuid()
     }
 
-    /// The answer where the store could not be asked.
+    /// The result if the store could not be asked.
     ///
-    /// This attempt is proven not to run. But a caller that repeats a key asks what became of its
-    /// request, and "not run" would be a lie if an earlier attempt ran; so a repeat, marked by the
-    /// caller, remembered here, or known by a row that stands and could not be read, is answered
-    /// "unknown".
-    fn unavailable(&self, request: &Request, key: &Key, taken: bool) -> Claim {
-        match self.recent.get(key) {
-            Some(first) if first != request.fingerprint => Claim::KeyReused,
+    /// This attempt will certainly not run. But a caller that repeats a key asks for the outcome of
+    /// its original request, and "not run" would be wrong if an earlier attempt ran. So a request
+    /// is answered "unknown" if it is marked as a repeat by the caller, if the entry remembers its
+    /// key, or if its row exists but could not be read.
+    fn unavailable(&self, request: &Request, key: &Key, row_unread: bool) -> Claim {
+        match self.recent_grants.get(key) {
+            Some(granted) if granted != request.fingerprint => Claim::KeyReused,
             Some(_) => Claim::OutcomeUnknown,
-            None if request.repeat || taken => Claim::OutcomeUnknown,
+            None if request.repeat || row_unread => Claim::OutcomeUnknown,
             None => Claim::Unavailable,
         }
     }
 
-    /// Waits until every outcome is written, at most `within`; returns how many are not.
+    /// Waits until every outcome is written, at most `within`; returns the number of those left.
     pub async fn drain(&self, within: Duration) -> usize {
-        // Claims first: a claim that is given up may still have a row to release.
+        // Claims first: a claim that is abandoned may still have a row to release.
         let settled = async {
-            self.inserts.idle().await;
-            self.records.lane.idle().await;
+            self.inserts.wait_until_idle().await;
+            self.outcomes.batcher.wait_until_idle().await;
         };
         let _: Result<(), _> = timeout(within, settled).await;
-        self.inserts.load() + self.records.lane.load()
+        self.inserts.pending() + self.outcomes.batcher.pending()
     }
 
-    /// Ends at once, as a crash would: nothing that waits is written.
+    /// Stops immediately, as a crash would: nothing that is pending is written.
     pub fn abort(&self) {
         self.inserts.abort();
-        self.records.lane.abort();
+        self.outcomes.batcher.abort();
     }
 
     /// Counts for metrics.
     pub fn counts(&self) -> Counts {
         Counts {
-            claims_waiting: self.inserts.load(),
-            outcomes_waiting: self.records.lane.load(),
-            outcomes_lost: self.records.lost.load(Ordering::Relaxed),
+            claims_waiting: self.inserts.pending(),
+            outcomes_waiting: self.outcomes.batcher.pending(),
+            outcomes_lost: self.outcomes.lost_count.load(Ordering::Relaxed),
         }
     }
 }
--- a/crates/claims/src/clock.rs
+++ b/crates/claims/src/clock.rs
@@ -1,3 +1,3 @@
-//! The wall clock that stamps rows.
+//! The wall clock for timestamps in rows.
 
 pub use primroseroute_domain::time::{Clock, SystemClock as System};
--- a/crates/claims/src/insert.rs
+++ b/crates/claims/src/insert.rs
@@ -1,12 +1,12 @@
-//! Making a claim: inserting its row, or learning from the row that stands.
+//! Making a claim: inserting its row, or interpreting the existing row.
 
 use crate::{
-    answer::Answer,
-    group::{Expect, Fate, Item},
-    lane::Job,
-    permit::{Claimed, Grant},
-    recent::Recent,
-    record::Records,
+    batch::{Precondition, RowWrite, WriteResult},
+    batcher::PendingWrite,
+    outcome::OutcomeWriter,
+    permit::{HeldClaim, PendingPermit},
+    recent::RecentGrants,
+    response::Answer,
     row::{Row, State},
 };
 use primroseroute_domain::time;
@@ -17,10 +17,10 @@
 };
 use tokio::{sync::oneshot, time::Instant};
 
-/// What the lane answers to one claim.
+/// The batcher's reply to one claim.
 #[derive(Debug)]
 pub(crate) enum Reply {
-    Grant(Grant),
+    Granted(PendingPermit),
     Repeat(Answer),
     InProgress,
     OutcomeUnknown,
@@ -29,61 +29,62 @@
     Unavailable,
 }
 
-/// One claim on its way to the table.
+/// One claim to be inserted into the table.
 ///
 /// # Why a key is granted at most once
 ///
-/// A grant needs proof that the row of this claim's own operation stands: either its commit was
-/// answered, or a read found the operation in the row. Rows are written only under the condition
-/// that none stands or that the released row read before is unchanged, so of all operations one
-/// wins. Operations are never shared and each is granted by the one job that made it.
+/// A grant requires proof that the row of this claim's own operation exists: either its commit
+/// succeeded, or a read found the operation in the row. Rows are written only on the condition that
+/// there is no row or that the released row read before is unchanged, so exactly one of several
+/// operations succeeds. Operation ids are never shared, and each is granted only by the insert that
+/// created it.
 ///
-/// # A commit whose answer was lost
+/// # A commit whose result was lost
 ///
-/// It is sent again under the same condition and with the same operation. If the first one took
-/// effect, the second conflicts and the row that is read is this claim's own: granted. If the
-/// first one was lost, the second takes effect: granted. If the first one is late and lands
-/// between or after, at most one of the two can take effect, for each needs the key as the other
-/// leaves it not, and both write the same row. A read alone would not do: it may find nothing and
-/// the late commit may land after it. No order of events ends with two rows or with the row of
-/// another operation, hence none with a second grant.
+/// It is sent again under the same precondition and with the same operation. If the first one was
+/// applied, the second conflicts and the row that is read is this claim's own: granted. If the
+/// first one was lost, the second is applied: granted. If the first one is applied late, before or
+/// after the second, at most one of the two can succeed, because each invalidates the precondition
+/// of the other, and both write the same row. A read alone would not suffice: it may find nothing
+/// and the late commit may be applied after it. No order of events results in two rows or in the
+/// row of another operation, hence none results in a second grant.
 #[derive(Debug)]
 pub(crate) struct Insert {
     pub(crate) key: Key,
     pub(crate) row: Row,
-    pub(crate) expect: Expect,
-    /// Whether an earlier commit of this operation may stand or come to stand.
+    pub(crate) precondition: Precondition,
+    /// Whether an earlier commit of this operation may have been applied or may still be.
     pub(crate) unresolved: bool,
-    /// Whether a row stands that could not be read: an earlier attempt may have run.
-    pub(crate) taken: Arc<AtomicBool>,
-    pub(crate) give_up: Instant,
-    pub(crate) wall: time::Instant,
+    /// Whether a row exists that could not be read: an earlier attempt may have run.
+    pub(crate) row_unread: Arc<AtomicBool>,
+    pub(crate) deadline: Instant,
+    pub(crate) wall_time: time::Instant,
     pub(crate) reply: oneshot::Sender<Reply>,
-    pub(crate) records: Records,
-    pub(crate) recent: Arc<Recent>,
+    pub(crate) outcomes: OutcomeWriter,
+    pub(crate) recent_grants: Arc<RecentGrants>,
 }
 
 impl Insert {
-    fn answer(self, reply: Reply) {
-        // A caller that has gone drops the reply, and with it a grant, which releases the row.
+    fn reply_with(self, reply: Reply) {
+        // If the caller is gone, the reply is dropped, and with it a grant, which releases the row.
         let _: Result<(), Reply> = self.reply.send(reply);
     }
 
     fn grant(self, revision: Revision) {
-        let claim = Claimed {
+        let claim = HeldClaim {
             key: self.key,
             row: self.row,
             revision,
-            records: self.records,
-            recent: self.recent,
+            outcomes: self.outcomes,
+            recent_grants: self.recent_grants,
         };
-        let _: Result<(), Reply> = self.reply.send(Reply::Grant(Grant::new(claim)));
+        let _: Result<(), Reply> = self.reply.send(Reply::Granted(PendingPermit::new(claim)));
     }
 
-    fn found(mut self, found: &table::Row) -> Option<Self> {
+    fn on_conflict(mut self, found: &table::Row) -> Option<Self> {
         let Some(row) = Row::decode(found) else {
             // A row that cannot be read may belong to a request that ran.
-            self.answer(Reply::OutcomeUnknown);
+            self.reply_with(Reply::OutcomeUnknown);
             return None;
         };
         if row.operation == self.row.operation && row.state == State::Claimed {
@@ -91,70 +92,71 @@
             return None;
         }
         if row.state == State::Released {
-            self.taken.store(false, Ordering::Relaxed);
-            self.expect = Expect::At(found.revision);
+            self.row_unread.store(false, Ordering::Relaxed);
+            self.precondition = Precondition::At(found.revision);
             return Some(self);
         }
         let reply = if row.fingerprint == self.row.fingerprint {
-            first_outcome(row, self.wall)
+            reply_for(row, self.wall_time)
         } else {
             Reply::KeyReused
         };
-        self.answer(reply);
+        self.reply_with(reply);
         None
     }
 }
 
-fn first_outcome(row: Row, now: time::Instant) -> Reply {
+fn reply_for(row: Row, now: time::Instant) -> Reply {
     match row.state {
-        State::Completed(answer) => Reply::Repeat(answer),
+        State::Completed(response) => Reply::Repeat(response),
         State::NotKept => Reply::NotKept,
         State::Claimed if now < row.until => Reply::InProgress,
         State::Claimed | State::Unknown | State::Released => Reply::OutcomeUnknown,
     }
 }
 
-impl Job for Insert {
-    fn item(&self) -> Item {
-        Item {
+impl PendingWrite for Insert {
+    fn row_write(&self) -> RowWrite {
+        RowWrite {
             key: Key::clone(&self.key),
-            expect: self.expect,
+            precondition: self.precondition,
             value: self.row.encode(),
         }
     }
 
-    fn settle(mut self, fate: Fate) -> Option<Self> {
-        match fate {
-            Fate::Committed(revision) => {
+    fn handle_result(mut self, result: WriteResult) -> Option<Self> {
+        match result {
+            WriteResult::Committed(revision) => {
                 self.grant(revision);
                 None
             }
-            Fate::Found(Some(row)) => self.found(&row),
-            Fate::Taken => {
-                self.taken.store(true, Ordering::Relaxed);
+            WriteResult::Conflict(Some(row)) => self.on_conflict(&row),
+            WriteResult::UnreadConflict => {
+                self.row_unread.store(true, Ordering::Relaxed);
                 Some(self)
             }
-            Fate::Found(None) => {
-                self.taken.store(false, Ordering::Relaxed);
-                self.expect = Expect::Absent;
+            WriteResult::Conflict(None) => {
+                self.row_unread.store(false, Ordering::Relaxed);
+                self.precondition = Precondition::Absent;
                 Some(self)
             }
-            Fate::Failed { may_have_applied } => {
+            WriteResult::Failed { may_have_applied } => {
                 self.unresolved |= may_have_applied;
                 Some(self)
             }
         }
     }
 
-    fn is_over(&self, now: Instant) -> bool {
-        now >= self.give_up || self.reply.is_closed()
+    fn is_obsolete(&self, now: Instant) -> bool {
+        now >= self.deadline || self.reply.is_closed()
     }
 
-    fn give_up(self) {
+    fn abandon(self) {
         if self.unresolved {
             let key = Key::clone(&self.key);
-            self.records.release(key, self.row.clone(), self.expect);
+            self.outcomes
+                .release(key, self.row.clone(), self.precondition);
         }
-        self.answer(Reply::Unavailable);
+        self.reply_with(Reply::Unavailable);
     }
 }
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -1,52 +1,53 @@
-//! At-most-once: a request with an idempotency key runs once, whichever entry its retries reach.
+//! At-most-once execution by idempotency keys, across all entries that a caller's retries reach.
 //!
 //! # Mechanism
 //!
 //! Before a byte of the request is sent, one row under `claim/<shard>/<hash>` is inserted into the
-//! platform's table, under the condition that none stands there. The insert is the fence: entries
-//! keep nothing, any entry answers for any key, and neither a clock nor a lease is involved. The
-//! row then says "may have run" until the outcome is written over it, behind the caller's answer.
+//! platform's table, on the condition that the row does not exist. This conditional insert is the
+//! only fence: entries hold no state, any entry can answer for any key, and correctness depends on
+//! neither clocks nor leases. The row means "may have run" until the outcome is written to it,
+//! asynchronously after the caller's response.
 //!
-//! | row | a repeat is told | a repeat runs |
+//! | row | reported to a repeat | a repeat runs |
 //! |---|---|---|
 //! | none | | yes |
-//! | `claimed`, its time not up | in progress | no |
-//! | `claimed`, its time up | unknown | no |
-//! | `completed` | the first answer | no |
-//! | `not-kept` | completed, without the answer | no |
+//! | `claimed`, before its deadline | in progress | no |
+//! | `claimed`, after its deadline | unknown | no |
+//! | `completed` | the first response | no |
+//! | `not-kept` | completed, without the response | no |
 //! | `unknown` | unknown | no |
-//! | `released` | | yes: it takes the row over at the revision that it read |
+//! | `released` | | yes: it takes over the row at the revision that it read |
 //!
-//! A released row stays in place of being deleted, because an insert whose answer was lost may
-//! land late: on a deleted key it would take effect and block every retry.
+//! A released row is kept instead of deleted, because an insert whose result was lost may be
+//! applied late: with the row deleted it would succeed and block every retry.
 //!
-//! # Parts
+//! # Modules
 //!
-//! * `lane`: a task that gathers rows into groups and tries again while the store fails; one lane
-//!   inserts claims and one writes outcomes.
-//! * `group`: commits a group in one transaction; a conflict takes one row out and not the rest.
-//! * `insert`: the claim itself, and why no order of events grants a key twice.
-//! * [`Sweep`]: deletes rows whose time is over.
+//! * `batcher`: a task that collects rows into batches and retries while the store fails; one
+//!   batcher inserts claims and another writes outcomes.
+//! * `batch`: commits a batch in one transaction; a conflict excludes one row and not the others.
+//! * `insert`: inserting a claim, and why no order of events grants a key twice.
+//! * [`Sweep`]: deletes expired rows.
 //!
-//! `docs/design/at-most-once.md` has the ways that were weighed, and what a claim costs the store.
+//! `docs/design/at-most-once.md` compares the alternatives, and the cost of a claim for the store.
 
-mod answer;
+mod batch;
+mod batcher;
 mod claims;
 pub mod clock;
-mod group;
 mod insert;
-mod lane;
+mod outcome;
 mod permit;
 mod recent;
-mod record;
 mod request;
+mod response;
 mod row;
 pub mod sweep;
 
-pub use answer::{Answer, Blob, Header};
 pub use claims::{Claim, Claims, Counts, Options, Seed};
 pub use clock::Clock;
 pub use permit::Permit;
 pub use request::{Fingerprint, Key, MAX_KEY, Malformed, Request};
+pub use response::{Answer, Blob, Header};
 pub use row::{Row, State};
 pub use sweep::Sweep;
--- a/crates/claims/src/permit.rs
+++ b/crates/claims/src/permit.rs
@@ -1,82 +1,84 @@
-//! The right to send one request, once.
+//! Permission to send a claimed request.
 
 use crate::{
-    answer::Answer,
-    recent::Recent,
-    record::Records,
+    outcome::OutcomeWriter,
+    recent::RecentGrants,
+    response::Answer,
     row::{Row, State},
 };
 use primroseroute_platform::table::{Key, Revision};
 use std::sync::Arc;
 
-/// The right to send one request to a backend server, once.
+/// Permission to send one request to a backend server, once.
 ///
-/// The claim's row is committed and says that the request may have run. The row is unique, so an
-/// entry that is paused here, for however long, and then sends, is still the only one that does.
+/// The claim's row is committed and states that the request may have run. The row is unique, so an
+/// entry that is suspended here for any length of time and then sends is still the only one that
+/// does.
 ///
-/// A permit that is dropped without a word counts as [`Permit::unknown`]: that is always true.
+/// Dropping a permit without reporting an outcome counts as [`Permit::unknown`], which is always
+/// correct.
 #[derive(Debug)]
 pub struct Permit {
-    claim: Option<Claimed>,
+    claim: Option<HeldClaim>,
 }
 
 #[derive(Debug)]
-pub(crate) struct Claimed {
+pub(crate) struct HeldClaim {
     pub(crate) key: Key,
     pub(crate) row: Row,
     pub(crate) revision: Revision,
-    pub(crate) records: Records,
-    pub(crate) recent: Arc<Recent>,
+    pub(crate) outcomes: OutcomeWriter,
+    pub(crate) recent_grants: Arc<RecentGrants>,
 }
 
-impl Claimed {
-    fn end(self, state: State) {
+impl HeldClaim {
+    fn finish(self, state: State) {
         if state == State::Released {
-            self.recent.remove(&self.key);
+            self.recent_grants.remove(&self.key);
         }
-        self.records
-            .outcome(self.key, self.row, self.revision, state);
+        self.outcomes
+            .write(self.key, self.row, self.revision, state);
     }
 }
 
 impl Permit {
-    /// The request completed; `answer` is kept for repeats, written behind the caller's answer.
-    pub fn completed(mut self, answer: Answer) {
-        self.end(State::Completed(answer));
+    /// The request completed; `response` is stored for repeats, asynchronously.
+    pub fn completed(mut self, response: Answer) {
+        self.finish(State::Completed(response));
     }
 
-    /// Proven: no byte of the request was sent. A retry may run.
+    /// No byte of the request was sent. A retry may run.
     pub fn not_run(mut self) {
-        self.end(State::Released);
+        self.finish(State::Released);
     }
 
-    /// It was sent, or may have been, and its outcome will not be learnt.
+    /// The request was or may have been sent, and its outcome will never be known.
     pub fn unknown(mut self) {
-        self.end(State::Unknown);
+        self.finish(State::Unknown);
     }
 
-    fn end(&mut self, state: State) {
+    fn finish(&mut self, state: State) {
         if let Some(claim) = self.claim.take() {
-            claim.end(state);
+            claim.finish(state);
         }
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.end(State::Unknown);
+        self.finish(State::Unknown);
     }
 }
 
-/// A permit on its way to the caller of `claim`.
+/// A permit that the caller of `claim` has not yet received.
 ///
-/// The caller may have gone while the row was committed: its connection closed, or its time was
-/// up and it was told `not-run`. The permit was then never used, so the row is released.
+/// The caller may stop waiting while the row is committed: its connection is closed, or it timed
+/// out and was told `not-run`. The permit is then never used, so dropping this releases the row.
 #[derive(Debug)]
-pub(crate) struct Grant(Option<Claimed>);
+pub(crate) struct PendingPermit(Option<HeldClaim>);
 
-impl Grant {
-    pub(crate) fn new(claim: Claimed) -> Self {
+impl PendingPermit {
+    pub(crate) fn new(claim: HeldClaim) -> Self {
         Self(Some(claim))
     }
 
@@ -87,10 +89,10 @@
     }
 }
 
-impl Drop for Grant {
+impl Drop for PendingPermit {
     fn drop(&mut self) {
         if let Some(claim) = self.0.take() {
-            claim.end(State::Released);
+            claim.finish(State::Released);
         }
     }
 }
--- a/crates/claims/src/recent.rs
+++ b/crates/claims/src/recent.rs
@@ -1,16 +1,16 @@
-//! The keys that this entry granted lately, for truthful answers while the store is down.
+//! The keys that this entry granted recently, for correct answers while the store is down.
 
 use crate::request::Fingerprint;
 use parking_lot::Mutex;
 use primroseroute_platform::table::Key;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A bounded memory of granted keys.
+/// A bounded cache of granted keys.
 ///
-/// It never grants: it only turns "not run" into "unknown" for a repeat that arrives here while
-/// the store cannot be asked.
+/// It is never used to grant a key: it only turns "not run" into "unknown" for a repeat that
+/// arrives at this entry while the store is unavailable.
 #[derive(Debug)]
-pub(crate) struct Recent {
+pub(crate) struct RecentGrants {
     limit: usize,
     granted: Mutex<Granted>,
 }
@@ -21,7 +21,7 @@
     order: VecDeque<Key>,
 }
 
-impl Recent {
+impl RecentGrants {
     pub(crate) fn new(limit: usize) -> Self {
         Self {
             limit,
--- a/crates/claims/src/answer.rs
+++ b/crates/claims/src/response.rs
@@ -1,11 +1,11 @@
-//! The first answer to a claimed request, as it is kept for repeats.
+//! The first response to a claimed request, in the form stored for repeats.
 
 use crate::request::hex;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Bytes inside a JSON row: text as it is, anything else as hexadecimal digits.
+/// Bytes within a JSON row: UTF-8 text unchanged, anything else as hexadecimal digits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Blob(pub Bytes);
@@ -23,8 +23,8 @@
     type Error = &'static str;
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
-        if let Some(plain) = text.strip_prefix('t') {
-            return Ok(Self(Bytes::copy_from_slice(plain.as_bytes())));
+        if let Some(utf8) = text.strip_prefix('t') {
+            return Ok(Self(Bytes::copy_from_slice(utf8.as_bytes())));
         }
         let digits = text
             .strip_prefix('x')
@@ -45,7 +45,7 @@
     nibbles.chunks(2).map(byte).collect()
 }
 
-/// One header of an answer.
+/// One header of a response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Header {
@@ -55,20 +55,20 @@
     pub value: Blob,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Answer {
     /// The HTTP status.
     pub status: u16,
-    /// The headers, in the order that they came.
+    /// The headers, in their original order.
     pub headers: Vec<Header>,
-    /// The whole body.
+    /// The complete body.
     pub body: Blob,
 }
 
 impl Answer {
-    /// Bytes of headers and body, which the limit on kept answers counts.
+    /// Size of headers and body in bytes, to which the limit on stored responses applies.
     pub fn size(&self) -> usize {
         let headers: usize = self
             .headers
--- a/crates/claims/src/row.rs
+++ b/crates/claims/src/row.rs
@@ -1,24 +1,24 @@
 //! The row of a claim.
 
-use crate::{answer::Answer, request::Fingerprint};
+use crate::{request::Fingerprint, response::Answer};
 use primroseroute_domain::time::Instant;
 use primroseroute_platform::table;
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
-/// How far a claimed request has come, as far as the table knows.
+/// State of a claimed request, as recorded in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// Granted to one entry: it may have run.
+    /// Granted to one entry: the request may have run.
     Claimed,
-    /// Proven not sent: the next attempt may take the row over.
+    /// The request was certainly not sent: the next attempt may take over the row.
     Released,
-    /// It ran to the end; here is its answer.
+    /// The request completed with this response.
     Completed(Answer),
-    /// It ran to the end; the answer was larger than the limit.
+    /// The request completed; the response exceeded the size limit.
     NotKept,
-    /// It may have run; nobody will learn more.
+    /// The request may have run; its outcome will never be known.
     Unknown,
 }
 
@@ -26,32 +26,32 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Row {
-    /// The attempt that wrote the row; unique, so that an entry recognises its own commit.
+    /// Id of the attempt that wrote the row; unique, so that an entry recognises its own commit.
     pub operation: Uuid,
-    /// The request that the key stands for.
+    /// The request for which the key was used.
     pub fingerprint: Fingerprint,
-    /// When it was claimed, by the entry's clock; retention counts from here.
+    /// When it was claimed, by the entry's clock; retention starts at this time.
     pub claimed: Instant,
-    /// When the attempt's time is up, by the entry's clock.
+    /// Deadline of the attempt, by the entry's clock.
     ///
-    /// It only chooses between "in progress" and "unknown", which both say that it may have run.
+    /// It only decides between "in progress" and "unknown", which both mean that it may have run.
     pub until: Instant,
-    /// How far it has come.
+    /// State of the request.
     pub state: State,
 }
 
 impl Row {
-    /// The row's JSON.
+    /// Serializes the row as JSON.
     ///
     /// # Panics
-    /// Never for this type: its derive has no failing case.
+    /// Never: serialization of this type cannot fail.
     pub(crate) fn encode(&self) -> bytes::Bytes {
         serde_json::to_vec(self)
-            .expect("a claim row serializes")
+            .expect("claim rows are serializable")
             .into()
     }
 
-    /// Reads a row; none where it is not a claim.
+    /// Deserializes a row; none if it is not a claim.
     pub(crate) fn decode(row: &table::Row) -> Option<Self> {
         serde_json::from_slice(&row.value).ok()
     }
--- a/crates/claims/src/sweep.rs
+++ b/crates/claims/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Deleting claims whose time is over, in bounded steps.
+//! Deletion of expired claims, in bounded steps.
 
 use crate::{
     clock::Clock,
@@ -12,34 +12,34 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// How long an answered or released claim is kept: a caller's retries end long before a day.
+/// Retention of completed and released claims: a caller's retries end long before a day.
 pub const KEEP_SETTLED: Duration = Duration::from_secs(24 * 3600);
 
-/// How long a claim without an outcome is kept.
+/// Retention of claims without an outcome.
 ///
-/// Its holder may be an entry that is paused between the grant and the send. Were the row gone
-/// when it wakes, a retry could have been granted meanwhile and the request would run twice. No
-/// platform keeps an instance paused for a week, and no caller retries after one.
+/// The claim's owner may be an entry that is suspended between the grant and the send. If the row
+/// were deleted before it resumes, a retry could have been granted in the meantime and the request
+/// would run twice. No platform suspends an instance for a week, and no caller retries after one.
 pub const KEEP_OPEN: Duration = Duration::from_secs(7 * 24 * 3600);
 
-/// Rows that one step reads, and thus the most that it deletes.
+/// Most rows that one step reads, and thus deletes.
 pub const STEP: u32 = 100;
 
-/// What one step did.
+/// Result of one step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Swept {
     /// Rows read.
     pub read: usize,
     /// Rows deleted.
     pub deleted: usize,
-    /// Whether the step came to the end of all claims.
+    /// Whether the step reached the end of all claims.
     pub wrapped: bool,
 }
 
-/// Walks over all claims, a step at a time.
+/// Scans all claims, one step at a time.
 ///
-/// One entry has to do it, such as the holder of the controller's lease; two would only waste
-/// calls, since a row is deleted under the condition that it is as it was read.
+/// One entry has to run it, such as the holder of the controller's lease; a second one would only
+/// waste calls, since a row is deleted on the condition that it is unchanged since it was read.
 #[derive(Debug)]
 pub struct Sweep {
     table: Arc<dyn Table>,
@@ -48,7 +48,7 @@
 }
 
 impl Sweep {
-    /// A sweep that starts at the first claim.
+    /// Creates a sweep that starts at the first claim.
     pub fn open(table: Arc<dyn Table>, clock: Arc<dyn Clock>) -> Self {
         Self {
             table,
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Reads the next [`STEP`] rows and deletes those whose time is over.
+    /// Reads the next [`STEP`] rows and deletes the expired ones.
     ///
-    /// A commit that conflicts or whose answer is lost is left to the next round.
+    /// Rows of a commit that conflicts or whose result is lost are left to the next scan.
     ///
     /// # Errors
-    /// As the table's; the next step goes on from the same place.
+    /// Errors of the table; the next step continues at the same place.
     pub async fn step(&mut self) -> Result<Swept, Error> {
         let scan = Scan {
             prefix: CLAIMS.into(),
@@ -71,9 +71,13 @@
         };
         let page = self.table.scan(scan).await?;
         let now = self.clock.now();
-        let over: Vec<&table::Row> = page.rows.iter().filter(|row| is_over(row, now)).collect();
-        if !over.is_empty() {
-            self.table.commit(deletion(&over)).await?;
+        let expired: Vec<&table::Row> = page
+            .rows
+            .iter()
+            .filter(|row| is_expired(row, now))
+            .collect();
+        if !expired.is_empty() {
+            self.table.commit(deletion(&expired)).await?;
         }
         self.after = page
             .rows
@@ -82,20 +86,20 @@
             .map(|row| Key::clone(&row.key));
         Ok(Swept {
             read: page.rows.len(),
-            deleted: over.len(),
+            deleted: expired.len(),
             wrapped: !page.more,
         })
     }
 }
 
-fn is_over(row: &table::Row, now: Instant) -> bool {
-    // A row that cannot be read is kept: it may be newer than this program.
+fn is_expired(row: &table::Row, now: Instant) -> bool {
+    // An unreadable row is kept: a newer version of this program may have written it.
     Row::decode(row).is_some_and(|row| {
-        let keep = match row.state {
+        let retention = match row.state {
             State::Completed(_) | State::NotKept | State::Released => KEEP_SETTLED,
             State::Claimed | State::Unknown => KEEP_OPEN,
         };
-        now.since(row.claimed) > keep
+        now.since(row.claimed) > retention
     })
 }
 
--- a/crates/claims/tests/all/group.rs
+++ b/crates/claims/tests/all/batch.rs
@@ -1,8 +1,10 @@
-//! Claims share transactions, and a conflict on one does not fail its neighbours.
+//! Batching: claims share transactions, and a conflict on one does not affect the others.
 
 use crate::{
-    bench::{Paused, answer, claim, entry, entry_with, grant, settle, word},
-    fake::{Fake, Load},
+    fake_table::{FakeTable, Load},
+    fixture::{
+        PausedClock, claim, entry, entry_with, grant, outcome_name, response, wait_for_outcomes,
+    },
 };
 use expect_test::expect;
 use futures::future::join_all;
@@ -12,8 +14,8 @@
 use std::time::Duration;
 use tokio::{task::JoinSet, time::sleep};
 
-async fn claim_all(fake: &Fake, keys: impl Iterator<Item = u32>) -> (Vec<&'static str>, Load) {
-    let clock = Paused::start();
+async fn claim_all(fake: &FakeTable, keys: impl Iterator<Item = u32>) -> (Vec<&'static str>, Load) {
+    let clock = PausedClock::start();
     let claims = entry(fake, &clock, 9);
     let keys: Vec<String> = keys.map(|n| format!("k{n}")).collect();
     let before = fake.load();
@@ -24,16 +26,20 @@
         rows_written: load.rows_written - before.rows_written,
         rows_read: load.rows_read - before.rows_read,
     };
-    (outcomes.iter().map(word).collect(), spent)
+    (outcomes.iter().map(outcome_name).collect(), spent)
 }
 
-// Forty claims that arrive together cost one transaction of forty rows, and no read.
+// Forty claims that arrive together take one transaction of forty rows and no read.
 #[tokio::test(start_paused = true)]
 async fn claims_share_a_transaction() {
-    let fake = Fake::default();
-    fake.latency(Duration::from_millis(5));
-    let (words, load) = claim_all(&fake, 0..40).await;
-    assert!(words.iter().all(|word| *word == "granted"));
+    let fake = FakeTable::default();
+    fake.set_latency(Duration::from_millis(5));
+    let (outcome_names, load) = claim_all(&fake, 0..40).await;
+    assert!(
+        outcome_names
+            .iter()
+            .all(|outcome_name| *outcome_name == "granted")
+    );
     assert_eq!(
         load,
         Load {
@@ -44,21 +50,29 @@
     );
 }
 
-// Of forty claims that share a transaction, some keys are taken. The whole transaction conflicts;
-// the others must still be granted, at the cost of few further transactions.
-async fn conflicts_stay_alone(taken: u32, commits: usize, rows_read: usize) {
-    let (fake, clock) = (Fake::default(), Paused::start());
+// Of forty claims that share a transaction, some keys are already taken. The whole transaction
+// conflicts; the others must still be granted with few further transactions.
+async fn check_conflicts(taken: u32, commits: usize, rows_read: usize) {
+    let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let other = entry(&fake, &clock, 1);
     for number in 0..taken {
         grant(&other, &format!("k{number}"))
             .await
-            .completed(answer(b"held"));
+            .completed(response(b"held"));
     }
-    settle(&other).await;
-    let (words, load) = claim_all(&fake, 0..40).await;
+    wait_for_outcomes(&other).await;
+    let (outcome_names, load) = claim_all(&fake, 0..40).await;
     let repeats = usize::try_from(taken).expect("fits");
-    assert!(words[..repeats].iter().all(|word| *word == "repeat"));
-    assert!(words[repeats..].iter().all(|word| *word == "granted"));
+    assert!(
+        outcome_names[..repeats]
+            .iter()
+            .all(|outcome_name| *outcome_name == "repeat")
+    );
+    assert!(
+        outcome_names[repeats..]
+            .iter()
+            .all(|outcome_name| *outcome_name == "granted")
+    );
     let rows_written = 40 - repeats;
     assert_eq!(
         load,
@@ -70,16 +84,16 @@
     );
 }
 
-cases! { conflicts_stay_alone:
+cases! { check_conflicts:
     one_repeat_of_forty(1, 2, 1);
     five_repeats_of_forty(5, 3, 40);
 }
 
-/// Transactions and rows a second for `rate` keyed requests a second over `entries`.
-async fn load(entries: u8, rate: u64, window: u64) -> String {
+/// Transactions and rows per second for `rate` requests with keys per second over `entries`.
+async fn measure_load(entries: u8, rate: u64, window: u64) -> String {
     const SECONDS: u64 = 4;
-    let (fake, clock) = (Fake::default(), Paused::start());
-    fake.latency(Duration::from_millis(5));
+    let (fake, clock) = (FakeTable::default(), PausedClock::start());
+    fake.set_latency(Duration::from_millis(5));
     let options = Options {
         window: Duration::from_millis(window),
         ..Options::default()
@@ -96,12 +110,12 @@
             sleep(Duration::from_micros(at)).await;
             let permit = grant(&claims, &format!("k{number}")).await;
             sleep(Duration::from_millis(50)).await;
-            permit.completed(answer(b"held"));
+            permit.completed(response(b"held"));
         });
     }
     callers.join_all().await;
     for claims in &all {
-        settle(claims).await;
+        wait_for_outcomes(claims).await;
     }
     let Load {
         commits,
@@ -117,8 +131,8 @@
     )
 }
 
-// What keyed requests cost the store: two rows each, whatever the grouping. Transactions shrink only
-// where one entry has many requests in a window. Counts, not timings.
+// Load of requests with keys on the store: two rows each, regardless of batching. The number of
+// transactions falls only if one entry has many requests per window. Counts, not timings.
 #[tokio::test(start_paused = true)]
 async fn load_on_the_store() {
     let mut table = Vec::new();
@@ -130,7 +144,7 @@
         (4, 960, 20),
         (4, 960, 50),
     ] {
-        let load = load(entries, rate, window).await;
+        let load = measure_load(entries, rate, window).await;
         table.push(format!("{entries} entries, {rate}/s, {window} ms: {load}"));
     }
     table.push(String::new());
--- a/crates/claims/tests/all/expiry.rs
+++ b/crates/claims/tests/all/expiry.rs
@@ -1,8 +1,8 @@
-//! Rows whose time is over are deleted, in bounded steps, and no others.
+//! Expired rows are deleted in bounded steps, and no others.
 
 use crate::{
-    bench::{Paused, answer, claim, entry, grant, settle, word},
-    fake::{Fake, Fault},
+    fake_table::{FakeTable, Fault},
+    fixture::{PausedClock, claim, entry, grant, outcome_name, response, wait_for_outcomes},
 };
 use primroseroute_claims::{Sweep, sweep};
 use std::{sync::Arc, time::Duration};
@@ -25,39 +25,40 @@
     }
 }
 
-// A day after a hold nobody retries it, and its row goes. A claim without an outcome may belong to
-// an entry that is paused before the send: were its row gone, a retry would run and then the
-// paused entry would wake and run it again.
+// A completed request is not retried after a day, so its row is deleted. A claim without an outcome
+// may belong to an entry that is suspended before the send: if its row were deleted, a retry would
+// run and then the suspended entry would resume and run it again.
 #[tokio::test(start_paused = true)]
 async fn open_claims_outlive_settled_ones() {
-    let (fake, clock) = (Fake::default(), Paused::start());
+    let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let (a, b) = (entry(&fake, &clock, 1), entry(&fake, &clock, 2));
-    grant(&a, "settled").await.completed(answer(b"held"));
-    settle(&a).await;
-    let paused = grant(&a, "open").await;
+    grant(&a, "settled").await.completed(response(b"held"));
+    wait_for_outcomes(&a).await;
+    let suspended = grant(&a, "open").await;
     let mut sweep = Sweep::open(Arc::new(fake.clone()), Arc::clone(&clock) as _);
     advance(sweep::KEEP_SETTLED.saturating_sub(MINUTE)).await;
     assert_eq!(sweep_all(&mut sweep).await, 0);
     advance(2 * MINUTE).await;
     assert_eq!(sweep_all(&mut sweep).await, 1);
-    assert_eq!(word(&claim(&b, "open").await), "unknown");
+    assert_eq!(outcome_name(&claim(&b, "open").await), "unknown");
     advance(sweep::KEEP_OPEN).await;
     assert_eq!(sweep_all(&mut sweep).await, 1);
     assert!(fake.rows().is_empty());
-    paused.unknown();
+    suspended.unknown();
 }
 
-// More rows than one step: all go, a step at a time, also when a step's commit is lost or refused.
+// More rows than one step deletes: all are deleted step by step, even if the commit of a step is
+// refused or its result is lost.
 #[tokio::test(start_paused = true)]
 async fn many_rows_go_step_by_step() {
-    let (fake, clock) = (Fake::default(), Paused::start());
+    let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let a = entry(&fake, &clock, 1);
     for number in 0..250 {
         grant(&a, &format!("k{number}")).await.unknown();
     }
-    settle(&a).await;
+    wait_for_outcomes(&a).await;
     advance(sweep::KEEP_OPEN + MINUTE).await;
-    fake.script([Fault::Refused, Fault::LostAfter]);
+    fake.inject([Fault::Refused, Fault::LostAfter]);
     let mut sweep = Sweep::open(Arc::new(fake.clone()), Arc::clone(&clock) as _);
     assert!(sweep.step().await.is_err());
     assert!(sweep.step().await.is_err());
--- a/crates/claims/tests/all/fake.rs
+++ b/crates/claims/tests/all/fake_table.rs
@@ -1,4 +1,4 @@
-//! A small table in memory whose commits can be lost, late, slow or refused.
+//! An in-memory table whose commits can be lost, late, slow or refused.
 
 use async_trait::async_trait;
 use parking_lot::Mutex;
@@ -16,21 +16,21 @@
 };
 use tokio::time::sleep;
 
-/// What happens to one commit.
+/// Fault injected into one commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// Refused, without effect.
+    /// Refused; not applied.
     Refused,
-    /// The answer is lost and the commit had no effect.
+    /// The result is lost and the commit is not applied.
     LostBefore,
-    /// The answer is lost after the commit took effect.
+    /// The result is lost after the commit is applied.
     LostAfter,
-    /// The answer is lost, and the commit is tried this much later.
+    /// The result is lost, and the commit is attempted this much later.
     Late(Duration),
 }
 
-/// What the table was asked to do.
+/// Counts of the table's operations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
     pub commits: usize,
@@ -51,31 +51,31 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Fake {
+pub struct FakeTable {
     state: Arc<Mutex<State>>,
 }
 
-impl Fake {
-    /// The faults of the next commits, one each.
-    pub fn script(&self, faults: impl IntoIterator<Item = Fault>) {
+impl FakeTable {
+    /// Sets the faults of the next commits, one each.
+    pub fn inject(&self, faults: impl IntoIterator<Item = Fault>) {
         self.state.lock().script.extend(faults);
     }
 
-    /// Random faults and latencies from here on, or none.
-    pub fn random(&self, random: Option<ChaCha12Rng>) {
+    /// Enables random faults and latencies, or disables them.
+    pub fn set_random_faults(&self, random: Option<ChaCha12Rng>) {
         self.state.lock().random = random;
     }
 
-    pub fn down(&self, down: bool) {
+    pub fn set_down(&self, down: bool) {
         self.state.lock().down = down;
     }
 
-    /// Whether reads fail while commits go on.
-    pub fn reads_down(&self, down: bool) {
+    /// Sets whether reads fail while commits succeed.
+    pub fn set_reads_down(&self, down: bool) {
         self.state.lock().reads_down = down;
     }
 
-    pub fn latency(&self, latency: Duration) {
+    pub fn set_latency(&self, latency: Duration) {
         self.state.lock().latency = latency;
     }
 
@@ -83,7 +83,7 @@
         self.state.lock().load
     }
 
-    /// Every claim row, as the claims would read it.
+    /// All claim rows, decoded.
     pub fn rows(&self) -> Vec<Row> {
         let state = self.state.lock();
         let decode = |row: &table::Row| serde_json::from_slice(&row.value).expect("a claim row");
@@ -154,7 +154,7 @@
 }
 
 #[async_trait]
-impl Table for Fake {
+impl Table for FakeTable {
     async fn read(&self, key: &Key) -> Result<Option<table::Row>, Error> {
         let latency = self.state.lock().latency;
         sleep(latency).await;
--- a/crates/claims/tests/all/bench.rs
+++ b/crates/claims/tests/all/fixture.rs
@@ -1,6 +1,6 @@
-//! What the tests share: entries over one fake table, requests, answers.
+//! Shared fixture: entries with one fake table, requests, responses.
 
-use crate::fake::Fake;
+use crate::fake_table::FakeTable;
 use primroseroute_claims::{
     Answer, Blob, Claim, Claims, Clock, Fingerprint, Key, Options, Permit, Request,
 };
@@ -8,40 +8,45 @@
 use std::{sync::Arc, time::Duration};
 use tokio::time::Instant;
 
-/// Time that the requests of the tests have left.
-pub const WITHIN: Duration = Duration::from_secs(10);
+/// Remaining time of the requests of the tests.
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A wall clock that follows tokio's paused time.
 #[derive(Debug)]
-pub struct Paused(Instant);
+pub struct PausedClock(Instant);
 
-impl Paused {
+impl PausedClock {
     pub fn start() -> Arc<Self> {
         Arc::new(Self(Instant::now()))
     }
 }
 
-impl Clock for Paused {
+impl Clock for PausedClock {
     fn now(&self) -> time::Instant {
         time::Instant(1_000_000_000).after(self.0.elapsed())
     }
 }
 
-/// Starts the claims of an entry; `number` must be fresh for each start.
-pub fn entry(fake: &Fake, clock: &Arc<Paused>, number: u8) -> Claims {
-    entry_with(fake, clock, number, Options::default())
+/// Starts the claims of an entry; `start_number` must be unique for each start.
+pub fn entry(fake: &FakeTable, clock: &Arc<PausedClock>, start_number: u8) -> Claims {
+    entry_with(fake, clock, start_number, Options::default())
 }
 
-pub fn entry_with(fake: &Fake, clock: &Arc<Paused>, number: u8, options: Options) -> Claims {
+pub fn entry_with(
+    fake: &FakeTable,
+    clock: &Arc<PausedClock>,
+    start_number: u8,
+    options: Options,
+) -> Claims {
     let clock = Arc::clone(clock) as Arc<dyn Clock>;
-    Claims::spawn(Arc::new(fake.clone()), clock, options, [number; 32])
+    Claims::spawn(Arc::new(fake.clone()), clock, options, [start_number; 32])
 }
 
 pub fn request(key: &str) -> Request {
-    with_body(key, "bed 4")
+    request_with_body(key, "bed 4")
 }
 
-pub fn with_body(key: &str, body: &str) -> Request {
+pub fn request_with_body(key: &str, body: &str) -> Request {
     let service = "merkato-beds".parse().expect("a name");
     Request {
         account: "gojo".parse().expect("a name"),
@@ -51,7 +56,7 @@
     }
 }
 
-pub fn answer(body: &[u8]) -> Answer {
+pub fn response(body: &[u8]) -> Answer {
     Answer {
         status: 201,
         headers: Vec::new(),
@@ -59,8 +64,8 @@
     }
 }
 
-/// A claim in one word, for comparisons; a permit is given up as unknown.
-pub fn word(claim: &Claim) -> &'static str {
+/// A short name of a claim's result, for assertions.
+pub fn outcome_name(claim: &Claim) -> &'static str {
     match claim {
         Claim::Granted(_) => "granted",
         Claim::Repeat(_) => "repeat",
@@ -73,7 +78,7 @@
 }
 
 pub async fn claim(claims: &Claims, key: &str) -> Claim {
-    claims.claim(&request(key), WITHIN).await
+    claims.claim(&request(key), TIMEOUT).await
 }
 
 pub async fn grant(claims: &Claims, key: &str) -> Permit {
@@ -84,7 +89,7 @@
 }
 
 /// Waits until every outcome is written.
-pub async fn settle(claims: &Claims) {
+pub async fn wait_for_outcomes(claims: &Claims) {
     assert_eq!(
         claims.drain(Duration::from_secs(60)).await,
         0,
--- a/crates/claims/tests/all/main.rs
+++ b/crates/claims/tests/all/main.rs
@@ -1,6 +1,6 @@
-//! Tests of the claims, over a fake table with faults and under paused time.
+//! Tests of claims with a fake table that injects faults, in paused time.
 
-/// Names each case of a table: one test function for each line.
+/// Defines one test function for each case.
 macro_rules! cases {
     ($run:ident: $($name:ident($($argument:expr),* $(,)?);)+) => {
         $(
@@ -12,12 +12,12 @@
     };
 }
 
-mod bench;
+mod batch;
 mod expiry;
-mod fake;
-mod group;
-mod kept;
+mod fake_table;
+mod fixture;
 mod lost;
 mod outage;
 mod race;
 mod random;
+mod stored;
--- a/crates/claims/tests/all/race.rs
+++ b/crates/claims/tests/all/race.rs
@@ -1,108 +1,114 @@
-//! Two entries, one key; entries that die or are paused.
+//! Two entries with the same key; entries that crash or are suspended.
 
 use crate::{
-    bench::{Paused, WITHIN, answer, claim, entry, grant, request, settle, with_body, word},
-    fake::Fake,
+    fake_table::FakeTable,
+    fixture::{
+        PausedClock, TIMEOUT, claim, entry, grant, outcome_name, request, request_with_body,
+        response, wait_for_outcomes,
+    },
 };
 use primroseroute_claims::Claim;
 use std::time::Duration;
 use tokio::{join, time::sleep};
 
 // A caller's connection breaks and it sends the same key to a second entry while the first is
-// still at it. Both entries insert the row at the same moment; the table takes one of them.
+// still processing it. Both entries insert the row at the same time; the table accepts one insert.
 #[tokio::test(start_paused = true)]
 async fn same_key_at_two_entries_at_once() {
-    let (fake, clock) = (Fake::default(), Paused::start());
+    let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let (a, b) = (entry(&fake, &clock, 1), entry(&fake, &clock, 2));
     let (first, second) = join!(claim(&a, "k"), claim(&b, "k"));
-    let mut words = [word(&first), word(&second)];
-    words.sort_unstable();
-    assert_eq!(words, ["granted", "in progress"]);
+    let mut outcome_names = [outcome_name(&first), outcome_name(&second)];
+    outcome_names.sort_unstable();
+    assert_eq!(outcome_names, ["granted", "in progress"]);
 }
 
-// The same key twice at one entry at once: both are in one lane, and a transaction with the same
-// row twice would let the second overwrite the first.
+// The same key twice at one entry at the same time: both go through one batcher, and in a
+// transaction with the same row twice the second write would overwrite the first.
 #[tokio::test(start_paused = true)]
 async fn same_key_twice_at_one_entry() {
-    let (fake, clock) = (Fake::default(), Paused::start());
+    let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let a = entry(&fake, &clock, 1);
     let (first, second) = join!(claim(&a, "k"), claim(&a, "k"));
-    assert_eq!([word(&first), word(&second)], ["granted", "in progress"]);
+    assert_eq!(
+        [outcome_name(&first), outcome_name(&second)],
+        ["granted", "in progress"]
+    );
 }
 
-// An entry dies between the grant and the send, or after the send: nobody can tell. The caller
-// repeats at another entry, first within the request's time and then after it.
+// An entry crashes between the grant and the send, or after the send; the two cases cannot be
+// distinguished. The caller repeats at another entry, before the request's deadline and after it.
 #[tokio::test(start_paused = true)]
 async fn entry_dies_after_the_grant() {
-    let (fake, clock) = (Fake::default(), Paused::start());
+    let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let (a, b) = (entry(&fake, &clock, 1), entry(&fake, &clock, 2));
     let permit = grant(&a, "k").await;
     a.abort();
     drop(permit);
-    assert_eq!(word(&claim(&b, "k").await), "in progress");
-    sleep(WITHIN + Duration::from_secs(6)).await;
-    assert_eq!(word(&claim(&b, "k").await), "unknown");
-    assert_eq!(word(&claim(&b, "k").await), "unknown");
+    assert_eq!(outcome_name(&claim(&b, "k").await), "in progress");
+    sleep(TIMEOUT + Duration::from_secs(6)).await;
+    assert_eq!(outcome_name(&claim(&b, "k").await), "unknown");
+    assert_eq!(outcome_name(&claim(&b, "k").await), "unknown");
 }
 
-// An entry is paused for an hour between the grant and the send. Meanwhile the caller repeats at
-// another entry, which must not run the request, since the paused one wakes and sends it.
+// An entry is suspended for an hour between the grant and the send. Meanwhile the caller repeats
+// at another entry, which must not run the request, since the suspended one resumes and sends it.
 #[tokio::test(start_paused = true)]
 async fn entry_is_paused_between_grant_and_send() {
-    let (fake, clock) = (Fake::default(), Paused::start());
+    let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let (a, b) = (entry(&fake, &clock, 1), entry(&fake, &clock, 2));
     let permit = grant(&a, "k").await;
     sleep(Duration::from_secs(3600)).await;
-    assert_eq!(word(&claim(&b, "k").await), "unknown");
-    permit.completed(answer(b"held"));
-    settle(&a).await;
+    assert_eq!(outcome_name(&claim(&b, "k").await), "unknown");
+    permit.completed(response(b"held"));
+    wait_for_outcomes(&a).await;
     let Claim::Repeat(first) = claim(&b, "k").await else {
-        panic!("the outcome is known by now");
+        panic!("the outcome has been written");
     };
-    assert_eq!(first, answer(b"held"));
+    assert_eq!(first, response(b"held"));
 }
 
-// The connection to the backend server could not be made: proven not sent. The caller is told
-// "not run" and its retry, at any entry, must run; once.
+// The connection to the backend server failed, so nothing was sent. The caller is told "not run",
+// and its retry must run at any entry, exactly once.
 #[tokio::test(start_paused = true)]
 async fn retry_runs_after_not_run() {
-    let (fake, clock) = (Fake::default(), Paused::start());
+    let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let (a, b) = (entry(&fake, &clock, 1), entry(&fake, &clock, 2));
     grant(&a, "k").await.not_run();
-    settle(&a).await;
+    wait_for_outcomes(&a).await;
     let (first, second) = join!(claim(&a, "k"), claim(&b, "k"));
-    let mut words = [word(&first), word(&second)];
-    words.sort_unstable();
-    assert_eq!(words, ["granted", "in progress"]);
+    let mut outcome_names = [outcome_name(&first), outcome_name(&second)];
+    outcome_names.sort_unstable();
+    assert_eq!(outcome_names, ["granted", "in progress"]);
 }
 
-// A caller sends another request under a key that stands for a first one. Its answer must not be
-// the first one's, and it must not run as if the key were new.
+// A caller sends a different request under a key that was already used. It must not receive the
+// first request's response, and it must not run as if the key were new.
 #[tokio::test(start_paused = true)]
 async fn key_stands_for_another_request() {
-    let (fake, clock) = (Fake::default(), Paused::start());
+    let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let (a, b) = (entry(&fake, &clock, 1), entry(&fake, &clock, 2));
-    grant(&a, "k").await.completed(answer(b"held"));
-    settle(&a).await;
-    let other = b.claim(&with_body("k", "bed 5"), WITHIN).await;
-    assert_eq!(word(&other), "key reused");
+    grant(&a, "k").await.completed(response(b"held"));
+    wait_for_outcomes(&a).await;
+    let other = b.claim(&request_with_body("k", "bed 5"), TIMEOUT).await;
+    assert_eq!(outcome_name(&other), "key reused");
     let mut elsewhere = request("k");
     elsewhere.account = "safelift".parse().expect("a name");
-    assert_eq!(word(&b.claim(&elsewhere, WITHIN).await), "granted");
+    assert_eq!(outcome_name(&b.claim(&elsewhere, TIMEOUT).await), "granted");
 }
 
-// The caller hangs up while its claim is committed: the future is dropped, the row stands, and
+// The caller disconnects while its claim is committed: the future is dropped, the row exists, and
 // nothing is sent. A retry must run and not be told "unknown".
 #[tokio::test(start_paused = true)]
 async fn caller_hangs_up_during_the_commit() {
-    let (fake, clock) = (Fake::default(), Paused::start());
+    let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let a = entry(&fake, &clock, 1);
-    fake.latency(Duration::from_millis(100));
+    fake.set_latency(Duration::from_millis(100));
     let hung_up = tokio::time::timeout(Duration::from_millis(50), claim(&a, "k")).await;
     assert!(
         hung_up.is_err(),
         "the commit takes longer than the caller waits"
     );
-    settle(&a).await;
-    assert_eq!(word(&claim(&a, "k").await), "granted");
+    wait_for_outcomes(&a).await;
+    assert_eq!(outcome_name(&claim(&a, "k").await), "granted");
 }
--- a/crates/claims/tests/all/random.rs
+++ b/crates/claims/tests/all/random.rs
@@ -1,8 +1,9 @@
-//! Random entries, faults, crashes, pauses and callers; executions are counted for each key.
+//! Randomized test with faults, crashes, suspended entries and retrying callers; executions are
+//! counted for each key.
 
 use crate::{
-    bench::{Paused, answer, entry, request, word},
-    fake::Fake,
+    fake_table::FakeTable,
+    fixture::{PausedClock, entry, outcome_name, request, response},
 };
 use parking_lot::Mutex;
 use primroseroute_claims::{Claim, Claims, Permit};
@@ -16,33 +17,33 @@
 const CALLERS: usize = 3;
 const TRIES: usize = 5;
 
-/// What a run of one seed came to.
+/// Result of a run with one seed.
 #[derive(Debug, Default)]
-struct Total {
+struct Summary {
     executions: u32,
-    /// Attempts whose entry crashed, or that lost the backend server's answer.
+    /// Attempts whose entry crashed or whose response was lost.
     accidents: u32,
 }
 
 #[derive(Debug)]
-struct World {
-    fake: Fake,
-    clock: Arc<Paused>,
+struct Simulation {
+    fake: FakeTable,
+    clock: Arc<PausedClock>,
     entries: Mutex<Vec<Claims>>,
-    starts: Mutex<u8>,
+    start_count: Mutex<u8>,
     executions: Mutex<BTreeMap<String, u32>>,
-    /// Whether entries crash and backend servers' answers are lost.
+    /// Whether entries crash and responses of backend servers are lost.
     accidents: bool,
-    happened: Mutex<u32>,
+    accident_count: Mutex<u32>,
 }
 
-impl World {
-    /// Kills the entry at `index` and starts another in its place.
+impl Simulation {
+    /// Kills the entry at `index` and starts a new one in its place.
     fn replace(&self, index: usize) {
-        let mut starts = self.starts.lock();
-        *starts = starts.wrapping_add(1);
-        let fresh = entry(&self.fake, &self.clock, *starts);
-        std::mem::replace(&mut self.entries.lock()[index], fresh).abort();
+        let mut start_count = self.start_count.lock();
+        *start_count = start_count.wrapping_add(1);
+        let replacement = entry(&self.fake, &self.clock, *start_count);
+        std::mem::replace(&mut self.entries.lock()[index], replacement).abort();
     }
 
     fn execute(&self, key: &str) {
@@ -53,7 +54,7 @@
         self.executions.lock().get(key).copied().unwrap_or(0)
     }
 
-    /// One attempt of a caller; whether it is content.
+    /// One attempt of a caller; returns whether it got a response.
     async fn attempt(&self, key: &str, random: &mut ChaCha12Rng) -> bool {
         let index = random.random_range(0..3);
         let claims = self.entries.lock()[index].clone();
@@ -61,17 +62,25 @@
         let permit = match claims.claim(&request(key), within).await {
             Claim::Granted(permit) => permit,
             Claim::Repeat(first) => {
-                assert_eq!(first, answer(key.as_bytes()), "another request's answer");
-                assert_eq!(self.executions(key), 1, "an answer to nothing");
+                assert_eq!(
+                    first,
+                    response(key.as_bytes()),
+                    "response to another request"
+                );
+                assert_eq!(
+                    self.executions(key),
+                    1,
+                    "response without exactly one execution"
+                );
                 return true;
             }
             Claim::InProgress | Claim::OutcomeUnknown | Claim::Unavailable => return false,
-            other => panic!("no request of this test is answered {other:?}"),
+            other => panic!("unexpected result of a claim: {other:?}"),
         };
         let pause = Duration::from_millis(random.random_range(0..4000));
         match random.random_range(0..10) {
             0..3 if self.accidents => {
-                *self.happened.lock() += 1;
+                *self.accident_count.lock() += 1;
                 self.accident(index, permit, key, pause, random).await;
                 false
             }
@@ -82,13 +91,13 @@
             _ => {
                 sleep(pause).await;
                 self.execute(key);
-                permit.completed(answer(key.as_bytes()));
+                permit.completed(response(key.as_bytes()));
                 true
             }
         }
     }
 
-    /// The entry crashes before or after the send, or the backend server's answer is lost.
+    /// The entry crashes before or after the send, or the backend server's response is lost.
     async fn accident(
         &self,
         index: usize,
@@ -112,90 +121,91 @@
     }
 }
 
-async fn call(world: Arc<World>, key: String, mut random: ChaCha12Rng) {
+async fn run_caller(sim: Arc<Simulation>, key: String, mut random: ChaCha12Rng) {
     for _ in 0..TRIES {
-        if world.attempt(&key, &mut random).await {
+        if sim.attempt(&key, &mut random).await {
             return;
         }
         sleep(Duration::from_millis(random.random_range(0..2000))).await;
     }
 }
 
-async fn run(seed: u64) -> Total {
+async fn run(seed: u64) -> Summary {
     let mut random = ChaCha12Rng::seed_from_u64(seed);
-    let (fake, clock) = (Fake::default(), Paused::start());
+    let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let entries = (0..3).map(|number| entry(&fake, &clock, number)).collect();
-    let world = Arc::new(World {
+    let sim = Arc::new(Simulation {
         fake: fake.clone(),
         clock,
         entries: Mutex::new(entries),
-        starts: Mutex::new(10),
+        start_count: Mutex::new(10),
         executions: Mutex::default(),
         accidents: seed % 2 == 1,
-        happened: Mutex::default(),
+        accident_count: Mutex::default(),
     });
-    fake.random(Some(ChaCha12Rng::from_rng(&mut random)));
+    fake.set_random_faults(Some(ChaCha12Rng::from_rng(&mut random)));
     let mut callers = JoinSet::new();
     for number in 0..KEYS * CALLERS {
         let key = format!("k{}", number % KEYS);
         let own = ChaCha12Rng::from_rng(&mut random);
-        callers.spawn(call(Arc::clone(&world), key, own));
+        callers.spawn(run_caller(Arc::clone(&sim), key, own));
     }
     for _ in 0..3 {
         sleep(Duration::from_millis(random.random_range(500..4000))).await;
-        fake.down(true);
+        fake.set_down(true);
         sleep(Duration::from_millis(random.random_range(100..4000))).await;
-        fake.down(false);
+        fake.set_down(false);
     }
     while let Some(ended) = callers.join_next().await {
         ended.expect("no caller panics");
     }
-    heal(&world, seed).await
+    verify(&sim, seed).await
 }
 
-/// Ends the faults and asks for every key once more.
-async fn heal(world: &World, seed: u64) -> Total {
-    world.fake.random(None);
+/// Disables the faults and claims every key once more.
+async fn verify(sim: &Simulation, seed: u64) -> Summary {
+    sim.fake.set_random_faults(None);
     sleep(Duration::from_secs(30)).await;
-    let mut total = Total {
+    let mut summary = Summary {
         executions: 0,
-        accidents: *world.happened.lock(),
+        accidents: *sim.accident_count.lock(),
     };
     for number in 0..KEYS {
         let key = format!("k{number}");
-        let claims = world.entries.lock()[0].clone();
+        let claims = sim.entries.lock()[0].clone();
         let last = claims.claim(&request(&key), Duration::from_secs(10)).await;
-        let executions = world.executions(&key);
-        let known = match word(&last) {
+        let executions = sim.executions(&key);
+        let known = match outcome_name(&last) {
             "granted" => executions == 0,
             "repeat" => executions == 1,
-            // Without accidents every outcome is known in the end: "not run" was proven, so the
-            // key is free again, and what ran has its answer.
-            _ => world.accidents && executions <= 1,
+            // Without accidents every outcome is finally known: after "not run" the key is free
+            // again, and requests that ran have a stored response.
+            _ => sim.accidents && executions <= 1,
         };
         assert!(
             known,
             "seed {seed}: {key} ran {executions} times, and is {}",
-            word(&last)
+            outcome_name(&last)
         );
-        total.executions += executions;
+        summary.executions += executions;
     }
-    total
+    summary
 }
 
-// Three entries, five keys, three callers a key who retry at random entries; half of the commits
-// are refused, lost before or after their effect, or late by up to five seconds; outages; entries
-// crash after the grant or are paused before the send. No key runs twice, no answer is another's,
-// and a key whose attempts were all "not run" runs when it is sent again.
+// Three entries, five keys, three callers per key who retry at random entries; half of the commits
+// are refused, lost before or after they are applied, or late by up to five seconds; there are
+// outages; entries crash after the grant or are suspended before the send. No key runs twice, no
+// caller receives another request's response, and a key whose attempts were all "not run" runs when
+// it is sent again.
 #[tokio::test(start_paused = true)]
 async fn no_key_runs_twice() {
-    let mut total = Total::default();
+    let mut summary = Summary::default();
     for seed in 0..SEEDS {
         let ended = run(seed).await;
-        total.executions += ended.executions;
-        total.accidents += ended.accidents;
+        summary.executions += ended.executions;
+        summary.accidents += ended.accidents;
     }
-    // Enough ran, and enough went wrong, for the assertions above to mean something.
-    assert!(total.executions > 500, "{total:?}");
-    assert!(total.accidents > 100, "{total:?}");
+    // Ensure that enough executions and accidents occurred for the test to be meaningful.
+    assert!(summary.executions > 500, "{summary:?}");
+    assert!(summary.accidents > 100, "{summary:?}");
 }
--- a/crates/claims/tests/all/kept.rs
+++ b/crates/claims/tests/all/stored.rs
@@ -1,51 +1,53 @@
-//! What is kept of an answer, and the shape of the rows.
+//! Stored responses and the format of rows.
 
 use crate::{
-    bench::{Paused, answer, claim, entry, entry_with, grant, settle, word},
-    fake::Fake,
+    fake_table::FakeTable,
+    fixture::{
+        PausedClock, claim, entry, entry_with, grant, outcome_name, response, wait_for_outcomes,
+    },
 };
 use expect_test::expect;
 use primroseroute_claims::{Blob, Claim, Header, Options};
 
-// A backend server's answer is text, bytes that are no text, or both, and a repeat gets it whole.
+// A response may contain text, binary data or both; a repeat receives it unchanged.
 #[tokio::test(start_paused = true)]
 async fn repeat_gets_the_answer_whole() {
-    let (fake, clock) = (Fake::default(), Paused::start());
+    let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let a = entry(&fake, &clock, 1);
-    let mut first = answer(&[0, 159, 146, 150, b'x']);
+    let mut first = response(&[0, 159, 146, 150, b'x']);
     first.headers = vec![Header {
         name: "x-hold".into(),
         value: Blob(vec![0xff].into()),
     }];
     grant(&a, "k").await.completed(first.clone());
-    settle(&a).await;
+    wait_for_outcomes(&a).await;
     let Claim::Repeat(kept) = claim(&a, "k").await else {
-        panic!("the first answer is kept");
+        panic!("the first response is stored");
     };
     assert_eq!(kept, first);
 }
 
-// An answer above the limit would make rows that the store cannot carry. The repeat is told that
+// A response above the limit would make the row too large for the store. The repeat is told that
 // the request completed, and does not run again.
 #[tokio::test(start_paused = true)]
 async fn large_answer_is_not_kept() {
-    let (fake, clock) = (Fake::default(), Paused::start());
+    let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let options = Options {
         answer_limit: 8,
         ..Options::default()
     };
     let a = entry_with(&fake, &clock, 1, options);
-    grant(&a, "fits").await.completed(answer(b"12345678"));
-    grant(&a, "large").await.completed(answer(b"123456789"));
-    settle(&a).await;
-    assert_eq!(word(&claim(&a, "fits").await), "repeat");
-    assert_eq!(word(&claim(&a, "large").await), "not kept");
+    grant(&a, "fits").await.completed(response(b"12345678"));
+    grant(&a, "large").await.completed(response(b"123456789"));
+    wait_for_outcomes(&a).await;
+    assert_eq!(outcome_name(&claim(&a, "fits").await), "repeat");
+    assert_eq!(outcome_name(&claim(&a, "large").await), "not kept");
 }
 
-// Answers wait for the store in memory; above their budget only the fact of them is kept.
+// Responses wait for the store in memory; above the budget only their completion is recorded.
 #[tokio::test(start_paused = true)]
 async fn waiting_answers_are_bounded_in_bytes() {
-    let (fake, clock) = (Fake::default(), Paused::start());
+    let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let options = Options {
         answers_limit: 10,
         ..Options::default()
@@ -56,22 +58,22 @@
         grant(&a, "2").await,
         grant(&a, "3").await,
     );
-    one.completed(answer(b"12345678"));
-    two.completed(answer(b"12345678"));
-    settle(&a).await;
-    three.completed(answer(b"12345678"));
-    settle(&a).await;
-    assert_eq!(word(&claim(&a, "1").await), "repeat");
-    assert_eq!(word(&claim(&a, "2").await), "not kept");
-    assert_eq!(word(&claim(&a, "3").await), "repeat");
+    one.completed(response(b"12345678"));
+    two.completed(response(b"12345678"));
+    wait_for_outcomes(&a).await;
+    three.completed(response(b"12345678"));
+    wait_for_outcomes(&a).await;
+    assert_eq!(outcome_name(&claim(&a, "1").await), "repeat");
+    assert_eq!(outcome_name(&claim(&a, "2").await), "not kept");
+    assert_eq!(outcome_name(&claim(&a, "3").await), "repeat");
 }
 
 #[tokio::test(start_paused = true)]
 async fn row_shape() {
-    let (fake, clock) = (Fake::default(), Paused::start());
+    let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let a = entry(&fake, &clock, 1);
-    grant(&a, "k").await.completed(answer(b"held"));
-    settle(&a).await;
+    grant(&a, "k").await.completed(response(b"held"));
+    wait_for_outcomes(&a).await;
     let row = serde_json::to_string_pretty(&fake.rows()[0]).expect("rows serialize");
     expect![[r#"
         {
--- a/crates/route/src/backend/idle.rs
+++ b/crates/route/src/backend/idle.rs
@@ -1,4 +1,4 @@
-//! IdleConnection connections by address, most recently used first.
+//! Idle connections by address, most recently used first.
 
 use super::Body;
 use hyper::client::conn::http1::SendRequest;
@@ -10,7 +10,7 @@
 /// 15 s to 75 s; closing earlier avoids sending a request while the server closes the connection.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(10);
 
-/// IdleConnection connections connections for one worker. An entry's part of a worker's 64 connections is 9 with 7
+/// Idle connections kept for one worker. An entry's part of a worker's 64 connections is 9 with 7
 /// entries, of which up to 8 carry requests.
 const MAX_IDLE_PER_WORKER: usize = 8;
 
--- a/crates/route/src/path/attempt.rs
+++ b/crates/route/src/path/attempt.rs
@@ -33,7 +33,7 @@
     disconnected: CancellationToken,
     /// The failure of the last attempt that may have run; if set, "not run" must not be reported.
     may_have_run: Option<Refusal>,
-    /// How the previous attempt failed, until the next one is attempt_count.
+    /// How the previous attempt failed, until the next one is made.
     last_failure: Option<Code>,
 }
 
@@ -120,7 +120,7 @@
     ///
     /// A request that kept waiting after its caller had disconnected could run minutes after
     /// another entry told the caller that its key had not run. Nothing has been claimed or sent
-    /// yet, so outcome it here is safe.
+    /// yet, so ending it here is safe.
     async fn next_decision(&mut self) -> Result<Decision, Reply> {
         if self.permit.is_some() {
             return Ok(self.handle.next_decision().await);
--- a/crates/route/src/path/reply.rs
+++ b/crates/route/src/path/reply.rs
@@ -47,7 +47,7 @@
         Self::Response(Response::from_parts(parts, body))
     }
 
-    /// The stored stored response to a key.
+    /// The stored first response to a key.
     pub(super) fn stored(stored: Answer) -> Self {
         let mut response = Response::new(problem::full(stored.body.0));
         *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
--- a/crates/route/tests/all/reuse.rs
+++ b/crates/route/tests/all/reuse.rs
@@ -80,7 +80,7 @@
     Ok(response.into_body().collect().await?.to_bytes())
 }
 
-/// The responses to two_responses consecutive requests on a new pool.
+/// The responses to two consecutive requests on a new pool.
 async fn two_responses(fault: Fault) -> eyre::Result<[Bytes; 2]> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let to = listener.local_addr()?;
