--- a/benches/capacity/parts.rs
+++ b/benches/capacity/parts.rs
@@ -15,7 +15,7 @@
 use primroseroute_ledger::{Versioned, key};
 use primroseroute_peer::membership::Registration;
 use primroseroute_platform::fleet::{List, Listed, Phase};
-use primroseroute_route::Gates;
+use primroseroute_route::Dispatchers;
 use primroseroute_view::Snapshot;
 use serde::Serialize;
 use std::{collections::BTreeSet, hint::black_box, net::SocketAddr, sync::Arc};
@@ -102,7 +102,7 @@
         ),
         Figure::new("list of instances, serialized", "B", list(size)?),
         Figure::new("registrations, serialized", "B", registrations(size)?),
-        Figure::new("gates take a view", "us", gates(size, &snapshot)?),
+        Figure::new("gates take a view", "us", dispatchers(size, &snapshot)?),
         Figure::new(
             "placement plan with nothing to do",
             "us",
@@ -148,13 +148,13 @@
     Ok(bytes as f64)
 }
 
-fn gates(size: Size, snapshot: &Snapshot) -> Result<f64> {
+fn dispatchers(size: Size, snapshot: &Snapshot) -> Result<f64> {
     let names = (0..size.entries).map(|index| format!("entry-{index}").parse());
     let entries: BTreeSet<_> = names.collect::<Result<_, _>>()?;
     Builder::new_current_thread().build()?.block_on(async {
-        let gates = Gates::open("entry-0".parse()?, 1, Limits::default(), 1);
-        gates.sync(snapshot, &entries);
-        meter::each(|| gates.sync(snapshot, &entries))
+        let dispatchers = Dispatchers::new("entry-0".parse()?, 1, Limits::default(), 1);
+        dispatchers.apply_view(snapshot, &entries);
+        meter::each(|| dispatchers.apply_view(snapshot, &entries))
     })
 }
 
--- a/benches/request_path/inner.rs
+++ b/benches/request_path/inner.rs
@@ -19,7 +19,7 @@
 use primroseroute_flow::limits::Limits;
 use primroseroute_ledger::{Versioned, key};
 use primroseroute_route::{
-    Finished, Gates, Observer, Options, Parts, Path,
+    Dispatchers, Finished, Observer, Options, Parts, Path,
     backend::{Backend, Body, Failure},
     problem,
 };
@@ -128,12 +128,12 @@
     let cell = Arc::new(Cell::default());
     cell.advance(snapshot(guests)?);
     let entry: id::Entry = "entry-0".parse()?;
-    let gates = Gates::open(entry.clone(), 1, Limits::default(), 1);
-    gates.sync(&cell.current(), &[entry].into());
+    let dispatchers = Dispatchers::new(entry.clone(), 1, Limits::default(), 1);
+    dispatchers.apply_view(&cell.current(), &[entry].into());
     let table = Platform::open(1, primroseroute_testbed::platform::Options::default());
     Ok(Path::open(Parts {
         cell,
-        gates: Arc::new(gates),
+        dispatchers: Arc::new(dispatchers),
         backend: Arc::new(AtOnce),
         claims: Claims::spawn(
             Arc::new(table),
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -12,7 +12,7 @@
     membership::{self, Peer, Registration},
     report::{Drain, Identity, Load, Report, Sighting},
 };
-use primroseroute_route::Gates;
+use primroseroute_route::Dispatchers;
 use primroseroute_view::{Cell, Snapshot};
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -47,7 +47,7 @@
     pub identity: Identity,
     pub ledger: Ledger,
     pub cell: Arc<Cell>,
-    pub gates: Arc<Gates>,
+    pub gates: Arc<Dispatchers>,
     pub limits: membership::Limits,
     pub link: OnceLock<Arc<dyn Link>>,
     /// Wakes the spreading task when the set of live entries may have changed.
@@ -68,7 +68,7 @@
     pub(crate) fn new(
         identity: Identity,
         ledger: Ledger,
-        gates: Arc<Gates>,
+        gates: Arc<Dispatchers>,
         limits: membership::Limits,
     ) -> Self {
         Self {
@@ -175,7 +175,7 @@
     pub(crate) fn report(&self) -> Report {
         let number = self.reports.fetch_add(1, Ordering::Relaxed);
         let snapshot = self.cell.current();
-        let in_force = self.gates.in_force();
+        let in_force = self.gates.applied_seq();
         let acknowledges = self.footing().acknowledges();
         let in_flight = self.gates.loads();
         let mut drains = BTreeMap::new();
@@ -236,6 +236,6 @@
 
     /// The newest change that the gates have in force.
     pub(crate) fn in_force(&self) -> Seq {
-        self.gates.in_force()
+        self.gates.applied_seq()
     }
 }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -16,7 +16,7 @@
 use primroseroute_domain::change::Seq;
 use primroseroute_ledger::Ledger;
 use primroseroute_peer::Local;
-use primroseroute_route::{Front, Gates, Parts as PathParts, Path, backend::Backend};
+use primroseroute_route::{Dispatchers, Front, Parts as PathParts, Path, backend::Backend};
 use std::{
     net::SocketAddr,
     sync::{Arc, atomic::Ordering},
@@ -52,7 +52,7 @@
         let name = parts.identity.entry.clone();
         // Grows with each start, which peers need to tell a restarted entry from a late report.
         let incarnation = parts.clock.now().0;
-        let gates = Arc::new(Gates::open(name, incarnation, parts.flow, seed));
+        let gates = Arc::new(Dispatchers::new(name, incarnation, parts.flow, seed));
         let core = Arc::new(Core::new(parts.identity, ledger, gates, parts.membership));
         let dialed = parts
             .dial
@@ -88,7 +88,7 @@
         );
         let path = Arc::new(Path::open(PathParts {
             cell: Arc::clone(&core.cell),
-            gates: Arc::clone(&core.gates),
+            dispatchers: Arc::clone(&core.gates),
             backend: Arc::clone(&parts.backend),
             claims,
             observer: Arc::new(Metered(parts.meter.clone())),
--- a/crates/entry/src/local.rs
+++ b/crates/entry/src/local.rs
@@ -73,7 +73,7 @@
 
     fn accept_slots(&self, _peer: &id::Entry, pools: Vec<Slots>) {
         for Slots { pool, report } in pools {
-            self.gates.peer(&pool, &report);
+            self.gates.apply_report(&pool, &report);
         }
     }
 
@@ -116,7 +116,7 @@
             account,
             service,
             waiting,
-        } in self.core.gates.depths()
+        } in self.core.gates.queue_depths()
         {
             self.meter.queue_depth(&account, &service, waiting);
             deep.insert(Queue { account, service });
@@ -152,7 +152,7 @@
     fn metrics(&self) -> String {
         self.meter.view(self.core.in_force());
         self.measure_queues();
-        for (pool, count) in self.core.gates.ejected() {
+        for (pool, count) in self.core.gates.ejected_counts() {
             self.meter.ejected(&pool, count);
         }
         self.meter.render().unwrap_or_else(|error| {
--- a/crates/entry/src/share.rs
+++ b/crates/entry/src/share.rs
@@ -28,7 +28,7 @@
         let reports = if has_new_peer {
             core.gates.reports()
         } else {
-            core.gates.news()
+            core.gates.changed_reports()
         };
         known = live;
         send(link.as_ref(), reports);
--- a/crates/entry/src/spread.rs
+++ b/crates/entry/src/spread.rs
@@ -26,8 +26,8 @@
     loop {
         let now_live = core.live();
         let snapshot = core.cell.current();
-        if snapshot.seq() > core.gates.in_force() || now_live != live {
-            core.gates.sync(&snapshot, &now_live);
+        if snapshot.seq() > core.gates.applied_seq() || now_live != live {
+            core.gates.apply_view(&snapshot, &now_live);
             live = now_live;
         }
         if snapshot.seq() > pushed {
--- a/crates/route/src/dispatch/dispatchers.rs
+++ b/crates/route/src/dispatch/dispatchers.rs
@@ -35,7 +35,7 @@
 
 /// The dispatchers of all pools of one entry.
 #[derive(Debug)]
-pub struct Gates {
+pub struct Dispatchers {
     entry: id::Entry,
     incarnation: u64,
     limits: Limits,
@@ -43,12 +43,12 @@
     started: Instant,
     next_number: AtomicU64,
     by_pool: RwLock<BTreeMap<id::Pool, RunningDispatcher>>,
-    in_force: Mutex<Seq>,
+    applied_seq: Mutex<Seq>,
 }
 
-impl Gates {
-    /// Creates the dispatchers of `entry`; there are no pools before the first [`Gates::sync`].
-    pub fn open(entry: id::Entry, incarnation: u64, limits: Limits, seed: u64) -> Self {
+impl Dispatchers {
+    /// Creates the dispatchers of `entry`; there are no pools before the first [`Dispatchers::apply_view`].
+    pub fn new(entry: id::Entry, incarnation: u64, limits: Limits, seed: u64) -> Self {
         Self {
             entry,
             incarnation,
@@ -57,7 +57,7 @@
             started: Instant::now(),
             next_number: AtomicU64::new(0),
             by_pool: RwLock::default(),
-            in_force: Mutex::default(),
+            applied_seq: Mutex::default(),
         }
     }
 
@@ -65,11 +65,11 @@
     ///
     /// After this returns, no dispatcher sends new requests to an instance that is not serving
     /// according to `snapshot`.
-    pub fn sync(&self, snapshot: &Snapshot, entries: &BTreeSet<id::Entry>) {
+    pub fn apply_view(&self, snapshot: &Snapshot, entries: &BTreeSet<id::Entry>) {
         // Two concurrent calls could leave a dispatcher with the older view; the lock serializes them
         // and the comparison drops an outdated one.
-        let mut in_force = self.in_force.lock();
-        if snapshot.seq() < *in_force {
+        let mut applied_seq = self.applied_seq.lock();
+        if snapshot.seq() < *applied_seq {
             return;
         }
         let mut views = pool_views(snapshot, entries);
@@ -81,12 +81,12 @@
         for (name, view) in views {
             self.dispatcher_or_start(&name).apply_view(view);
         }
-        *in_force = snapshot.seq();
+        *applied_seq = snapshot.seq();
     }
 
     /// The newest change whose view has been applied to every dispatcher.
-    pub fn in_force(&self) -> Seq {
-        *self.in_force.lock()
+    pub fn applied_seq(&self) -> Seq {
+        *self.applied_seq.lock()
     }
 
     fn dispatcher_or_start(&self, name: &id::Pool) -> Arc<Dispatcher> {
@@ -116,7 +116,11 @@
             .map(|running| Arc::clone(&running.dispatcher))
     }
 
-    pub(crate) fn enter(&self, pool: &id::Pool, request: PendingRequest) -> Option<RequestHandle> {
+    pub(crate) fn dispatch(
+        &self,
+        pool: &id::Pool,
+        request: PendingRequest,
+    ) -> Option<RequestHandle> {
         let dispatcher = self.find(pool)?;
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
@@ -166,7 +170,7 @@
     }
 
     /// Number of ejected instances, by pool.
-    pub fn ejected(&self) -> BTreeMap<id::Pool, u64> {
+    pub fn ejected_counts(&self) -> BTreeMap<id::Pool, u64> {
         let dispatchers = self.by_pool.read();
         let count = |running: &RunningDispatcher| {
             running.dispatcher.state.lock().pool.ejected().len() as u64
@@ -178,7 +182,7 @@
     }
 
     /// Queued requests by account and service; pairs without any are omitted.
-    pub fn depths(&self) -> Vec<QueueDepth> {
+    pub fn queue_depths(&self) -> Vec<QueueDepth> {
         let dispatchers = self.by_pool.read();
         let depths = dispatchers
             .values()
@@ -196,7 +200,7 @@
     }
 
     /// Reports for the peers, by pool; pools without changes are omitted.
-    pub fn news(&self) -> BTreeMap<id::Pool, Report> {
+    pub fn changed_reports(&self) -> BTreeMap<id::Pool, Report> {
         let dispatchers = self.by_pool.read();
         let reports = dispatchers.iter().filter_map(|(name, running)| {
             let report = running.dispatcher.changed_report()?;
@@ -217,7 +221,7 @@
     }
 
     /// Applies a peer's report about one pool.
-    pub fn peer(&self, pool: &id::Pool, report: &Report) {
+    pub fn apply_report(&self, pool: &id::Pool, report: &Report) {
         if let Some(dispatcher) = self.find(pool) {
             dispatcher
                 .handle_event(|pool, now| pool.apply_reports(now, std::slice::from_ref(report)));
--- a/crates/route/src/dispatch/mod.rs
+++ b/crates/route/src/dispatch/mod.rs
@@ -5,14 +5,14 @@
 //! * [`handle`]: a request's registration with a dispatcher.
 //! * [`dispatchers`]: the dispatchers of one entry, and the views that are applied to them.
 //!
-//! Lock order: `Gates::in_force`, then `Gates::by_pool`, then `Dispatcher::state`. No lock is
+//! Lock order: `Dispatchers::applied_seq`, then `Dispatchers::by_pool`, then `Dispatcher::state`. No lock is
 //! held across an await.
 
 mod dispatcher;
 mod dispatchers;
 mod handle;
 
-pub use dispatchers::Gates;
+pub use dispatchers::Dispatchers;
 pub(crate) use handle::RequestHandle;
 
 use primroseroute_domain::{account::Class, id, outcome::Code};
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -33,7 +33,7 @@
 pub mod request;
 mod server;
 
-pub use dispatch::Gates;
+pub use dispatch::Dispatchers;
 pub use observe::{Finished, Observer};
 #[doc(no_inline)]
 pub use primroseroute_front::problem;
--- a/crates/route/src/path/mod.rs
+++ b/crates/route/src/path/mod.rs
@@ -5,7 +5,7 @@
 mod stream;
 
 use crate::{
-    Finished, Gates, Observer,
+    Dispatchers, Finished, Observer,
     backend::{Backend, Body},
     body::{self, ReceivedBody},
     dispatch::PendingRequest,
@@ -60,7 +60,7 @@
     /// The current view.
     pub cell: Arc<Cell>,
     /// The dispatchers of the pools.
-    pub gates: Arc<Gates>,
+    pub dispatchers: Arc<Dispatchers>,
     /// The backend servers.
     pub backend: Arc<dyn Backend>,
     /// Claims on idempotency keys.
@@ -234,7 +234,7 @@
             deadline,
             idempotent: head.is_idempotent() && matches!(upload, Upload::Buffered(_)),
         };
-        let Some(handle) = self.parts.gates.enter(&head.target.pool, request) else {
+        let Some(handle) = self.parts.dispatchers.dispatch(&head.target.pool, request) else {
             let detail = format!("pool {} has no instances", head.target.pool);
             let refusal = Refusal::new(Code::NoInstance, detail);
             return Reply::refused(head.refuse_without_lookup(refusal));
