--- a/benches/request_path/inner.rs
+++ b/benches/request_path/inner.rs
@@ -19,7 +19,7 @@
 use primroseroute_flow::limits::Limits;
 use primroseroute_ledger::{Versioned, key};
 use primroseroute_route::{
-    Dispatchers, Finished, Observer, Options, Parts, Path,
+    Components, Dispatchers, Finished, Observer, Options, RequestHandler,
     backend::{Backend, Body, Failure},
     problem,
 };
@@ -124,14 +124,14 @@
     Ok(Snapshot::from_rows(Seq(1), rows)?)
 }
 
-fn path(guests: u32) -> Result<Path> {
+fn handler(guests: u32) -> Result<RequestHandler> {
     let cell = Arc::new(Cell::default());
     cell.advance(snapshot(guests)?);
     let entry: id::Entry = "entry-0".parse()?;
     let dispatchers = Dispatchers::new(entry.clone(), 1, Limits::default(), 1);
     dispatchers.apply_view(&cell.current(), &[entry].into());
     let table = Platform::open(1, primroseroute_testbed::platform::Options::default());
-    Ok(Path::open(Parts {
+    Ok(RequestHandler::new(Components {
         cell,
         dispatchers: Arc::new(dispatchers),
         backend: Arc::new(AtOnce),
@@ -168,7 +168,7 @@
 
 /// Microseconds for one request in the fastest batch.
 async fn fastest(guests: u32) -> Result<f64> {
-    let path = Arc::new(path(guests)?);
+    let handler = Arc::new(handler(guests)?);
     let headers = headers()?;
     let uri = Uri::from_static("/stay/beds");
     let mut fastest = Duration::MAX;
@@ -176,7 +176,7 @@
         let started = Instant::now();
         for _ in 0..BATCH {
             let (headers, uri) = (headers.clone(), uri.clone());
-            let answer = path
+            let answer = handler
                 .serve(Method::GET, uri, headers, problem::full(""))
                 .await;
             assert!(answer.status().is_success(), "{:?}", answer.headers());
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -16,7 +16,9 @@
 use primroseroute_domain::change::Seq;
 use primroseroute_ledger::Ledger;
 use primroseroute_peer::Local;
-use primroseroute_route::{Dispatchers, Front, Parts as PathParts, Path, backend::Backend};
+use primroseroute_route::{
+    CallerServer, Components, Dispatchers, RequestHandler, backend::Backend,
+};
 use std::{
     net::SocketAddr,
     sync::{Arc, atomic::Ordering},
@@ -31,7 +33,7 @@
 #[derive(Debug)]
 pub struct Entry {
     core: Arc<Core>,
-    front: Front,
+    server: CallerServer,
     admin: Admin,
     tasks: Vec<JoinHandle<()>>,
     grace: Duration,
@@ -86,7 +88,7 @@
             Options::default(),
             parts.seed,
         );
-        let path = Arc::new(Path::open(PathParts {
+        let handler = Arc::new(RequestHandler::new(Components {
             cell: Arc::clone(&core.cell),
             dispatchers: Arc::clone(&core.gates),
             backend: Arc::clone(&parts.backend),
@@ -94,7 +96,7 @@
             observer: Arc::new(Metered(parts.meter.clone())),
             options: parts.path,
         }));
-        let front = Front::bind(parts.listen.callers, parts.front, path).await?;
+        let server = CallerServer::bind(parts.listen.callers, parts.front, handler).await?;
         let admin = AdminParts {
             local: Arc::new(Operators::new(Arc::clone(&core), parts.meter)),
             ledger: core.ledger.clone(),
@@ -110,7 +112,7 @@
             core: Arc::clone(&core),
             clock: parts.clock,
             listen: Listen {
-                callers: front.address(),
+                callers: server.address(),
                 admin: admin.address(),
                 peers: dialed.address,
             },
@@ -128,7 +130,7 @@
         ];
         Ok(Self {
             core,
-            front,
+            server,
             admin,
             tasks,
             grace: parts.timers.grace,
@@ -137,7 +139,7 @@
 
     /// Where callers are served.
     pub fn callers(&self) -> SocketAddr {
-        self.front.address()
+        self.server.address()
     }
 
     /// Where operators are served.
@@ -169,9 +171,9 @@
         if let Some(controller) = self.core.controller.get() {
             controller.stop().await;
         }
-        self.front.retire();
+        self.server.retire();
         sleep(self.grace).await;
-        self.front.stop().await;
+        self.server.stop().await;
         for task in &self.tasks {
             task.abort();
         }
@@ -190,7 +192,7 @@
         for task in &self.tasks {
             task.abort();
         }
-        self.front.abort();
+        self.server.abort();
         self.admin.abort();
         if let Some(link) = self.core.link.get() {
             link.close().await;
--- a/crates/route/src/dispatch/dispatchers.rs
+++ b/crates/route/src/dispatch/dispatchers.rs
@@ -47,7 +47,8 @@
 }
 
 impl Dispatchers {
-    /// Creates the dispatchers of `entry`; there are no pools before the first [`Dispatchers::apply_view`].
+    /// Creates the dispatchers of `entry`; there are no pools before the first call of
+    /// [`Dispatchers::apply_view`].
     pub fn new(entry: id::Entry, incarnation: u64, limits: Limits, seed: u64) -> Self {
         Self {
             entry,
--- a/crates/route/src/dispatch/mod.rs
+++ b/crates/route/src/dispatch/mod.rs
@@ -5,8 +5,8 @@
 //! * [`handle`]: a request's registration with a dispatcher.
 //! * [`dispatchers`]: the dispatchers of one entry, and the views that are applied to them.
 //!
-//! Lock order: `Dispatchers::applied_seq`, then `Dispatchers::by_pool`, then `Dispatcher::state`. No lock is
-//! held across an await.
+//! Lock order: `Dispatchers::applied_seq`, then `Dispatchers::by_pool`, then `Dispatcher::state`.
+//! No lock is held across an await.
 
 mod dispatcher;
 mod dispatchers;
--- a/crates/route/src/path/attempt.rs
+++ b/crates/route/src/handler/attempt.rs
@@ -1,6 +1,6 @@
 //! Attempts at one request, one at a time, until it gets a response or is refused.
 
-use super::{Parts, Upload, reply, reply::Reply, stream::TrackedBody};
+use super::{Components, Upload, reply, reply::Reply, stream::TrackedBody};
 use crate::{
     backend::{Body, Failure, PrefixedBody, ReceivedResponse, buffer_response},
     dispatch::{Decision, RequestHandle},
@@ -21,7 +21,7 @@
 
 /// The attempts at one request.
 pub(super) struct Attempts<'a> {
-    parts: &'a Parts,
+    components: &'a Components,
     head: &'a Head,
     upload: Upload,
     deadline: Instant,
@@ -59,7 +59,7 @@
 
 impl<'a> Attempts<'a> {
     pub(super) fn new(
-        parts: &'a Parts,
+        components: &'a Components,
         head: &'a Head,
         upload: Upload,
         deadline: Instant,
@@ -69,7 +69,7 @@
     ) -> Self {
         let claim = claim_request(head, &upload);
         Self {
-            parts,
+            components,
             head,
             upload,
             deadline,
@@ -106,7 +106,9 @@
             };
             *self.attempt_count += 1;
             if let Some(code) = self.last_failure.take() {
-                self.parts.observer.retried(&self.head.target.service, code);
+                self.components
+                    .observer
+                    .retried(&self.head.target.service, code);
             }
             match self.send(address, not_after).await {
                 Next::Reply(reply) => return reply,
@@ -146,7 +148,7 @@
         };
         let remaining = self.deadline.saturating_duration_since(Instant::now());
         let claimed = tokio::select! {
-            claimed = self.parts.claims.claim(request, remaining) => claimed,
+            claimed = self.components.claims.claim(request, remaining) => claimed,
             // A row that has been committed in the meantime is released: it was never used.
             () = self.disconnected.cancelled() => return Err(self.abandon()),
         };
@@ -172,7 +174,7 @@
     /// would give new work to a draining instance (invariant I6); the dispatcher picks another
     /// one instead.
     fn address(&self, instance: &id::Instance) -> Option<SocketAddr> {
-        let snapshot = self.parts.cell.current();
+        let snapshot = self.components.cell.current();
         let row = &snapshot.instances().get(instance)?.value;
         let fits = row.state.takes_requests() && row.pool.as_ref() == Some(&self.head.target.pool);
         fits.then_some(row.address)
@@ -206,10 +208,10 @@
         not_after: Instant,
     ) -> Result<ReceivedResponse, Failure> {
         let request = self.backend_request(body);
-        let response = self.parts.backend.send(to, request, not_after).await?;
+        let response = self.components.backend.send(to, request, not_after).await?;
         self.check_request_id(&response)?;
         let to_head = self.head.method == Method::HEAD;
-        buffer_response(response, self.parts.options.buffer, to_head, not_after).await
+        buffer_response(response, self.components.options.buffer, to_head, not_after).await
     }
 
     fn backend_request(&self, body: Body) -> Request<Body> {
@@ -307,7 +309,7 @@
     /// A caller that was told "unknown" and retries asks for the outcome of its original request.
     /// "Not run" would be true of this attempt, but possibly false for the original one.
     fn refusal_for_key(&self, refusal: Refusal) -> Refusal {
-        let is_repeat = |request| self.parts.claims.is_repeat(request);
+        let is_repeat = |request| self.components.claims.is_repeat(request);
         if !self.claim.as_ref().is_some_and(is_repeat) {
             return refusal;
         }
--- a/crates/route/src/path/mod.rs
+++ b/crates/route/src/handler/mod.rs
@@ -56,7 +56,7 @@
 
 /// The components that the request path uses.
 #[derive(Clone, Debug)]
-pub struct Parts {
+pub struct Components {
     /// The current view.
     pub cell: Arc<Cell>,
     /// The dispatchers of the pools.
@@ -73,8 +73,8 @@
 
 /// The request path of one entry.
 #[derive(Clone, Debug)]
-pub struct Path {
-    parts: Parts,
+pub struct RequestHandler {
+    components: Components,
     tasks: TaskTracker,
 }
 
@@ -86,11 +86,11 @@
     Streaming(Option<Body>),
 }
 
-impl Path {
-    /// Creates a request handler with `parts`.
-    pub fn open(parts: Parts) -> Self {
+impl RequestHandler {
+    /// Creates a request handler with `components`.
+    pub fn new(components: Components) -> Self {
         Self {
-            parts,
+            components,
             tasks: TaskTracker::new(),
         }
     }
@@ -105,8 +105,8 @@
     ) -> Response<Body> {
         let started = Instant::now();
         let id = request::request_id(&headers);
-        let snapshot = self.parts.cell.current();
-        let timeouts = self.parts.options.timeouts;
+        let snapshot = self.components.cell.current();
+        let timeouts = self.components.options.timeouts;
         let validated =
             request::validate(Arc::clone(&id), method, uri, headers, &snapshot, timeouts);
         let head = match validated {
@@ -118,10 +118,10 @@
             return self.run(head, body, started, disconnected).await;
         }
         let _disconnect_guard = disconnected.clone().drop_guard();
-        let path = Arc::clone(self);
+        let handler = Arc::clone(self);
         let task = self
             .tasks
-            .spawn(async move { path.run(head, body, started, disconnected).await });
+            .spawn(async move { handler.run(head, body, started, disconnected).await });
         task.await.unwrap_or_else(|error| {
             log::error!("task of request {id} panicked: {error}");
             let detail = "the entry failed inside the request";
@@ -130,7 +130,7 @@
     }
 
     fn refuse_head(&self, refusal: &Refusal, id: &str, started: Instant) -> Response<Body> {
-        self.parts.observer.finished(&Finished {
+        self.components.observer.finished(&Finished {
             account: None,
             service: None,
             code: Some(refusal.code),
@@ -168,7 +168,7 @@
             Reply::Response(_) => (None, Verdict::Completed),
             Reply::Refused { refusal, .. } => (Some(refusal.code), refusal.code.verdict()),
         };
-        self.parts.observer.finished(&Finished {
+        self.components.observer.finished(&Finished {
             account: Some(head.account.clone()),
             service: Some(head.target.service.clone()),
             code,
@@ -179,7 +179,7 @@
     }
 
     async fn receive(&self, head: &Head, body: Body, deadline: Instant) -> Result<Upload, Refusal> {
-        let options = &self.parts.options;
+        let options = &self.components.options;
         let declared = head.headers.get(header::CONTENT_LENGTH);
         let declared = declared
             .and_then(|v| v.to_str().ok())
@@ -234,13 +234,17 @@
             deadline,
             idempotent: head.is_idempotent() && matches!(upload, Upload::Buffered(_)),
         };
-        let Some(handle) = self.parts.dispatchers.dispatch(&head.target.pool, request) else {
+        let Some(handle) = self
+            .components
+            .dispatchers
+            .dispatch(&head.target.pool, request)
+        else {
             let detail = format!("pool {} has no instances", head.target.pool);
             let refusal = Refusal::new(Code::NoInstance, detail);
             return Reply::refused(head.refuse_without_lookup(refusal));
         };
         Attempts::new(
-            &self.parts,
+            &self.components,
             head,
             upload,
             deadline,
@@ -253,10 +257,10 @@
     }
 
     /// Waits for claimed requests whose callers have disconnected, and for outcomes to be written.
-    pub async fn settle(&self) {
+    pub async fn drain(&self) {
         self.tasks.close();
         self.tasks.wait().await;
-        let unwritten = self.parts.claims.drain(DRAIN_TIMEOUT).await;
+        let unwritten = self.components.claims.drain(DRAIN_TIMEOUT).await;
         if unwritten > 0 {
             log::warn!("{unwritten} request outcomes not written to the store before shutdown");
         }
@@ -264,6 +268,6 @@
 
     /// Discards unwritten claims and outcomes, as a killed process would.
     pub fn abort(&self) {
-        self.parts.claims.abort();
+        self.components.claims.abort();
     }
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -27,9 +27,9 @@
 pub mod backend;
 mod body;
 mod dispatch;
+mod handler;
 mod headers;
 mod observe;
-mod path;
 pub mod request;
 mod server;
 
@@ -37,6 +37,6 @@
 pub use observe::{Finished, Observer};
 #[doc(no_inline)]
 pub use primroseroute_front::problem;
-pub use server::Front;
+pub use server::CallerServer;
 
-pub use path::{Options, Parts, Path};
+pub use handler::{Components, Options, RequestHandler};
--- a/crates/route/src/server.rs
+++ b/crates/route/src/server.rs
@@ -1,35 +1,39 @@
 //! The HTTP server for callers: a gotham handler over the request path.
 
-use crate::Path;
+use crate::RequestHandler;
 use eyre::Result;
 use primroseroute_front::{Call, Options, Server, each};
 use std::{net::SocketAddr, sync::Arc};
 
 /// The running HTTP server for callers.
 #[derive(Debug)]
-pub struct Front {
+pub struct CallerServer {
     server: Server,
-    path: Arc<Path>,
+    handler: Arc<RequestHandler>,
 }
 
-impl Front {
+impl CallerServer {
     /// Binds `address` and serves callers on it.
     ///
     /// # Errors
     /// If the address cannot be bound.
-    pub async fn bind(address: SocketAddr, options: Options, path: Arc<Path>) -> Result<Self> {
-        let handler = each(Arc::clone(&path), |path, call: Call| async move {
+    pub async fn bind(
+        address: SocketAddr,
+        options: Options,
+        handler: Arc<RequestHandler>,
+    ) -> Result<Self> {
+        let service = each(Arc::clone(&handler), |handler, call: Call| async move {
             let Call {
                 method,
                 uri,
                 headers,
                 body,
             } = call;
-            path.serve(method, uri, headers, body).await
+            handler.serve(method, uri, headers, body).await
         });
         Ok(Self {
-            server: Server::bind(address, options, handler).await?,
-            path,
+            server: Server::bind(address, options, service).await?,
+            handler,
         })
     }
 
@@ -46,12 +50,12 @@
     /// Stops listening; waits for requests in flight and for claims to be settled.
     pub async fn stop(self) {
         self.server.stop().await;
-        self.path.settle().await;
+        self.handler.drain().await;
     }
 
     /// Closes immediately, as a killed process would.
     pub fn abort(self) {
         self.server.abort();
-        self.path.abort();
+        self.handler.abort();
     }
 }
