--- a/crates/route/src/backend/mod.rs
+++ b/crates/route/src/backend/mod.rs
@@ -13,7 +13,7 @@
 use std::{fmt, net::SocketAddr};
 use tokio::time::Instant;
 
-pub use pool::Pool;
+pub use pool::ConnectionPool;
 pub(crate) use response::{PrefixedBody, ReceivedResponse, buffer_response};
 
 /// The body of a request or response that passes through the entry.
@@ -27,14 +27,14 @@
     NotSent(String),
     /// The connection broke after the first byte: the request may have been executed.
     #[error("answer lost: {0}")]
-    Lost(String),
+    ConnectionLost(String),
     /// The response did not arrive in time: the request may have been executed.
     #[error("no answer in time")]
-    Late,
+    TimedOut,
     /// The response is invalid, for instance without a determinable end: the request may have been
     /// executed.
     #[error("answer invalid: {0}")]
-    Invalid(String),
+    InvalidResponse(String),
 }
 
 /// Transport to the backend servers.
--- a/crates/route/src/backend/pool.rs
+++ b/crates/route/src/backend/pool.rs
@@ -29,13 +29,13 @@
 
 /// TCP connections to backend servers.
 #[derive(Debug, Default)]
-pub struct Pool {
+pub struct ConnectionPool {
     idle: Arc<IdleConnections>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Creates a pool without connections.
-    pub fn open() -> Self {
+    pub fn new() -> Self {
         Self::default()
     }
 
@@ -82,12 +82,12 @@
 ) -> SendOutcome {
     match timeout_at(not_after, sender.try_send_request(request)).await {
         Ok(Ok(response)) => SendOutcome::Responded(response),
-        Err(_elapsed) => SendOutcome::Failed(Failure::Late),
+        Err(_elapsed) => SendOutcome::Failed(Failure::TimedOut),
         Ok(Err(mut failed)) => {
             let returned = failed.take_message();
             let error = format!("{to}: {}", failed.into_error());
             returned.map_or_else(
-                || SendOutcome::Failed(Failure::Lost(error.clone())),
+                || SendOutcome::Failed(Failure::ConnectionLost(error.clone())),
                 |request| SendOutcome::NotSent(request, error.clone()),
             )
         }
@@ -95,7 +95,7 @@
 }
 
 #[async_trait]
-impl Backend for Pool {
+impl Backend for ConnectionPool {
     async fn send(
         &self,
         to: SocketAddr,
@@ -126,7 +126,7 @@
     }
 }
 
-impl Pool {
+impl ConnectionPool {
     fn pooled_response(
         &self,
         to: SocketAddr,
--- a/crates/route/src/backend/response.rs
+++ b/crates/route/src/backend/response.rs
@@ -36,16 +36,16 @@
 ) -> Result<ReceivedResponse, Failure> {
     let (parts, mut body) = response.into_parts();
     if !is_framed(parts.status, &parts.headers, to_head) {
-        return Err(Failure::Invalid(
+        return Err(Failure::InvalidResponse(
             "it has no length, so its end cannot be told".to_owned(),
         ));
     }
     let mut prefix = BytesMut::new();
     while prefix.len() < buffer {
         let frame = timeout_at(not_after, body.frame()).await;
-        match frame.map_err(|_elapsed| Failure::Late)? {
+        match frame.map_err(|_elapsed| Failure::TimedOut)? {
             None => return Ok(ReceivedResponse::Complete(parts, prefix.freeze())),
-            Some(Err(error)) => return Err(Failure::Lost(error.to_string())),
+            Some(Err(error)) => return Err(Failure::ConnectionLost(error.to_string())),
             Some(Ok(frame)) => {
                 if let Ok(data) = frame.into_data() {
                     prefix.extend_from_slice(&data);
--- a/crates/route/src/handler/attempt.rs
+++ b/crates/route/src/handler/attempt.rs
@@ -233,9 +233,9 @@
     /// caller's response.
     fn check_request_id(&self, response: &Response<Body>) -> Result<(), Failure> {
         match response.headers().get(REQUEST_ID) {
-            Some(id) if id.as_bytes() != self.head.id.as_bytes() => {
-                Err(Failure::Invalid("it names another request".to_owned()))
-            }
+            Some(id) if id.as_bytes() != self.head.id.as_bytes() => Err(Failure::InvalidResponse(
+                "it names another request".to_owned(),
+            )),
             _ => Ok(()),
         }
     }
@@ -270,9 +270,9 @@
     fn on_failure(&mut self, failure: &Failure) -> Next {
         let (code, outcome) = match failure {
             Failure::NotSent(_) => (Code::ConnectFailed, AttemptOutcome::NotSent),
-            Failure::Lost(_) => (Code::AnswerLost, AttemptOutcome::ConnectionLost),
-            Failure::Late => (Code::AnswerTimeout, AttemptOutcome::TimedOut),
-            Failure::Invalid(_) => (Code::AnswerInvalid, AttemptOutcome::ConnectionLost),
+            Failure::ConnectionLost(_) => (Code::AnswerLost, AttemptOutcome::ConnectionLost),
+            Failure::TimedOut => (Code::AnswerTimeout, AttemptOutcome::TimedOut),
+            Failure::InvalidResponse(_) => (Code::AnswerInvalid, AttemptOutcome::ConnectionLost),
         };
         if !matches!(failure, Failure::NotSent(_)) {
             self.may_have_run = Some(Refusal::new(code, failure.to_string()));
--- a/crates/route/tests/all/reuse.rs
+++ b/crates/route/tests/all/reuse.rs
@@ -4,7 +4,7 @@
 use http::Request;
 use http_body_util::BodyExt;
 use primroseroute_route::{
-    backend::{Backend, Pool},
+    backend::{Backend, ConnectionPool},
     problem,
 };
 use std::{io, net::SocketAddr, time::Duration};
@@ -72,7 +72,7 @@
     second.write_all(response("second").as_bytes()).await
 }
 
-async fn send(pool: &Pool, to: SocketAddr) -> eyre::Result<Bytes> {
+async fn send(pool: &ConnectionPool, to: SocketAddr) -> eyre::Result<Bytes> {
     let mut request = Request::new(problem::full(Bytes::new()));
     *request.uri_mut() = "/beds".parse()?;
     let until = Instant::now() + Duration::from_secs(10);
@@ -88,7 +88,7 @@
     let mut mark = TcpStream::connect(marks.local_addr()?).await?;
     let (worker_mark, _) = marks.accept().await?;
     let worker = tokio::spawn(run_worker(listener, fault, worker_mark));
-    let pool = Pool::open();
+    let pool = ConnectionPool::new();
     let first = send(&pool, to).await?;
     mark.write_u8(0).await?;
     // Written after the fault and read through the same poll of the system, so the fault has
--- a/crates/serve/src/parts.rs
+++ b/crates/serve/src/parts.rs
@@ -9,7 +9,7 @@
 use primroseroute_entry::{Dial, Dialed, Parts};
 use primroseroute_peer::{Address, Local, proof::Key, report::Identity, rpc};
 use primroseroute_platform::http::Client;
-use primroseroute_route::backend::Pool;
+use primroseroute_route::backend::ConnectionPool;
 use primroseroute_settings::secret::Secrets;
 use primroseroute_telemetry::Meter;
 use std::{net::SocketAddr, sync::Arc};
@@ -72,7 +72,7 @@
         instances: Arc::clone(&client) as _,
         tasks: client,
         probe: Arc::new(HttpProbe::open(fields.health_path)),
-        backend: Arc::new(Pool::open()),
+        backend: Arc::new(ConnectionPool::new()),
         dial: Box::new(dial),
         clock: Arc::new(SystemClock),
         seed: rand::random(),
--- a/crates/testbed/src/parts.rs
+++ b/crates/testbed/src/parts.rs
@@ -8,7 +8,7 @@
 use primroseroute_domain::{id, time::SystemClock};
 use primroseroute_entry::{Dial, Dialed, Listen, Parts, Timers};
 use primroseroute_peer::{Local, memory::Network, report::Identity};
-use primroseroute_route::backend::Pool;
+use primroseroute_route::backend::ConnectionPool;
 use primroseroute_standin::{backend::HEALTH_PATH, platform::Platform};
 use primroseroute_telemetry::Meter;
 use std::{net::SocketAddr, sync::Arc, time::Duration};
@@ -55,7 +55,7 @@
         objects: Arc::new(platform.client(name.as_str())),
         keep: Keep::default(),
         probe: Arc::new(HttpProbe::open(HEALTH_PATH)),
-        backend: Arc::new(Pool::open()),
+        backend: Arc::new(ConnectionPool::new()),
         dial: Box::new(Join(network.clone())),
         clock: Arc::new(SystemClock),
         seed,
--- a/tests/all/once.rs
+++ b/tests/all/once.rs
@@ -5,7 +5,7 @@
 use eyre::Result;
 use http::{Method, Request, Response};
 use primroseroute_api::Order;
-use primroseroute_route::backend::{Backend, Body, Failure, Pool};
+use primroseroute_route::backend::{Backend, Body, ConnectionPool, Failure};
 use primroseroute_testbed::{
     Answer, Caller, Layout, Said, Site, backend::Mode, caller_token, platform, until,
 };
@@ -106,7 +106,7 @@
 /// Backend servers that are reached only once a permit is given.
 #[derive(Debug)]
 struct Held {
-    inner: Pool,
+    inner: ConnectionPool,
     permits: Semaphore,
     reached: AtomicU64,
 }
@@ -114,7 +114,7 @@
 impl Held {
     fn open() -> Arc<Self> {
         Arc::new(Self {
-            inner: Pool::open(),
+            inner: ConnectionPool::new(),
             permits: Semaphore::new(0),
             reached: AtomicU64::new(0),
         })
--- a/tests/all/truth.rs
+++ b/tests/all/truth.rs
@@ -6,7 +6,7 @@
 use eyre::Result;
 use http::{HeaderValue, Method, Request, Response};
 use primroseroute_entry::Parts;
-use primroseroute_route::backend::{Backend, Body, Failure, Pool};
+use primroseroute_route::backend::{Backend, Body, ConnectionPool, Failure};
 use primroseroute_testbed::{Answer, Caller, Said, Site, backend::Mode, caller_token};
 use std::{net::SocketAddr, sync::Arc};
 use tokio::time::Instant;
@@ -173,7 +173,7 @@
 
 /// Backend servers that answer each request with the id of another.
 #[derive(Debug)]
-struct MixedUp(Pool);
+struct MixedUp(ConnectionPool);
 
 #[async_trait]
 impl Backend for MixedUp {
@@ -197,7 +197,7 @@
 /// an error, not another caller's answer; the request may have run.
 async fn mixed_up_answer() -> Result<()> {
     let mut site = stay(1).await?;
-    let backend = Arc::new(MixedUp(Pool::open()));
+    let backend = Arc::new(MixedUp(ConnectionPool::new()));
     site.start_with("mixed", |parts| Parts { backend, ..parts })
         .await?;
     let seq = site.ledger().head().await?.seq;
