--- a/crates/route/src/backend/response.rs
+++ b/crates/route/src/backend/response.rs
@@ -1,11 +1,11 @@
 //! Buffering of responses: small ones completely, larger ones up to a limit.
 //!
-//! The head is forwarded to the caller only after the first [`Options::buffer`] bytes of the body,
+//! The head is forwarded to the caller only after the first [`Options::buffer_bytes`] bytes of the body,
 //! or all of a smaller one, have arrived. A worker that fails within a small response then results
 //! in a proper result code. A larger response streams; if it breaks off, the caller's connection is
 //! aborted too, so that a truncated response never looks complete.
 //!
-//! [`Options::buffer`]: crate::Options::buffer
+//! [`Options::buffer_bytes`]: crate::Options::buffer_bytes
 
 use super::{Body, Failure};
 use bytes::{Bytes, BytesMut};
--- a/crates/route/src/handler/attempt.rs
+++ b/crates/route/src/handler/attempt.rs
@@ -6,7 +6,7 @@
     dispatch::{Decision, RequestHandle},
     headers::backend_headers,
     problem,
-    request::{Head, REPEAT, REQUEST_ID},
+    request::{Head, IDEMPOTENCY_REPEAT, REQUEST_ID},
 };
 use http::{Method, Request, Response, Uri};
 use primroseroute_claims::{Claim, Fingerprint, Permit, Request as ClaimRequest};
@@ -47,7 +47,7 @@
         account: head.account.clone(),
         key: key.clone(),
         fingerprint: Fingerprint::of(head.method.as_str(), &head.target.service, path, body),
-        repeat: head.headers.contains_key(REPEAT),
+        repeat: head.headers.contains_key(IDEMPOTENCY_REPEAT),
     })
 }
 
@@ -211,7 +211,13 @@
         let response = self.components.backend.send(to, request, not_after).await?;
         self.check_request_id(&response)?;
         let to_head = self.head.method == Method::HEAD;
-        buffer_response(response, self.components.options.buffer, to_head, not_after).await
+        buffer_response(
+            response,
+            self.components.options.buffer_bytes,
+            to_head,
+            not_after,
+        )
+        .await
     }
 
     fn backend_request(&self, body: Body) -> Request<Body> {
--- a/crates/route/src/handler/mod.rs
+++ b/crates/route/src/handler/mod.rs
@@ -31,9 +31,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Largest request body in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Bytes of a request or response body that are buffered before it streams.
-    pub buffer: usize,
+    pub buffer_bytes: usize,
     /// Bounds on its time.
     pub timeouts: Timeouts,
 }
@@ -44,8 +44,8 @@
     /// and 60 s at most.
     fn default() -> Self {
         Self {
-            body_bytes: 8 << 20,
-            buffer: 64 << 10,
+            max_body_bytes: 8 << 20,
+            buffer_bytes: 64 << 10,
             timeouts: Timeouts {
                 default: Duration::from_secs(10),
                 max: Duration::from_secs(60),
@@ -187,16 +187,16 @@
         let too_large = || {
             Refusal::new(
                 Code::BodyTooLarge,
-                format!("at most {} bytes", options.body_bytes),
+                format!("at most {} bytes", options.max_body_bytes),
             )
         };
-        if declared.is_some_and(|length| length > options.body_bytes) {
+        if declared.is_some_and(|length| length > options.max_body_bytes) {
             return Err(too_large());
         }
         let buffer_limit = if head.is_claimed() {
-            options.body_bytes
+            options.max_body_bytes
         } else {
-            options.buffer.min(options.body_bytes)
+            options.buffer_bytes.min(options.max_body_bytes)
         };
         let received = timeout_at(deadline, body::receive(body, buffer_limit)).await;
         let received = received.map_err(|_elapsed| {
@@ -210,7 +210,7 @@
             ReceivedBody::Partial(..) if head.is_claimed() => Err(too_large()),
             ReceivedBody::Partial(start, rest) => {
                 // A single large frame may exceed the limit.
-                let remaining = options.body_bytes.checked_sub(start.len());
+                let remaining = options.max_body_bytes.checked_sub(start.len());
                 let rest = stream::limited(rest, remaining.ok_or_else(too_large)?);
                 Ok(Upload::Streaming(Some(
                     crate::backend::PrefixedBody::boxed(start, rest),
--- a/crates/route/src/request.rs
+++ b/crates/route/src/request.rs
@@ -14,7 +14,7 @@
 /// Makes a non-idempotent request safe to retry.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// States that the caller has sent the idempotency key before; see the caller contract.
-pub const REPEAT: &str = "idempotency-repeat";
+pub const IDEMPOTENCY_REPEAT: &str = "idempotency-repeat";
 /// The caller's timeout in milliseconds.
 pub const TIMEOUT_MS: &str = "request-timeout-ms";
 
@@ -73,7 +73,8 @@
 
 /// Like [`Head::refuse_without_lookup`], for requests of which only the headers are known.
 pub(crate) fn unknown_if_repeat(headers: &HeaderMap, refusal: Refusal) -> Refusal {
-    let is_repeat = headers.contains_key(IDEMPOTENCY_KEY) && headers.contains_key(REPEAT);
+    let is_repeat =
+        headers.contains_key(IDEMPOTENCY_KEY) && headers.contains_key(IDEMPOTENCY_REPEAT);
     if !is_repeat || refusal.code.verdict() != Verdict::NotRun {
         return refusal;
     }
--- a/crates/serve/src/fields.rs
+++ b/crates/serve/src/fields.rs
@@ -112,7 +112,7 @@
 
 fn path(limits: &Limits) -> PathOptions {
     PathOptions {
-        body_bytes: usize::try_from(limits.body_bytes).unwrap_or(usize::MAX),
+        max_body_bytes: usize::try_from(limits.body_bytes).unwrap_or(usize::MAX),
         timeouts: Timeouts {
             default: limits.default_timeout,
             max: limits.max_timeout,
--- a/crates/serve/tests/all/fields.rs
+++ b/crates/serve/tests/all/fields.rs
@@ -136,7 +136,7 @@
         queue: 11,
         attempts: 18,
         retry_ratio: 0.18,
-        body_bytes: 12,
+        max_body_bytes: 12,
         default: 15s,
         max: 16s,
         head_bytes: 13,
--- a/tests/all/input/mod.rs
+++ b/tests/all/input/mod.rs
@@ -33,7 +33,7 @@
     site.start_with("entry-0", |mut parts| {
         parts.front.head_bytes = HEAD;
         parts.front.head_timeout = HEAD_TIME;
-        parts.path.body_bytes = BODY;
+        parts.path.max_body_bytes = BODY;
         parts
     })
     .await?;
