--- a/crates/claims/src/claims.rs
+++ b/crates/claims/src/claims.rs
@@ -8,9 +8,9 @@
     outcome::OutcomeWriter,
     permit::Permit,
     recent::RecentGrants,
-    request::Request,
-    response::Answer,
-    row::{Row, State},
+    request::ClaimRequest,
+    response::StoredResponse,
+    row::{ClaimRow, ClaimState},
 };
 use parking_lot::Mutex;
 use primroseroute_domain::outcome::Code;
@@ -41,40 +41,40 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
     /// How long a claim waits for others to join its batch.
-    pub window: Duration,
+    pub batch_window: Duration,
     /// Most rows in one batch.
-    pub group: usize,
+    pub max_batch_rows: usize,
     /// Most batches in flight.
-    pub flights: usize,
+    pub max_in_flight: usize,
     /// Most pending claims, and most pending outcomes.
-    pub waiting: usize,
+    pub max_pending: usize,
     /// Timeout of one call to the store.
-    pub call: Duration,
+    pub call_timeout: Duration,
     /// Longest wait of a claim while the store fails, within the request's own timeout.
-    pub patience: Duration,
+    pub claim_timeout: Duration,
     /// Largest response that is stored for repeats, in bytes.
-    pub answer_limit: usize,
+    pub max_response_bytes: usize,
     /// Total size of responses that are waiting to be written, in bytes.
-    pub answers_limit: usize,
+    pub max_pending_response_bytes: usize,
     /// How long writing an outcome is retried; after that, repeats are answered "unknown".
-    pub keep_trying: Duration,
+    pub outcome_write_timeout: Duration,
     /// Number of recently granted keys that the entry remembers for store outages.
-    pub recent: usize,
+    pub remembered_keys: usize,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            window: Duration::from_millis(1),
-            group: 64,
-            flights: 4,
-            waiting: 4096,
-            call: Duration::from_secs(2),
-            patience: Duration::from_secs(2),
-            answer_limit: 64 * 1024,
-            answers_limit: 16 * 1024 * 1024,
-            keep_trying: Duration::from_secs(15 * 60),
-            recent: 16 * 1024,
+            batch_window: Duration::from_millis(1),
+            max_batch_rows: 64,
+            max_in_flight: 4,
+            max_pending: 4096,
+            call_timeout: Duration::from_secs(2),
+            claim_timeout: Duration::from_secs(2),
+            max_response_bytes: 64 * 1024,
+            max_pending_response_bytes: 16 * 1024 * 1024,
+            outcome_write_timeout: Duration::from_secs(15 * 60),
+            remembered_keys: 16 * 1024,
         }
     }
 }
@@ -91,11 +91,11 @@
 
 /// Result of a claim.
 #[derive(Debug)]
-pub enum Claim {
+pub enum ClaimOutcome {
     /// The claim's row is committed; the request may now be sent, once.
     Granted(Permit),
     /// The request has already completed; this is its first response.
-    Repeat(Answer),
+    Replay(StoredResponse),
     /// The request is in progress.
     InProgress,
     /// The request may have run; its response is not known.
@@ -108,11 +108,11 @@
     Unavailable,
 }
 
-impl Claim {
+impl ClaimOutcome {
     /// The result code for the caller; none for a grant or a stored response.
     pub fn code(&self) -> Option<Code> {
         match self {
-            Self::Granted(_) | Self::Repeat(_) => None,
+            Self::Granted(_) | Self::Replay(_) => None,
             Self::InProgress => Some(Code::KeyInProgress),
             Self::OutcomeUnknown => Some(Code::KeyOutcomeUnknown),
             Self::NotKept => Some(Code::AnswerNotKept),
@@ -157,25 +157,25 @@
     ) -> Self {
         let mut rng = ChaCha12Rng::from_seed(seed);
         let limits = BatchLimits {
-            window: options.window,
-            max_rows: options.group,
-            max_in_flight: options.flights,
-            max_pending: options.waiting,
-            call_timeout: options.call,
+            window: options.batch_window,
+            max_rows: options.max_batch_rows,
+            max_in_flight: options.max_in_flight,
+            max_pending: options.max_pending,
+            call_timeout: options.call_timeout,
             base_delay: BASE_RETRY_DELAY,
             max_delay: MAX_RETRY_DELAY,
         };
         let outcomes = OutcomeWriter {
             batcher: Batcher::spawn(Arc::clone(&table), limits, ChaCha12Rng::from_rng(&mut rng)),
-            write_timeout: options.keep_trying,
-            max_response_bytes: options.answer_limit,
-            max_pending_bytes: options.answers_limit,
+            write_timeout: options.outcome_write_timeout,
+            max_response_bytes: options.max_response_bytes,
+            max_pending_bytes: options.max_pending_response_bytes,
             reserved_bytes: Arc::new(AtomicUsize::new(0)),
             lost_count: Arc::new(AtomicU64::new(0)),
         };
         Self {
             inserts: Batcher::spawn(table, limits, ChaCha12Rng::from_rng(&mut rng)),
-            recent_grants: Arc::new(RecentGrants::new(options.recent)),
+            recent_grants: Arc::new(RecentGrants::new(options.remembered_keys)),
             operation_ids: Arc::new(Mutex::new(rng)),
             outcomes,
             clock,
@@ -186,9 +186,9 @@
     /// Claims the key of `request`, whose caller waits for at most `within`.
     ///
     /// Dropping the future is safe: a row that has been committed in the meantime is released.
-    pub async fn claim(&self, request: &Request, within: Duration) -> Claim {
+    pub async fn claim(&self, request: &ClaimRequest, within: Duration) -> ClaimOutcome {
         let key = request.row_key();
-        let deadline = Instant::now() + within.min(self.options.patience);
+        let deadline = Instant::now() + within.min(self.options.claim_timeout);
         let (reply, receiver) = oneshot::channel();
         let insert = self.insert(request, Key::clone(&key), within, deadline, reply);
         let row_unread = Arc::clone(&insert.row_unread);
@@ -198,13 +198,13 @@
         match timeout_at(deadline, receiver).await {
             Ok(Ok(Reply::Granted(permit))) => {
                 self.recent_grants.insert(key, request.fingerprint.clone());
-                Claim::Granted(permit.accept())
+                ClaimOutcome::Granted(permit.accept())
             }
-            Ok(Ok(Reply::Repeat(response))) => Claim::Repeat(response),
-            Ok(Ok(Reply::InProgress)) => Claim::InProgress,
-            Ok(Ok(Reply::OutcomeUnknown)) => Claim::OutcomeUnknown,
-            Ok(Ok(Reply::NotKept)) => Claim::NotKept,
-            Ok(Ok(Reply::KeyReused)) => Claim::KeyReused,
+            Ok(Ok(Reply::Replay(response))) => ClaimOutcome::Replay(response),
+            Ok(Ok(Reply::InProgress)) => ClaimOutcome::InProgress,
+            Ok(Ok(Reply::OutcomeUnknown)) => ClaimOutcome::OutcomeUnknown,
+            Ok(Ok(Reply::NotKept)) => ClaimOutcome::NotKept,
+            Ok(Ok(Reply::KeyReused)) => ClaimOutcome::KeyReused,
             Ok(Ok(Reply::Unavailable) | Err(_)) | Err(_) => {
                 self.unavailable(request, &key, row_unread.load(Ordering::Relaxed))
             }
@@ -216,25 +216,25 @@
     /// True if the caller says so or this entry granted the key. If such a request is refused
     /// before it was claimed, the caller must not be told "not run": it asks for the outcome under
     /// its key, not for that of this attempt.
-    pub fn is_repeat(&self, request: &Request) -> bool {
+    pub fn is_repeat(&self, request: &ClaimRequest) -> bool {
         request.repeat || self.recent_grants.get(&request.row_key()).is_some()
     }
 
     fn insert(
         &self,
-        request: &Request,
+        request: &ClaimRequest,
         key: Key,
         within: Duration,
         deadline: Instant,
         reply: oneshot::Sender<Reply>,
     ) -> Insert {
         let wall_time = self.clock.now();
-        let row = Row {
+        let row = ClaimRow {
             operation: self.next_operation_id(),
             fingerprint: request.fingerprint.clone(),
             claimed: wall_time,
             until: wall_time.after(within + OUTCOME_GRACE),
-            state: State::Claimed,
+            state: ClaimState::Claimed,
         };
         Insert {
             key,
@@ -262,12 +262,12 @@
     /// its original request, and "not run" would be wrong if an earlier attempt ran. So a request
     /// is answered "unknown" if it is marked as a repeat by the caller, if the entry remembers its
     /// key, or if its row exists but could not be read.
-    fn unavailable(&self, request: &Request, key: &Key, row_unread: bool) -> Claim {
+    fn unavailable(&self, request: &ClaimRequest, key: &Key, row_unread: bool) -> ClaimOutcome {
         match self.recent_grants.get(key) {
-            Some(granted) if granted != request.fingerprint => Claim::KeyReused,
-            Some(_) => Claim::OutcomeUnknown,
-            None if request.repeat || row_unread => Claim::OutcomeUnknown,
-            None => Claim::Unavailable,
+            Some(granted) if granted != request.fingerprint => ClaimOutcome::KeyReused,
+            Some(_) => ClaimOutcome::OutcomeUnknown,
+            None if request.repeat || row_unread => ClaimOutcome::OutcomeUnknown,
+            None => ClaimOutcome::Unavailable,
         }
     }
 
--- a/crates/claims/src/insert.rs
+++ b/crates/claims/src/insert.rs
@@ -6,8 +6,8 @@
     outcome::OutcomeWriter,
     permit::{HeldClaim, PendingPermit},
     recent::RecentGrants,
-    response::Answer,
-    row::{Row, State},
+    response::StoredResponse,
+    row::{ClaimRow, ClaimState},
 };
 use primroseroute_domain::time;
 use primroseroute_platform::table::{self, Key, Revision};
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(crate) enum Reply {
     Granted(PendingPermit),
-    Repeat(Answer),
+    Replay(StoredResponse),
     InProgress,
     OutcomeUnknown,
     NotKept,
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 pub(crate) struct Insert {
     pub(crate) key: Key,
-    pub(crate) row: Row,
+    pub(crate) row: ClaimRow,
     pub(crate) precondition: Precondition,
     /// Whether an earlier commit of this operation may have been applied or may still be.
     pub(crate) unresolved: bool,
@@ -82,16 +82,16 @@
     }
 
     fn on_conflict(mut self, found: &table::Row) -> Option<Self> {
-        let Some(row) = Row::decode(found) else {
+        let Some(row) = ClaimRow::decode(found) else {
             // A row that cannot be read may belong to a request that ran.
             self.reply_with(Reply::OutcomeUnknown);
             return None;
         };
-        if row.operation == self.row.operation && row.state == State::Claimed {
+        if row.operation == self.row.operation && row.state == ClaimState::Claimed {
             self.grant(found.revision);
             return None;
         }
-        if row.state == State::Released {
+        if row.state == ClaimState::Released {
             self.row_unread.store(false, Ordering::Relaxed);
             self.precondition = Precondition::At(found.revision);
             return Some(self);
@@ -106,12 +106,12 @@
     }
 }
 
-fn reply_for(row: Row, now: time::Instant) -> Reply {
+fn reply_for(row: ClaimRow, now: time::Instant) -> Reply {
     match row.state {
-        State::Completed(response) => Reply::Repeat(response),
-        State::NotKept => Reply::NotKept,
-        State::Claimed if now < row.until => Reply::InProgress,
-        State::Claimed | State::Unknown | State::Released => Reply::OutcomeUnknown,
+        ClaimState::Completed(response) => Reply::Replay(response),
+        ClaimState::NotKept => Reply::NotKept,
+        ClaimState::Claimed if now < row.until => Reply::InProgress,
+        ClaimState::Claimed | ClaimState::Unknown | ClaimState::Released => Reply::OutcomeUnknown,
     }
 }
 
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -27,7 +27,7 @@
 //!   batcher inserts claims and another writes outcomes.
 //! * `batch`: commits a batch in one transaction; a conflict excludes one row and not the others.
 //! * `insert`: inserting a claim, and why no order of events grants a key twice.
-//! * [`Sweep`]: deletes expired rows.
+//! * [`Sweeper`]: deletes expired rows.
 //!
 //! `docs/design/at-most-once.md` compares the alternatives, and the cost of a claim for the store.
 
@@ -42,12 +42,12 @@
 mod request;
 mod response;
 mod row;
-pub mod sweep;
+pub mod sweeper;
 
-pub use claims::{Claim, Claims, Counts, Options, Seed};
+pub use claims::{ClaimOutcome, Claims, Counts, Options, Seed};
 pub use clock::Clock;
 pub use permit::Permit;
-pub use request::{Fingerprint, Key, MAX_KEY, Malformed, Request};
-pub use response::{Answer, Blob, Header};
-pub use row::{Row, State};
-pub use sweep::Sweep;
+pub use request::{ClaimRequest, Fingerprint, InvalidKey, Key, MAX_KEY_BYTES};
+pub use response::{Blob, Header, StoredResponse};
+pub use row::{ClaimRow, ClaimState};
+pub use sweeper::Sweeper;
--- a/crates/claims/src/outcome.rs
+++ b/crates/claims/src/outcome.rs
@@ -3,7 +3,7 @@
 use crate::{
     batch::{Precondition, RowWrite, WriteResult},
     batcher::{Batcher, PendingWrite},
-    row::{Row, State},
+    row::{ClaimRow, ClaimState},
 };
 use primroseroute_platform::table::{Key, Revision};
 use std::{
@@ -20,7 +20,7 @@
 pub(crate) struct OutcomeWrite {
     key: Key,
     precondition: Precondition,
-    row: Row,
+    row: ClaimRow,
     deadline: Instant,
     #[expect(dead_code, reason = "held for its drop")]
     reservation: Reservation,
@@ -53,8 +53,9 @@
         match result {
             WriteResult::Failed { .. } | WriteResult::UnreadConflict => Some(self),
             WriteResult::Conflict(Some(found)) => {
-                let row = Row::decode(&found)?;
-                let is_own = row.operation == self.row.operation && row.state == State::Claimed;
+                let row = ClaimRow::decode(&found)?;
+                let is_own =
+                    row.operation == self.row.operation && row.state == ClaimState::Claimed;
                 // Otherwise it is this outcome, written by a commit whose result was lost, or the
                 // row of a later attempt, which an earlier one must not modify.
                 is_own.then(|| {
@@ -89,7 +90,7 @@
 
 impl OutcomeWriter {
     /// Writes `state` to the claim's row, which has `revision`.
-    pub(crate) fn write(&self, key: Key, row: Row, revision: Revision, state: State) {
+    pub(crate) fn write(&self, key: Key, row: ClaimRow, revision: Revision, state: ClaimState) {
         self.submit(key, row, Precondition::At(revision), state);
     }
 
@@ -99,11 +100,11 @@
     /// may be applied later: every retry would then be answered "unknown" although nothing ever
     /// ran. If there is no row, writing a released one is enough, since the late insert then
     /// conflicts with it.
-    pub(crate) fn release(&self, key: Key, row: Row, precondition: Precondition) {
-        self.submit(key, row, precondition, State::Released);
+    pub(crate) fn release(&self, key: Key, row: ClaimRow, precondition: Precondition) {
+        self.submit(key, row, precondition, ClaimState::Released);
     }
 
-    fn submit(&self, key: Key, mut row: Row, precondition: Precondition, state: State) {
+    fn submit(&self, key: Key, mut row: ClaimRow, precondition: Precondition, state: ClaimState) {
         let (state, reservation) = self.reserve(state);
         row.state = state;
         let write = OutcomeWrite {
@@ -119,12 +120,12 @@
         }
     }
 
-    /// Reserves budget for a response, or replaces the state by [`State::NotKept`] if the response
+    /// Reserves budget for a response, or replaces the state by [`ClaimState::NotKept`] if the response
     /// alone or together with the pending ones is too large.
-    fn reserve(&self, state: State) -> (State, Reservation) {
+    fn reserve(&self, state: ClaimState) -> (ClaimState, Reservation) {
         let reserved_bytes = Arc::clone(&self.reserved_bytes);
         let bytes = match &state {
-            State::Completed(response) => response.size(),
+            ClaimState::Completed(response) => response.size(),
             _ => 0,
         };
         let previous = reserved_bytes.fetch_add(bytes, Ordering::Relaxed);
@@ -135,7 +136,7 @@
         if bytes > self.max_response_bytes || previous + bytes > self.max_pending_bytes {
             drop(reservation);
             return (
-                State::NotKept,
+                ClaimState::NotKept,
                 Reservation {
                     bytes: 0,
                     reserved_bytes: Arc::clone(&self.reserved_bytes),
--- a/crates/claims/src/permit.rs
+++ b/crates/claims/src/permit.rs
@@ -3,8 +3,8 @@
 use crate::{
     outcome::OutcomeWriter,
     recent::RecentGrants,
-    response::Answer,
-    row::{Row, State},
+    response::StoredResponse,
+    row::{ClaimRow, ClaimState},
 };
 use primroseroute_platform::table::{Key, Revision};
 use std::sync::Arc;
@@ -25,15 +25,15 @@
 #[derive(Debug)]
 pub(crate) struct HeldClaim {
     pub(crate) key: Key,
-    pub(crate) row: Row,
+    pub(crate) row: ClaimRow,
     pub(crate) revision: Revision,
     pub(crate) outcomes: OutcomeWriter,
     pub(crate) recent_grants: Arc<RecentGrants>,
 }
 
 impl HeldClaim {
-    fn finish(self, state: State) {
-        if state == State::Released {
+    fn finish(self, state: ClaimState) {
+        if state == ClaimState::Released {
             self.recent_grants.remove(&self.key);
         }
         self.outcomes
@@ -43,21 +43,21 @@
 
 impl Permit {
     /// The request completed; `response` is stored for repeats, asynchronously.
-    pub fn completed(mut self, response: Answer) {
-        self.finish(State::Completed(response));
+    pub fn completed(mut self, response: StoredResponse) {
+        self.finish(ClaimState::Completed(response));
     }
 
     /// No byte of the request was sent. A retry may run.
     pub fn not_run(mut self) {
-        self.finish(State::Released);
+        self.finish(ClaimState::Released);
     }
 
     /// The request was or may have been sent, and its outcome will never be known.
     pub fn unknown(mut self) {
-        self.finish(State::Unknown);
+        self.finish(ClaimState::Unknown);
     }
 
-    fn finish(&mut self, state: State) {
+    fn finish(&mut self, state: ClaimState) {
         if let Some(claim) = self.claim.take() {
             claim.finish(state);
         }
@@ -66,7 +66,7 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.finish(State::Unknown);
+        self.finish(ClaimState::Unknown);
     }
 }
 
@@ -92,7 +92,7 @@
 impl Drop for PendingPermit {
     fn drop(&mut self) {
         if let Some(claim) = self.0.take() {
-            claim.finish(State::Released);
+            claim.finish(ClaimState::Released);
         }
     }
 }
--- a/crates/claims/src/request.rs
+++ b/crates/claims/src/request.rs
@@ -8,26 +8,26 @@
 use std::{fmt, sync::Arc};
 
 /// Longest idempotency key in bytes: a UUID has 36, and header size limits are far above this.
-pub const MAX_KEY: usize = 255;
+pub const MAX_KEY_BYTES: usize = 255;
 
-/// A caller's idempotency key: 1 to [`MAX_KEY`] visible ASCII characters.
+/// A caller's idempotency key: 1 to [`MAX_KEY_BYTES`] visible ASCII characters.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key(Arc<str>);
 
 /// Error for a string that is not an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an idempotency key has 1 to {MAX_KEY} visible ASCII characters")]
-pub struct Malformed;
+#[error("an idempotency key has 1 to {MAX_KEY_BYTES} visible ASCII characters")]
+pub struct InvalidKey;
 
 impl Key {
     /// Parses `text` as a key.
     ///
     /// # Errors
-    /// [`Malformed`] if it is empty, too long or contains other characters.
-    pub fn parse(text: &str) -> Result<Self, Malformed> {
+    /// [`InvalidKey`] if it is empty, too long or contains other characters.
+    pub fn parse(text: &str) -> Result<Self, InvalidKey> {
         let visible = text.bytes().all(|b| b.is_ascii_graphic());
-        if text.is_empty() || text.len() > MAX_KEY || !visible {
-            return Err(Malformed);
+        if text.is_empty() || text.len() > MAX_KEY_BYTES || !visible {
+            return Err(InvalidKey);
         }
         Ok(Self(text.into()))
     }
@@ -65,7 +65,7 @@
 
 /// A request to be run at most once.
 #[derive(Clone, Debug)]
-pub struct Request {
+pub struct ClaimRequest {
     /// The calling account; each account has its own key space.
     pub account: id::Account,
     /// The caller's idempotency key.
@@ -79,7 +79,7 @@
     pub repeat: bool,
 }
 
-impl Request {
+impl ClaimRequest {
     /// Key of the claim's row: `claim/<shard>/<hash>`.
     ///
     /// The hash hides the idempotency key from readers of the table. Its first digit is the shard,
--- a/crates/claims/src/response.rs
+++ b/crates/claims/src/response.rs
@@ -58,7 +58,7 @@
 /// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Answer {
+pub struct StoredResponse {
     /// The HTTP status.
     pub status: u16,
     /// The headers, in their original order.
@@ -67,7 +67,7 @@
     pub body: Blob,
 }
 
-impl Answer {
+impl StoredResponse {
     /// Size of headers and body in bytes, to which the limit on stored responses applies.
     pub fn size(&self) -> usize {
         let headers: usize = self
--- a/crates/claims/src/row.rs
+++ b/crates/claims/src/row.rs
@@ -1,6 +1,6 @@
 //! The row of a claim.
 
-use crate::{request::Fingerprint, response::Answer};
+use crate::{request::Fingerprint, response::StoredResponse};
 use primroseroute_domain::time::Instant;
 use primroseroute_platform::table;
 use serde::{Deserialize, Serialize};
@@ -9,13 +9,13 @@
 /// State of a claimed request, as recorded in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum State {
+pub enum ClaimState {
     /// Granted to one entry: the request may have run.
     Claimed,
     /// The request was certainly not sent: the next attempt may take over the row.
     Released,
     /// The request completed with this response.
-    Completed(Answer),
+    Completed(StoredResponse),
     /// The request completed; the response exceeded the size limit.
     NotKept,
     /// The request may have run; its outcome will never be known.
@@ -25,7 +25,7 @@
 /// The row of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Row {
+pub struct ClaimRow {
     /// Id of the attempt that wrote the row; unique, so that an entry recognises its own commit.
     pub operation: Uuid,
     /// The request for which the key was used.
@@ -37,10 +37,10 @@
     /// It only decides between "in progress" and "unknown", which both mean that it may have run.
     pub until: Instant,
     /// State of the request.
-    pub state: State,
+    pub state: ClaimState,
 }
 
-impl Row {
+impl ClaimRow {
     /// Serializes the row as JSON.
     ///
     /// # Panics
--- a/crates/claims/src/sweep.rs
+++ b/crates/claims/src/sweeper.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     clock::Clock,
-    row::{Row, State},
+    row::{ClaimRow, ClaimState},
 };
 use primroseroute_domain::time::Instant;
 use primroseroute_ledger::key::CLAIMS;
@@ -13,21 +13,21 @@
 use std::{sync::Arc, time::Duration};
 
 /// Retention of completed and released claims: a caller's retries end long before a day.
-pub const KEEP_SETTLED: Duration = Duration::from_secs(24 * 3600);
+pub const SETTLED_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
 /// Retention of claims without an outcome.
 ///
 /// The claim's owner may be an entry that is suspended between the grant and the send. If the row
 /// were deleted before it resumes, a retry could have been granted in the meantime and the request
 /// would run twice. No platform suspends an instance for a week, and no caller retries after one.
-pub const KEEP_OPEN: Duration = Duration::from_secs(7 * 24 * 3600);
+pub const OPEN_RETENTION: Duration = Duration::from_secs(7 * 24 * 3600);
 
 /// Most rows that one step reads, and thus deletes.
-pub const STEP: u32 = 100;
+pub const ROWS_PER_STEP: u32 = 100;
 
 /// Result of one step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Swept {
+pub struct SweepStep {
     /// Rows read.
     pub read: usize,
     /// Rows deleted.
@@ -41,15 +41,15 @@
 /// One entry has to run it, such as the holder of the controller's lease; a second one would only
 /// waste calls, since a row is deleted on the condition that it is unchanged since it was read.
 #[derive(Debug)]
-pub struct Sweep {
+pub struct Sweeper {
     table: Arc<dyn Table>,
     clock: Arc<dyn Clock>,
     after: Option<Key>,
 }
 
-impl Sweep {
+impl Sweeper {
     /// Creates a sweep that starts at the first claim.
-    pub fn open(table: Arc<dyn Table>, clock: Arc<dyn Clock>) -> Self {
+    pub fn new(table: Arc<dyn Table>, clock: Arc<dyn Clock>) -> Self {
         Self {
             table,
             clock,
@@ -57,17 +57,17 @@
         }
     }
 
-    /// Reads the next [`STEP`] rows and deletes the expired ones.
+    /// Reads the next [`ROWS_PER_STEP`] rows and deletes the expired ones.
     ///
     /// Rows of a commit that conflicts or whose result is lost are left to the next scan.
     ///
     /// # Errors
     /// Errors of the table; the next step continues at the same place.
-    pub async fn step(&mut self) -> Result<Swept, Error> {
+    pub async fn step(&mut self) -> Result<SweepStep, Error> {
         let scan = Scan {
             prefix: CLAIMS.into(),
             after: self.after.clone(),
-            limit: STEP,
+            limit: ROWS_PER_STEP,
         };
         let page = self.table.scan(scan).await?;
         let now = self.clock.now();
@@ -84,7 +84,7 @@
             .last()
             .filter(|_| page.more)
             .map(|row| Key::clone(&row.key));
-        Ok(Swept {
+        Ok(SweepStep {
             read: page.rows.len(),
             deleted: expired.len(),
             wrapped: !page.more,
@@ -94,10 +94,12 @@
 
 fn is_expired(row: &table::Row, now: Instant) -> bool {
     // An unreadable row is kept: a newer version of this program may have written it.
-    Row::decode(row).is_some_and(|row| {
+    ClaimRow::decode(row).is_some_and(|row| {
         let retention = match row.state {
-            State::Completed(_) | State::NotKept | State::Released => KEEP_SETTLED,
-            State::Claimed | State::Unknown => KEEP_OPEN,
+            ClaimState::Completed(_) | ClaimState::NotKept | ClaimState::Released => {
+                SETTLED_RETENTION
+            }
+            ClaimState::Claimed | ClaimState::Unknown => OPEN_RETENTION,
         };
         now.since(row.claimed) > retention
     })
--- a/crates/claims/tests/all/batch.rs
+++ b/crates/claims/tests/all/batch.rs
@@ -95,7 +95,7 @@
     let (fake, clock) = (FakeTable::default(), PausedClock::start());
     fake.set_latency(Duration::from_millis(5));
     let options = Options {
-        window: Duration::from_millis(window),
+        batch_window: Duration::from_millis(window),
         ..Options::default()
     };
     let all: Vec<_> = (0..entries)
--- a/crates/claims/tests/all/expiry.rs
+++ b/crates/claims/tests/all/expiry.rs
@@ -4,13 +4,13 @@
     fake_table::{FakeTable, Fault},
     fixture::{PausedClock, claim, entry, grant, outcome_name, response, wait_for_outcomes},
 };
-use primroseroute_claims::{Sweep, sweep};
+use primroseroute_claims::{Sweeper, sweeper};
 use std::{sync::Arc, time::Duration};
 use tokio::time::advance;
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-async fn sweep_all(sweep: &mut Sweep) -> usize {
+async fn sweep_all(sweep: &mut Sweeper) -> usize {
     let mut deleted = 0;
     loop {
         let step = sweep.step().await.expect("the table answers");
@@ -35,13 +35,13 @@
     grant(&a, "settled").await.completed(response(b"held"));
     wait_for_outcomes(&a).await;
     let suspended = grant(&a, "open").await;
-    let mut sweep = Sweep::open(Arc::new(fake.clone()), Arc::clone(&clock) as _);
-    advance(sweep::KEEP_SETTLED.saturating_sub(MINUTE)).await;
+    let mut sweep = Sweeper::new(Arc::new(fake.clone()), Arc::clone(&clock) as _);
+    advance(sweeper::SETTLED_RETENTION.saturating_sub(MINUTE)).await;
     assert_eq!(sweep_all(&mut sweep).await, 0);
     advance(2 * MINUTE).await;
     assert_eq!(sweep_all(&mut sweep).await, 1);
     assert_eq!(outcome_name(&claim(&b, "open").await), "unknown");
-    advance(sweep::KEEP_OPEN).await;
+    advance(sweeper::OPEN_RETENTION).await;
     assert_eq!(sweep_all(&mut sweep).await, 1);
     assert!(fake.rows().is_empty());
     suspended.unknown();
@@ -57,9 +57,9 @@
         grant(&a, &format!("k{number}")).await.unknown();
     }
     wait_for_outcomes(&a).await;
-    advance(sweep::KEEP_OPEN + MINUTE).await;
+    advance(sweeper::OPEN_RETENTION + MINUTE).await;
     fake.inject([Fault::Refused, Fault::LostAfter]);
-    let mut sweep = Sweep::open(Arc::new(fake.clone()), Arc::clone(&clock) as _);
+    let mut sweep = Sweeper::new(Arc::new(fake.clone()), Arc::clone(&clock) as _);
     assert!(sweep.step().await.is_err());
     assert!(sweep.step().await.is_err());
     assert_eq!(sweep_all(&mut sweep).await, 150);
--- a/crates/claims/tests/all/fake_table.rs
+++ b/crates/claims/tests/all/fake_table.rs
@@ -2,7 +2,7 @@
 
 use async_trait::async_trait;
 use parking_lot::Mutex;
-use primroseroute_claims::Row;
+use primroseroute_claims::ClaimRow;
 use primroseroute_platform::{
     error::Error,
     table::{self, Commit, Condition, Key, Page, Revision, Scan, Table, Txn, Write},
@@ -84,7 +84,7 @@
     }
 
     /// All claim rows, decoded.
-    pub fn rows(&self) -> Vec<Row> {
+    pub fn rows(&self) -> Vec<ClaimRow> {
         let state = self.state.lock();
         let decode = |row: &table::Row| serde_json::from_slice(&row.value).expect("a claim row");
         state.rows.values().map(decode).collect()
--- a/crates/claims/tests/all/fixture.rs
+++ b/crates/claims/tests/all/fixture.rs
@@ -2,7 +2,8 @@
 
 use crate::fake_table::FakeTable;
 use primroseroute_claims::{
-    Answer, Blob, Claim, Claims, Clock, Fingerprint, Key, Options, Permit, Request,
+    Blob, ClaimOutcome, ClaimRequest, Claims, Clock, Fingerprint, Key, Options, Permit,
+    StoredResponse,
 };
 use primroseroute_domain::time;
 use std::{sync::Arc, time::Duration};
@@ -42,13 +43,13 @@
     Claims::spawn(Arc::new(fake.clone()), clock, options, [start_number; 32])
 }
 
-pub fn request(key: &str) -> Request {
+pub fn request(key: &str) -> ClaimRequest {
     request_with_body(key, "bed 4")
 }
 
-pub fn request_with_body(key: &str, body: &str) -> Request {
+pub fn request_with_body(key: &str, body: &str) -> ClaimRequest {
     let service = "merkato-beds".parse().expect("a name");
-    Request {
+    ClaimRequest {
         account: "gojo".parse().expect("a name"),
         key: Key::parse(key).expect("a key"),
         fingerprint: Fingerprint::of("POST", &service, "/holds", body.as_bytes()),
@@ -56,8 +57,8 @@
     }
 }
 
-pub fn response(body: &[u8]) -> Answer {
-    Answer {
+pub fn response(body: &[u8]) -> StoredResponse {
+    StoredResponse {
         status: 201,
         headers: Vec::new(),
         body: Blob(body.to_vec().into()),
@@ -65,25 +66,25 @@
 }
 
 /// A short name of a claim's result, for assertions.
-pub fn outcome_name(claim: &Claim) -> &'static str {
+pub fn outcome_name(claim: &ClaimOutcome) -> &'static str {
     match claim {
-        Claim::Granted(_) => "granted",
-        Claim::Repeat(_) => "repeat",
-        Claim::InProgress => "in progress",
-        Claim::OutcomeUnknown => "unknown",
-        Claim::NotKept => "not kept",
-        Claim::KeyReused => "key reused",
-        Claim::Unavailable => "not run",
+        ClaimOutcome::Granted(_) => "granted",
+        ClaimOutcome::Replay(_) => "repeat",
+        ClaimOutcome::InProgress => "in progress",
+        ClaimOutcome::OutcomeUnknown => "unknown",
+        ClaimOutcome::NotKept => "not kept",
+        ClaimOutcome::KeyReused => "key reused",
+        ClaimOutcome::Unavailable => "not run",
     }
 }
 
-pub async fn claim(claims: &Claims, key: &str) -> Claim {
+pub async fn claim(claims: &Claims, key: &str) -> ClaimOutcome {
     claims.claim(&request(key), TIMEOUT).await
 }
 
 pub async fn grant(claims: &Claims, key: &str) -> Permit {
     match claim(claims, key).await {
-        Claim::Granted(permit) => permit,
+        ClaimOutcome::Granted(permit) => permit,
         other => panic!("expected a grant, got {other:?}"),
     }
 }
--- a/crates/claims/tests/all/lost.rs
+++ b/crates/claims/tests/all/lost.rs
@@ -7,7 +7,7 @@
         wait_for_outcomes,
     },
 };
-use primroseroute_claims::{Claim, State};
+use primroseroute_claims::{ClaimOutcome, ClaimState};
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -82,7 +82,7 @@
     permit.completed(response(b"held"));
     wait_for_outcomes(&a).await;
     sleep(Duration::from_secs(2)).await;
-    let Claim::Repeat(first) = claim(&b, "k").await else {
+    let ClaimOutcome::Replay(first) = claim(&b, "k").await else {
         panic!("the first response is stored");
     };
     assert_eq!(first, response(b"held"));
@@ -107,7 +107,7 @@
     wait_for_outcomes(&a).await;
     let second = grant(&b, "k").await;
     sleep(Duration::from_secs(1)).await;
-    assert_eq!(fake.rows()[0].state, State::Claimed);
+    assert_eq!(fake.rows()[0].state, ClaimState::Claimed);
     assert_eq!(
         outcome_name(&a.claim(&request("k"), TIMEOUT).await),
         "in progress"
--- a/crates/claims/tests/all/outage.rs
+++ b/crates/claims/tests/all/outage.rs
@@ -8,7 +8,7 @@
     },
 };
 use futures::future::join_all;
-use primroseroute_claims::{Claim, Options};
+use primroseroute_claims::{ClaimOutcome, Options};
 use std::time::Duration;
 use tokio::{join, time::sleep};
 
@@ -87,7 +87,7 @@
 async fn waiting_claims_are_bounded() {
     let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let options = Options {
-        waiting: 10,
+        max_pending: 10,
         ..Options::default()
     };
     let a = entry_with(&fake, &clock, 1, options);
@@ -157,5 +157,5 @@
     assert_eq!(a.drain(Duration::from_secs(5)).await, 1);
     fake.set_down(false);
     assert_eq!(a.drain(Duration::from_secs(5)).await, 0);
-    assert!(matches!(claim(&b, "k").await, Claim::Repeat(_)));
+    assert!(matches!(claim(&b, "k").await, ClaimOutcome::Replay(_)));
 }
--- a/crates/claims/tests/all/race.rs
+++ b/crates/claims/tests/all/race.rs
@@ -7,7 +7,7 @@
         response, wait_for_outcomes,
     },
 };
-use primroseroute_claims::Claim;
+use primroseroute_claims::ClaimOutcome;
 use std::time::Duration;
 use tokio::{join, time::sleep};
 
@@ -62,7 +62,7 @@
     assert_eq!(outcome_name(&claim(&b, "k").await), "unknown");
     permit.completed(response(b"held"));
     wait_for_outcomes(&a).await;
-    let Claim::Repeat(first) = claim(&b, "k").await else {
+    let ClaimOutcome::Replay(first) = claim(&b, "k").await else {
         panic!("the outcome has been written");
     };
     assert_eq!(first, response(b"held"));
--- a/crates/claims/tests/all/random.rs
+++ b/crates/claims/tests/all/random.rs
@@ -6,7 +6,7 @@
     fixture::{PausedClock, entry, outcome_name, request, response},
 };
 use parking_lot::Mutex;
-use primroseroute_claims::{Claim, Claims, Permit};
+use primroseroute_claims::{ClaimOutcome, Claims, Permit};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha12Rng;
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
@@ -60,8 +60,8 @@
         let claims = self.entries.lock()[index].clone();
         let within = Duration::from_millis(random.random_range(10..3000));
         let permit = match claims.claim(&request(key), within).await {
-            Claim::Granted(permit) => permit,
-            Claim::Repeat(first) => {
+            ClaimOutcome::Granted(permit) => permit,
+            ClaimOutcome::Replay(first) => {
                 assert_eq!(
                     first,
                     response(key.as_bytes()),
@@ -74,7 +74,9 @@
                 );
                 return true;
             }
-            Claim::InProgress | Claim::OutcomeUnknown | Claim::Unavailable => return false,
+            ClaimOutcome::InProgress | ClaimOutcome::OutcomeUnknown | ClaimOutcome::Unavailable => {
+                return false;
+            }
             other => panic!("unexpected result of a claim: {other:?}"),
         };
         let pause = Duration::from_millis(random.random_range(0..4000));
--- a/crates/claims/tests/all/stored.rs
+++ b/crates/claims/tests/all/stored.rs
@@ -7,7 +7,7 @@
     },
 };
 use expect_test::expect;
-use primroseroute_claims::{Blob, Claim, Header, Options};
+use primroseroute_claims::{Blob, ClaimOutcome, Header, Options};
 
 // A response may contain text, binary data or both; a repeat receives it unchanged.
 #[tokio::test(start_paused = true)]
@@ -21,7 +21,7 @@
     }];
     grant(&a, "k").await.completed(first.clone());
     wait_for_outcomes(&a).await;
-    let Claim::Repeat(kept) = claim(&a, "k").await else {
+    let ClaimOutcome::Replay(kept) = claim(&a, "k").await else {
         panic!("the first response is stored");
     };
     assert_eq!(kept, first);
@@ -33,7 +33,7 @@
 async fn large_answer_is_not_kept() {
     let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let options = Options {
-        answer_limit: 8,
+        max_response_bytes: 8,
         ..Options::default()
     };
     let a = entry_with(&fake, &clock, 1, options);
@@ -49,7 +49,7 @@
 async fn waiting_answers_are_bounded_in_bytes() {
     let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let options = Options {
-        answers_limit: 10,
+        max_pending_response_bytes: 10,
         ..Options::default()
     };
     let a = entry_with(&fake, &clock, 1, options);
--- a/crates/controller/src/keep.rs
+++ b/crates/controller/src/keep.rs
@@ -2,7 +2,7 @@
 
 use crate::{lease::Held, role::Parts};
 use primroseroute_audit::step;
-use primroseroute_claims::Sweep;
+use primroseroute_claims::Sweeper;
 use std::{sync::Arc, time::Duration};
 use tokio::time::Instant;
 
@@ -13,7 +13,7 @@
 /// What housekeeping remembers; a successor starts anew and loses nothing.
 #[derive(Debug)]
 pub(crate) struct House {
-    sweep: Sweep,
+    sweep: Sweeper,
     due: Instant,
 }
 
@@ -21,7 +21,7 @@
     pub(crate) fn open(parts: &Parts) -> Self {
         let table = Arc::clone(parts.ledger.table());
         Self {
-            sweep: Sweep::open(table, Arc::clone(&parts.clock)),
+            sweep: Sweeper::new(table, Arc::clone(&parts.clock)),
             due: Instant::now(),
         }
     }
--- a/crates/route/src/handler/attempt.rs
+++ b/crates/route/src/handler/attempt.rs
@@ -9,7 +9,7 @@
     request::{Head, IDEMPOTENCY_REPEAT, REQUEST_ID},
 };
 use http::{Method, Request, Response, Uri};
-use primroseroute_claims::{Claim, Fingerprint, Permit, Request as ClaimRequest};
+use primroseroute_claims::{ClaimOutcome, ClaimRequest, Fingerprint, Permit};
 use primroseroute_domain::{
     id,
     outcome::{Code, Refusal},
@@ -153,11 +153,11 @@
             () = self.disconnected.cancelled() => return Err(self.abandon()),
         };
         let reply = match claimed {
-            Claim::Granted(permit) => {
+            ClaimOutcome::Granted(permit) => {
                 self.permit = Some(permit);
                 return Ok(());
             }
-            Claim::Repeat(stored) => Reply::stored(stored),
+            ClaimOutcome::Replay(stored) => Reply::stored(stored),
             other => {
                 let code = other.code().unwrap_or(Code::ClaimUnavailable);
                 Reply::refused(Refusal::new(code, "see the result code's page"))
--- a/crates/route/src/handler/reply.rs
+++ b/crates/route/src/handler/reply.rs
@@ -7,7 +7,7 @@
     request::{OUTCOME, REQUEST_ID},
 };
 use http::{HeaderName, HeaderValue, Response, StatusCode, response::Parts};
-use primroseroute_claims::{Answer, Blob, Header};
+use primroseroute_claims::{Blob, Header, StoredResponse};
 use primroseroute_domain::outcome::{Refusal, Verdict};
 use std::time::Duration;
 
@@ -48,7 +48,7 @@
     }
 
     /// The stored first response to a key.
-    pub(super) fn stored(stored: Answer) -> Self {
+    pub(super) fn stored(stored: StoredResponse) -> Self {
         let mut response = Response::new(problem::full(stored.body.0));
         *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
         for Header { name, value } in stored.headers {
@@ -83,14 +83,14 @@
 }
 
 /// The response in the form in which it is stored for repeats of its key.
-pub(super) fn stored_response(parts: &Parts, body: &bytes::Bytes) -> Answer {
+pub(super) fn stored_response(parts: &Parts, body: &bytes::Bytes) -> StoredResponse {
     let mut headers = parts.headers.clone();
     strip_hop_by_hop(&mut headers);
     let headers = headers.iter().map(|(name, value)| Header {
         name: name.as_str().into(),
         value: Blob(bytes::Bytes::copy_from_slice(value.as_bytes())),
     });
-    Answer {
+    StoredResponse {
         status: parts.status.as_u16(),
         headers: headers.collect(),
         body: Blob(body.clone()),
