--- a/crates/front/src/problem.rs
+++ b/crates/front/src/problem.rs
@@ -1,4 +1,4 @@
-//! Error answers: RFC 9457 problem details with the numbered code and the outcome header.
+//! Error responses: RFC 9457 problem details with a result code and the outcome header.
 
 use bytes::Bytes;
 use gotham::helpers::http::Body;
@@ -8,16 +8,16 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Names the request in logs and answers; made up where the caller sends none.
+/// Identifies the request in logs and responses; generated if the caller sends none.
 pub const REQUEST_ID: &str = "x-request-id";
 
-/// What became of the request: `completed`, `not-run` or `unknown`.
+/// Outcome of the request: `completed`, `not-run` or `unknown`.
 pub const OUTCOME: &str = "x-outcome";
 
 /// Media type of problem details.
 pub const MEDIA_TYPE: &str = "application/problem+json";
 
-/// The body of an error answer, as RFC 9457 has it, with our members added.
+/// The body of an error response: RFC 9457 members with extensions.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 struct Problem<'a> {
@@ -35,22 +35,22 @@
     Body::new(Full::new(bytes.into()).map_err(|never| match never {}))
 }
 
-/// The error answer for `refusal`.
+/// The error response for `refusal`.
 ///
-/// `retry_after` goes out in whole seconds, rounded up: a caller that comes back earlier would
-/// meet the same refusal.
+/// `retry_after` is sent in whole seconds, rounded up: a caller that retries earlier would be
+/// refused again.
 ///
 /// # Panics
-/// Never: every value of the head is made of ASCII.
+/// Never: all header values are ASCII.
 pub fn answer(
     refusal: &Refusal,
     request_id: &str,
     retry_after: Option<Duration>,
 ) -> Response<Body> {
     let status = StatusCode::from_u16(refusal.code.status()).expect("codes have valid statuses");
-    let mut response = with_status(refusal, status, request_id);
-    if let Some(pause) = retry_after {
-        let seconds = pause.as_millis().div_ceil(1000).max(1);
+    let mut response = problem_response(refusal, status, request_id);
+    if let Some(delay) = retry_after {
+        let seconds = delay.as_millis().div_ceil(1000).max(1);
         let value = u64::try_from(seconds).unwrap_or(u64::MAX);
         let headers = response.headers_mut();
         headers.insert(header::RETRY_AFTER, HeaderValue::from(value));
@@ -58,7 +58,7 @@
     response
 }
 
-fn with_status(refusal: &Refusal, status: StatusCode, request_id: &str) -> Response<Body> {
+fn problem_response(refusal: &Refusal, status: StatusCode, request_id: &str) -> Response<Body> {
     let code = refusal.code;
     let problem = Problem {
         r#type: format!("urn:primroseroute:result:{}", code.number()),
@@ -69,7 +69,7 @@
         outcome: code.verdict(),
         request_id,
     };
-    let json = serde_json::to_vec(&problem).expect("a problem serializes");
+    let json = serde_json::to_vec(&problem).expect("problem details are serializable");
     let mut response = Response::new(full(json));
     *response.status_mut() = status;
     let headers = response.headers_mut();
@@ -81,17 +81,18 @@
     response
 }
 
-/// Gives an error answer of gotham itself a body: it has none, and no code.
+/// Adds problem details to error responses of gotham itself, which have no body and no code.
 ///
-/// gotham answers a path that it does not know, a method that the path does not have, a malformed
-/// query, and a panic with an empty body. An answer that a handler has made has an outcome or a
-/// media type and is left as it is, a backend server's empty error among them.
-pub(crate) fn complete(response: Response<Body>, request_id: &str) -> Response<Body> {
+/// For an unknown path, a method that the path does not support, a malformed query and a panic,
+/// gotham responds with an empty body. A response of a handler has an outcome or a media type and
+/// remains unchanged, including empty error responses of backend servers.
+pub(crate) fn add_problem_details(response: Response<Body>, request_id: &str) -> Response<Body> {
     let status = response.status();
     let headers = response.headers();
     let is_error = status.is_client_error() || status.is_server_error();
-    let is_made = headers.contains_key(OUTCOME) || headers.contains_key(header::CONTENT_TYPE);
-    if !is_error || is_made {
+    let is_from_handler =
+        headers.contains_key(OUTCOME) || headers.contains_key(header::CONTENT_TYPE);
+    if !is_error || is_from_handler {
         return response;
     }
     let (code, detail) = match status {
@@ -102,7 +103,7 @@
         }
         _ => (Code::MalformedRequest, "the path or the query is malformed"),
     };
-    let mut completed = with_status(&Refusal::new(code, detail), status, request_id);
+    let mut completed = problem_response(&Refusal::new(code, detail), status, request_id);
     let allowed = response.headers().get_all(header::ALLOW);
     for method in allowed {
         completed
--- a/crates/front/src/server.rs
+++ b/crates/front/src/server.rs
@@ -1,6 +1,6 @@
-//! The accept loop and the graceful stop.
+//! The accept loop and graceful shutdown.
 
-use crate::{name::Names, problem};
+use crate::{problem, request_id::RequestIds};
 use eyre::{Context, Result};
 use futures::FutureExt;
 use gotham::{anyhow, handler::NewHandler, service::call_handler, state::State};
@@ -19,29 +19,29 @@
     time::{sleep, timeout},
 };
 
-/// Pause after a failed accept, such as when file descriptors run out; without it the loop spins.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, such as when file descriptors run out; avoids a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Smallest read buffer that the HTTP library takes.
-const LEAST_BUFFER: usize = 8 << 10;
+/// Smallest read buffer that the HTTP library accepts.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// Bounds on connections and request heads.
+/// Limits on connections and request heads.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Most bytes of a request's head.
+    /// Largest request head in bytes.
     pub head_bytes: usize,
-    /// Longest time from the first byte of a connection's turn to the end of the head.
+    /// Longest time to receive a request head.
     pub head_timeout: Duration,
-    /// Most connections open at the same time.
+    /// Most open connections.
     pub connections: usize,
-    /// How long open connections are still served once the listener has closed.
+    /// How long open connections are still served after the listener has closed.
     pub linger: Duration,
 }
 
 impl Default for Options {
-    /// 32 KiB of head, which holds the usual cookies and tokens; 10 s, as common servers have it;
-    /// 4,096 connections, which at about 20 KiB each stay under the 128 MB of a small entry; half a
-    /// second of lingering, far over the round trip of a request that crosses the close.
+    /// 32 KiB of head, enough for the usual cookies and tokens; 10 s, as in common servers; 4,096
+    /// connections, which at about 20 KiB each stay under the 128 MB of a small entry; half a second
+    /// of shutdown grace, far more than the round trip of a request sent while the listener closes.
     fn default() -> Self {
         Self {
             head_bytes: 32 << 10,
@@ -52,11 +52,11 @@
     }
 }
 
-/// How far the server is on its way to a stop.
+/// Phase of the server's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    Open,
-    Retiring,
+    Serving,
+    Draining,
     Stopping,
 }
 
@@ -65,14 +65,14 @@
 pub struct Server {
     address: SocketAddr,
     phase: watch::Sender<Phase>,
-    accepting: JoinHandle<()>,
+    accept_loop: JoinHandle<()>,
 }
 
 impl Server {
     /// Binds `address` and serves `handler` on it.
     ///
     /// # Errors
-    /// Where the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn bind<H>(address: SocketAddr, options: Options, handler: H) -> Result<Self>
     where
         H: NewHandler + 'static,
@@ -83,8 +83,8 @@
         let address = listener
             .local_addr()
             .wrap_err("reading the bound address")?;
-        let phase = watch::Sender::new(Phase::Open);
-        let accepting = tokio::spawn(accept(
+        let phase = watch::Sender::new(Phase::Serving);
+        let accept_loop = tokio::spawn(run_accept_loop(
             listener,
             options,
             Arc::new(handler),
@@ -93,63 +93,64 @@
         Ok(Self {
             address,
             phase,
-            accepting,
+            accept_loop,
         })
     }
 
-    /// The bound address, with the port that was chosen where 0 was asked for.
+    /// The bound address, with the assigned port if port 0 was requested.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Goes on serving, and closes each connection after its next answer.
+    /// Continues to serve, but closes each connection after its next response.
     ///
-    /// A keep-alive connection that is closed while idle can cut a request that its caller sends
-    /// at that moment. Closing with an answer cannot, so callers are moved away before the stop.
+    /// Closing an idle keep-alive connection can interrupt a request that its caller sends at the
+    /// same moment. Closing with a response cannot, so connections are closed this way before the
+    /// server stops.
     pub fn retire(&self) {
-        self.phase.send_replace(Phase::Retiring);
+        self.phase.send_replace(Phase::Draining);
     }
 
     /// Stops accepting, waits for every request in flight, and closes every connection.
     pub async fn stop(self) {
         self.phase.send_replace(Phase::Stopping);
-        if let Err(error) = self.accepting.await {
-            log::error!("the accept loop ended early: {error}");
+        if let Err(error) = self.accept_loop.await {
+            log::error!("accept loop failed: {error}");
         }
     }
 
-    /// Closes the listener and every connection at once, as a killed process would.
+    /// Closes the listener and every connection immediately, as a killed process would.
     pub fn abort(self) {
-        self.accepting.abort();
+        self.accept_loop.abort();
     }
 }
 
-async fn accept<H>(
+async fn run_accept_loop<H>(
     listener: TcpListener,
     options: Options,
     handler: Arc<H>,
-    mut stop: watch::Receiver<Phase>,
+    mut phase: watch::Receiver<Phase>,
 ) where
     H: NewHandler + 'static,
 {
     let graceful = GracefulShutdown::new();
-    let names = Arc::new(Names::open());
-    let room = Arc::new(Semaphore::new(options.connections));
-    // Connections live and die with this task, so that `abort` is like the loss of the process.
+    let request_ids = Arc::new(RequestIds::new());
+    let connection_limit = Arc::new(Semaphore::new(options.connections));
+    // Connections end with this task, so that `abort` has the same effect as the loss of the process.
     let mut connections = tokio::task::JoinSet::new();
     loop {
         let permit = tokio::select! {
-            () = stopped(&mut stop) => break,
+            () = stopping(&mut phase) => break,
             Some(_) = connections.join_next() => continue,
-            permit = Arc::clone(&room).acquire_owned() => permit,
+            permit = Arc::clone(&connection_limit).acquire_owned() => permit,
         };
         let (socket, caller) = tokio::select! {
-            () = stopped(&mut stop) => break,
+            () = stopping(&mut phase) => break,
             accepted = listener.accept() => match accepted {
                 Ok(accepted) => accepted,
                 Err(error) => {
                     log::warn!("accepting a connection failed: {error}");
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             },
@@ -159,8 +160,8 @@
             caller,
             options,
             Arc::clone(&handler),
-            Arc::clone(&names),
-            stop.clone(),
+            Arc::clone(&request_ids),
+            phase.clone(),
             graceful.watcher(),
         );
         connections.spawn(async move {
@@ -168,23 +169,23 @@
             drop(permit);
         });
     }
-    // Connections that the kernel has completed and nobody accepted are reset when the listener
-    // closes, though their callers may have sent a request: they are served first.
+    // Established connections that have not been accepted are reset when the listener closes, although
+    // their callers may have sent a request: they are served first.
     while let Some(Ok((socket, caller))) = listener.accept().now_or_never() {
         connections.spawn(serve(
             socket,
             caller,
             options,
             Arc::clone(&handler),
-            Arc::clone(&names),
-            stop.clone(),
+            Arc::clone(&request_ids),
+            phase.clone(),
             graceful.watcher(),
         ));
     }
     drop(listener);
-    // A request may be on its way on a connection that looks idle. Closing at once would cut it,
-    // and its caller could not know whether it ran; every answer from here on closes its
-    // connection, so what is still open after the wait has not been used for that long.
+    // A request may be in transit on a connection that appears idle. Closing immediately would
+    // interrupt it, and its caller could not know whether it ran; every response from here on closes
+    // its connection, so a connection that is still open after the wait has been idle for that long.
     let all_closed = async { while connections.join_next().await.is_some() {} };
     if timeout(options.linger, all_closed).await.is_err() {
         graceful.shutdown().await;
@@ -192,15 +193,15 @@
     }
 }
 
-async fn stopped(stop: &mut watch::Receiver<Phase>) {
-    // A dropped sender means that the server was dropped without a stop: the loop ends too.
-    let _ended = stop
-        .wait_for(|phase| *phase == Phase::Stopping)
+async fn stopping(phase: &mut watch::Receiver<Phase>) {
+    // The sender is dropped if the server is dropped without a stop: the loop ends then too.
+    let _ended = phase
+        .wait_for(|current| *current == Phase::Stopping)
         .await
         .is_err();
 }
 
-/// Bytes of a request's line and headers, without the punctuation between them.
+/// Size of a request's target and headers in bytes, without separators.
 fn head_bytes<B>(request: &Request<B>) -> usize {
     let headers = request.headers().iter();
     let headers: usize = headers
@@ -215,30 +216,31 @@
     caller: SocketAddr,
     options: Options,
     handler: Arc<H>,
-    names: Arc<Names>,
+    request_ids: Arc<RequestIds>,
     phase: watch::Receiver<Phase>,
     watcher: Watcher,
 ) where
     H: NewHandler + 'static,
 {
-    // Without this a small answer waits for the caller's delayed acknowledgement, up to 40 ms.
+    // With Nagle's algorithm a small response waits for the caller's delayed acknowledgement, up to
+    // 40 ms.
     if let Err(error) = socket.set_nodelay(true) {
         log::debug!("setting TCP_NODELAY for {caller} failed: {error}");
     }
     let respond = service_fn(move |mut request: Request<Incoming>| {
-        let name = names.ensure(request.headers_mut());
+        let request_id = request_ids.ensure(request.headers_mut());
         let handler = Arc::clone(&handler);
         let phase = phase.clone();
         async move {
             let mut response = if head_bytes(&request) > options.head_bytes {
                 let detail = format!("at most {} bytes", options.head_bytes);
-                problem::answer(&Refusal::new(Code::HeadTooLarge, detail), &name, None)
+                problem::answer(&Refusal::new(Code::HeadTooLarge, detail), &request_id, None)
             } else {
                 let state = State::from_request(request, caller);
                 let response = call_handler(handler, AssertUnwindSafe(state)).await?;
-                problem::complete(response, &name)
+                problem::add_problem_details(response, &request_id)
             };
-            if *phase.borrow() != Phase::Open {
+            if *phase.borrow() != Phase::Serving {
                 response
                     .headers_mut()
                     .insert(CONNECTION, HeaderValue::from_static("close"));
@@ -249,10 +251,10 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(options.head_timeout)
-        .max_buf_size(options.head_bytes.max(LEAST_BUFFER) * 2)
+        .max_buf_size(options.head_bytes.max(MIN_BUFFER_BYTES) * 2)
         .keep_alive(true)
         .serve_connection(TokioIo::new(socket), respond);
     if let Err(error) = watcher.watch(connection).await {
-        log::debug!("the connection of {caller} ended early: {error}");
+        log::debug!("connection of {caller} ended early: {error}");
     }
 }
--- a/crates/route/src/backend/idle.rs
+++ b/crates/route/src/backend/idle.rs
@@ -28,7 +28,9 @@
 impl fmt::Debug for IdleConnections {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let count = self.idle.lock().values().map(Vec::len).sum::<usize>();
-        f.debug_struct("IdleConnections").field("idle", &count).finish()
+        f.debug_struct("IdleConnections")
+            .field("idle", &count)
+            .finish()
     }
 }
 
