--- a/benches/request_path/inner.rs
+++ b/benches/request_path/inner.rs
@@ -54,7 +54,7 @@
         _: Request<Body>,
         _: Instant,
     ) -> Result<Response<Body>, Failure> {
-        let mut response = Response::new(problem::full("beds"));
+        let mut response = Response::new(problem::full_body("beds"));
         let length = HeaderValue::from_static("4");
         response
             .headers_mut()
@@ -177,7 +177,7 @@
         for _ in 0..BATCH {
             let (headers, uri) = (headers.clone(), uri.clone());
             let answer = handler
-                .serve(Method::GET, uri, headers, problem::full(""))
+                .serve(Method::GET, uri, headers, problem::full_body(""))
                 .await;
             assert!(answer.status().is_success(), "{:?}", answer.headers());
         }
--- a/crates/front/src/problem.rs
+++ b/crates/front/src/problem.rs
@@ -31,7 +31,7 @@
 }
 
 /// A body that holds `bytes`.
-pub fn full(bytes: impl Into<Bytes>) -> Body {
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Body::new(Full::new(bytes.into()).map_err(|never| match never {}))
 }
 
@@ -42,7 +42,7 @@
 ///
 /// # Panics
 /// Never: all header values are ASCII.
-pub fn answer(
+pub fn error_response(
     refusal: &Refusal,
     request_id: &str,
     retry_after: Option<Duration>,
@@ -70,7 +70,7 @@
         request_id,
     };
     let json = serde_json::to_vec(&problem).expect("problem details are serializable");
-    let mut response = Response::new(full(json));
+    let mut response = Response::new(full_body(json));
     *response.status_mut() = status;
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(MEDIA_TYPE));
--- a/crates/front/src/server.rs
+++ b/crates/front/src/server.rs
@@ -234,7 +234,11 @@
         async move {
             let mut response = if head_bytes(&request) > options.head_bytes {
                 let detail = format!("at most {} bytes", options.head_bytes);
-                problem::answer(&Refusal::new(Code::HeadTooLarge, detail), &request_id, None)
+                problem::error_response(
+                    &Refusal::new(Code::HeadTooLarge, detail),
+                    &request_id,
+                    None,
+                )
             } else {
                 let state = State::from_request(request, caller);
                 let response = call_handler(handler, AssertUnwindSafe(state)).await?;
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -13,7 +13,7 @@
 
 /// A success with a JSON body.
 pub(crate) fn json(body: Bytes) -> Response<Body> {
-    let mut response = Response::new(problem::full(body));
+    let mut response = Response::new(problem::full_body(body));
     let value = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, value);
     response
@@ -29,5 +29,5 @@
     let passing = StatusCode::from_u16(code.status())
         .is_ok_and(|status| status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS);
     let retry_after = passing.then_some(RETRY_AFTER);
-    problem::answer(&Refusal::new(code, detail.into()), request, retry_after)
+    problem::error_response(&Refusal::new(code, detail.into()), request, retry_after)
 }
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/ready.rs
@@ -48,7 +48,7 @@
 
 impl Handler for Readiness {
     fn handle(self, state: State) -> Pin<Box<HandlerFuture>> {
-        let mut response: Response<Body> = Response::new(problem::full("{}"));
+        let mut response: Response<Body> = Response::new(problem::full_body("{}"));
         let headers = response.headers_mut();
         let json = http::HeaderValue::from_static("application/json");
         headers.insert(http::header::CONTENT_TYPE, json);
--- a/crates/route/src/handler/attempt.rs
+++ b/crates/route/src/handler/attempt.rs
@@ -196,7 +196,7 @@
 
     fn body(&mut self) -> Option<Body> {
         match &mut self.upload {
-            Upload::Buffered(bytes) => Some(problem::full(bytes.clone())),
+            Upload::Buffered(bytes) => Some(problem::full_body(bytes.clone())),
             Upload::Streaming(body) => body.take(),
         }
     }
@@ -257,7 +257,7 @@
                 if let Some(permit) = self.permit.take() {
                     permit.completed(reply::stored_response(&parts, &body));
                 }
-                Reply::response(parts, problem::full(body))
+                Reply::response(parts, problem::full_body(body))
             }
             ReceivedResponse::Streaming(parts, start, rest) => {
                 if let Some(permit) = self.permit.take() {
--- a/crates/route/src/handler/mod.rs
+++ b/crates/route/src/handler/mod.rs
@@ -125,7 +125,7 @@
         task.await.unwrap_or_else(|error| {
             log::error!("task of request {id} panicked: {error}");
             let detail = "the entry failed inside the request";
-            problem::answer(&Refusal::new(Code::AnswerLost, detail), &id, None)
+            problem::error_response(&Refusal::new(Code::AnswerLost, detail), &id, None)
         })
     }
 
@@ -138,7 +138,7 @@
             latency: started.elapsed(),
             attempts: 0,
         });
-        problem::answer(refusal, id, None)
+        problem::error_response(refusal, id, None)
     }
 
     async fn run(
--- a/crates/route/src/handler/reply.rs
+++ b/crates/route/src/handler/reply.rs
@@ -49,7 +49,7 @@
 
     /// The stored first response to a key.
     pub(super) fn stored(stored: StoredResponse) -> Self {
-        let mut response = Response::new(problem::full(stored.body.0));
+        let mut response = Response::new(problem::full_body(stored.body.0));
         *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
         for Header { name, value } in stored.headers {
             let name = HeaderName::from_bytes(name.as_bytes());
@@ -66,7 +66,7 @@
             Self::Refused {
                 refusal,
                 retry_after,
-            } => problem::answer(&refusal, id, retry_after),
+            } => problem::error_response(&refusal, id, retry_after),
             Self::Response(mut response) => {
                 let headers = response.headers_mut();
                 headers.insert(
--- a/crates/route/tests/all/reuse.rs
+++ b/crates/route/tests/all/reuse.rs
@@ -73,7 +73,7 @@
 }
 
 async fn send(pool: &ConnectionPool, to: SocketAddr) -> eyre::Result<Bytes> {
-    let mut request = Request::new(problem::full(Bytes::new()));
+    let mut request = Request::new(problem::full_body(Bytes::new()));
     *request.uri_mut() = "/beds".parse()?;
     let until = Instant::now() + Duration::from_secs(10);
     let response = pool.send(to, request, until).await?;
--- a/crates/serve/src/page.rs
+++ b/crates/serve/src/page.rs
@@ -40,7 +40,7 @@
                 (StatusCode::INTERNAL_SERVER_ERROR, error.to_string())
             }
         };
-        let mut response: Response<Body> = Response::new(problem::full(text));
+        let mut response: Response<Body> = Response::new(problem::full_body(text));
         *response.status_mut() = status;
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static(MEDIA_TYPE));
--- a/tests/site/accept.rs
+++ b/tests/site/accept.rs
@@ -55,7 +55,7 @@
         let mut headers = http::HeaderMap::new();
         headers.insert(http::header::HOST, "stay.example".parse().expect("a host"));
         let uri = format!("/stay/{id}").parse().expect("a path");
-        let body = primroseroute_front::problem::full(body.clone());
+        let body = primroseroute_front::problem::full_body(body.clone());
         async move {
             gateway
                 .serve(http::Method::POST, uri, headers, body)
--- a/tests/site/bed/mod.rs
+++ b/tests/site/bed/mod.rs
@@ -329,7 +329,7 @@
     pub(crate) async fn send(&mut self, entry: &str, id: &JobId, job: &Job) -> StatusCode {
         self.sent.jobs.insert(id.clone(), job.clone());
         let body = serde_json::to_vec(job).expect("a job serializes");
-        let body = primroseroute_front::problem::full(body);
+        let body = primroseroute_front::problem::full_body(body);
         let path = format!("/stay/{id}");
         let (status, _body) = self.ask(entry, Method::POST, &path, body).await;
         if status.is_success() && !self.accepted.contains(id) {
@@ -349,7 +349,7 @@
     pub(crate) async fn cancel(&mut self, entry: &str, id: &JobId) -> StatusCode {
         self.sent.cancel_sent.insert(id.clone());
         let path = format!("/stay/{id}");
-        let body = primroseroute_front::problem::full("");
+        let body = primroseroute_front::problem::full_body("");
         let (status, _body) = self.ask(entry, Method::DELETE, &path, body).await;
         if status.is_success() {
             let now = self.world.now();
@@ -361,7 +361,7 @@
     /// A job's state at an entry, or the status without one.
     pub(crate) async fn state(&self, entry: &str, id: &JobId) -> Result<State, StatusCode> {
         let path = format!("/stay/{id}");
-        let body = primroseroute_front::problem::full("");
+        let body = primroseroute_front::problem::full_body("");
         let (status, text) = self.ask(entry, Method::GET, &path, body).await;
         if status.is_success() {
             Ok(serde_json::from_str(&text).expect("a state"))
@@ -371,7 +371,7 @@
     }
 
     pub(crate) async fn queued(&self, entry: &str) -> u64 {
-        let body = primroseroute_front::problem::full("");
+        let body = primroseroute_front::problem::full_body("");
         let (_status, text) = self.ask(entry, Method::GET, "/stay/", body).await;
         text.parse().unwrap_or(u64::MAX)
     }
