--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -171,7 +171,7 @@
         if let Some(controller) = self.core.controller.get() {
             controller.stop().await;
         }
-        self.server.retire();
+        self.server.disable_keep_alive();
         sleep(self.grace).await;
         self.server.stop().await;
         for task in &self.tasks {
--- a/crates/front/src/handler.rs
+++ b/crates/front/src/handler.rs
@@ -12,7 +12,7 @@
 
 /// The components of a request.
 #[derive(Debug)]
-pub struct Call {
+pub struct IncomingRequest {
     /// Its method.
     pub method: Method,
     /// Its target.
@@ -27,10 +27,10 @@
 ///
 /// gotham catches panics of handlers and requires shared state to be unwind safe. The shared state must
 /// hold its locks for single operations only, so that a panic elsewhere leaves nothing half written.
-pub fn each<T, S, F>(shared: Arc<T>, serve: S) -> impl NewHandler + 'static
+pub fn handler_fn<T, S, F>(shared: Arc<T>, serve: S) -> impl NewHandler + 'static
 where
     T: Send + Sync + 'static,
-    S: Fn(Arc<T>, Call) -> F + Send + Sync + 'static,
+    S: Fn(Arc<T>, IncomingRequest) -> F + Send + Sync + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
     SharedHandler(AssertUnwindSafe(Arc::new((shared, serve))))
@@ -41,7 +41,7 @@
 impl<T, S, F> NewHandler for SharedHandler<(Arc<T>, S)>
 where
     T: Send + Sync + 'static,
-    S: Fn(Arc<T>, Call) -> F + Send + Sync + 'static,
+    S: Fn(Arc<T>, IncomingRequest) -> F + Send + Sync + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
     type Instance = RequestHandler<(Arc<T>, S)>;
@@ -56,11 +56,11 @@
 impl<T, S, F> Handler for RequestHandler<(Arc<T>, S)>
 where
     T: Send + Sync + 'static,
-    S: Fn(Arc<T>, Call) -> F + Send + Sync + 'static,
+    S: Fn(Arc<T>, IncomingRequest) -> F + Send + Sync + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
     fn handle(self, mut state: State) -> Pin<Box<HandlerFuture>> {
-        let request = Call {
+        let request = IncomingRequest {
             method: Method::take_from(&mut state),
             uri: Uri::take_from(&mut state),
             headers: HeaderMap::take_from(&mut state),
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -5,13 +5,13 @@
 //! handles the connections itself:
 //!
 //! * a request's head must arrive within [`Options::head_timeout`], otherwise the connection is
-//!   closed, and fit in [`Options::head_bytes`], otherwise it is refused with
+//!   closed, and fit in [`Options::max_head_bytes`], otherwise it is refused with
 //!   [`Code::HeadTooLarge`]; to a head of twice that size, or one that is not HTTP, the HTTP library
 //!   responds without a body;
 //! * every error response, including gotham's own, has problem details with a result code
 //!   ([`problem`]);
 //! * every request has a valid `x-request-id`, which is generated if its caller sent none;
-//! * at most [`Options::connections`] are open; further ones wait in the listener's backlog;
+//! * at most [`Options::max_connections`] are open; further ones wait in the listener's backlog;
 //! * [`Server::stop`] stops accepting, waits for every request in flight, closes keep-alive
 //!   connections, and returns when all connections are closed.
 
@@ -23,5 +23,5 @@
 #[cfg(doc)]
 use primroseroute_domain::outcome::Code;
 
-pub use handler::{Call, each};
+pub use handler::{IncomingRequest, handler_fn};
 pub use server::{Options, Server};
--- a/crates/front/src/server.rs
+++ b/crates/front/src/server.rs
@@ -29,13 +29,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Largest request head in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Longest time to receive a request head.
     pub head_timeout: Duration,
     /// Most open connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// How long open connections are still served after the listener has closed.
-    pub linger: Duration,
+    pub shutdown_grace: Duration,
 }
 
 impl Default for Options {
@@ -44,10 +44,10 @@
     /// of shutdown grace, far more than the round trip of a request sent while the listener closes.
     fn default() -> Self {
         Self {
-            head_bytes: 32 << 10,
+            max_head_bytes: 32 << 10,
             head_timeout: Duration::from_secs(10),
-            connections: 4096,
-            linger: Duration::from_millis(500),
+            max_connections: 4096,
+            shutdown_grace: Duration::from_millis(500),
         }
     }
 }
@@ -107,7 +107,7 @@
     /// Closing an idle keep-alive connection can interrupt a request that its caller sends at the
     /// same moment. Closing with a response cannot, so connections are closed this way before the
     /// server stops.
-    pub fn retire(&self) {
+    pub fn disable_keep_alive(&self) {
         self.phase.send_replace(Phase::Draining);
     }
 
@@ -135,7 +135,7 @@
 {
     let graceful = GracefulShutdown::new();
     let request_ids = Arc::new(RequestIds::new());
-    let connection_limit = Arc::new(Semaphore::new(options.connections));
+    let connection_limit = Arc::new(Semaphore::new(options.max_connections));
     // Connections end with this task, so that `abort` has the same effect as the loss of the process.
     let mut connections = tokio::task::JoinSet::new();
     loop {
@@ -187,7 +187,7 @@
     // interrupt it, and its caller could not know whether it ran; every response from here on closes
     // its connection, so a connection that is still open after the wait has been idle for that long.
     let all_closed = async { while connections.join_next().await.is_some() {} };
-    if timeout(options.linger, all_closed).await.is_err() {
+    if timeout(options.shutdown_grace, all_closed).await.is_err() {
         graceful.shutdown().await;
         while connections.join_next().await.is_some() {}
     }
@@ -232,8 +232,8 @@
         let handler = Arc::clone(&handler);
         let phase = phase.clone();
         async move {
-            let mut response = if head_bytes(&request) > options.head_bytes {
-                let detail = format!("at most {} bytes", options.head_bytes);
+            let mut response = if head_bytes(&request) > options.max_head_bytes {
+                let detail = format!("at most {} bytes", options.max_head_bytes);
                 problem::error_response(
                     &Refusal::new(Code::HeadTooLarge, detail),
                     &request_id,
@@ -255,7 +255,7 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(options.head_timeout)
-        .max_buf_size(options.head_bytes.max(MIN_BUFFER_BYTES) * 2)
+        .max_buf_size(options.max_head_bytes.max(MIN_BUFFER_BYTES) * 2)
         .keep_alive(true)
         .serve_connection(TokioIo::new(socket), respond);
     if let Err(error) = watcher.watch(connection).await {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -18,7 +18,7 @@
     time::{self, Clock},
     work::{Job, JobId, Name, State},
 };
-use primroseroute_front::{Call, each, problem::REQUEST_ID};
+use primroseroute_front::{IncomingRequest, handler_fn, problem::REQUEST_ID};
 use primroseroute_platform::{
     Error,
     rows::{Commit, Place, Row, Rows, Txn, read_row},
@@ -103,15 +103,18 @@
 
     /// The handler to serve it with.
     pub fn handler(self: &Arc<Self>) -> impl NewHandler + 'static {
-        each(Arc::clone(self), |gateway, call: Call| async move {
-            let Call {
-                method,
-                uri,
-                headers,
-                body,
-            } = call;
-            gateway.serve(method, uri, headers, body).await
-        })
+        handler_fn(
+            Arc::clone(self),
+            |gateway, call: IncomingRequest| async move {
+                let IncomingRequest {
+                    method,
+                    uri,
+                    headers,
+                    body,
+                } = call;
+                gateway.serve(method, uri, headers, body).await
+            },
+        )
     }
 
     /// The newest configuration; it is prepared once.
--- a/crates/route/src/server.rs
+++ b/crates/route/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::RequestHandler;
 use eyre::Result;
-use primroseroute_front::{Call, Options, Server, each};
+use primroseroute_front::{IncomingRequest, Options, Server, handler_fn};
 use std::{net::SocketAddr, sync::Arc};
 
 /// The running HTTP server for callers.
@@ -22,15 +22,18 @@
         options: Options,
         handler: Arc<RequestHandler>,
     ) -> Result<Self> {
-        let service = each(Arc::clone(&handler), |handler, call: Call| async move {
-            let Call {
-                method,
-                uri,
-                headers,
-                body,
-            } = call;
-            handler.serve(method, uri, headers, body).await
-        });
+        let service = handler_fn(
+            Arc::clone(&handler),
+            |handler, call: IncomingRequest| async move {
+                let IncomingRequest {
+                    method,
+                    uri,
+                    headers,
+                    body,
+                } = call;
+                handler.serve(method, uri, headers, body).await
+            },
+        );
         Ok(Self {
             server: Server::bind(address, options, service).await?,
             handler,
@@ -43,8 +46,8 @@
     }
 
     /// Continues to serve, but closes each connection after its next response.
-    pub fn retire(&self) {
-        self.server.retire();
+    pub fn disable_keep_alive(&self) {
+        self.server.disable_keep_alive();
     }
 
     /// Stops listening; waits for requests in flight and for claims to be settled.
--- a/crates/serve/src/fields.rs
+++ b/crates/serve/src/fields.rs
@@ -123,9 +123,9 @@
 
 fn front(limits: &Limits) -> FrontOptions {
     FrontOptions {
-        head_bytes: limits.head_bytes as usize,
+        max_head_bytes: limits.head_bytes as usize,
         head_timeout: limits.head_timeout,
-        connections: limits.caller_connections as usize,
+        max_connections: limits.caller_connections as usize,
         ..FrontOptions::default()
     }
 }
--- a/crates/serve/src/site.rs
+++ b/crates/serve/src/site.rs
@@ -211,7 +211,7 @@
     /// balancer has noticed, and finishes what is in flight.
     async fn stop(self, grace: Duration) {
         self.stopping.store(true, Ordering::Relaxed);
-        self.callers.retire();
+        self.callers.disable_keep_alive();
         let serving = async {
             sleep(LOOK_AWAY.min(grace / 2)).await;
             self.callers.stop().await;
--- a/tests/all/input/mod.rs
+++ b/tests/all/input/mod.rs
@@ -31,7 +31,7 @@
     };
     let mut site = Site::open(layout, platform::Options::default()).await?;
     site.start_with("entry-0", |mut parts| {
-        parts.front.head_bytes = HEAD;
+        parts.front.max_head_bytes = HEAD;
         parts.front.head_timeout = HEAD_TIME;
         parts.path.max_body_bytes = BODY;
         parts
--- a/tests/all/stop.rs
+++ b/tests/all/stop.rs
@@ -118,7 +118,7 @@
     site.start_with("stopping", |parts| {
         // Long, so that a slow machine cannot run into it; the stop ends once all are closed.
         let front = Options {
-            linger: LIMIT,
+            shutdown_grace: LIMIT,
             ..parts.front
         };
         Parts { front, ..parts }
