--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -1,6 +1,6 @@
-//! What the tasks of one entry share.
+//! Shared state of the tasks of one entry.
 //!
-//! Lock order: none of the locks here is held while another is taken.
+//! Lock order: none of the locks here is held while another is acquired.
 
 use parking_lot::Mutex;
 use primroseroute_api::Entry as EntryStatus;
@@ -24,19 +24,19 @@
 };
 use tokio::{sync::Notify, time::Instant};
 
-/// What the entry's own decisions need of a peer's latest report.
+/// The part of a peer's latest report that the entry's own decisions need.
 ///
-/// The reports carry the loads of every instance. Copying all of them for each decision took more
-/// processor time than everything else at rest, so the two fields are kept apart.
+/// Reports contain the loads of every instance. Copying them for each decision took more CPU time
+/// than everything else in an idle entry, so these two fields are stored separately.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct PeerReport {
     seq: Seq,
     at: Instant,
 }
 
-/// The instances that do not serve, with the versions of their rows, as of one change.
+/// The instances that are not serving, with the versions of their rows, as of one change.
 #[derive(Debug, Default)]
-struct Stopped {
+struct NonServing {
     seq: Seq,
     rows: Arc<[(id::Instance, Seq)]>,
 }
@@ -47,20 +47,20 @@
     pub identity: Identity,
     pub ledger: Ledger,
     pub cell: Arc<Cell>,
-    pub gates: Arc<Dispatchers>,
+    pub dispatchers: Arc<Dispatchers>,
     pub limits: membership::Limits,
     pub link: OnceLock<Arc<dyn Link>>,
-    /// Wakes the spreading task when the set of live entries may have changed.
+    /// Wakes the `propagate` task when the set of live entries may have changed.
     pub roster_changed: Notify,
     pub registered: Mutex<BTreeMap<id::Entry, Registration>>,
     pub stopping: AtomicBool,
     pub controller: OnceLock<Controller>,
     /// The newest change that a peer has sent.
-    pub relayed: AtomicU64,
+    pub newest_from_peers: AtomicU64,
     confirmed: Mutex<Option<Instant>>,
-    heard: Mutex<BTreeMap<id::Entry, Heard>>,
-    stopped: Mutex<Stopped>,
-    reports: AtomicU64,
+    peer_reports: Mutex<BTreeMap<id::Entry, PeerReport>>,
+    non_serving: Mutex<NonServing>,
+    next_report: AtomicU64,
     started: Instant,
 }
 
@@ -68,25 +68,25 @@
     pub(crate) fn new(
         identity: Identity,
         ledger: Ledger,
-        gates: Arc<Dispatchers>,
+        dispatchers: Arc<Dispatchers>,
         limits: membership::Limits,
     ) -> Self {
         Self {
             identity,
             ledger,
             cell: Arc::default(),
-            gates,
+            dispatchers,
             limits,
             link: OnceLock::new(),
             roster_changed: Notify::new(),
             registered: Mutex::default(),
             stopping: AtomicBool::new(false),
             controller: OnceLock::new(),
-            relayed: AtomicU64::new(0),
+            newest_from_peers: AtomicU64::new(0),
             confirmed: Mutex::default(),
-            heard: Mutex::default(),
-            stopped: Mutex::default(),
-            reports: AtomicU64::new(0),
+            peer_reports: Mutex::default(),
+            non_serving: Mutex::default(),
+            next_report: AtomicU64::new(0),
             started: Instant::now(),
         }
     }
@@ -95,8 +95,8 @@
         self.started.elapsed()
     }
 
-    /// Notes that the store has just confirmed the view as the newest.
-    pub(crate) fn confirm(&self) {
+    /// Records that the store has just confirmed the view as the newest.
+    pub(crate) fn mark_confirmed(&self) {
         *self.confirmed.lock() = Some(Instant::now());
     }
 
@@ -111,37 +111,37 @@
             .unwrap_or_default()
     }
 
-    /// Notes the report of a peer that has just come.
-    pub(crate) fn hear(&self, peer: &id::Entry, report: &Report) {
-        let heard = Heard {
+    /// Records a report that a peer has just sent.
+    pub(crate) fn record_peer_report(&self, peer: &id::Entry, report: &Report) {
+        let peer_report = PeerReport {
             seq: report.seq,
             at: Instant::now(),
         };
-        self.heard.lock().insert(peer.clone(), heard);
+        self.peer_reports.lock().insert(peer.clone(), peer_report);
         self.roster_changed.notify_one();
     }
 
-    /// The peers that were heard lately, with the changes that they have in force.
+    /// The responsive peers, with the newest change that each has applied.
     fn peers(&self) -> Vec<Peer> {
-        let mut heard = self.heard.lock();
-        heard.retain(|_, heard| heard.at.elapsed() < self.limits.silent_after);
-        let peer = |(entry, heard): (&id::Entry, &Heard)| Peer {
+        let mut reports = self.peer_reports.lock();
+        reports.retain(|_, report| report.at.elapsed() < self.limits.silent_after);
+        let peer = |(entry, report): (&id::Entry, &PeerReport)| Peer {
             entry: entry.clone(),
-            seq: heard.seq,
+            seq: report.seq,
         };
-        heard.iter().map(peer).collect()
+        reports.iter().map(peer).collect()
     }
 
-    /// Registered entries that report, this one among them; they divide each worker's slots.
+    /// The entries that report, including this one; each worker's slots are divided among them.
     ///
-    /// Peers that report but are not yet in the rows read last count too: without them a new entry
-    /// would use slots that the others believe to be theirs.
-    pub(crate) fn live(&self) -> BTreeSet<id::Entry> {
+    /// Peers that report but are not yet in the registration rows read last are included: without them
+    /// a new entry would use slots that the others regard as their own.
+    pub(crate) fn live_entries(&self) -> BTreeSet<id::Entry> {
         let peers = self.peers().into_iter().map(|peer| peer.entry);
         peers.chain([self.identity.entry.clone()]).collect()
     }
 
-    /// How the view stands, from the store and the peers.
+    /// How current the view is, judged by the store and the peers.
     pub(crate) fn footing(&self) -> membership::Footing {
         membership::footing(
             self.cell.current().seq(),
@@ -151,20 +151,20 @@
         )
     }
 
-    /// The instances that do not serve in `snapshot`, looked for once for each change.
-    fn stopped(&self, snapshot: &Snapshot) -> Arc<[(id::Instance, Seq)]> {
-        let mut stopped = self.stopped.lock();
-        if stopped.seq != snapshot.seq() {
+    /// The instances that are not serving in `snapshot`, computed once for each change.
+    fn non_serving(&self, snapshot: &Snapshot) -> Arc<[(id::Instance, Seq)]> {
+        let mut non_serving = self.non_serving.lock();
+        if non_serving.seq != snapshot.seq() {
             let rows = snapshot.instances().iter();
             let rows = rows.filter(|(_, row)| row.value.state != State::Serving);
-            *stopped = Stopped {
+            *non_serving = NonServing {
                 seq: snapshot.seq(),
                 rows: rows
                     .map(|(name, row)| (name.clone(), row.version))
                     .collect(),
             };
         }
-        Arc::clone(&stopped.rows)
+        Arc::clone(&non_serving.rows)
     }
 
     pub(crate) fn is_ready(&self) -> bool {
@@ -173,16 +173,16 @@
 
     /// The report for the peers.
     pub(crate) fn report(&self) -> Report {
-        let number = self.reports.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_report.fetch_add(1, Ordering::Relaxed);
         let snapshot = self.cell.current();
-        let in_force = self.gates.applied_seq();
+        let applied_seq = self.dispatchers.applied_seq();
         let acknowledges = self.footing().acknowledges();
-        let in_flight = self.gates.loads();
+        let in_flight = self.dispatchers.loads();
         let mut drains = BTreeMap::new();
-        for (name, seq) in self.stopped(&snapshot).iter() {
-            // A drain counts as in force only once the gates have it: before that, a request could
-            // still be sent after the acknowledgement.
-            if *seq <= in_force && acknowledges {
+        for (name, seq) in self.non_serving(&snapshot).iter() {
+            // A drain is acknowledged only once it has been applied to the dispatchers: before that,
+            // a request could still be sent after the acknowledgement.
+            if *seq <= applied_seq && acknowledges {
                 let in_flight = in_flight.get(name).copied().unwrap_or(0);
                 let seq = *seq;
                 drains.insert(name.clone(), Drain { seq, in_flight });
@@ -201,9 +201,9 @@
             .collect();
         Report {
             number,
-            // What the gates have in force, not what the view has: a peer takes this for an
+            // The change applied to the dispatchers, not that of the view: a peer takes this as an
             // acknowledgement.
-            seq: in_force,
+            seq: applied_seq,
             confirmed: self.confirmed(),
             loads,
             drains,
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Every registered entry with what is known of it.
+    /// The status of every registered entry.
     pub(crate) fn entries(&self) -> Vec<EntryStatus> {
         let sightings = self.sightings();
         let seen = |name: &id::Entry| sightings.iter().find(|s| s.report.from.entry == *name);
@@ -234,8 +234,8 @@
         entries
     }
 
-    /// The newest change that the gates have in force.
+    /// The newest change that has been applied to the dispatchers.
     pub(crate) fn in_force(&self) -> Seq {
-        self.gates.applied_seq()
+        self.dispatchers.applied_seq()
     }
 }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -1,12 +1,12 @@
-//! The running entry.
+//! Start and stop of an entry.
 
 use crate::{
     core::Core,
-    follow::{self, Follow},
-    local::Operators,
-    metered::{Metered, MeteredTable},
+    local::OperatorApi,
+    metered::{MeteredTable, MetricsObserver},
     parts::{Listen, Parts},
-    share, spread,
+    propagate, slot_reports,
+    store_poll::{self, StorePoll},
 };
 use eyre::{Context, Result};
 use primroseroute_admin::{Admin, Parts as AdminParts};
@@ -26,8 +26,8 @@
 };
 use tokio::{task::JoinHandle, time::sleep};
 
-/// How often idle connections to backend servers are looked through.
-const SWEEP: Duration = Duration::from_secs(5);
+/// Interval at which expired idle connections to backend servers are closed.
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// A running entry.
 #[derive(Debug)]
@@ -43,24 +43,32 @@
     /// Starts an entry; it is ready once it has a view.
     ///
     /// # Errors
-    /// Where an address cannot be bound or the peer link cannot be opened.
+    /// If an address cannot be bound or the peer link cannot be opened.
     ///
     /// # Panics
-    /// Outside a tokio runtime.
+    /// If called outside a tokio runtime.
     pub async fn spawn(parts: Parts) -> Result<Self> {
         let seed = u64::from_le_bytes(std::array::from_fn(|i| parts.seed[i]));
-        let table = MeteredTable::open(parts.table, parts.meter.clone());
+        let table = MeteredTable::new(parts.table, parts.meter.clone());
         let ledger = Ledger::open(Arc::clone(&table));
         let name = parts.identity.entry.clone();
-        // Grows with each start, which peers need to tell a restarted entry from a late report.
+        // Increases with each start, so that peers can distinguish a restarted entry from a late
+        // report.
         let incarnation = parts.clock.now().0;
-        let gates = Arc::new(Dispatchers::new(name, incarnation, parts.flow, seed));
-        let core = Arc::new(Core::new(parts.identity, ledger, gates, parts.membership));
-        let dialed = parts
+        let dispatchers = Arc::new(Dispatchers::new(name, incarnation, parts.flow, seed));
+        let core = Arc::new(Core::new(
+            parts.identity,
+            ledger,
+            dispatchers,
+            parts.membership,
+        ));
+        let opened = parts
             .dial
             .dial(core.identity.clone(), Arc::clone(&core) as Arc<dyn Local>)
             .wrap_err("opening the peer link")?;
-        core.link.set(dialed.link).expect("the link is set once");
+        core.link
+            .set(opened.link)
+            .expect("the link is only set here");
 
         let controller = Controller::spawn(ControllerParts {
             identity: core.identity.clone(),
@@ -80,7 +88,7 @@
         });
         core.controller
             .set(controller)
-            .expect("the role is set once");
+            .expect("the controller is only set here");
 
         let claims = Claims::spawn(
             table,
@@ -90,15 +98,15 @@
         );
         let handler = Arc::new(RequestHandler::new(Components {
             cell: Arc::clone(&core.cell),
-            dispatchers: Arc::clone(&core.gates),
+            dispatchers: Arc::clone(&core.dispatchers),
             backend: Arc::clone(&parts.backend),
             claims,
-            observer: Arc::new(Metered(parts.meter.clone())),
+            observer: Arc::new(MetricsObserver(parts.meter.clone())),
             options: parts.path,
         }));
         let server = CallerServer::bind(parts.listen.callers, parts.front, handler).await?;
         let admin = AdminParts {
-            local: Arc::new(Operators::new(Arc::clone(&core), parts.meter)),
+            local: Arc::new(OperatorApi::new(Arc::clone(&core), parts.meter)),
             ledger: core.ledger.clone(),
             trail: Trail::open(core.ledger.clone(), parts.objects),
             cell: Arc::clone(&core.cell),
@@ -108,13 +116,13 @@
             tokens: parts.operators,
         };
         let admin = Admin::bind(parts.listen.admin, parts.front, admin).await?;
-        let follow = Follow {
+        let store_poll = StorePoll {
             core: Arc::clone(&core),
             clock: parts.clock,
             listen: Listen {
                 callers: server.address(),
                 admin: admin.address(),
-                peers: dialed.address,
+                peers: opened.address,
             },
             zone: parts.zone,
             region: parts.region,
@@ -123,10 +131,10 @@
             seed,
         };
         let tasks = vec![
-            tokio::spawn(spread::run(Arc::clone(&core))),
-            tokio::spawn(follow.run()),
-            tokio::spawn(share::run(Arc::clone(&core))),
-            tokio::spawn(sweep(parts.backend)),
+            tokio::spawn(propagate::run(Arc::clone(&core))),
+            tokio::spawn(store_poll.run()),
+            tokio::spawn(slot_reports::run(Arc::clone(&core))),
+            tokio::spawn(sweep_idle_connections(parts.backend)),
         ];
         Ok(Self {
             core,
@@ -137,35 +145,36 @@
         })
     }
 
-    /// Where callers are served.
+    /// The address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Where operators are served.
+    /// The address for operators.
     pub fn admin(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// The newest change in force at the gates.
+    /// The newest change that has been applied to the dispatchers.
     pub fn in_force(&self) -> Seq {
         self.core.in_force()
     }
 
-    /// Requests that wait at the gates.
+    /// Queued requests.
     pub fn waiting(&self) -> usize {
-        self.core.gates.waiting()
+        self.core.dispatchers.waiting()
     }
 
-    /// Whether the balancer should send callers here.
+    /// Whether the load balancer should send callers here.
     pub fn is_ready(&self) -> bool {
         self.core.is_ready()
     }
 
-    /// Stops gracefully: no request in flight is cut, no outcome left unwritten.
+    /// Stops gracefully: no request in flight is interrupted, no outcome left unwritten.
     ///
-    /// Readiness goes first and the listener stays open for the grace time, because a balancer goes
-    /// on sending until its next check; a listener that closed at once would refuse those callers.
+    /// The entry first stops being ready, and the listener stays open for the grace time, because a
+    /// load balancer continues to send requests until its next check; if the listener closed
+    /// immediately, those callers would be refused.
     pub async fn stop(self) {
         self.core.stopping.store(true, Ordering::Relaxed);
         if let Some(controller) = self.core.controller.get() {
@@ -177,14 +186,14 @@
         for task in &self.tasks {
             task.abort();
         }
-        follow::deregister(&self.core).await;
+        store_poll::deregister(&self.core).await;
         if let Some(link) = self.core.link.get() {
             link.close().await;
         }
         self.admin.stop().await;
     }
 
-    /// Ends at once, as a killed process would: nothing is finished, nothing is said to anyone.
+    /// Stops immediately, as a killed process would: nothing is finished and nobody is notified.
     pub async fn abort(self) {
         if let Some(controller) = self.core.controller.get() {
             controller.abort();
@@ -200,9 +209,9 @@
     }
 }
 
-async fn sweep(backend: Arc<dyn Backend>) {
+async fn sweep_idle_connections(backend: Arc<dyn Backend>) {
     loop {
-        sleep(SWEEP).await;
+        sleep(IDLE_SWEEP_INTERVAL).await;
         backend.sweep();
     }
 }
--- a/crates/entry/src/local.rs
+++ b/crates/entry/src/local.rs
@@ -1,4 +1,4 @@
-//! What the peer link and the operators' interface ask of the entry.
+//! The entry's side of the peer link, the operators' interface and the controller.
 
 use crate::core::Core;
 use async_trait::async_trait;
@@ -47,22 +47,24 @@
 
     fn accept(&self, records: Vec<Record>) -> Seq {
         if let Some(last) = records.last() {
-            self.relayed.fetch_max(last.seq.0, Ordering::Relaxed);
+            self.newest_from_peers
+                .fetch_max(last.seq.0, Ordering::Relaxed);
         }
         if let Err(error) = self.cell.apply(&records) {
-            log::warn!("records from a peer were not applied: {error}");
+            log::warn!("applying records from a peer failed: {error}");
         }
         self.cell.current().seq()
     }
 
     fn accept_snapshot(&self, snapshot: Rows) -> Seq {
-        self.relayed.fetch_max(snapshot.seq.0, Ordering::Relaxed);
+        self.newest_from_peers
+            .fetch_max(snapshot.seq.0, Ordering::Relaxed);
         let pairs = snapshot.rows.into_iter().map(|row| (row.key, row.json));
         match Snapshot::from_rows(snapshot.seq, pairs) {
             Ok(next) => {
                 self.cell.advance(next);
             }
-            Err(error) => log::warn!("a peer's snapshot was not applied: {error}"),
+            Err(error) => log::warn!("applying a snapshot from a peer failed: {error}"),
         }
         self.cell.current().seq()
     }
@@ -73,22 +75,22 @@
 
     fn accept_slots(&self, _peer: &id::Entry, pools: Vec<Slots>) {
         for Slots { pool, report } in pools {
-            self.gates.apply_report(&pool, &report);
+            self.dispatchers.apply_report(&pool, &report);
         }
     }
 
     fn accept_report(&self, peer: &id::Entry, report: &Report) {
-        self.hear(peer, report);
+        self.record_peer_report(peer, report);
     }
 }
 
-/// The entry as the operators' interface sees it.
+/// The entry's data for the operators' interface.
 #[derive(Debug)]
-pub(crate) struct Operators {
+pub(crate) struct OperatorApi {
     core: Arc<Core>,
     meter: Meter,
-    /// Queues that had a depth when the metrics were last read, to be set to zero once empty.
-    deep: Mutex<BTreeSet<Queue>>,
+    /// Queues that were not empty when the metrics were last read, to be set to zero once empty.
+    non_empty_queues: Mutex<BTreeSet<Queue>>,
 }
 
 /// The queue of one account for one service.
@@ -98,33 +100,33 @@
     service: id::Service,
 }
 
-impl Operators {
+impl OperatorApi {
     pub(crate) fn new(core: Arc<Core>, meter: Meter) -> Self {
         Self {
             core,
             meter,
-            deep: Mutex::default(),
+            non_empty_queues: Mutex::default(),
         }
     }
 
     fn measure_queues(&self) {
-        let mut deep = self.deep.lock();
-        for queue in std::mem::take(&mut *deep) {
+        let mut non_empty_queues = self.non_empty_queues.lock();
+        for queue in std::mem::take(&mut *non_empty_queues) {
             self.meter.queue_depth(&queue.account, &queue.service, 0);
         }
         for QueueDepth {
             account,
             service,
             waiting,
-        } in self.core.gates.queue_depths()
+        } in self.core.dispatchers.queue_depths()
         {
             self.meter.queue_depth(&account, &service, waiting);
-            deep.insert(Queue { account, service });
+            non_empty_queues.insert(Queue { account, service });
         }
     }
 }
 
-impl AdminLocal for Operators {
+impl AdminLocal for OperatorApi {
     fn name(&self) -> id::Entry {
         self.core.identity.entry.clone()
     }
@@ -134,7 +136,7 @@
     }
 
     fn in_flight(&self, instance: &id::Instance) -> u32 {
-        self.core.gates.in_flight(instance)
+        self.core.dispatchers.in_flight(instance)
     }
 
     fn entries(&self) -> Vec<EntryStatus> {
@@ -152,7 +154,7 @@
     fn metrics(&self) -> String {
         self.meter.view(self.core.in_force());
         self.measure_queues();
-        for (pool, count) in self.core.gates.ejected_counts() {
+        for (pool, count) in self.core.dispatchers.ejected_counts() {
             self.meter.ejected(&pool, count);
         }
         self.meter.render().unwrap_or_else(|error| {
--- a/crates/entry/src/metered.rs
+++ b/crates/entry/src/metered.rs
@@ -1,4 +1,4 @@
-//! What the request path and the store do, counted.
+//! Metrics of the request path and of calls to the store.
 
 use async_trait::async_trait;
 use primroseroute_domain::{id, outcome::Code};
@@ -14,11 +14,11 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Counts every request that has ended.
+/// Counts finished requests.
 #[derive(Debug)]
-pub(crate) struct Metered(pub(crate) Meter);
+pub(crate) struct MetricsObserver(pub(crate) Meter);
 
-impl Observer for Metered {
+impl Observer for MetricsObserver {
     fn finished(&self, finished: &Finished) {
         self.0.request(Request {
             account: finished.account.as_ref(),
@@ -34,7 +34,7 @@
     }
 }
 
-/// A table whose calls are counted and timed.
+/// A table that counts and times its calls.
 #[derive(Debug)]
 pub(crate) struct MeteredTable {
     table: Arc<dyn Table>,
@@ -42,11 +42,11 @@
 }
 
 impl MeteredTable {
-    pub(crate) fn open(table: Arc<dyn Table>, meter: Meter) -> Arc<dyn Table> {
+    pub(crate) fn new(table: Arc<dyn Table>, meter: Meter) -> Arc<dyn Table> {
         Arc::new(Self { table, meter })
     }
 
-    fn note<T>(&self, call: StoreCall, started: Instant, result: &Result<T, Error>) {
+    fn record<T>(&self, call: StoreCall, started: Instant, result: &Result<T, Error>) {
         self.meter
             .store_call(call, result.as_ref().err(), started.elapsed());
     }
@@ -57,21 +57,21 @@
     async fn read(&self, key: &Key) -> Result<Option<Row>, Error> {
         let started = Instant::now();
         let result = self.table.read(key).await;
-        self.note(StoreCall::Read, started, &result);
+        self.record(StoreCall::Read, started, &result);
         result
     }
 
     async fn scan(&self, scan: Scan) -> Result<Page, Error> {
         let started = Instant::now();
         let result = self.table.scan(scan).await;
-        self.note(StoreCall::Scan, started, &result);
+        self.record(StoreCall::Scan, started, &result);
         result
     }
 
     async fn commit(&self, txn: Txn) -> Result<Commit, Error> {
         let started = Instant::now();
         let result = self.table.commit(txn).await;
-        self.note(StoreCall::Commit, started, &result);
+        self.record(StoreCall::Commit, started, &result);
         result
     }
 }
--- a/crates/entry/src/parts.rs
+++ b/crates/entry/src/parts.rs
@@ -1,4 +1,4 @@
-//! Everything that an entry is given at its start.
+//! Dependencies and settings of an entry.
 
 use eyre::Result;
 use primroseroute_admin::Tokens;
@@ -20,20 +20,20 @@
 pub struct Dialed {
     /// The link.
     pub link: Arc<dyn Link>,
-    /// Where it listens for peers.
+    /// The address on which it listens for peers.
     pub address: SocketAddr,
 }
 
-/// Opens the peer link once the entry can answer it.
+/// Opens the peer link once the entry can handle its calls.
 pub trait Dial: Send + fmt::Debug {
     /// Opens the link of `identity`, which calls `local`.
     ///
     /// # Errors
-    /// Where the link cannot be opened, such as a port that is taken.
+    /// If the link cannot be opened, for instance because the port is in use.
     fn dial(self: Box<Self>, identity: Identity, local: Arc<dyn Local>) -> Result<Dialed>;
 }
 
-/// Where the entry listens.
+/// Addresses on which the entry listens.
 #[derive(Clone, Copy, Debug)]
 pub struct Listen {
     /// Callers' requests.
@@ -44,21 +44,22 @@
     pub peers: SocketAddr,
 }
 
-/// How often and how long.
+/// Intervals and delays.
 #[derive(Clone, Copy, Debug)]
 pub struct Timers {
-    /// Between two reads of the head; up to a tenth is added at random, so that entries that
-    /// started together do not read together.
+    /// Interval between two reads of the head; up to a tenth is added at random, so that entries
+    /// that started together do not read at the same time.
     pub poll: Duration,
-    /// Between two reads of the registration rows.
+    /// Interval between two reads of the registration rows.
     pub roster: Duration,
-    /// From the stop order until the listener closes: the balancer's time to look away.
+    /// Time from the stop order until the listener closes, in which the load balancer stops sending
+    /// requests.
     pub grace: Duration,
 }
 
 impl Default for Timers {
-    /// A second is the design's one cheap read; 5 s halve the 13 s after which a peer counts as
-    /// silent; 5 s are two failed checks of a usual balancer.
+    /// A read of the head is cheap enough for once a second; 5 s is less than half of the 13 s after
+    /// which a peer counts as unresponsive; 5 s are two failed checks of a usual load balancer.
     fn default() -> Self {
         Self {
             poll: Duration::from_secs(1),
@@ -68,16 +69,16 @@
     }
 }
 
-/// Everything that an entry is given.
+/// Dependencies and settings of an entry.
 #[derive(Debug)]
 pub struct Parts {
-    /// This run of the entry.
+    /// Identity of this incarnation of the entry.
     pub identity: Identity,
     /// Its availability zone.
     pub zone: id::Zone,
-    /// Its region, where there is more than one.
+    /// Its region, if there is more than one.
     pub region: Option<Arc<str>>,
-    /// Where it listens.
+    /// Addresses on which it listens.
     pub listen: Listen,
     /// The platform's table.
     pub table: Arc<dyn Table>,
@@ -85,40 +86,40 @@
     pub instances: Arc<dyn Instances>,
     /// The platform's tasks.
     pub tasks: Arc<dyn Tasks>,
-    /// How jobs are driven.
+    /// Settings of jobs.
     pub jobs: jobs::Settings,
-    /// The platform's objects.
+    /// The platform's object store.
     pub objects: Arc<dyn Store>,
-    /// How much of the audit trail stays in the table.
+    /// How much of the audit trail is kept in the table.
     pub keep: Keep,
-    /// Checks workers.
+    /// Health checks of workers.
     pub probe: Arc<dyn Probe>,
-    /// The backend servers.
+    /// Transport to the backend servers.
     pub backend: Arc<dyn Backend>,
     /// Opens the peer link.
     pub dial: Box<dyn Dial>,
-    /// Wall-clock time.
+    /// The wall clock.
     pub clock: Arc<dyn Clock>,
-    /// Randomness from the operating system, or a test's.
+    /// Random seed, from the operating system except in tests.
     pub seed: Seed,
-    /// Operators.
+    /// Operators' tokens.
     pub operators: Tokens,
-    /// Its instruments.
+    /// Metrics.
     pub meter: Meter,
-    /// Limits of each pool's gate.
+    /// Limits of each pool's dispatcher.
     pub flow: Limits,
-    /// Bounds on one request.
+    /// Limits on one request.
     pub path: PathOptions,
-    /// Bounds on connections.
+    /// Limits on connections.
     pub front: FrontOptions,
-    /// Times of membership.
+    /// Time limits of membership.
     pub membership: membership::Limits,
-    /// How often and how long.
+    /// Intervals and delays.
     pub timers: Timers,
-    /// Times of the controller role.
+    /// Intervals of the controller role.
     pub controller: ControllerTimers,
     /// Limits of an instance's lifecycle.
     pub lifecycle: lifecycle::Limits,
-    /// What the deployment weighs.
+    /// Weights for placement.
     pub weights: Weights,
 }
--- a/crates/entry/src/share.rs
+++ b/crates/entry/src/slot_reports.rs
@@ -1,4 +1,4 @@
-//! Telling the peers about the slots of busy pools.
+//! Reporting the slots of busy pools to the peers.
 
 use crate::core::Core;
 use primroseroute_domain::id;
@@ -11,24 +11,24 @@
 };
 use tokio::time::sleep;
 
-/// How often there may be news: the rate at which the ways of sharing slots were measured.
-const NEWS: Duration = Duration::from_millis(200);
+/// Interval between reports; the alternatives for sharing slots were measured with it.
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Runs until it is aborted.
 pub(crate) async fn run(core: Arc<Core>) {
     let mut known = BTreeSet::new();
     loop {
-        sleep(NEWS).await;
+        sleep(REPORT_INTERVAL).await;
         let Some(link) = core.link.get() else {
             continue;
         };
-        let live = core.live();
-        // A peer that has just come has missed what was told before.
+        let live = core.live_entries();
+        // A new peer has missed earlier reports.
         let has_new_peer = !live.is_subset(&known);
         let reports = if has_new_peer {
-            core.gates.reports()
+            core.dispatchers.reports()
         } else {
-            core.gates.changed_reports()
+            core.dispatchers.changed_reports()
         };
         known = live;
         send(link.as_ref(), reports);
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/store_poll.rs
@@ -1,4 +1,4 @@
-//! Following the store: the head, the registration rows, and this entry's own row.
+//! Polling of the store: the head, the registration rows, and this entry's own row.
 
 use crate::{core::Core, parts::Listen};
 use primroseroute_domain::{id, time::Clock};
@@ -17,12 +17,12 @@
 use std::{sync::Arc, time::Duration};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Longest wait for the store in one round; the view goes on meanwhile.
-const CALL: Duration = Duration::from_secs(5);
+/// Timeout of one call to the store; the current view stays in use meanwhile.
+const STORE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the task needs besides the shared state.
+/// The polling task.
 #[derive(Debug)]
-pub(crate) struct Follow {
+pub(crate) struct StorePoll {
     pub core: Arc<Core>,
     pub clock: Arc<dyn Clock>,
     pub listen: Listen,
@@ -33,48 +33,48 @@
     pub seed: u64,
 }
 
-impl Follow {
+impl StorePoll {
     /// Runs until it is aborted.
     pub(crate) async fn run(self) {
-        let mut random = ChaCha8Rng::seed_from_u64(self.seed);
-        let mut written = None;
+        let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
+        let mut last_written = None;
         let mut roster_due = Instant::now();
         loop {
-            // Registered first, and then the view that callers are served by is read: a drain that
-            // did not wait for this entry is older than that view.
-            self.register(&mut written).await;
-            self.follow_head().await;
+            // The entry registers before it reads the first view with which it serves callers: a
+            // drain that did not wait for this entry is older than that view.
+            self.register(&mut last_written).await;
+            self.poll_head().await;
             if Instant::now() >= roster_due {
                 self.read_roster().await;
                 roster_due = Instant::now() + self.roster;
             }
-            // Entries that were started together must not read together for ever.
-            sleep(self.poll.mul_f64(1.0 + random.random_range(0.0..0.1))).await;
+            // Jitter, so that entries that were started together do not keep reading together.
+            sleep(self.poll.mul_f64(1.0 + rng.random_range(0.0..0.1))).await;
         }
     }
 
-    async fn follow_head(&self) {
-        match timeout(CALL, poll(&self.core.ledger, &self.core.cell)).await {
-            Ok(Ok(_head)) => self.core.confirm(),
+    async fn poll_head(&self) {
+        match timeout(STORE_TIMEOUT, poll(&self.core.ledger, &self.core.cell)).await {
+            Ok(Ok(_head)) => self.core.mark_confirmed(),
             Ok(Err(error)) => self.ask_peers(&error.to_string()).await,
             Err(elapsed) => self.ask_peers(&elapsed.to_string()).await,
         }
     }
 
-    /// Where the store is silent, a peer may have a newer view, or the first one after a start.
+    /// If the store does not respond, a peer may have a newer view, or the first one after a start.
     async fn ask_peers(&self, cause: &str) {
-        log::warn!("the store's head could not be read: {cause}");
+        log::warn!("reading the head from the store failed: {cause}");
         if let Some(link) = self.core.link.get()
             && let Err(error) = link.pull().await
         {
-            log::debug!("no peer helps: {error}");
+            log::debug!("pulling the view from peers failed: {error}");
         }
     }
 
-    async fn register(&self, written: &mut Option<Written>) {
+    async fn register(&self, last_written: &mut Option<Written>) {
         let now = self.core.uptime();
         let acked = self.core.in_force();
-        if due(*written, acked, now, &self.core.limits).is_none() {
+        if due(*last_written, acked, now, &self.core.limits).is_none() {
             return;
         }
         let row = Registration {
@@ -87,17 +87,17 @@
             acked,
             heartbeat: self.clock.now(),
         };
-        match timeout(CALL, self.write(&row)).await {
-            Ok(Ok(())) => *written = Some(Written { at: now, acked }),
-            Ok(Err(error)) => log::warn!("the registration was not written: {error}"),
-            Err(elapsed) => log::warn!("the registration was not written: {elapsed}"),
+        match timeout(STORE_TIMEOUT, self.write(&row)).await {
+            Ok(Ok(())) => *last_written = Some(Written { at: now, acked }),
+            Ok(Err(error)) => log::warn!("writing the registration failed: {error}"),
+            Err(elapsed) => log::warn!("writing the registration failed: {elapsed}"),
         }
     }
 
-    /// Writes the row without a condition: it is this entry's alone, and writing it twice is
-    /// writing it once, so a lost answer needs no care.
+    /// Writes the row without a condition: only this entry writes it and the write is idempotent, so
+    /// a lost result needs no handling.
     async fn write(&self, row: &Registration) -> Result<(), Error> {
-        let json = serde_json::to_vec(row).expect("registrations serialize");
+        let json = serde_json::to_vec(row).expect("registrations are serializable");
         let write = Write::Put(key::entry(&row.name), json.into());
         let txn = Txn {
             conditions: Vec::new(),
@@ -108,10 +108,10 @@
 
     async fn read_roster(&self) {
         let read = self.core.ledger.scan::<Registration>(key::ENTRIES);
-        let rows = match timeout(CALL, read).await {
+        let rows = match timeout(STORE_TIMEOUT, read).await {
             Ok(Ok(rows)) => rows,
-            Ok(Err(error)) => return log::warn!("the registrations could not be read: {error}"),
-            Err(elapsed) => return log::warn!("the registrations could not be read: {elapsed}"),
+            Ok(Err(error)) => return log::warn!("reading the registrations failed: {error}"),
+            Err(elapsed) => return log::warn!("reading the registrations failed: {elapsed}"),
         };
         let rows: Vec<Registration> = rows.into_iter().map(|(_key, row)| row).collect();
         let own = &self.core.identity.entry;
@@ -132,16 +132,16 @@
     }
 }
 
-/// Removes the entry's row, so that nothing waits for it after a planned stop.
+/// Removes the entry's row, so that nothing waits for this entry after a planned stop.
 pub(crate) async fn deregister(core: &Core) {
     let write = Write::Delete(key::entry(&core.identity.entry));
     let txn = Txn {
         conditions: Vec::new(),
         writes: vec![write],
     };
-    match timeout(CALL, core.ledger.table().commit(txn)).await {
+    match timeout(STORE_TIMEOUT, core.ledger.table().commit(txn)).await {
         Ok(Ok(_commit)) => {}
-        Ok(Err(error)) => log::warn!("the registration was not removed: {error}"),
-        Err(elapsed) => log::warn!("the registration was not removed: {elapsed}"),
+        Ok(Err(error)) => log::warn!("removing the registration failed: {error}"),
+        Err(elapsed) => log::warn!("removing the registration failed: {elapsed}"),
     }
 }
--- a/crates/route/src/server.rs
+++ b/crates/route/src/server.rs
@@ -24,13 +24,13 @@
     ) -> Result<Self> {
         let service = handler_fn(
             Arc::clone(&handler),
-            |handler, call: IncomingRequest| async move {
+            |handler, request: IncomingRequest| async move {
                 let IncomingRequest {
                     method,
                     uri,
                     headers,
                     body,
-                } = call;
+                } = request;
                 handler.serve(method, uri, headers, body).await
             },
         );
