--- a/benches/request_path/bed.rs
+++ b/benches/request_path/bed.rs
@@ -6,7 +6,7 @@
 use primroseroute_api::{Apply, Order};
 use primroseroute_controller::Timers as ControllerTimers;
 use primroseroute_domain::account::Template;
-use primroseroute_entry::{Parts, Timers};
+use primroseroute_entry::{Components, Timers};
 use primroseroute_load::{Loop, Outcome, Plan, Profile, Target, run};
 use primroseroute_testbed::{
     Layout, Site,
@@ -85,8 +85,8 @@
     template
 }
 
-fn deployed(parts: Parts) -> Parts {
-    Parts {
+fn deployed(parts: Components) -> Components {
+    Components {
         timers: Timers::default(),
         controller: ControllerTimers::default(),
         ..parts
--- a/crates/capacity/src/stage.rs
+++ b/crates/capacity/src/stage.rs
@@ -14,7 +14,7 @@
     instance::{Purpose, Row, State},
     time::{Clock, Instant},
 };
-use primroseroute_entry::{Parts, Timers};
+use primroseroute_entry::{Components, Timers};
 use primroseroute_ledger::{Draft, Ledger, key};
 use primroseroute_peer::report::Load;
 use primroseroute_platform::fleet::{Listed, Phase};
@@ -99,7 +99,7 @@
                 network,
                 loads: loads.clone(),
             });
-            let deployed = |parts| Parts {
+            let deployed = |parts| Components {
                 dial,
                 clock,
                 probe: Arc::new(Well),
--- a/crates/entry/src/parts.rs
+++ b/crates/entry/src/components.rs
@@ -71,7 +71,7 @@
 
 /// Dependencies and settings of an entry.
 #[derive(Debug)]
-pub struct Parts {
+pub struct Components {
     /// Identity of this incarnation of the entry.
     pub identity: Identity,
     /// Its availability zone.
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -1,10 +1,10 @@
 //! Start and stop of an entry.
 
 use crate::{
+    components::{Components, Listen},
     core::Core,
     local::OperatorApi,
     metered::{MeteredTable, MetricsObserver},
-    parts::{Listen, Parts},
     propagate, slot_reports,
     store_poll::{self, StorePoll},
 };
@@ -17,7 +17,7 @@
 use primroseroute_ledger::Ledger;
 use primroseroute_peer::Local;
 use primroseroute_route::{
-    CallerServer, Components, Dispatchers, RequestHandler, backend::Backend,
+    CallerServer, Components as HandlerComponents, Dispatchers, RequestHandler, backend::Backend,
 };
 use std::{
     net::SocketAddr,
@@ -47,22 +47,22 @@
     ///
     /// # Panics
     /// If called outside a tokio runtime.
-    pub async fn spawn(parts: Parts) -> Result<Self> {
-        let seed = u64::from_le_bytes(std::array::from_fn(|i| parts.seed[i]));
-        let table = MeteredTable::new(parts.table, parts.meter.clone());
+    pub async fn spawn(components: Components) -> Result<Self> {
+        let seed = u64::from_le_bytes(std::array::from_fn(|i| components.seed[i]));
+        let table = MeteredTable::new(components.table, components.meter.clone());
         let ledger = Ledger::open(Arc::clone(&table));
-        let name = parts.identity.entry.clone();
+        let name = components.identity.entry.clone();
         // Increases with each start, so that peers can distinguish a restarted entry from a late
         // report.
-        let incarnation = parts.clock.now().0;
-        let dispatchers = Arc::new(Dispatchers::new(name, incarnation, parts.flow, seed));
+        let incarnation = components.clock.now().0;
+        let dispatchers = Arc::new(Dispatchers::new(name, incarnation, components.flow, seed));
         let core = Arc::new(Core::new(
-            parts.identity,
+            components.identity,
             ledger,
             dispatchers,
-            parts.membership,
+            components.membership,
         ));
-        let opened = parts
+        let opened = components
             .dial
             .dial(core.identity.clone(), Arc::clone(&core) as Arc<dyn Local>)
             .wrap_err("opening the peer link")?;
@@ -74,17 +74,17 @@
             identity: core.identity.clone(),
             ledger: core.ledger.clone(),
             cell: Arc::clone(&core.cell),
-            clock: Arc::clone(&parts.clock),
-            instances: parts.instances,
-            tasks: parts.tasks,
-            jobs: parts.jobs,
-            objects: Arc::clone(&parts.objects),
-            keep: parts.keep,
-            probe: parts.probe,
+            clock: Arc::clone(&components.clock),
+            instances: components.instances,
+            tasks: components.tasks,
+            jobs: components.jobs,
+            objects: Arc::clone(&components.objects),
+            keep: components.keep,
+            probe: components.probe,
             roster: Arc::clone(&core) as Arc<dyn Roster>,
-            weights: parts.weights,
-            limits: parts.lifecycle,
-            timers: parts.controller,
+            weights: components.weights,
+            limits: components.lifecycle,
+            timers: components.controller,
         });
         core.controller
             .set(controller)
@@ -92,56 +92,57 @@
 
         let claims = Claims::spawn(
             table,
-            Arc::clone(&parts.clock),
+            Arc::clone(&components.clock),
             Options::default(),
-            parts.seed,
+            components.seed,
         );
-        let handler = Arc::new(RequestHandler::new(Components {
+        let handler = Arc::new(RequestHandler::new(HandlerComponents {
             cell: Arc::clone(&core.cell),
             dispatchers: Arc::clone(&core.dispatchers),
-            backend: Arc::clone(&parts.backend),
+            backend: Arc::clone(&components.backend),
             claims,
-            observer: Arc::new(MetricsObserver(parts.meter.clone())),
-            options: parts.path,
+            observer: Arc::new(MetricsObserver(components.meter.clone())),
+            options: components.path,
         }));
-        let server = CallerServer::bind(parts.listen.callers, parts.front, handler).await?;
+        let server =
+            CallerServer::bind(components.listen.callers, components.front, handler).await?;
         let admin = AdminParts {
-            local: Arc::new(OperatorApi::new(Arc::clone(&core), parts.meter)),
+            local: Arc::new(OperatorApi::new(Arc::clone(&core), components.meter)),
             ledger: core.ledger.clone(),
-            trail: Trail::open(core.ledger.clone(), parts.objects),
+            trail: Trail::open(core.ledger.clone(), components.objects),
             cell: Arc::clone(&core.cell),
-            clock: Arc::clone(&parts.clock),
-            weights: parts.weights,
-            capacity: parts.jobs.capacity,
-            tokens: parts.operators,
+            clock: Arc::clone(&components.clock),
+            weights: components.weights,
+            capacity: components.jobs.capacity,
+            tokens: components.operators,
         };
-        let admin = Admin::bind(parts.listen.admin, parts.front, admin).await?;
+        let admin = Admin::bind(components.listen.admin, components.front, admin).await?;
         let store_poll = StorePoll {
             core: Arc::clone(&core),
-            clock: parts.clock,
+            clock: components.clock,
             listen: Listen {
                 callers: server.address(),
                 admin: admin.address(),
                 peers: opened.address,
             },
-            zone: parts.zone,
-            region: parts.region,
-            poll: parts.timers.poll,
-            roster: parts.timers.roster,
+            zone: components.zone,
+            region: components.region,
+            poll: components.timers.poll,
+            roster: components.timers.roster,
             seed,
         };
         let tasks = vec![
             tokio::spawn(propagate::run(Arc::clone(&core))),
             tokio::spawn(store_poll.run()),
             tokio::spawn(slot_reports::run(Arc::clone(&core))),
-            tokio::spawn(sweep_idle_connections(parts.backend)),
+            tokio::spawn(sweep_idle_connections(components.backend)),
         ];
         Ok(Self {
             core,
             server,
             admin,
             tasks,
-            grace: parts.timers.grace,
+            grace: components.timers.grace,
         })
     }
 
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,6 +1,6 @@
 //! One entry: combines the request path, the view, the peer link and the operators' interface.
 //!
-//! [`Entry::spawn`] takes all external dependencies as [`Parts`]: the platform, the backend
+//! [`Entry::spawn`] takes all external dependencies as [`Components`]: the platform, the backend
 //! servers, the peer link, the clock and the seed. This allows complete entries to run with sockets
 //! in a process of their own, or dozens of them in one test with in-memory fakes.
 //!
@@ -16,14 +16,14 @@
 //! An entry has no persistent state: after a restart it reads everything from the table or its
 //! peers.
 
+mod components;
 mod core;
 mod entry;
 mod local;
 mod metered;
-mod parts;
 mod propagate;
 mod slot_reports;
 mod store_poll;
 
+pub use components::{Components, Dial, Dialed, Listen, Timers};
 pub use entry::Entry;
-pub use parts::{Dial, Dialed, Listen, Parts, Timers};
--- a/crates/entry/src/store_poll.rs
+++ b/crates/entry/src/store_poll.rs
@@ -1,6 +1,6 @@
 //! Polling of the store: the head, the registration rows, and this entry's own row.
 
-use crate::{core::Core, parts::Listen};
+use crate::{components::Listen, core::Core};
 use primroseroute_domain::{id, time::Clock};
 use primroseroute_ledger::key;
 use primroseroute_peer::{
--- a/crates/serve/src/parts.rs
+++ b/crates/serve/src/parts.rs
@@ -6,7 +6,7 @@
 use primroseroute_audit::Keep;
 use primroseroute_controller::HttpProbe;
 use primroseroute_domain::time::SystemClock;
-use primroseroute_entry::{Dial, Dialed, Parts};
+use primroseroute_entry::{Components, Dial, Dialed};
 use primroseroute_peer::{Address, Local, proof::Key, report::Identity, rpc};
 use primroseroute_platform::http::Client;
 use primroseroute_route::backend::ConnectionPool;
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 /// Where a secret is missing, the platform's URL cannot be used, or randomness cannot be had.
-pub(crate) fn build(fields: Fields, secrets: &Secrets) -> Result<Parts> {
+pub(crate) fn build(fields: Fields, secrets: &Secrets) -> Result<Components> {
     let environment = |name: &str| std::env::var(name).ok();
     let secrets = secrets.resolve(&environment).map_err(|missing| {
         let lines: Vec<String> = missing.iter().map(ToString::to_string).collect();
@@ -61,7 +61,7 @@
         key: Key::new(secrets.peer_key.expose()).wrap_err("reading the peer key")?,
         peers: fields.peers,
     };
-    Ok(Parts {
+    Ok(Components {
         identity,
         zone: fields.zone,
         region: Some(fields.region),
--- a/crates/testbed/src/parts.rs
+++ b/crates/testbed/src/parts.rs
@@ -6,7 +6,7 @@
 use primroseroute_audit::Keep;
 use primroseroute_controller::{HttpProbe, Timers as ControllerTimers, jobs::Settings};
 use primroseroute_domain::{id, time::SystemClock};
-use primroseroute_entry::{Dial, Dialed, Listen, Parts, Timers};
+use primroseroute_entry::{Components, Dial, Dialed, Listen, Timers};
 use primroseroute_peer::{Local, memory::Network, report::Identity};
 use primroseroute_route::backend::ConnectionPool;
 use primroseroute_standin::{backend::HEALTH_PATH, platform::Platform};
@@ -31,13 +31,13 @@
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 /// The parts of the entry `name` of a site.
-pub(crate) fn parts(name: id::Entry, platform: &Platform, network: &Network) -> Parts {
+pub(crate) fn parts(name: id::Entry, platform: &Platform, network: &Network) -> Components {
     let incarnation = Uuid::new_v4();
     let mut seed = [0; 32];
     seed[..16].copy_from_slice(incarnation.as_bytes());
     seed[16..].copy_from_slice(Uuid::new_v4().as_bytes());
     let operator = ("test".into(), token_hash(OPERATOR_TOKEN));
-    Parts {
+    Components {
         zone: "zone-0".parse().expect("a zone's name is valid"),
         region: None,
         listen: Listen {
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -13,7 +13,7 @@
     instance::{Row, State},
     time::{Clock, SystemClock},
 };
-use primroseroute_entry::{Entry, Parts};
+use primroseroute_entry::{Components, Entry};
 use primroseroute_ledger::{Draft, Ledger, key};
 use primroseroute_peer::memory::Network;
 use primroseroute_platform::fleet::{Listed, Phase};
@@ -200,7 +200,7 @@
     pub async fn start_with(
         &mut self,
         name: &str,
-        change: impl FnOnce(Parts) -> Parts,
+        change: impl FnOnce(Components) -> Components,
     ) -> Result<()> {
         let name: id::Entry = name.parse()?;
         let parts = change(parts(name.clone(), &self.platform, &self.network));
--- a/tests/all/ctl/wait.rs
+++ b/tests/all/ctl/wait.rs
@@ -5,7 +5,7 @@
 use async_trait::async_trait;
 use eyre::Result;
 use primroseroute_ctl::exit;
-use primroseroute_entry::Parts;
+use primroseroute_entry::Components;
 use primroseroute_ledger::key;
 use primroseroute_platform::{
     error::Error,
@@ -119,7 +119,7 @@
 /// it in force, but another one could have registered, so the operator is not told "everywhere".
 async fn unread_registrations() -> Result<()> {
     let mut site = Site::open(Layout::small(), platform::Options::default()).await?;
-    site.start_with("entry-0", |parts| Parts {
+    site.start_with("entry-0", |parts| Components {
         table: Arc::new(Withheld(Arc::clone(&parts.table))),
         ..parts
     })
--- a/tests/all/once.rs
+++ b/tests/all/once.rs
@@ -147,7 +147,7 @@
     let mut site = Site::open(Layout::small(), platform::Options::default()).await?;
     site.converge().await?;
     let backend = Arc::clone(&held);
-    site.start_with("entry-held", |parts| primroseroute_entry::Parts {
+    site.start_with("entry-held", |parts| primroseroute_entry::Components {
         backend,
         ..parts
     })
--- a/tests/all/stop.rs
+++ b/tests/all/stop.rs
@@ -4,7 +4,7 @@
 use eyre::Result;
 use http::Method;
 use primroseroute_api::Order;
-use primroseroute_entry::{Parts, Timers};
+use primroseroute_entry::{Components, Timers};
 use primroseroute_front::Options;
 use primroseroute_testbed::{Answer, Caller, Layout, Said, Site, backend, caller_token, platform};
 use std::{
@@ -92,7 +92,7 @@
             grace: Duration::from_secs(2),
             ..parts.timers
         };
-        Parts { timers, ..parts }
+        Components { timers, ..parts }
     })
     .await?;
     let seq = site.ledger().head().await?.seq;
@@ -121,7 +121,7 @@
             shutdown_grace: LIMIT,
             ..parts.front
         };
-        Parts { front, ..parts }
+        Components { front, ..parts }
     })
     .await?;
     let seq = site.ledger().head().await?.seq;
--- a/tests/all/told.rs
+++ b/tests/all/told.rs
@@ -117,7 +117,7 @@
             grace: Duration::from_secs(2),
             ..parts.timers
         };
-        primroseroute_entry::Parts { timers, ..parts }
+        primroseroute_entry::Components { timers, ..parts }
     })
     .await?;
     site.in_force(seq).await?;
--- a/tests/all/truth.rs
+++ b/tests/all/truth.rs
@@ -5,7 +5,7 @@
 use async_trait::async_trait;
 use eyre::Result;
 use http::{HeaderValue, Method, Request, Response};
-use primroseroute_entry::Parts;
+use primroseroute_entry::Components;
 use primroseroute_route::backend::{Backend, Body, ConnectionPool, Failure};
 use primroseroute_testbed::{Answer, Caller, Said, Site, backend::Mode, caller_token};
 use std::{net::SocketAddr, sync::Arc};
@@ -198,7 +198,7 @@
 async fn mixed_up_answer() -> Result<()> {
     let mut site = stay(1).await?;
     let backend = Arc::new(MixedUp(ConnectionPool::new()));
-    site.start_with("mixed", |parts| Parts { backend, ..parts })
+    site.start_with("mixed", |parts| Components { backend, ..parts })
         .await?;
     let seq = site.ledger().head().await?.seq;
     site.in_force(seq).await?;
--- a/tests/all/wave.rs
+++ b/tests/all/wave.rs
@@ -195,7 +195,7 @@
     site.start_with("entry-2", |parts| {
         let mut lifecycle = parts.lifecycle;
         lifecycle.maintenance_seconds = 1;
-        primroseroute_entry::Parts { lifecycle, ..parts }
+        primroseroute_entry::Components { lifecycle, ..parts }
     })
     .await?;
     let seq = site.ledger().head().await?.seq;
