--- a/benches/request_path/change.rs
+++ b/benches/request_path/change.rs
@@ -109,7 +109,7 @@
             .site
             .entries
             .values()
-            .all(|running| running.entry.in_force() >= seq)
+            .all(|running| running.entry.applied_seq() >= seq)
         {
             sleep(LOOK).await;
         }
--- a/crates/capacity/src/stage.rs
+++ b/crates/capacity/src/stage.rs
@@ -202,7 +202,7 @@
     pub fn views(&self) -> BTreeMap<id::Entry, Seq> {
         let entries = self.site.entries.iter();
         entries
-            .map(|(name, running)| (name.clone(), running.entry.in_force()))
+            .map(|(name, running)| (name.clone(), running.entry.applied_seq()))
             .collect()
     }
 
--- a/crates/demo/src/stage/mod.rs
+++ b/crates/demo/src/stage/mod.rs
@@ -198,7 +198,7 @@
     /// Records what entries have in force, where that has changed.
     fn look(&mut self) {
         for (name, running) in &self.site.entries {
-            let seq = running.entry.in_force();
+            let seq = running.entry.applied_seq();
             if self.seen.insert(name.clone(), seq) != Some(seq) {
                 self.journal.write(Event::InForce(InForce {
                     entry: name.clone(),
--- a/crates/entry/src/components.rs
+++ b/crates/entry/src/components.rs
@@ -8,10 +8,10 @@
 use primroseroute_domain::{id, time::Clock};
 use primroseroute_fleet::{lifecycle, placement::Weights};
 use primroseroute_flow::limits::Limits;
-use primroseroute_front::Options as FrontOptions;
+use primroseroute_front::Options as ServerOptions;
 use primroseroute_peer::{Link, Local, membership, report::Identity};
 use primroseroute_platform::{fleet::Instances, object::Store, table::Table, task::Tasks};
-use primroseroute_route::{Options as PathOptions, backend::Backend};
+use primroseroute_route::{Options as RequestOptions, backend::Backend};
 use primroseroute_telemetry::Meter;
 use std::{fmt, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -109,9 +109,9 @@
     /// Limits of each pool's dispatcher.
     pub flow: Limits,
     /// Limits on one request.
-    pub path: PathOptions,
+    pub request_options: RequestOptions,
     /// Limits on connections.
-    pub front: FrontOptions,
+    pub server_options: ServerOptions,
     /// Time limits of membership.
     pub membership: membership::Limits,
     /// Intervals and delays.
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -227,7 +227,7 @@
             .collect();
         entries.push(EntryStatus {
             name: self.identity.entry.clone(),
-            seq: self.in_force(),
+            seq: self.applied_seq(),
             heard: Some(Duration::ZERO),
         });
         entries.sort_by(|a, b| a.name.cmp(&b.name));
@@ -235,7 +235,7 @@
     }
 
     /// The newest change that has been applied to the dispatchers.
-    pub(crate) fn in_force(&self) -> Seq {
+    pub(crate) fn applied_seq(&self) -> Seq {
         self.dispatchers.applied_seq()
     }
 }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -102,10 +102,14 @@
             backend: Arc::clone(&components.backend),
             claims,
             observer: Arc::new(MetricsObserver(components.meter.clone())),
-            options: components.path,
+            options: components.request_options,
         }));
-        let server =
-            CallerServer::bind(components.listen.callers, components.front, handler).await?;
+        let server = CallerServer::bind(
+            components.listen.callers,
+            components.server_options,
+            handler,
+        )
+        .await?;
         let admin = AdminParts {
             local: Arc::new(OperatorApi::new(Arc::clone(&core), components.meter)),
             ledger: core.ledger.clone(),
@@ -116,7 +120,7 @@
             capacity: components.jobs.capacity,
             tokens: components.operators,
         };
-        let admin = Admin::bind(components.listen.admin, components.front, admin).await?;
+        let admin = Admin::bind(components.listen.admin, components.server_options, admin).await?;
         let store_poll = StorePoll {
             core: Arc::clone(&core),
             clock: components.clock,
@@ -157,8 +161,8 @@
     }
 
     /// The newest change that has been applied to the dispatchers.
-    pub fn in_force(&self) -> Seq {
-        self.core.in_force()
+    pub fn applied_seq(&self) -> Seq {
+        self.core.applied_seq()
     }
 
     /// Queued requests.
--- a/crates/entry/src/local.rs
+++ b/crates/entry/src/local.rs
@@ -152,7 +152,7 @@
     }
 
     fn metrics(&self) -> String {
-        self.meter.view(self.core.in_force());
+        self.meter.view(self.core.applied_seq());
         self.measure_queues();
         for (pool, count) in self.core.dispatchers.ejected_counts() {
             self.meter.ejected(&pool, count);
--- a/crates/entry/src/store_poll.rs
+++ b/crates/entry/src/store_poll.rs
@@ -73,7 +73,7 @@
 
     async fn register(&self, last_written: &mut Option<Written>) {
         let now = self.core.uptime();
-        let acked = self.core.in_force();
+        let acked = self.core.applied_seq();
         if due(*last_written, acked, now, &self.core.limits).is_none() {
             return;
         }
--- a/crates/testbed/src/parts.rs
+++ b/crates/testbed/src/parts.rs
@@ -62,8 +62,8 @@
         operators: Tokens([operator].into()),
         meter: Meter::open().expect("instruments open"),
         flow: primroseroute_flow::limits::Limits::default(),
-        path: primroseroute_route::Options::default(),
-        front: primroseroute_front::Options::default(),
+        request_options: primroseroute_route::Options::default(),
+        server_options: primroseroute_front::Options::default(),
         membership: primroseroute_peer::membership::Limits::default(),
         timers: Timers {
             poll: Duration::from_millis(200),
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -304,7 +304,7 @@
         until("a change is in force everywhere", || {
             self.entries
                 .values()
-                .all(|running| running.entry.in_force() >= seq)
+                .all(|running| running.entry.applied_seq() >= seq)
         })
         .await
     }
--- a/tests/all/acknowledge.rs
+++ b/tests/all/acknowledge.rs
@@ -83,7 +83,7 @@
     site.start("late").await?;
     let key = primroseroute_ledger::key::entry(&late);
     while site.ledger().table().read(&key).await?.is_none()
-        || site.entry("late").entry.in_force() < seq
+        || site.entry("late").entry.applied_seq() < seq
     {
         sleep(Duration::from_millis(5)).await;
     }
--- a/tests/all/ctl/mod.rs
+++ b/tests/all/ctl/mod.rs
@@ -128,7 +128,7 @@
     let listed = desk.json(&["account", "list"]).await?;
     assert_eq!(listed, Value::Array(vec![found]));
     for running in desk.site.entries.values() {
-        assert!(running.entry.in_force().0 >= accepted["version"].as_u64().unwrap_or(u64::MAX));
+        assert!(running.entry.applied_seq().0 >= accepted["version"].as_u64().unwrap_or(u64::MAX));
     }
     Ok(())
 }
--- a/tests/all/ctl/wait.rs
+++ b/tests/all/ctl/wait.rs
@@ -88,7 +88,7 @@
     ];
     let entry = site.entry("entry-0").entry.admin();
     let done = ctl(entry, file(OPERATOR_TOKEN)?.path(), &words).await?;
-    assert!(site.entry("late").entry.in_force() <= seq);
+    assert!(site.entry("late").entry.applied_seq() <= seq);
     assert_eq!(done.code, exit::NOT_YET, "{}", done.printed);
     Ok(())
 }
--- a/tests/all/input/mod.rs
+++ b/tests/all/input/mod.rs
@@ -31,9 +31,9 @@
     };
     let mut site = Site::open(layout, platform::Options::default()).await?;
     site.start_with("entry-0", |mut parts| {
-        parts.front.max_head_bytes = HEAD;
-        parts.front.head_timeout = HEAD_TIME;
-        parts.path.max_body_bytes = BODY;
+        parts.server_options.max_head_bytes = HEAD;
+        parts.server_options.head_timeout = HEAD_TIME;
+        parts.request_options.max_body_bytes = BODY;
         parts
     })
     .await?;
--- a/tests/all/regions.rs
+++ b/tests/all/regions.rs
@@ -86,7 +86,7 @@
 impl Watch {
     fn look(&mut self, site: &Site) -> Result<()> {
         for (name, running) in &site.entries {
-            let now = running.entry.in_force();
+            let now = running.entry.applied_seq();
             let before = self.0.insert(name.clone(), now);
             ensure!(
                 before <= Some(now),
@@ -156,7 +156,7 @@
     watch.look(&site)?;
 
     cut(&site)?;
-    let old = site.entry("entry-2").entry.in_force();
+    let old = site.entry("entry-2").entry.applied_seq();
     let mut last = Seq(0);
     for change in 0..CHANGES {
         last = site
@@ -182,7 +182,7 @@
     }
     for entry in FAR {
         assert_eq!(
-            site.entry(entry).entry.in_force(),
+            site.entry(entry).entry.applied_seq(),
             old,
             "{entry} learned of a change"
         );
--- a/tests/all/stop.rs
+++ b/tests/all/stop.rs
@@ -117,11 +117,14 @@
     let mut site = site().await?;
     site.start_with("stopping", |parts| {
         // Long, so that a slow machine cannot run into it; the stop ends once all are closed.
-        let front = Options {
+        let server_options = Options {
             shutdown_grace: LIMIT,
-            ..parts.front
+            ..parts.server_options
         };
-        Components { front, ..parts }
+        Components {
+            server_options,
+            ..parts
+        }
     })
     .await?;
     let seq = site.ledger().head().await?.seq;
--- a/tests/all/views.rs
+++ b/tests/all/views.rs
@@ -164,7 +164,7 @@
 async fn start_without_store() -> Result<()> {
     let mut site = site(2).await?;
     site.platform.faults().set_outage(Some(Outage::Refuse));
-    let seq = site.any().entry.in_force();
+    let seq = site.any().entry.applied_seq();
     site.start("late").await?;
     site.in_force(seq).await?;
     let caller = Caller::open(caller_token("stay"));
@@ -195,7 +195,7 @@
         .client("entry-1")
         .faults()
         .set_outage(Some(Outage::Refuse));
-    let old = site.entry("entry-1").entry.in_force();
+    let old = site.entry("entry-1").entry.applied_seq();
     let accepted = site.entry("entry-0").admin.apply(&apply(7)).await?.version;
 
     site.network.cut(&late, &fresh);
@@ -205,19 +205,19 @@
         .set_outage(Some(Outage::Refuse));
     site.start("late").await?;
     primroseroute_testbed::until("it has the old view", || {
-        site.entry("late").entry.in_force() >= old
+        site.entry("late").entry.applied_seq() >= old
     })
     .await?;
-    assert!(site.entry("late").entry.in_force() < accepted);
+    assert!(site.entry("late").entry.applied_seq() < accepted);
 
     site.network.heal(&late, &fresh);
     primroseroute_testbed::until("it has the new view", || {
-        site.entry("late").entry.in_force() >= accepted
+        site.entry("late").entry.applied_seq() >= accepted
     })
     .await?;
     // The stale peer learns the new view from it, and nobody ever falls back.
     for _ in 0..50 {
-        assert!(site.entry("late").entry.in_force() >= accepted);
+        assert!(site.entry("late").entry.applied_seq() >= accepted);
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     site.in_force(accepted).await?;
