--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -4,8 +4,8 @@
 //!
 //! Before a byte of the request is sent, one row under `claim/<shard>/<hash>` is inserted into the
 //! platform's table, on the condition that the row does not exist. This conditional insert is the
-//! only fence: entries hold no state, any entry can answer for any key, and correctness depends on
-//! neither clocks nor leases. The row means "may have run" until the outcome is written to it,
+//! only fence: it needs no state in the entries, any entry can answer for any key, and neither
+//! clocks nor leases are involved. The row means "may have run" until the outcome is written to it,
 //! asynchronously after the caller's response.
 //!
 //! | row | reported to a repeat | a repeat runs |
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -49,7 +49,7 @@
     /// If called outside a tokio runtime.
     pub async fn spawn(components: Components) -> Result<Self> {
         let seed = u64::from_le_bytes(std::array::from_fn(|i| components.seed[i]));
-        let table = MeteredTable::new(components.table, components.meter.clone());
+        let table = MeteredTable::wrap(components.table, components.meter.clone());
         let ledger = Ledger::open(Arc::clone(&table));
         let name = components.identity.entry.clone();
         // Increases with each start, so that peers can distinguish a restarted entry from a late
--- a/crates/entry/src/metered.rs
+++ b/crates/entry/src/metered.rs
@@ -42,7 +42,7 @@
 }
 
 impl MeteredTable {
-    pub(crate) fn new(table: Arc<dyn Table>, meter: Meter) -> Arc<dyn Table> {
+    pub(crate) fn wrap(table: Arc<dyn Table>, meter: Meter) -> Arc<dyn Table> {
         Arc::new(Self { table, meter })
     }
 
