--- a/crates/claims/tests/all/expiry.rs
+++ b/crates/claims/tests/all/expiry.rs
@@ -50,7 +50,7 @@
 // More rows than one step deletes: all are deleted step by step, even if the commit of a step is
 // refused or its result is lost.
 #[tokio::test(start_paused = true)]
-async fn many_rows_go_step_by_step() {
+async fn many_rows_are_deleted_step_by_step() {
     let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let a = entry(&fake, &clock, 1);
     for number in 0..250 {
--- a/crates/claims/tests/all/lost.rs
+++ b/crates/claims/tests/all/lost.rs
@@ -53,9 +53,9 @@
 }
 
 cases! { check_late_commit_after_not_run:
-    not_run_then_the_commit_lands(Fault::Late(Duration::from_secs(1)));
-    not_run_though_the_row_stood(Fault::LostAfter);
-    not_run_and_the_row_never_stood(Fault::LostBefore);
+    not_run_then_the_commit_is_applied(Fault::Late(Duration::from_secs(1)));
+    not_run_though_the_row_existed(Fault::LostAfter);
+    not_run_and_the_row_never_existed(Fault::LostBefore);
 }
 
 // A commit is delayed, the claim is granted by a second one, not sent and released. Then the
@@ -98,7 +98,7 @@
 // A released row is taken over, and then the release of the first attempt is applied a second time.
 // It must not release the second attempt, which is being sent.
 #[tokio::test(start_paused = true)]
-async fn late_release_leaves_the_next_attempt_alone() {
+async fn late_release_does_not_affect_the_next_attempt() {
     let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let (a, b) = (entry(&fake, &clock, 1), entry(&fake, &clock, 2));
     let permit = grant(&a, "k").await;
--- a/crates/claims/tests/all/outage.rs
+++ b/crates/claims/tests/all/outage.rs
@@ -67,7 +67,7 @@
 // succeed. The conflict shows that a row exists, so "not run" might be wrong. The retry of a
 // released key gets the same answer and runs once reads work again.
 #[tokio::test(start_paused = true)]
-async fn row_stands_and_cannot_be_read() {
+async fn row_exists_and_cannot_be_read() {
     let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let (a, b) = (entry(&fake, &clock, 1), entry(&fake, &clock, 2));
     grant(&a, "ran").await.completed(response(b"held"));
@@ -84,7 +84,7 @@
 // Callers keep sending during an outage. The number of pending claims is limited, further ones are
 // refused immediately, and no refused claim remains in memory.
 #[tokio::test(start_paused = true)]
-async fn waiting_claims_are_bounded() {
+async fn pending_claims_are_bounded() {
     let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let options = Options {
         max_pending: 10,
--- a/crates/claims/tests/all/race.rs
+++ b/crates/claims/tests/all/race.rs
@@ -39,7 +39,7 @@
 // An entry crashes between the grant and the send, or after the send; the two cases cannot be
 // distinguished. The caller repeats at another entry, before the request's deadline and after it.
 #[tokio::test(start_paused = true)]
-async fn entry_dies_after_the_grant() {
+async fn entry_crashes_after_the_grant() {
     let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let (a, b) = (entry(&fake, &clock, 1), entry(&fake, &clock, 2));
     let permit = grant(&a, "k").await;
@@ -54,7 +54,7 @@
 // An entry is suspended for an hour between the grant and the send. Meanwhile the caller repeats
 // at another entry, which must not run the request, since the suspended one resumes and sends it.
 #[tokio::test(start_paused = true)]
-async fn entry_is_paused_between_grant_and_send() {
+async fn entry_is_suspended_between_grant_and_send() {
     let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let (a, b) = (entry(&fake, &clock, 1), entry(&fake, &clock, 2));
     let permit = grant(&a, "k").await;
@@ -85,7 +85,7 @@
 // A caller sends a different request under a key that was already used. It must not receive the
 // first request's response, and it must not run as if the key were new.
 #[tokio::test(start_paused = true)]
-async fn key_stands_for_another_request() {
+async fn key_was_used_for_another_request() {
     let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let (a, b) = (entry(&fake, &clock, 1), entry(&fake, &clock, 2));
     grant(&a, "k").await.completed(response(b"held"));
@@ -100,13 +100,13 @@
 // The caller disconnects while its claim is committed: the future is dropped, the row exists, and
 // nothing is sent. A retry must run and not be told "unknown".
 #[tokio::test(start_paused = true)]
-async fn caller_hangs_up_during_the_commit() {
+async fn caller_disconnects_during_the_commit() {
     let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let a = entry(&fake, &clock, 1);
     fake.set_latency(Duration::from_millis(100));
-    let hung_up = tokio::time::timeout(Duration::from_millis(50), claim(&a, "k")).await;
+    let timed_out = tokio::time::timeout(Duration::from_millis(50), claim(&a, "k")).await;
     assert!(
-        hung_up.is_err(),
+        timed_out.is_err(),
         "the commit takes longer than the caller waits"
     );
     wait_for_outcomes(&a).await;
--- a/crates/claims/tests/all/stored.rs
+++ b/crates/claims/tests/all/stored.rs
@@ -11,7 +11,7 @@
 
 // A response may contain text, binary data or both; a repeat receives it unchanged.
 #[tokio::test(start_paused = true)]
-async fn repeat_gets_the_answer_whole() {
+async fn repeat_gets_the_complete_response() {
     let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let a = entry(&fake, &clock, 1);
     let mut first = response(&[0, 159, 146, 150, b'x']);
@@ -30,7 +30,7 @@
 // A response above the limit would make the row too large for the store. The repeat is told that
 // the request completed, and does not run again.
 #[tokio::test(start_paused = true)]
-async fn large_answer_is_not_kept() {
+async fn large_response_is_not_stored() {
     let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let options = Options {
         max_response_bytes: 8,
@@ -46,7 +46,7 @@
 
 // Responses wait for the store in memory; above the budget only their completion is recorded.
 #[tokio::test(start_paused = true)]
-async fn waiting_answers_are_bounded_in_bytes() {
+async fn pending_responses_are_bounded_in_bytes() {
     let (fake, clock) = (FakeTable::default(), PausedClock::start());
     let options = Options {
         max_pending_response_bytes: 10,
