--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! 1. [`request`] validates the head against the current view: token, service, key, timeout.
 //! 2. The body is read into a bounded buffer; a larger one streams, unless the request is claimed.
-//! 3. The [`dispatch`] module has a dispatcher per pool. It asks the state machine of the `flow`
+//! 3. The `dispatch` module has a dispatcher per pool. It asks the state machine of the `flow`
 //!    crate which worker takes the request and when, and refuses at once what cannot be served in
 //!    time.
 //! 4. A non-idempotent request with a key is claimed once a worker is free for it and before a
