--- a/benches/request_path/inner.rs
+++ b/benches/request_path/inner.rs
@@ -19,7 +19,7 @@
 use primroseroute_flow::limits::Limits;
 use primroseroute_ledger::{Versioned, key};
 use primroseroute_route::{
-    Finished, Gates, Observer, Options, Parts, Path,
+    Components, Dispatchers, Finished, Observer, Options, RequestHandler,
     backend::{Backend, Body, Failure},
     problem,
 };
@@ -54,7 +54,7 @@
         _: Request<Body>,
         _: Instant,
     ) -> Result<Response<Body>, Failure> {
-        let mut response = Response::new(problem::full("beds"));
+        let mut response = Response::new(problem::full_body("beds"));
         let length = HeaderValue::from_static("4");
         response
             .headers_mut()
@@ -124,16 +124,16 @@
     Ok(Snapshot::from_rows(Seq(1), rows)?)
 }
 
-fn path(guests: u32) -> Result<Path> {
+fn handler(guests: u32) -> Result<RequestHandler> {
     let cell = Arc::new(SnapshotCell::default());
     cell.publish_if_newer(snapshot(guests)?);
     let entry: id::Entry = "entry-0".parse()?;
-    let gates = Gates::open(entry.clone(), 1, Limits::default(), 1);
-    gates.sync(&cell.current(), &[entry].into());
+    let dispatchers = Dispatchers::new(entry.clone(), 1, Limits::default(), 1);
+    dispatchers.apply_view(&cell.current(), &[entry].into());
     let table = Platform::open(1, primroseroute_testbed::platform::Options::default());
-    Ok(Path::open(Parts {
+    Ok(RequestHandler::new(Components {
         cell,
-        gates: Arc::new(gates),
+        dispatchers: Arc::new(dispatchers),
         backend: Arc::new(AtOnce),
         claims: Claims::spawn(
             Arc::new(table),
@@ -168,7 +168,7 @@
 
 /// Microseconds for one request in the fastest batch.
 async fn fastest(guests: u32) -> Result<f64> {
-    let path = Arc::new(path(guests)?);
+    let handler = Arc::new(handler(guests)?);
     let headers = headers()?;
     let uri = Uri::from_static("/stay/beds");
     let mut fastest = Duration::MAX;
@@ -176,8 +176,8 @@
         let started = Instant::now();
         for _ in 0..BATCH {
             let (headers, uri) = (headers.clone(), uri.clone());
-            let answer = path
-                .serve(Method::GET, uri, headers, problem::full(""))
+            let answer = handler
+                .serve(Method::GET, uri, headers, problem::full_body(""))
                 .await;
             assert!(answer.status().is_success(), "{:?}", answer.headers());
         }
--- a/crates/controller/src/housekeeping.rs
+++ b/crates/controller/src/housekeeping.rs
@@ -2,7 +2,7 @@
 
 use crate::{lease::HeldLease, role::Components};
 use primroseroute_audit::step;
-use primroseroute_claims::Sweep;
+use primroseroute_claims::Sweeper;
 use std::{sync::Arc, time::Duration};
 use tokio::time::Instant;
 
@@ -13,7 +13,7 @@
 /// Housekeeping state. It is not persisted; a successor starts from the beginning.
 #[derive(Debug)]
 pub(crate) struct Housekeeping {
-    sweep: Sweep,
+    sweep: Sweeper,
     due: Instant,
 }
 
@@ -21,7 +21,7 @@
     pub(crate) fn open(components: &Components) -> Self {
         let table = Arc::clone(components.ledger.table());
         Self {
-            sweep: Sweep::open(table, Arc::clone(&components.clock)),
+            sweep: Sweeper::new(table, Arc::clone(&components.clock)),
             due: Instant::now(),
         }
     }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -1,12 +1,12 @@
-//! The running entry.
+//! Start and stop of an entry.
 
 use crate::{
+    components::{Components, Listen},
     core::Core,
-    follow::{self, Follow},
-    local::Operators,
-    metered::{Metered, MeteredTable},
-    parts::{Listen, Parts},
-    share, spread,
+    local::OperatorApi,
+    metered::{MeteredTable, MetricsObserver},
+    propagate, slot_reports,
+    store_poll::{self, StorePoll},
 };
 use eyre::{Context, Result};
 use primroseroute_admin::{Admin, Parts as AdminParts};
@@ -16,7 +16,9 @@
 use primroseroute_domain::change::Seq;
 use primroseroute_ledger::Ledger;
 use primroseroute_peer::Local;
-use primroseroute_route::{Front, Gates, Parts as PathParts, Path, backend::Backend};
+use primroseroute_route::{
+    CallerServer, Components as HandlerComponents, Dispatchers, RequestHandler, backend::Backend,
+};
 use std::{
     net::SocketAddr,
     sync::{Arc, atomic::Ordering},
@@ -24,14 +26,14 @@
 };
 use tokio::{task::JoinHandle, time::sleep};
 
-/// How often idle connections to backend servers are looked through.
-const SWEEP: Duration = Duration::from_secs(5);
+/// Interval at which expired idle connections to backend servers are closed.
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// A running entry.
 #[derive(Debug)]
 pub struct Entry {
     core: Arc<Core>,
-    front: Front,
+    server: CallerServer,
     admin: Admin,
     tasks: Vec<JoinHandle<()>>,
     grace: Duration,
@@ -41,148 +43,162 @@
     /// Starts an entry; it is ready once it has a view.
     ///
     /// # Errors
-    /// Where an address cannot be bound or the peer link cannot be opened.
+    /// If an address cannot be bound or the peer link cannot be opened.
     ///
     /// # Panics
-    /// Outside a tokio runtime.
-    pub async fn spawn(parts: Parts) -> Result<Self> {
-        let seed = u64::from_le_bytes(std::array::from_fn(|i| parts.seed[i]));
-        let table = MeteredTable::open(parts.table, parts.meter.clone());
+    /// If called outside a tokio runtime.
+    pub async fn spawn(components: Components) -> Result<Self> {
+        let seed = u64::from_le_bytes(std::array::from_fn(|i| components.seed[i]));
+        let table = MeteredTable::wrap(components.table, components.meter.clone());
         let ledger = Ledger::open(Arc::clone(&table));
-        let name = parts.identity.entry.clone();
-        // Grows with each start, which peers need to tell a restarted entry from a late report.
-        let incarnation = parts.clock.now().0;
-        let gates = Arc::new(Gates::open(name, incarnation, parts.flow, seed));
-        let core = Arc::new(Core::new(parts.identity, ledger, gates, parts.membership));
-        let dialed = parts
+        let name = components.identity.entry.clone();
+        // Increases with each start, so that peers can distinguish a restarted entry from a late
+        // report.
+        let incarnation = components.clock.now().0;
+        let dispatchers = Arc::new(Dispatchers::new(name, incarnation, components.flow, seed));
+        let core = Arc::new(Core::new(
+            components.identity,
+            ledger,
+            dispatchers,
+            components.membership,
+        ));
+        let opened = components
             .dial
             .dial(core.identity.clone(), Arc::clone(&core) as Arc<dyn Local>)
             .wrap_err("opening the peer link")?;
-        core.link.set(dialed.link).expect("the link is set once");
+        core.link
+            .set(opened.link)
+            .expect("the link is only set here");
 
         let controller = Controller::spawn(ControllerComponents {
             identity: core.identity.clone(),
             ledger: core.ledger.clone(),
             cell: Arc::clone(&core.cell),
-            clock: Arc::clone(&parts.clock),
-            instances: parts.instances,
-            tasks: parts.tasks,
-            jobs: parts.jobs,
-            objects: Arc::clone(&parts.objects),
-            keep: parts.keep,
-            probe: parts.probe,
+            clock: Arc::clone(&components.clock),
+            instances: components.instances,
+            tasks: components.tasks,
+            jobs: components.jobs,
+            objects: Arc::clone(&components.objects),
+            keep: components.keep,
+            probe: components.probe,
             roster: Arc::clone(&core) as Arc<dyn Roster>,
-            weights: parts.weights,
-            limits: parts.lifecycle,
-            timers: parts.controller,
+            weights: components.weights,
+            limits: components.lifecycle,
+            timers: components.controller,
         });
         core.controller
             .set(controller)
-            .expect("the role is set once");
+            .expect("the controller is only set here");
 
         let claims = Claims::spawn(
             table,
-            Arc::clone(&parts.clock),
+            Arc::clone(&components.clock),
             Options::default(),
-            parts.seed,
+            components.seed,
         );
-        let path = Arc::new(Path::open(PathParts {
+        let handler = Arc::new(RequestHandler::new(HandlerComponents {
             cell: Arc::clone(&core.cell),
-            gates: Arc::clone(&core.gates),
-            backend: Arc::clone(&parts.backend),
+            dispatchers: Arc::clone(&core.dispatchers),
+            backend: Arc::clone(&components.backend),
             claims,
-            observer: Arc::new(Metered(parts.meter.clone())),
-            options: parts.path,
+            observer: Arc::new(MetricsObserver(components.meter.clone())),
+            options: components.request_options,
         }));
-        let front = Front::bind(parts.listen.callers, parts.front, path).await?;
+        let server = CallerServer::bind(
+            components.listen.callers,
+            components.server_options,
+            handler,
+        )
+        .await?;
         let admin = AdminParts {
-            local: Arc::new(Operators::new(Arc::clone(&core), parts.meter)),
+            local: Arc::new(OperatorApi::new(Arc::clone(&core), components.meter)),
             ledger: core.ledger.clone(),
-            trail: Trail::open(core.ledger.clone(), parts.objects),
+            trail: Trail::open(core.ledger.clone(), components.objects),
             cell: Arc::clone(&core.cell),
-            clock: Arc::clone(&parts.clock),
-            weights: parts.weights,
-            capacity: parts.jobs.capacity,
-            tokens: parts.operators,
+            clock: Arc::clone(&components.clock),
+            weights: components.weights,
+            capacity: components.jobs.capacity,
+            tokens: components.operators,
         };
-        let admin = Admin::bind(parts.listen.admin, parts.front, admin).await?;
-        let follow = Follow {
+        let admin = Admin::bind(components.listen.admin, components.server_options, admin).await?;
+        let store_poll = StorePoll {
             core: Arc::clone(&core),
-            clock: parts.clock,
+            clock: components.clock,
             listen: Listen {
-                callers: front.address(),
+                callers: server.address(),
                 admin: admin.address(),
-                peers: dialed.address,
+                peers: opened.address,
             },
-            zone: parts.zone,
-            region: parts.region,
-            poll: parts.timers.poll,
-            roster: parts.timers.roster,
+            zone: components.zone,
+            region: components.region,
+            poll: components.timers.poll,
+            roster: components.timers.roster,
             seed,
         };
         let tasks = vec![
-            tokio::spawn(spread::run(Arc::clone(&core))),
-            tokio::spawn(follow.run()),
-            tokio::spawn(share::run(Arc::clone(&core))),
-            tokio::spawn(sweep(parts.backend)),
+            tokio::spawn(propagate::run(Arc::clone(&core))),
+            tokio::spawn(store_poll.run()),
+            tokio::spawn(slot_reports::run(Arc::clone(&core))),
+            tokio::spawn(sweep_idle_connections(components.backend)),
         ];
         Ok(Self {
             core,
-            front,
+            server,
             admin,
             tasks,
-            grace: parts.timers.grace,
+            grace: components.timers.grace,
         })
     }
 
-    /// Where callers are served.
+    /// The address for callers.
     pub fn callers(&self) -> SocketAddr {
-        self.front.address()
+        self.server.address()
     }
 
-    /// Where operators are served.
+    /// The address for operators.
     pub fn admin(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// The newest change in force at the gates.
-    pub fn in_force(&self) -> Seq {
-        self.core.in_force()
+    /// The newest change that has been applied to the dispatchers.
+    pub fn applied_seq(&self) -> Seq {
+        self.core.applied_seq()
     }
 
-    /// Requests that wait at the gates.
+    /// Queued requests.
     pub fn waiting(&self) -> usize {
-        self.core.gates.waiting()
+        self.core.dispatchers.waiting()
     }
 
-    /// Whether the balancer should send callers here.
+    /// Whether the load balancer should send callers here.
     pub fn is_ready(&self) -> bool {
         self.core.is_ready()
     }
 
-    /// Stops gracefully: no request in flight is cut, no outcome left unwritten.
+    /// Stops gracefully: no request in flight is interrupted, no outcome left unwritten.
     ///
-    /// Readiness goes first and the listener stays open for the grace time, because a balancer goes
-    /// on sending until its next check; a listener that closed at once would refuse those callers.
+    /// The entry first stops being ready, and the listener stays open for the grace time, because a
+    /// load balancer continues to send requests until its next check; if the listener closed
+    /// immediately, those callers would be refused.
     pub async fn stop(self) {
         self.core.stopping.store(true, Ordering::Relaxed);
         if let Some(controller) = self.core.controller.get() {
             controller.stop().await;
         }
-        self.front.retire();
+        self.server.disable_keep_alive();
         sleep(self.grace).await;
-        self.front.stop().await;
+        self.server.stop().await;
         for task in &self.tasks {
             task.abort();
         }
-        follow::deregister(&self.core).await;
+        store_poll::deregister(&self.core).await;
         if let Some(link) = self.core.link.get() {
             link.close().await;
         }
         self.admin.stop().await;
     }
 
-    /// Ends at once, as a killed process would: nothing is finished, nothing is said to anyone.
+    /// Stops immediately, as a killed process would: nothing is finished and nobody is notified.
     pub async fn abort(self) {
         if let Some(controller) = self.core.controller.get() {
             controller.abort();
@@ -190,7 +206,7 @@
         for task in &self.tasks {
             task.abort();
         }
-        self.front.abort();
+        self.server.abort();
         self.admin.abort();
         if let Some(link) = self.core.link.get() {
             link.close().await;
@@ -198,9 +214,9 @@
     }
 }
 
-async fn sweep(backend: Arc<dyn Backend>) {
+async fn sweep_idle_connections(backend: Arc<dyn Backend>) {
     loop {
-        sleep(SWEEP).await;
+        sleep(IDLE_SWEEP_INTERVAL).await;
         backend.sweep();
     }
 }
--- a/crates/serve/src/fields.rs
+++ b/crates/serve/src/fields.rs
@@ -112,7 +112,7 @@
 
 fn path(limits: &Limits) -> PathOptions {
     PathOptions {
-        body_bytes: usize::try_from(limits.body_bytes).unwrap_or(usize::MAX),
+        max_body_bytes: usize::try_from(limits.body_bytes).unwrap_or(usize::MAX),
         timeouts: Timeouts {
             default: limits.default_timeout,
             max: limits.max_timeout,
@@ -123,9 +123,9 @@
 
 fn front(limits: &Limits) -> FrontOptions {
     FrontOptions {
-        head_bytes: limits.head_bytes as usize,
+        max_head_bytes: limits.head_bytes as usize,
         head_timeout: limits.head_timeout,
-        connections: limits.caller_connections as usize,
+        max_connections: limits.caller_connections as usize,
         ..FrontOptions::default()
     }
 }
--- a/crates/serve/src/parts.rs
+++ b/crates/serve/src/parts.rs
@@ -6,10 +6,10 @@
 use primroseroute_audit::Keep;
 use primroseroute_controller::HttpProbe;
 use primroseroute_domain::time::SystemClock;
-use primroseroute_entry::{Dial, Dialed, Parts};
+use primroseroute_entry::{Components, Dial, Dialed};
 use primroseroute_peer::{Address, Local, proof::Key, report::Identity, rpc};
 use primroseroute_platform::http::Client;
-use primroseroute_route::backend::Pool;
+use primroseroute_route::backend::ConnectionPool;
 use primroseroute_settings::secret::Secrets;
 use primroseroute_telemetry::Meter;
 use std::{net::SocketAddr, sync::Arc};
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 /// Where a secret is missing, the platform's URL cannot be used, or randomness cannot be had.
-pub(crate) fn build(fields: Fields, secrets: &Secrets) -> Result<Parts> {
+pub(crate) fn build(fields: Fields, secrets: &Secrets) -> Result<Components> {
     let environment = |name: &str| std::env::var(name).ok();
     let secrets = secrets.resolve(&environment).map_err(|missing| {
         let lines: Vec<String> = missing.iter().map(ToString::to_string).collect();
@@ -61,7 +61,7 @@
         key: Key::new(secrets.peer_key.expose()).wrap_err("reading the peer key")?,
         peers: fields.peers,
     };
-    Ok(Parts {
+    Ok(Components {
         identity,
         zone: fields.zone,
         region: Some(fields.region),
@@ -72,15 +72,15 @@
         instances: Arc::clone(&client) as _,
         tasks: client,
         probe: Arc::new(HttpProbe::new(fields.health_path)),
-        backend: Arc::new(Pool::open()),
+        backend: Arc::new(ConnectionPool::new()),
         dial: Box::new(dial),
         clock: Arc::new(SystemClock),
         seed: rand::random(),
         operators: Tokens(secrets.operators),
         meter: Meter::open().wrap_err("opening the metrics")?,
         flow: fields.flow,
-        path: fields.path,
-        front: fields.front,
+        request_options: fields.path,
+        server_options: fields.front,
         membership: fields.membership,
         timers: fields.timers,
         controller: fields.controller,
--- a/crates/testbed/src/parts.rs
+++ b/crates/testbed/src/parts.rs
@@ -6,9 +6,9 @@
 use primroseroute_audit::Keep;
 use primroseroute_controller::{HttpProbe, Timers as ControllerTimers, jobs::Settings};
 use primroseroute_domain::{id, time::SystemClock};
-use primroseroute_entry::{Dial, Dialed, Listen, Parts, Timers};
+use primroseroute_entry::{Components, Dial, Dialed, Listen, Timers};
 use primroseroute_peer::{Local, memory::Network, report::Identity};
-use primroseroute_route::backend::Pool;
+use primroseroute_route::backend::ConnectionPool;
 use primroseroute_standin::{backend::HEALTH_PATH, platform::Platform};
 use primroseroute_telemetry::Meter;
 use std::{net::SocketAddr, sync::Arc, time::Duration};
@@ -31,13 +31,13 @@
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 /// The parts of the entry `name` of a site.
-pub(crate) fn parts(name: id::Entry, platform: &Platform, network: &Network) -> Parts {
+pub(crate) fn parts(name: id::Entry, platform: &Platform, network: &Network) -> Components {
     let incarnation = Uuid::new_v4();
     let mut seed = [0; 32];
     seed[..16].copy_from_slice(incarnation.as_bytes());
     seed[16..].copy_from_slice(Uuid::new_v4().as_bytes());
     let operator = ("test".into(), token_hash(OPERATOR_TOKEN));
-    Parts {
+    Components {
         zone: "zone-0".parse().expect("a zone's name is valid"),
         region: None,
         listen: Listen {
@@ -55,15 +55,15 @@
         objects: Arc::new(platform.client(name.as_str())),
         keep: Keep::default(),
         probe: Arc::new(HttpProbe::new(HEALTH_PATH)),
-        backend: Arc::new(Pool::open()),
+        backend: Arc::new(ConnectionPool::new()),
         dial: Box::new(Join(network.clone())),
         clock: Arc::new(SystemClock),
         seed,
         operators: Tokens([operator].into()),
         meter: Meter::open().expect("instruments open"),
         flow: primroseroute_flow::limits::Limits::default(),
-        path: primroseroute_route::Options::default(),
-        front: primroseroute_front::Options::default(),
+        request_options: primroseroute_route::Options::default(),
+        server_options: primroseroute_front::Options::default(),
         membership: primroseroute_peer::membership::Limits::default(),
         timers: Timers {
             poll: Duration::from_millis(200),
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -13,7 +13,7 @@
     instance::{Row, State},
     time::{Clock, SystemClock},
 };
-use primroseroute_entry::{Entry, Parts};
+use primroseroute_entry::{Components, Entry};
 use primroseroute_ledger::{Draft, Ledger, key};
 use primroseroute_peer::memory::Network;
 use primroseroute_platform::fleet::{Listed, Phase};
@@ -200,7 +200,7 @@
     pub async fn start_with(
         &mut self,
         name: &str,
-        change: impl FnOnce(Parts) -> Parts,
+        change: impl FnOnce(Components) -> Components,
     ) -> Result<()> {
         let name: id::Entry = name.parse()?;
         let parts = change(parts(name.clone(), &self.platform, &self.network));
@@ -304,7 +304,7 @@
         until("a change is in force everywhere", || {
             self.entries
                 .values()
-                .all(|running| running.entry.in_force() >= seq)
+                .all(|running| running.entry.applied_seq() >= seq)
         })
         .await
     }
