--- a/crates/domain/src/account.rs
+++ b/crates/domain/src/account.rs
@@ -1,24 +1,24 @@
-//! A client account's template: what operators fill in and the system holds.
+//! Templates of client accounts: the configuration that operators write and the system enforces.
 //!
-//! A template names the pools that the account promises capacity on, the services placed on each
-//! pool, the availability budget of each pool, and the account's fair share. Checks that concern
-//! one template are in [`Template::check`]; checks across accounts (a service on two pools, a host
-//! name taken twice) are in [`check_together`].
+//! A template lists the account's pools, the services placed on each pool, the availability budget
+//! of each pool, and the account's fair share. [`Template::check`] validates one template;
+//! [`check_together`] validates all of them together (a service on two pools, a host name used
+//! twice).
 
 use crate::id;
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, fmt, sync::Arc};
 
-/// Largest fair share: shares are ratios, and a wider range would starve the smallest account.
+/// Maximum fair share. Shares are ratios, and a wider range would starve the smallest account.
 pub const MAX_SHARE: u32 = 10_000;
 
-/// The failure domain whose sudden loss a pool's promise must survive.
+/// The failure domain whose sudden loss must leave a pool's promised capacity intact.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Survive {
-    /// Nothing beyond the instances that are already absent.
+    /// No loss beyond the instances that are already absent.
     Nothing,
     /// The loss of the worst rack.
     #[default]
@@ -27,48 +27,48 @@
     Zone,
 }
 
-/// An availability budget: what may be absent from a pool and what must stay.
+/// An availability budget: how many instances of a pool must serve and how many may be absent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Budget {
-    /// Instances that must be serving at every moment.
+    /// Minimum number of serving instances at any time.
     pub promised: u32,
-    /// Instances that planned work may hold absent at the same time.
+    /// Maximum number of instances that planned work may make unavailable at the same time.
     pub max_absent: u32,
-    /// The further loss that must still leave `promised` instances.
+    /// Additional loss after which `promised` instances must still be serving.
     #[serde(default)]
     pub survive: Survive,
 }
 
-/// How urgent a service's requests are.
+/// Priority class of a service's requests.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// Somebody waits for the answer.
+    /// Interactive: a caller is waiting for the response.
     #[default]
     Urgent,
-    /// It may wait, and must finish.
+    /// May be delayed, but must complete.
     Deferrable,
 }
 
-/// A service: how callers name it and who may call it.
+/// A service: how requests are routed to it and who may call it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Service {
-    /// Its name, unique over all accounts.
+    /// Name, unique across all accounts.
     pub name: id::Service,
-    /// Host names that select it, unique over all accounts.
+    /// Host names that select it, unique across all accounts.
     #[serde(default)]
     pub hosts: Vec<Arc<str>>,
-    /// Path prefix that selects it, such as `/lookup`; whole segments match.
+    /// Path prefix that selects it, such as `/lookup`; matches whole segments only.
     #[serde(default)]
     pub path_prefix: Option<Arc<str>>,
     /// Other accounts that may call it.
     #[serde(default)]
     pub callers: Vec<id::Account>,
-    /// How urgent its requests are.
+    /// Priority class of its requests.
     #[serde(default)]
     pub class: Class,
 }
@@ -77,9 +77,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Pool {
-    /// Its name, unique over all accounts.
+    /// Name, unique across all accounts.
     pub name: id::Pool,
-    /// What must stay available.
+    /// Availability budget.
     pub budget: Budget,
     /// The services placed on it.
     #[serde(default)]
@@ -92,7 +92,7 @@
 pub struct TokenHash(pub Arc<str>);
 
 impl fmt::Debug for TokenHash {
-    /// Shows only the first digits: enough to tell two hashes apart in a log.
+    /// Prints only the first digits, which is enough to tell two hashes apart in a log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}…", self.0.get(..8).unwrap_or(""))
     }
@@ -115,7 +115,7 @@
     pub account: id::Account,
     /// Fair share relative to other accounts, 1 to [`MAX_SHARE`].
     pub share: u32,
-    /// Hashes of the bearer tokens that callers of the account show.
+    /// Hashes of the bearer tokens that authenticate the account's callers.
     #[serde(default)]
     pub tokens: Vec<TokenHash>,
     /// The account's pools.
@@ -123,11 +123,11 @@
     pub pools: Vec<Pool>,
 }
 
-/// One fault of a template: where it is and what was expected there.
+/// One validation error in a template.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Path to the faulty value, such as `pools[1].budget.promised`.
+    /// Path of the invalid value, such as `pools[1].budget.promised`.
     pub at: String,
     /// What was expected.
     pub expected: String,
@@ -147,7 +147,7 @@
 }
 
 impl Template {
-    /// Every fault of this template on its own; empty where it is valid.
+    /// All validation errors of this template by itself; empty if it is valid.
     pub fn check(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         if !(1..=MAX_SHARE).contains(&self.share) {
@@ -217,7 +217,7 @@
             }
         }
         if let Some(prefix) = &self.path_prefix
-            && !is_prefix(prefix)
+            && !is_valid_path_prefix(prefix)
         {
             faults.push(fault(
                 format!("{at}.path-prefix"),
@@ -227,7 +227,7 @@
     }
 }
 
-fn is_prefix(text: &str) -> bool {
+fn is_valid_path_prefix(text: &str) -> bool {
     text.strip_prefix('/').is_some_and(|rest| {
         rest.split('/').all(|segment| {
             !segment.is_empty()
@@ -238,25 +238,26 @@
     })
 }
 
-/// Every fault between templates: names, hosts and prefixes that are taken twice, unknown callers.
+/// All conflicts between templates: duplicate names, hosts, prefixes and tokens, and unknown callers.
 ///
-/// `templates` holds the accounts as they would be after the change. Faults name the account first,
-/// such as `gojo.pools[0].name`.
+/// `templates` holds all accounts as they would be after the change. The paths of the faults begin
+/// with the account, such as `gojo.pools[0].name`.
 pub fn check_together(templates: &BTreeMap<id::Account, Template>) -> Vec<Fault> {
     let mut faults = Vec::new();
-    let mut taken = BTreeMap::new();
-    let mut take = |kind: &'static str, name: &str, at: String, faults: &mut Vec<Fault>| {
-        let place = at.clone();
-        if let Some(first) = taken.insert((kind, name.to_owned()), at) {
-            faults.push(fault(
-                place,
-                format!("a {kind} of its own; `{name}` stands at {first}"),
-            ));
-        }
-    };
+    let mut seen = BTreeMap::new();
+    let mut require_unique =
+        |kind: &'static str, name: &str, at: String, faults: &mut Vec<Fault>| {
+            let path = at.clone();
+            if let Some(first) = seen.insert((kind, name.to_owned()), at) {
+                faults.push(fault(
+                    path,
+                    format!("a {kind} of its own; `{name}` stands at {first}"),
+                ));
+            }
+        };
     for (account, template) in templates {
         for (index, token) in template.tokens.iter().enumerate() {
-            take(
+            require_unique(
                 "token",
                 &token.0,
                 format!("{account}.tokens[{index}]"),
@@ -265,7 +266,7 @@
         }
         for (p, pool) in template.pools.iter().enumerate() {
             let at = format!("{account}.pools[{p}]");
-            take(
+            require_unique(
                 "pool",
                 pool.name.as_str(),
                 format!("{at}.name"),
@@ -273,17 +274,17 @@
             );
             for (s, service) in pool.services.iter().enumerate() {
                 let at = format!("{at}.services[{s}]");
-                take(
+                require_unique(
                     "service",
                     service.name.as_str(),
                     format!("{at}.name"),
                     &mut faults,
                 );
                 for host in &service.hosts {
-                    take("host", host, format!("{at}.hosts"), &mut faults);
+                    require_unique("host", host, format!("{at}.hosts"), &mut faults);
                 }
                 if let Some(prefix) = &service.path_prefix {
-                    take(
+                    require_unique(
                         "path-prefix",
                         prefix,
                         format!("{at}.path-prefix"),
--- a/crates/domain/src/change.rs
+++ b/crates/domain/src/change.rs
@@ -1,15 +1,15 @@
-//! One accepted change: the audit record and the delta that entries follow.
+//! Committed changes: each is both an audit record and the delta that entries apply.
 //!
 //! Every change to an account, an instance, a wave or a job commits, in one transaction, the rows
-//! themselves, one [`Record`] under `change/<seq>`, and the head row that names the newest `seq`.
-//! The transaction is conditional on the head, so changes have one total order, no accepted change
-//! is ever overwritten unseen, and a reader that has seen `seq` n needs only the records after n.
+//! themselves, one [`Record`] under `change/<seq>`, and the head row that holds the newest `seq`.
+//! The transaction is conditional on the head, so changes are totally ordered, no writer can
+//! overwrite a change that it has not read, and a reader at `seq` n needs only the records after n.
 
 use crate::time::Instant;
 use serde::{Deserialize, Serialize};
 use std::{fmt, sync::Arc};
 
-/// The place of a change in the total order of changes; 0 is the empty table.
+/// Sequence number of a change in the total order of changes; 0 denotes the empty table.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,7 +17,7 @@
 pub struct Seq(pub u64);
 
 impl Seq {
-    /// The place after this one.
+    /// The next sequence number.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
@@ -35,26 +35,27 @@
 pub struct Edit {
     /// The row's table key.
     pub key: Arc<str>,
-    /// The row's version before the change; none where the change created the row.
+    /// Version of the row before the change; `None` if the change created the row.
     pub before: Option<Seq>,
-    /// The row's JSON after the change; none where the change deleted the row.
+    /// JSON of the row after the change; `None` if the change deleted the row.
     pub after: Option<Arc<str>>,
 }
 
-/// One accepted change.
+/// One committed change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
-    /// Its place in the order.
+    /// Sequence number of the change.
     pub seq: Seq,
-    /// When it was made, by the writer's clock.
+    /// Time of the change by the writer's clock.
     pub at: Instant,
     /// Who made it: `operator:NAME` or `controller:ENTRY`.
     pub actor: Arc<str>,
-    /// Why, for people.
+    /// Human-readable reason.
     pub reason: Arc<str>,
-    /// Identifies this attempt, so that a writer whose answer was lost finds its own change again.
+    /// Unique id of this write, by which a writer whose commit response was lost recognises its own
+    /// change.
     pub operation: uuid::Uuid,
-    /// The rows that it wrote.
+    /// The rows that it wrote or deleted.
     pub edits: Vec<Edit>,
 }
--- a/crates/domain/src/id.rs
+++ b/crates/domain/src/id.rs
@@ -1,16 +1,16 @@
-//! Validated names, one type for each kind of thing that is named.
+//! Validated names, with a distinct type for each kind of entity.
 //!
 //! A name is 1 to [`MAX_LEN`] characters of `a-z`, `0-9`, `-` and `.`, and starts and ends with a
-//! letter or digit. That alphabet is safe in a host name, a URL path, a metric label and a table
-//! key, so no layer has to escape a name.
+//! letter or digit. These characters are safe in host names, URL paths, metric labels and table
+//! keys, so no layer has to escape a name.
 
 use serde::{Deserialize, Serialize};
 use std::{fmt, str::FromStr, sync::Arc};
 
-/// Longest name in bytes: the limit of one DNS label, since a service may be a host name.
+/// Maximum length of a name in bytes: the limit of one DNS label, since a service may be a host name.
 pub const MAX_LEN: usize = 63;
 
-/// Why a string is not a name.
+/// Error for a string that is not a valid name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "`{given}` is not a name: 1 to {MAX_LEN} of a-z, 0-9, `-`, `.`, starting and ending with a letter or digit"
@@ -95,11 +95,11 @@
     Service
 }
 id! {
-    /// An instance, which is also a worker when it is seen as the place where work runs.
+    /// An instance; called a worker where its role of running work matters.
     Instance
 }
 id! {
-    /// A rack: the smallest correlated failure domain.
+    /// A rack, the smallest correlated failure domain.
     Rack
 }
 id! {
@@ -107,7 +107,7 @@
     Zone
 }
 id! {
-    /// An entry instance of this system.
+    /// An entry: one instance of this system.
     Entry
 }
 id! {
--- a/crates/domain/src/instance.rs
+++ b/crates/domain/src/instance.rs
@@ -1,36 +1,36 @@
-//! An instance's row: its one pool, its state, and its place.
+//! Instance rows: pool, lifecycle state and location of each instance.
 //!
-//! I1, an instance belongs to exactly one pool, holds in the table by construction: the pool is a
-//! field of the one row. [`State`] lists what an instance can be doing; [`State::may_become`] is
-//! the only table of legal transitions.
+//! Invariant I1, that an instance belongs to exactly one pool, holds in the table by construction:
+//! the pool is a field of the instance's single row. [`State::may_become`] is the only definition of
+//! the legal state transitions.
 
 use crate::{id, time::Instant};
 use serde::{Deserialize, Serialize};
 use std::{fmt, net::SocketAddr};
 
-/// Requests that one worker runs at the same time, over all entries (the brief's 8 slots).
+/// Maximum number of concurrent requests on one worker, across all entries; given by the specification.
 pub const SLOTS: u32 = 8;
 
-/// Connections that one worker accepts in total, over all entries (the brief's 64).
+/// Maximum number of connections that one worker accepts, across all entries; given by the specification.
 pub const CONNECTIONS: u32 = 64;
 
-/// What an instance is doing.
+/// Lifecycle state of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// Seen in the platform's list; not yet checked.
+    /// Listed by the platform; not yet health-checked.
     Arriving,
-    /// Under health checks; gets no caller's request.
+    /// Being health-checked; receives no caller requests.
     Probation,
-    /// In a pool and open to requests.
+    /// In a pool and accepting requests.
     Serving,
-    /// Still in its pool; gets nothing new and finishes what is in flight.
+    /// Still in its pool; receives no new requests and completes those in flight.
     Draining,
     /// Being rebooted.
     Maintenance,
-    /// Out of use because it failed; an operator or later health checks decide.
+    /// Taken out of service after a failure, until an operator or later health checks release it.
     Quarantined,
-    /// Going away for good.
+    /// Being removed permanently.
     Leaving,
 }
 
@@ -40,7 +40,7 @@
         self == Self::Serving
     }
 
-    /// The states that may come next.
+    /// The legal successor states.
     pub fn successors(self) -> &'static [Self] {
         use State::{Arriving, Draining, Leaving, Maintenance, Probation, Quarantined, Serving};
         match self {
@@ -74,17 +74,17 @@
     }
 }
 
-/// Why an instance is draining, which decides where it goes next.
+/// Why an instance is draining; determines its next state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Purpose {
-    /// An operator took it out; it stays until it is released.
+    /// An operator took it out of service; it stays out until released.
     Operator,
-    /// It moves to another pool once nothing is in flight.
+    /// It moves to another pool once no request is in flight.
     Move(id::Pool),
     /// It reboots as part of a wave.
     Wave(id::Wave),
-    /// The platform takes it away.
+    /// The platform is removing it.
     Leave,
 }
 
@@ -92,24 +92,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Row {
-    /// Its name in the platform's list.
+    /// Name in the platform's list of instances.
     pub id: id::Instance,
-    /// Where its backend server listens.
+    /// Address that its backend server listens on.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: id::Zone,
     /// Its rack.
     pub rack: id::Rack,
-    /// Its one pool; none before it was first placed.
+    /// Its pool; `None` until it is first placed.
     pub pool: Option<id::Pool>,
-    /// What it is doing.
+    /// Lifecycle state.
     pub state: State,
-    /// Why it drains or was drained; none while it serves.
+    /// Why it is draining or was drained; `None` while it is serving.
     #[serde(default)]
     pub purpose: Option<Purpose>,
-    /// When the state was entered, by the writer's clock.
+    /// Time of the last state transition by the writer's clock.
     pub since: Instant,
-    /// When it last finished maintenance.
+    /// When its last maintenance ended.
     #[serde(default)]
     pub maintained: Option<Instant>,
 }
--- a/crates/domain/src/outcome.rs
+++ b/crates/domain/src/outcome.rs
@@ -1,26 +1,27 @@
 //! Numbered result codes and what a caller may conclude from each.
 //!
-//! `docs/result-codes.md` holds the table; a test keeps it and [`Code::ALL`] the same. The hundreds
-//! group the codes: 1 the request, 2 admission, 3 the backend server, 4 at-most-once claims, 5
+//! `docs/result-codes.md` documents the codes; a test compares that table with [`Code::ALL`]. The
+//! hundreds digit is the category: 1 the request, 2 admission, 3 the backend server, 4 at-most-once claims, 5
 //! configuration and fleet changes, 6 the platform's store, 7 peers and entries, 8 waves, 9 jobs.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What became of a caller's request.
+/// Whether a caller's request was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// The backend server answered and the whole answer is here.
+    /// The backend server responded and the response is complete.
     Completed,
-    /// Proven: no byte of the request can have been executed, so it is safe to send again.
+    /// No part of the request can have been executed, so it is safe to send again.
     NotRun,
-    /// It may have run. Sending the same key again asks for the outcome and runs nothing twice.
+    /// It may have been executed. A retry with the same idempotency key asks for the outcome and
+    /// executes nothing twice.
     Unknown,
 }
 
 impl Verdict {
-    /// The text of the outcome header.
+    /// Value of the outcome header.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Completed => "completed",
@@ -46,25 +47,25 @@
         }
 
         impl Code {
-            /// Every code, in the order of its number.
+            /// All codes in ascending order of their numbers.
             pub const ALL: &[Self] = &[$(Self::$name),+];
 
-            /// The number that operators search for.
+            /// Stable number, by which operators look a code up.
             pub fn number(self) -> u16 {
                 match self { $(Self::$name => $number),+ }
             }
 
-            /// The HTTP status that carries the code.
+            /// HTTP status of responses with this code.
             pub fn status(self) -> u16 {
                 match self { $(Self::$name => $status),+ }
             }
 
-            /// What the caller may conclude when the code is the final answer.
+            /// What the caller may conclude when this code is the final result.
             pub fn verdict(self) -> Verdict {
                 match self { $(Self::$name => Verdict::$verdict),+ }
             }
 
-            /// One line for people.
+            /// One-line human-readable description.
             pub fn title(self) -> &'static str {
                 match self { $(Self::$name => $title),+ }
             }
@@ -144,19 +145,19 @@
     }
 }
 
-/// A refusal or failure with its numbered code and what is particular to the case.
+/// A rejection or failure: a result code with the details of the case.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(deny_unknown_fields)]
 #[error("{code}: {detail}")]
 pub struct Refusal {
     /// The numbered code.
     pub code: Code,
-    /// What is particular to the case, for people; never a secret.
+    /// Human-readable details of the case; never contains a secret.
     pub detail: String,
 }
 
 impl Refusal {
-    /// A refusal with `code` and its particulars.
+    /// Creates a refusal from a code and its details.
     pub fn new(code: Code, detail: impl Into<String>) -> Self {
         Self {
             code,
--- a/crates/domain/src/time.rs
+++ b/crates/domain/src/time.rs
@@ -1,7 +1,7 @@
-//! Wall-clock instants for rows and reports.
+//! Wall-clock timestamps for rows and reports.
 //!
-//! Decisions that must be safe never compare instants of two machines; they use revisions and
-//! epochs. Instants order history for people and pace work within one process.
+//! Safety-critical decisions never compare the clocks of two machines; they use revisions and
+//! epochs. Timestamps order history for human readers and schedule work within one process.
 
 use serde::{Deserialize, Serialize};
 use std::{
@@ -9,7 +9,7 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-/// A wall-clock instant: milliseconds since the Unix epoch.
+/// A wall-clock timestamp in milliseconds since the Unix epoch.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,33 +17,33 @@
 pub struct Instant(pub u64);
 
 impl Instant {
-    /// The time since `earlier`, or zero where `earlier` is later.
+    /// Time elapsed since `earlier`; zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// The instant `later` after this one.
+    /// The instant `later` after `self`; saturates at the maximum.
     pub fn after(self, later: Duration) -> Self {
         let millis = u64::try_from(later.as_millis()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(millis))
     }
 }
 
-/// A source of wall-clock instants, handed in so that tests can drive it.
+/// A source of wall-clock time, injected so that tests can control it.
 pub trait Clock: Send + Sync + fmt::Debug {
-    /// The instant now.
+    /// The current time.
     fn now(&self) -> Instant;
 }
 
-/// The machine's own clock.
+/// The system clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
 impl Clock for SystemClock {
     fn now(&self) -> Instant {
-        let since = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        Instant::default().after(since)
+        Instant::default().after(since_epoch)
     }
 }
--- a/crates/domain/src/work.rs
+++ b/crates/domain/src/work.rs
@@ -1,4 +1,5 @@
-//! Jobs as callers describe them: steps of tasks with demands, order and placement wishes.
+//! Jobs as callers submit them: steps of tasks with resource demands, dependencies and placement
+//! constraints.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 use std::{borrow::Cow, fmt, sync::Arc};
@@ -6,27 +7,28 @@
 /// A shared immutable name.
 pub type Name = Arc<str>;
 
-/// Digits of a job's id.
+/// Number of hexadecimal digits of a job id.
 const ID_DIGITS: usize = 16;
 
-/// Longest payload of a job in bytes; what workers accept.
+/// Maximum size of a job's payload in bytes; workers accept no more.
 pub const MAX_PAYLOAD: usize = 4_000;
 
-/// Most steps of a job: far over any chain that can meet a deadline, and a bound on its row.
+/// Maximum number of steps of a job: far above any chain that can meet a deadline, and a bound on the
+/// size of its row.
 pub const MAX_STEPS: usize = 200;
 
-/// Most tasks of one occurrence: a progress row of 64 KiB holds about 1,000 entries of 60 bytes.
+/// Maximum number of tasks of one occurrence: a progress row of 64 KiB holds about 1,000 entries of 60 bytes.
 pub const MAX_TASKS: u64 = 1_000;
 
-/// A job's id: 16 hexadecimal digits that its caller chose.
+/// A job id: 16 hexadecimal digits chosen by the caller.
 ///
-/// Owners order thousands of tasks by it, many times a second: the digits lie in the id itself, so that comparing two reads no
-/// other memory.
+/// The digits are stored inline, since owners sort thousands of tasks by id many times a second and a comparison must not
+/// follow a pointer.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId([u8; ID_DIGITS]);
 
 impl JobId {
-    /// Reads an id; `None` where `text` isn't 16 hexadecimal digits.
+    /// Parses an id; `None` if `text` is not exactly 16 hexadecimal digits.
     pub fn parse(text: &str) -> Option<Self> {
         let digits: [u8; ID_DIGITS] = text.as_bytes().try_into().ok()?;
         let valid = digits.iter().all(u8::is_ascii_hexdigit);
@@ -36,7 +38,7 @@
     /// The id as text.
     ///
     /// # Panics
-    /// Never: an id holds nothing but digits.
+    /// Never: an id consists of ASCII digits only.
     pub fn as_str(&self) -> &str {
         std::str::from_utf8(&self.0).expect("hexadecimal digits are ASCII")
     }
@@ -101,7 +103,7 @@
 }
 
 impl TaskId {
-    /// The step that the task is one of.
+    /// The step that the task belongs to.
     pub fn step_id(&self) -> StepId {
         StepId {
             job: self.job.clone(),
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Reads `JOB.OCCURRENCE.STEP.INDEX`.
+    /// Parses `JOB.OCCURRENCE.STEP.INDEX`.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.split('.');
         let task = Self {
@@ -135,25 +137,27 @@
     }
 }
 
-/// What a task occupies, or what a worker has.
+/// Resources that a task uses, or that a worker has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Demand {
-    /// Thousandths of a core.
+    /// Processor time in thousandths of a core.
     pub cpu: u64,
     /// Memory in MB.
     pub memory: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u64,
 }
 
 impl Demand {
-    /// Whether `self` fits into `room`.
-    pub fn fits(self, room: Self) -> bool {
-        self.cpu <= room.cpu && self.memory <= room.memory && self.accelerators <= room.accelerators
+    /// Whether `self` fits into `capacity`.
+    pub fn fits(self, capacity: Self) -> bool {
+        self.cpu <= capacity.cpu
+            && self.memory <= capacity.memory
+            && self.accelerators <= capacity.accelerators
     }
 
-    /// Both together.
+    /// Componentwise sum.
     pub fn plus(self, other: Self) -> Self {
         Self {
             cpu: self.cpu + other.cpu,
@@ -162,7 +166,7 @@
         }
     }
 
-    /// The larger of both, in each respect.
+    /// Componentwise maximum.
     pub fn larger(self, other: Self) -> Self {
         Self {
             cpu: self.cpu.max(other.cpu),
@@ -171,7 +175,7 @@
         }
     }
 
-    /// What is left of `self` without `other`, at least nothing.
+    /// Componentwise difference, saturating at zero.
     pub fn minus(self, other: Self) -> Self {
         Self {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -181,50 +185,50 @@
     }
 }
 
-/// A group of like tasks.
+/// A group of identical tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each is a wish of the caller's, independent of the others"
+    reason = "each is an independent option of the caller"
 )]
 pub struct Step {
     /// Number of tasks.
     pub count: u16,
-    /// What each occupies.
+    /// Resource demand of each task.
     pub demand: Demand,
-    /// Rough duration of a task in milliseconds.
+    /// Estimated duration of a task in milliseconds.
     pub estimate_ms: u64,
-    /// Earlier steps that must have ended first.
+    /// Indices of earlier steps that must have ended before this one starts.
     pub after: Vec<u16>,
     /// Whether its tasks write checkpoints.
     pub checkpoints: bool,
-    /// Whether its tasks work only together.
+    /// Whether its tasks can only run all at the same time (gang scheduling).
     pub gang: bool,
-    /// Whether its tasks are slower when spread over racks.
+    /// Whether its tasks are slower when spread over several racks.
     pub same_rack: bool,
-    /// Label that a worker must have.
+    /// Label that its workers must have.
     pub label: Option<Name>,
-    /// Rack where the data is.
+    /// Rack that holds the input data.
     pub rack: Option<Name>,
-    /// Most of its tasks on one worker; 0 for any number.
+    /// Maximum number of its tasks on one worker; 0 for no limit.
     pub most_per_worker: u16,
-    /// Whether copies of a task may run side by side.
+    /// Whether several copies of a task may run at the same time (speculative execution).
     pub speculative: bool,
-    /// Whether its tasks run until the job is cancelled.
+    /// Whether its tasks are long-running: they run until the job is cancelled.
     pub lasting: bool,
-    /// What its tasks run; tasks of one image behave alike.
+    /// Image that its tasks run; tasks of the same image are expected to behave alike.
     pub image: Option<Name>,
-    /// Response time in milliseconds that the tail of a lasting task must stay under; 0 for none.
+    /// Tail latency in milliseconds that a long-running task must stay below; 0 for no target.
     pub target_ms: u64,
-    /// Whether its tasks use only the processor time that others leave.
+    /// Whether its tasks use only processor time that other tasks leave idle.
     pub filler: bool,
-    /// How many of its tasks planned work may keep away at a time; 0 where nothing was promised.
+    /// How many of its tasks planned work may make unavailable at a time; 0 where nothing was promised.
     pub may_miss: u16,
 }
 
 impl Step {
-    /// What a task occupies of a worker's capacity: the processor share of a filler isn't counted.
+    /// Resources reserved on a worker for each task; a filler reserves no processor time.
     pub fn reserved(&self) -> Demand {
         let cpu = if self.filler { 0 } else { self.demand.cpu };
         Demand { cpu, ..self.demand }
@@ -237,54 +241,54 @@
 pub struct Schedule {
     /// Number of occurrences.
     pub times: u32,
-    /// Due time of the first, in milliseconds since 1970.
+    /// Due time of the first occurrence, in milliseconds since the Unix epoch.
     pub first_ms: u64,
-    /// Time from one to the next in milliseconds.
+    /// Interval between occurrences in milliseconds.
     pub interval_ms: u64,
 }
 
 impl Schedule {
-    /// Due time of `occurrence`, in milliseconds since 1970.
+    /// Due time of `occurrence`, in milliseconds since the Unix epoch.
     pub fn due_ms(self, occurrence: u32) -> u64 {
         let offset = self.interval_ms.saturating_mul(u64::from(occurrence));
         self.first_ms.saturating_add(offset)
     }
 }
 
-/// A job as its caller submits it.
+/// A job as submitted by its caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Job {
-    /// Text that its tasks are started with.
+    /// Text passed to each of its tasks at start.
     pub payload: Arc<str>,
     /// Its steps.
     pub steps: Vec<Step>,
-    /// Its schedule, for a job that runs several times.
+    /// Schedule of a recurring job.
     pub schedule: Option<Schedule>,
 }
 
-/// Why a job cannot be accepted.
+/// Why a job is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
     /// The payload is too long.
     #[error("the payload has {0} bytes; at most {MAX_PAYLOAD} are accepted")]
     Payload(usize),
-    /// There are no steps, or too many.
+    /// The job has no steps, or too many.
     #[error("{0} steps; from 1 to {MAX_STEPS} are accepted")]
     Steps(usize),
-    /// There are too many tasks.
+    /// The job has too many tasks.
     #[error("{0} tasks; at most {MAX_TASKS} are accepted")]
     Tasks(u64),
     /// A step has no tasks.
     #[error("step {0} has no tasks")]
     Empty(usize),
-    /// A step waits for one that doesn't come before it; this rules out cycles too.
+    /// A step depends on one that does not precede it; rejecting this also rules out cycles.
     #[error("step {0} waits for step {1}, which doesn't come before it")]
     Order(usize, u16),
 }
 
 impl Job {
-    /// Whether its tasks run until it is cancelled.
+    /// Whether any of its steps is long-running, that is, runs until the job is cancelled.
     pub fn lasting(&self) -> bool {
         self.steps.iter().any(|step| step.lasting)
     }
@@ -294,10 +298,10 @@
         self.schedule.map_or(1, |schedule| schedule.times)
     }
 
-    /// Checks what can be checked without a configuration.
+    /// Validates everything that does not depend on the configuration.
     ///
     /// # Errors
-    /// The first [`Fault`].
+    /// The first [`Fault`] found.
     pub fn check(&self) -> Result<(), Fault> {
         if self.payload.len() > MAX_PAYLOAD {
             return Err(Fault::Payload(self.payload.len()));
@@ -309,9 +313,9 @@
             if step.count == 0 {
                 return Err(Fault::Empty(number));
             }
-            let late = |earlier: &&u16| usize::from(**earlier) >= number;
-            if let Some(later) = step.after.iter().find(late) {
-                return Err(Fault::Order(number, *later));
+            let not_earlier = |dependency: &&u16| usize::from(**dependency) >= number;
+            if let Some(dependency) = step.after.iter().find(not_earlier) {
+                return Err(Fault::Order(number, *dependency));
             }
         }
         let tasks = self.steps.iter().map(|step| u64::from(step.count)).sum();
@@ -321,19 +325,22 @@
         Ok(())
     }
 
-    /// Longest chain of estimates in milliseconds.
+    /// Length of the critical path in milliseconds, by the estimated durations.
     pub fn chain_ms(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
-            let ready = step.after.iter().map(|earlier| ends[usize::from(*earlier)]);
-            let start = ready.max().unwrap_or(0);
+            let dependency_ends = step
+                .after
+                .iter()
+                .map(|dependency| ends[usize::from(*dependency)]);
+            let start = dependency_ends.max().unwrap_or(0);
             ends.push(start + step.estimate_ms);
         }
         ends.into_iter().max().unwrap_or(0)
     }
 }
 
-/// What is shown of a job.
+/// State of a job as shown to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
@@ -341,16 +348,16 @@
     Pending,
     /// A task has started.
     Running,
-    /// All tasks have ended well.
+    /// All tasks have completed successfully.
     Completed,
-    /// A task has failed as often as its queue allows.
+    /// A task has used up the attempts that its queue allows.
     Failed,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
 impl State {
-    /// Whether nothing more will happen to the job.
+    /// Whether the state is terminal.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
     }
@@ -360,16 +367,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum End {
-    /// It did its work.
+    /// The run completed successfully.
     Done,
-    /// It failed, by its own fault or the worker's.
+    /// The run failed, through its own fault or the worker's.
     Failed,
-    /// It was told to stop.
+    /// The run was stopped on request.
     Stopped,
-    /// Its lease ran out.
+    /// The run's lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// It waited for the other members of its gang for too long.
+    /// The run timed out waiting for the other members of its gang.
     Alone,
 }
--- a/crates/domain/tests/all/codes.rs
+++ b/crates/domain/tests/all/codes.rs
@@ -1,14 +1,14 @@
-//! `docs/result-codes.md` and the code say the same.
+//! The result codes match `docs/result-codes.md`.
 
 use primroseroute_domain::outcome::Code;
 use std::{collections::BTreeSet, fs, path::Path};
 
 fn page() -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/result-codes.md");
-    fs::read_to_string(path).expect("the page is there")
+    fs::read_to_string(path).expect("the page is readable")
 }
 
-/// The cells of each row whose first one is a number.
+/// The cells of each table row that begins with a number.
 fn rows(page: &str) -> Vec<Vec<&str>> {
     page.lines()
         .map(|line| line.trim_matches('|').split('|').map(str::trim).collect())
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn page_lists_every_code_as_it_is() {
+fn page_lists_every_code_with_its_values() {
     let page = page();
     let rows = rows(&page);
     let listed: Vec<[String; 4]> = rows
         .iter()
         .map(|cells| std::array::from_fn(|cell| cells[cell].to_owned()))
         .collect();
-    let known: Vec<[String; 4]> = Code::ALL
+    let defined: Vec<[String; 4]> = Code::ALL
         .iter()
         .map(|code| {
             [
@@ -35,11 +35,11 @@
             ]
         })
         .collect();
-    assert_eq!(listed, known);
+    assert_eq!(listed, defined);
 }
 
 #[test]
-fn page_says_what_to_do_on_every_code() {
+fn page_documents_the_reaction_to_every_code() {
     for cells in rows(&page()) {
         assert_eq!(cells.len(), 5, "{cells:?}");
         assert!(cells[4].ends_with('.'), "{cells:?}");
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn numbers_are_used_once_and_ascend() {
+fn numbers_are_unique_and_ascending() {
     let numbers: Vec<u16> = Code::ALL.iter().map(|code| code.number()).collect();
     let distinct: BTreeSet<u16> = numbers.iter().copied().collect();
     assert_eq!(numbers.len(), distinct.len());
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_did_not_run_is_never_a_success() {
+fn every_code_has_an_error_status() {
     for code in Code::ALL {
         assert!((400..600).contains(&code.status()), "{code}");
     }
