--- a/crates/serve/src/cli.rs
+++ b/crates/serve/src/cli.rs
@@ -1,6 +1,6 @@
-//! The command line of the entry's process.
+//! Command line of the entry process.
 
-use crate::{Fields, parts, signal, site};
+use crate::{Fields, components, signal, site};
 use clap::{Parser, Subcommand};
 use eyre::{Result, WrapErr};
 use log::LevelFilter;
@@ -9,7 +9,7 @@
 use primroseroute_telemetry::log::Log;
 use std::{path::PathBuf, process::ExitCode};
 
-/// Serve callers, hold promises, and keep a fleet moving.
+/// Routes callers' requests and manages the capacity and maintenance of a fleet.
 #[derive(Debug, Parser)]
 #[command(name = "primroseroute", version, propagate_version = true)]
 pub struct Cli {
@@ -21,25 +21,25 @@
 enum Command {
     /// Run the entry until SIGTERM.
     Serve {
-        /// Its settings.
+        /// Path of the settings file.
         #[arg(long)]
         settings: PathBuf,
     },
     /// Run an entry on the users' platform until SIGTERM.
     Site {
-        /// The platform's settings file; without it, the file that the platform names.
+        /// Settings file in the platform's format; defaults to the file named by the platform.
         #[arg(long)]
         settings: Option<PathBuf>,
         /// Least severe level that is logged.
         #[arg(long, default_value = "info")]
         level: LevelFilter,
-        /// Port of the metrics; none are served without it.
+        /// Port to serve metrics on; without it, no metrics are served.
         #[arg(long)]
         metrics_port: Option<u16>,
     },
-    /// Report every fault of a settings file.
+    /// Validate a settings file and report all faults.
     Check {
-        /// The file.
+        /// Path of the settings file.
         #[arg(long, required_unless_present = "platform")]
         settings: Option<PathBuf>,
         /// A settings file in the platform's format, as `site` reads it.
@@ -50,13 +50,13 @@
     Settings,
 }
 
-/// Exit code where the settings are faulty.
-const FAULTY: u8 = 2;
+/// Exit code for invalid settings.
+const INVALID_SETTINGS: u8 = 2;
 
 /// Runs the command line.
 ///
 /// # Errors
-/// Where the entry cannot start.
+/// If the entry cannot start.
 pub async fn run(cli: Cli) -> Result<ExitCode> {
     match cli.command {
         Command::Settings => {
@@ -71,48 +71,48 @@
         } => site::run(settings, level, metrics_port).await,
         Command::Serve { settings } => match Settings::load(&settings) {
             Ok(settings) => serve(&settings).await,
-            Err(error) => Ok(report(&error)),
+            Err(error) => Ok(print_faults(&error)),
         },
     }
 }
 
-/// Checks the file of either format; the command line takes exactly one.
+/// Validates a settings file of either format; the command line accepts exactly one.
 fn check(settings: Option<PathBuf>, platform: Option<PathBuf>) -> ExitCode {
-    let own = settings.map(|path| Settings::load(&path));
-    if let Some(Err(error)) = own {
-        return report(&error);
+    let loaded = settings.map(|path| Settings::load(&path));
+    if let Some(Err(error)) = loaded {
+        return print_faults(&error);
     }
     match platform.map(|path| primroseroute_adapter::Settings::load(&path)) {
-        Some(Err(fault)) => site::report(&fault),
+        Some(Err(fault)) => site::print_faults(&fault),
         Some(Ok(_)) | None => ExitCode::SUCCESS,
     }
 }
 
-fn report(error: &Error) -> ExitCode {
+fn print_faults(error: &Error) -> ExitCode {
     if error.faults().is_empty() {
         eprintln!("{error}");
     }
     for fault in error.faults() {
         eprintln!("{fault}");
     }
-    ExitCode::from(FAULTY)
+    ExitCode::from(INVALID_SETTINGS)
 }
 
 async fn serve(settings: &Settings) -> Result<ExitCode> {
     let fields = Fields::of(settings);
-    let log = Log::start(fields.level).wrap_err("starting the log")?;
-    let stop = signal::stop()?;
+    let log = Log::start(fields.level).wrap_err("failed to start logging")?;
+    let shutdown = signal::shutdown()?;
     let name = fields.entry.clone();
-    let entry = Entry::spawn(parts::build(fields, &settings.secrets)?)
+    let entry = Entry::spawn(components::build(fields, &settings.secrets)?)
         .await
-        .wrap_err("starting the entry")?;
+        .wrap_err("failed to start the entry")?;
     log::info!(
         "entry {name} serves callers on {} and operators on {}",
         entry.callers(),
         entry.admin()
     );
-    stop.await;
-    log::info!("entry {name} stops");
+    shutdown.await;
+    log::info!("entry {name} is stopping");
     entry.stop().await;
     log::info!("entry {name} has stopped");
     drop(log);
--- a/crates/serve/src/components.rs
+++ b/crates/serve/src/components.rs
@@ -1,4 +1,4 @@
-//! Settings turned into what the entry is given.
+//! Construction of the entry's components from its settings.
 
 use crate::fields::Fields;
 use eyre::{Result, WrapErr, eyre};
@@ -15,15 +15,15 @@
 use std::{net::SocketAddr, sync::Arc};
 use uuid::Uuid;
 
-/// Opens the peer link on TCP.
+/// Opens the peer link over TCP.
 #[derive(Debug)]
-struct Rpc {
+struct TcpDialer {
     listen: SocketAddr,
     key: Key,
     peers: Vec<Address>,
 }
 
-impl Dial for Rpc {
+impl Dial for TcpDialer {
     fn dial(self: Box<Self>, identity: Identity, local: Arc<dyn Local>) -> Result<Dialed> {
         let settings = rpc::Settings {
             identity,
@@ -32,7 +32,7 @@
             peers: self.peers,
             limits: rpc::Limits::default(),
         };
-        let link = rpc::Link::bind(settings, local).wrap_err("binding the peer port")?;
+        let link = rpc::Link::bind(settings, local).wrap_err("failed to bind the peer port")?;
         Ok(Dialed {
             address: link.address(),
             link,
@@ -40,25 +40,25 @@
     }
 }
 
-/// The parts of the entry that `fields` describe.
+/// Builds the components of the entry.
 ///
 /// # Errors
-/// Where a secret is missing, the platform's URL cannot be used, or randomness cannot be had.
+/// If a secret is missing, the platform's URL is unusable, or no randomness is available.
 pub(crate) fn build(fields: Fields, secrets: &Secrets) -> Result<Parts> {
     let environment = |name: &str| std::env::var(name).ok();
     let secrets = secrets.resolve(&environment).map_err(|missing| {
         let lines: Vec<String> = missing.iter().map(ToString::to_string).collect();
-        eyre!("secrets are missing: {}", lines.join("; "))
+        eyre!("missing secrets: {}", lines.join("; "))
     })?;
-    let client = Client::open(&fields.platform).wrap_err("opening the platform's client")?;
+    let client = Client::open(&fields.platform).wrap_err("failed to create the platform client")?;
     let client = Arc::new(client);
     let identity = Identity {
         entry: fields.entry,
         incarnation: Uuid::new_v4(),
     };
-    let dial = Rpc {
+    let dial = TcpDialer {
         listen: fields.listen.peers,
-        key: Key::new(secrets.peer_key.expose()).wrap_err("reading the peer key")?,
+        key: Key::new(secrets.peer_key.expose()).wrap_err("invalid peer key")?,
         peers: fields.peers,
     };
     Ok(Parts {
@@ -77,7 +77,7 @@
         clock: Arc::new(SystemClock),
         seed: rand::random(),
         operators: Tokens(secrets.operators),
-        meter: Meter::open().wrap_err("opening the metrics")?,
+        meter: Meter::open().wrap_err("failed to set up metrics")?,
         flow: fields.flow,
         path: fields.path,
         front: fields.front,
--- a/crates/serve/src/fields.rs
+++ b/crates/serve/src/fields.rs
@@ -1,4 +1,4 @@
-//! What the settings come to, as the crates that use it take it; no secrets, no sockets.
+//! Settings converted to the option types of the crates that use them, without secrets or sockets.
 
 use log::LevelFilter;
 use primroseroute_controller::{Timers as ControllerTimers, jobs::Settings as JobSettings};
@@ -13,50 +13,50 @@
 use primroseroute_settings::{Bytes, Limits, Settings};
 use std::sync::Arc;
 
-/// Weights of the settings are ratios; the planner's are whole numbers of this resolution.
+/// Scale factor from the fractional weights of the settings to the planner's whole numbers.
 const WEIGHT_UNIT: f64 = 100.0;
 
-/// Everything that the settings decide, but for the secrets.
+/// Everything that the settings determine, except for the secrets.
 #[derive(Clone, Debug)]
 pub struct Fields {
-    /// The entry's name.
+    /// Name of the entry.
     pub entry: id::Entry,
     /// Its availability zone.
     pub zone: id::Zone,
     /// Its region.
     pub region: Arc<str>,
-    /// Where it listens.
+    /// Listen addresses.
     pub listen: Listen,
-    /// Where the platform is.
+    /// Connection to the platform.
     pub platform: ClientOptions,
-    /// Entries to connect to at the start.
+    /// Peers to connect to at start.
     pub peers: Vec<Address>,
-    /// Path of the workers' health checks.
+    /// Path of the workers' health check endpoint.
     pub health_path: Arc<str>,
-    /// Limits of each pool's gate.
+    /// Limits of each pool's dispatcher.
     pub flow: FlowLimits,
-    /// Bounds on one request.
+    /// Limits of single requests.
     pub path: PathOptions,
-    /// Bounds on connections.
+    /// Limits of connections.
     pub front: FrontOptions,
-    /// Times of membership.
+    /// Timing of membership.
     pub membership: membership::Limits,
-    /// How often and how long.
+    /// Intervals and timeouts of the entry.
     pub timers: Timers,
-    /// Times of the controller role.
+    /// Timing of the controller role.
     pub controller: ControllerTimers,
-    /// Limits of an instance's lifecycle.
+    /// Limits of instance lifecycles.
     pub lifecycle: lifecycle::Limits,
-    /// How jobs are driven.
+    /// Settings of background jobs.
     pub jobs: JobSettings,
-    /// What the deployment weighs.
+    /// Weights of the planner's objectives.
     pub weights: Weights,
     /// Least severe level that is logged.
     pub level: LevelFilter,
 }
 
 impl Fields {
-    /// What `settings` come to.
+    /// Converts `settings`.
     pub fn of(settings: &Settings) -> Self {
         let Settings { entry, listen, .. } = settings;
         Self {
@@ -172,7 +172,7 @@
     let Bytes(memory) = capacity.memory;
     #[expect(
         clippy::cast_precision_loss,
-        reason = "an amount in KiB or more is exact up to 8 EiB, which no worker has"
+        reason = "a multiple of 1 KiB is exact up to 8 EiB, which exceeds any worker's memory"
     )]
     let memory = memory as f64;
     JobSettings {
@@ -190,12 +190,12 @@
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "the settings check that weights are from 0 to 1000"
+        reason = "settings validation limits weights to 0 to 1000"
     )]
-    let whole = |weight: f64| (weight * WEIGHT_UNIT).round() as u32;
+    let scaled = |weight: f64| (weight * WEIGHT_UNIT).round() as u32;
     Weights {
-        buffer: whole(weights.buffer),
-        moves: whole(weights.moves),
-        rollout: whole(weights.roll_out),
+        buffer: scaled(weights.buffer),
+        moves: scaled(weights.moves),
+        rollout: scaled(weights.roll_out),
     }
 }
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -1,13 +1,13 @@
-//! `primroseroute`, the entry as a process: its command line, settings turned into parts, signals.
+//! The `primroseroute` process: command line, construction of the entry from its settings, signals.
 //!
-//! `serve` runs until SIGTERM or SIGINT, then stops gracefully and exits with 0. `check` reports
-//! every fault of a settings file; `settings` prints the documented default.
+//! `serve` runs until SIGTERM or SIGINT, then shuts down gracefully and exits with 0. `check` reports
+//! all faults of a settings file; `settings` prints the documented defaults.
 
 mod cli;
+mod components;
 mod fields;
 mod metered;
-mod page;
-mod parts;
+mod metrics_handler;
 mod signal;
 mod site;
 
--- a/crates/serve/src/metered.rs
+++ b/crates/serve/src/metered.rs
@@ -1,4 +1,4 @@
-//! The job path's calls and decisions, counted.
+//! Metrics of the job path: calls to the platform and workers, and decisions of gateways and owners.
 
 use async_trait::async_trait;
 use primroseroute_cell::{Cause, Outcome};
@@ -13,7 +13,7 @@
 use std::{sync::Arc, time::Duration};
 use tokio::time::Instant;
 
-/// Counts what gateways and owners tell.
+/// Records the events of gateways and owners as metrics.
 #[derive(Debug)]
 pub(crate) struct Observer(pub(crate) Meter);
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// Something whose calls are counted and timed.
+/// Wraps a client and records the number, outcome and duration of its calls.
 #[derive(Debug)]
 pub(crate) struct Metered<T: ?Sized> {
     inner: Arc<T>,
@@ -96,12 +96,12 @@
     async fn timed<A>(
         &self,
         call: &'static str,
-        work: impl Future<Output = Result<A, Error>>,
+        future: impl Future<Output = Result<A, Error>>,
     ) -> Result<A, Error> {
-        let begin = Instant::now();
-        let result = work.await;
+        let started_at = Instant::now();
+        let result = future.await;
         self.meter
-            .called(call, result.as_ref().err(), begin.elapsed());
+            .called(call, result.as_ref().err(), started_at.elapsed());
         result
     }
 }
@@ -151,7 +151,7 @@
         percent: u32,
         token: u64,
     ) -> Result<Answer, Error> {
-        let pace = self.inner.throttle(target, task, run, percent, token);
-        self.timed("pace", pace).await
+        let throttled = self.inner.throttle(target, task, run, percent, token);
+        self.timed("pace", throttled).await
     }
 }
--- a/crates/serve/src/metrics_handler.rs
+++ b/crates/serve/src/metrics_handler.rs
@@ -1,4 +1,4 @@
-//! The metrics' page, as a gotham handler.
+//! Gotham handler that serves the metrics.
 
 use gotham::{
     anyhow,
@@ -11,19 +11,19 @@
 use primroseroute_telemetry::site::Meter;
 use std::{panic::AssertUnwindSafe, pin::Pin};
 
-/// Media type of the text format.
+/// Media type of the Prometheus text format.
 const MEDIA_TYPE: &str = "text/plain; version=0.0.4";
 
-/// Answers every request with the metrics.
-pub(crate) struct Page(AssertUnwindSafe<Meter>);
+/// Responds to every request with the metrics.
+pub(crate) struct MetricsHandler(AssertUnwindSafe<Meter>);
 
-impl Page {
+impl MetricsHandler {
     pub(crate) fn new(meter: Meter) -> Self {
         Self(AssertUnwindSafe(meter))
     }
 }
 
-impl NewHandler for Page {
+impl NewHandler for MetricsHandler {
     type Instance = Self;
 
     fn new_handler(&self) -> anyhow::Result<Self> {
@@ -31,12 +31,12 @@
     }
 }
 
-impl Handler for Page {
+impl Handler for MetricsHandler {
     fn handle(self, state: State) -> Pin<Box<HandlerFuture>> {
         let (status, text) = match self.0.render() {
             Ok(text) => (StatusCode::OK, text),
             Err(error) => {
-                log::error!(error:% = error; "metrics can't be rendered");
+                log::error!(error:% = error; "failed to render metrics");
                 (StatusCode::INTERNAL_SERVER_ERROR, error.to_string())
             }
         };
--- a/crates/serve/src/signal.rs
+++ b/crates/serve/src/signal.rs
@@ -1,17 +1,20 @@
-//! The signals that ask for a graceful stop.
+//! Handlers for process signals.
 
 use eyre::{Result, WrapErr};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// A future that ends with the first SIGTERM or SIGINT.
+/// Returns a future that completes at the first SIGTERM or SIGINT.
 ///
-/// The handlers are in place on return: a signal that comes while the entry starts is not lost.
+/// The handlers are installed before this returns, so that a signal that arrives while the entry
+/// starts is not lost.
 ///
 /// # Errors
-/// Where the handlers cannot be installed.
-pub(crate) fn stop() -> Result<impl Future<Output = ()>> {
-    let mut terminate = signal(SignalKind::terminate()).wrap_err("handling SIGTERM")?;
-    let mut interrupt = signal(SignalKind::interrupt()).wrap_err("handling SIGINT")?;
+/// If the handlers cannot be installed.
+pub(crate) fn shutdown() -> Result<impl Future<Output = ()>> {
+    let mut terminate =
+        signal(SignalKind::terminate()).wrap_err("failed to install the SIGTERM handler")?;
+    let mut interrupt =
+        signal(SignalKind::interrupt()).wrap_err("failed to install the SIGINT handler")?;
     Ok(async move {
         tokio::select! {
             _ = terminate.recv() => {}
@@ -20,10 +23,10 @@
     })
 }
 
-/// SIGHUPs, by which the platform tells that the settings file has changed.
+/// Stream of SIGHUP signals, by which the platform announces a changed settings file.
 ///
 /// # Errors
-/// Where the handler cannot be installed.
+/// If the handler cannot be installed.
 pub(crate) fn hangup() -> Result<Signal> {
-    signal(SignalKind::hangup()).wrap_err("handling SIGHUP")
+    signal(SignalKind::hangup()).wrap_err("failed to install the SIGHUP handler")
 }
--- a/crates/serve/src/site.rs
+++ b/crates/serve/src/site.rs
@@ -1,8 +1,8 @@
-//! One entry on the users' platform: its parts opened and put together, and its graceful stop.
+//! An entry on the users' platform: construction, live reload of settings, graceful shutdown.
 
 use crate::{
     metered::{Metered, Observer},
-    page::Page,
+    metrics_handler::MetricsHandler,
     signal,
 };
 use eyre::{Result, WrapErr};
@@ -29,78 +29,78 @@
 };
 use tokio::{sync::watch, time::sleep};
 
-/// Longest timeout of the short calls that the client makes.
+/// Upper bound of the client's timeout for short calls.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Time without a word from the store after which the entry isn't ready: two looks for news that
-/// went unanswered. Callers' new connections then go to entries that reach it.
-const OUT_OF_TOUCH: u64 = 2_600;
+/// Time without a response from the store after which the entry reports itself not ready: two polls
+/// for changes without a response. New caller connections then go to entries that can reach the store.
+const STORE_CONTACT_TIMEOUT_MS: u64 = 2_600;
 
-/// How long new connections are still served after SIGTERM: the balancer looks once a second and
-/// turns away after two misses.
-const LOOK_AWAY: Duration = Duration::from_millis(2_300);
+/// How long new connections are accepted after SIGTERM: the load balancer checks readiness once a
+/// second and stops routing to an entry after two failed checks.
+const DEREGISTRATION_DELAY: Duration = Duration::from_millis(2_300);
 
-/// Exit code where the settings are faulty.
-const FAULTY: u8 = 2;
+/// Exit code for invalid settings.
+const INVALID_SETTINGS: u8 = 2;
 
-/// Where the platform's settings file is, by its environment variable.
-fn path() -> Option<PathBuf> {
+/// Path of the platform's settings file from its environment variable.
+fn path_from_environment() -> Option<PathBuf> {
     std::env::var_os(settings::PATH).map(PathBuf::from)
 }
 
-/// Tells on standard error what is wrong with a settings file, one fault a line.
-pub(crate) fn report(fault: &settings::Fault) -> ExitCode {
+/// Prints the faults of a settings file to standard error, one per line.
+pub(crate) fn print_faults(fault: &settings::Fault) -> ExitCode {
     for line in fault.lines() {
         eprintln!("{line}");
     }
-    ExitCode::from(FAULTY)
+    ExitCode::from(INVALID_SETTINGS)
 }
 
 /// Runs an entry until SIGTERM.
 ///
 /// # Errors
-/// Where it cannot start.
+/// If it cannot start.
 pub(crate) async fn run(
-    given: Option<PathBuf>,
+    settings_path: Option<PathBuf>,
     level: LevelFilter,
     metrics_port: Option<u16>,
 ) -> Result<ExitCode> {
-    let Some(path) = given.or_else(path) else {
+    let Some(path) = settings_path.or_else(path_from_environment) else {
         eprintln!(
-            "name the settings file by --settings or by {}",
+            "no settings file given; use --settings or set {}",
             settings::PATH
         );
-        return Ok(ExitCode::from(FAULTY));
+        return Ok(ExitCode::from(INVALID_SETTINGS));
     };
     let settings = match Settings::load(&path) {
         Ok(settings) => settings,
-        Err(fault) => return Ok(report(&fault)),
+        Err(fault) => return Ok(print_faults(&fault)),
     };
-    let log = Log::start_on_stdout(level).wrap_err("starting the log")?;
-    let stop = signal::stop()?;
-    let running = Running::start(&settings, metrics_port).await?;
+    let log = Log::start_on_stdout(level).wrap_err("failed to start logging")?;
+    let shutdown = signal::shutdown()?;
+    let running = RunningEntry::start(&settings, metrics_port).await?;
     info!(entry = &*settings.entry, zone = &*settings.zone, callers:% = settings.callers; "entry started");
-    let changes = watch_settings(path, settings.clone(), running.live.clone());
-    let changes = tokio::spawn(changes);
-    stop.await;
-    info!(entry = &*settings.entry; "entry stops");
-    changes.abort();
+    let watcher = watch_settings(path, settings.clone(), running.live.clone());
+    let watcher = tokio::spawn(watcher);
+    shutdown.await;
+    info!(entry = &*settings.entry; "entry stopping");
+    watcher.abort();
     running.stop(settings.grace).await;
-    info!(entry = &*settings.entry; "entry has stopped");
+    info!(entry = &*settings.entry; "entry stopped");
     drop(log);
     Ok(ExitCode::SUCCESS)
 }
 
-/// Settings that are in force while the entry runs.
+/// Settings that can change while the entry runs.
 #[derive(Clone, Debug)]
-struct Live {
+struct LiveSettings {
     store: LiveSetting<SocketAddr>,
     instances: LiveSetting<SocketAddr>,
     advice: LiveSetting<Option<SocketAddr>>,
     bounds: watch::Sender<Bounds>,
 }
 
-impl Live {
+impl LiveSettings {
     fn new(settings: &Settings) -> Self {
         Self {
             store: settings.store.into(),
@@ -110,9 +110,9 @@
         }
     }
 
-    /// Puts newer settings in force: addresses from the next call on, bounds for each pool from its
-    /// next takeover on.
-    fn change(&self, settings: &Settings) {
+    /// Applies reloaded settings: addresses from the next call on, bounds of each pool from its next
+    /// takeover on.
+    fn apply(&self, settings: &Settings) {
         self.store.set(settings.store);
         self.instances.set(settings.instances);
         self.advice.set(settings.advice);
@@ -128,8 +128,8 @@
     }
 }
 
-struct Running {
-    live: Live,
+struct RunningEntry {
+    live: LiveSettings,
     entry: Entry,
     callers: Server,
     readiness: Server,
@@ -137,13 +137,13 @@
     stopping: Arc<AtomicBool>,
 }
 
-impl Running {
+impl RunningEntry {
     async fn start(settings: &Settings, metrics_port: Option<u16>) -> Result<Self> {
         let clock = Clock::start();
-        let live = Live::new(settings);
+        let live = LiveSettings::new(settings);
         let client = Client::open(CLIENT_TIMEOUT);
         let store = Store::open(client.clone(), live.store.clone());
-        let meter = Meter::open().wrap_err("opening the metrics")?;
+        let meter = Meter::open().wrap_err("failed to set up metrics")?;
         let observer = Arc::new(Observer(meter.clone()));
         let rows: Arc<dyn Rows> = Arc::new(store.clone());
         let rows: Arc<dyn Rows> = Arc::new(Metered::new(rows, meter.clone()));
@@ -176,7 +176,7 @@
         let metrics = match metrics_port {
             Some(port) => {
                 let address = SocketAddr::new(settings.callers.ip(), port);
-                Some(Server::bind(address, options, Page::new(meter)).await?)
+                Some(Server::bind(address, options, MetricsHandler::new(meter)).await?)
             }
             None => None,
         };
@@ -207,16 +207,16 @@
         })
     }
 
-    /// Turns the balancer away and gives up pools at once; goes on serving callers until the
-    /// balancer has noticed, and finishes what is in flight.
+    /// Reports the entry not ready and releases its pools at once. Keeps serving callers until the
+    /// load balancer has noticed, and completes requests in flight.
     async fn stop(self, grace: Duration) {
         self.stopping.store(true, Ordering::Relaxed);
         self.callers.retire();
-        let serving = async {
-            sleep(LOOK_AWAY.min(grace / 2)).await;
+        let stop_callers = async {
+            sleep(DEREGISTRATION_DELAY.min(grace / 2)).await;
             self.callers.stop().await;
         };
-        tokio::join!(self.entry.stop(), serving);
+        tokio::join!(self.entry.stop(), stop_callers);
         self.readiness.abort();
         if let Some(metrics) = self.metrics {
             metrics.abort();
@@ -230,8 +230,8 @@
     let stopping = Arc::clone(stopping);
     Readiness::new(Arc::new(move || {
         let configured = configuration.borrow().is_some();
-        let silent = clock.now().saturating_sub(*contact.borrow());
-        configured && silent < OUT_OF_TOUCH && !stopping.load(Ordering::Relaxed)
+        let since_contact = clock.now().saturating_sub(*contact.borrow());
+        configured && since_contact < STORE_CONTACT_TIMEOUT_MS && !stopping.load(Ordering::Relaxed)
     }))
 }
 
@@ -240,44 +240,44 @@
     Limits::new(millis(settings.max_lease), millis(settings.state_retention))
 }
 
-/// How often the settings file is read for changes that no signal tells of.
-const REREAD: Duration = Duration::from_secs(2);
+/// Interval of reading the settings file for changes that no signal announced.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reads the settings again at SIGHUP and at intervals, and puts what has changed in force. The entry's
-/// name, its zone and the addresses that it listens on stay as they are until the next start.
-async fn watch_settings(path: PathBuf, known: Settings, live: Live) {
-    let mut known = known;
+/// Reloads the settings on SIGHUP and periodically, and applies changes. The entry's name, its zone
+/// and its listen addresses stay unchanged until the next start.
+async fn watch_settings(path: PathBuf, current: Settings, live: LiveSettings) {
+    let mut current = current;
     let Ok(mut hangup) = signal::hangup() else {
-        warn!("SIGHUP can't be handled; the settings file is read at intervals only");
+        warn!("failed to install the SIGHUP handler; the settings file is read at intervals only");
         return;
     };
     loop {
         tokio::select! {
-            _ = hangup.recv() => info!("SIGHUP: the settings are read again"),
-            () = sleep(REREAD) => {}
+            _ = hangup.recv() => info!("received SIGHUP; reloading settings"),
+            () = sleep(RELOAD_INTERVAL) => {}
         }
-        if let Some(newer) = reread(&path, &known) {
-            live.change(&newer);
-            known = newer;
+        if let Some(reloaded) = load_if_changed(&path, &current) {
+            live.apply(&reloaded);
+            current = reloaded;
         }
     }
 }
 
-/// The settings, if they have changed and aren't faulty.
-fn reread(path: &Path, known: &Settings) -> Option<Settings> {
+/// Returns the settings in the file if they are valid and differ from `current`.
+fn load_if_changed(path: &Path, current: &Settings) -> Option<Settings> {
     match Settings::load(path) {
-        Ok(newer) if newer != *known => {
-            let restart = newer.entry != known.entry
-                || newer.zone != known.zone
-                || newer.callers != known.callers
-                || newer.readiness != known.readiness
-                || newer.grace != known.grace;
-            info!(restart; "the settings have changed");
-            Some(newer)
+        Ok(reloaded) if reloaded != *current => {
+            let restart = reloaded.entry != current.entry
+                || reloaded.zone != current.zone
+                || reloaded.callers != current.callers
+                || reloaded.readiness != current.readiness
+                || reloaded.grace != current.grace;
+            info!(restart; "settings changed");
+            Some(reloaded)
         }
-        Ok(_same) => None,
+        Ok(_unchanged) => None,
         Err(fault) => {
-            warn!(fault:% = fault; "the changed settings are faulty and ignored");
+            warn!(fault:% = fault; "changed settings are invalid; keeping the current settings");
             None
         }
     }
--- a/crates/serve/tests/all/examples.rs
+++ b/crates/serve/tests/all/examples.rs
@@ -1,4 +1,4 @@
-//! The settings of the example deployments parse, and agree with what stands beside them.
+//! The settings of the example deployments are valid and agree with their weights and hardware.
 
 use primroseroute_fleet::placement::Weights;
 use primroseroute_serve::Fields;
@@ -8,12 +8,12 @@
 
 const GIB: f64 = 1024.0 * 1024.0 * 1024.0;
 
-/// Names each deployment, with its workers' cores and memory in GiB.
+/// One test per deployment, with the cores and memory in GiB of its workers.
 macro_rules! cases {
     ($($name:ident($folder:literal, $cores:literal, $memory:literal);)*) => {$(
         #[test]
         fn $name() {
-            agrees($folder, $cores, $memory);
+            check_deployment($folder, $cores, $memory);
         }
     )*};
 }
@@ -25,46 +25,46 @@
 
 fn read(path: &str) -> String {
     let examples = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../examples");
-    fs::read_to_string(examples.join(path)).expect("the example is committed")
+    fs::read_to_string(examples.join(path)).expect("the example file is readable")
 }
 
-fn agrees(deployment: &str, cores: f64, memory: f64) {
+fn check_deployment(deployment: &str, cores: f64, memory: f64) {
     let text = read(&format!("settings/{deployment}.yaml"));
     let settings = Settings::parse(&text).unwrap_or_else(|error| panic!("{error}"));
     let fields = Fields::of(&settings);
     let weights = read(&format!("weights/{deployment}.yaml"));
     let weights: Weights = serde_saphyr::from_str(&weights).expect("the weights are valid");
-    // Only the ratios count, and the settings' are in hundredths.
+    // Only the ratios matter; `Fields` holds hundredths.
     let hundredths = Weights {
         buffer: weights.buffer * 100,
         moves: weights.moves * 100,
         rollout: weights.rollout * 100,
     };
     assert_eq!(fields.weights, hundredths);
-    let ours = fields.jobs.capacity;
-    let differ = [
-        ours.cores - cores,
-        ours.memory / GIB - memory,
-        ours.accelerators,
+    let capacity = fields.jobs.capacity;
+    let deviations = [
+        capacity.cores - cores,
+        capacity.memory / GIB - memory,
+        capacity.accelerators,
     ];
-    assert!(differ.iter().all(|by| by.abs() < 1e-9), "{ours:?}");
+    assert!(deviations.iter().all(|by| by.abs() < 1e-9), "{capacity:?}");
     assert!(
         fields.peers.len() >= 2,
-        "one peer may be down with the store"
+        "one peer may be down at the same time as the store"
     );
-    tokens_are_the_examples(&settings);
+    check_example_tokens(&settings);
 }
 
-fn tokens_are_the_examples(settings: &Settings) {
+fn check_example_tokens(settings: &Settings) {
     assert!(!settings.secrets.operators.is_empty());
     for operator in &settings.secrets.operators {
         let token = format!("example-token-of-{}", operator.name);
-        let digits = Sha256::digest(token)
+        let expected = Sha256::digest(token)
             .iter()
             .fold(String::new(), |all, byte| all + &format!("{byte:02x}"));
         let Token::Hash(hash) = &operator.token else {
             panic!("{} has no hash", operator.name);
         };
-        assert_eq!(*hash.0, digits);
+        assert_eq!(*hash.0, expected);
     }
 }
--- a/crates/serve/tests/all/fields.rs
+++ b/crates/serve/tests/all/fields.rs
@@ -1,7 +1,7 @@
-//! Every key of the settings decides something, and the thing that it names.
+//! Every key of the settings affects the field that it names.
 //!
-//! A key that is read and then forgotten looks as if it worked: the file is valid, and the entry
-//! goes on by a constant. So each key is set away from its default, alone and with all others.
+//! Guards against a key that is parsed but ignored: the file is valid, and the entry uses a constant
+//! instead. Each key is set to a non-default value, alone and together with all others.
 
 use expect_test::expect;
 use primroseroute_domain::id;
@@ -9,9 +9,9 @@
 use primroseroute_settings::{Settings, documented};
 use std::collections::BTreeSet;
 
-/// A value away from the default for each key; no two of one type are alike, so that keys that are
-/// mixed up show.
-const OTHERS: [(&str, &str); 41] = [
+/// A non-default value for each key; no two values of one type are equal, so that swapped keys are
+/// detected.
+const NON_DEFAULTS: [(&str, &str); 41] = [
     ("entry.name", "entry-7"),
     ("entry.zone", "zone-q"),
     ("entry.region", "region-9"),
@@ -51,14 +51,14 @@
     ("fleet.lifecycle.probation", "38m"),
     ("fleet.lifecycle.maintenance", "39m"),
     ("telemetry.level", "debug"),
-    // Lists and secrets have tests of their own.
+    // Lists and secrets have separate tests.
     ("peers", ""),
     ("secrets.operators", ""),
 ];
 
-/// Walks the documented settings: each key's path, and the line that `change` makes of it.
-fn walk(mut change: impl FnMut(&str, &str) -> Option<String>) -> String {
-    let mut around: Vec<&str> = Vec::new();
+/// Rewrites the documented settings with the values that `change` returns for a key's path and value.
+fn rewrite(mut change: impl FnMut(&str, &str) -> Option<String>) -> String {
+    let mut parents: Vec<&str> = Vec::new();
     let mut out = String::new();
     let text = documented();
     for line in text.lines() {
@@ -66,11 +66,11 @@
         let depth = (line.len() - key.len()) / 2;
         let mut new = None;
         if let Some((name, value)) = key.split_once(':').filter(|_| !key.starts_with('#')) {
-            around.truncate(depth);
-            around.push(name);
+            parents.truncate(depth);
+            parents.push(name);
             if !value.is_empty() {
                 let start = &line[..line.len() - key.len()];
-                let value = change(&around.join("."), value.trim());
+                let value = change(&parents.join("."), value.trim());
                 new = value.map(|value| format!("{start}{name}: {value}"));
             }
         }
@@ -80,45 +80,48 @@
     out
 }
 
-fn other(path: &str) -> Option<&'static str> {
-    let found = OTHERS.iter().find(|(key, _)| *key == path);
+fn non_default(path: &str) -> Option<&'static str> {
+    let found = NON_DEFAULTS.iter().find(|(key, _)| *key == path);
     found
         .map(|(_, value)| *value)
         .filter(|value| !value.is_empty())
 }
 
-/// What `text` comes to, a line for each field.
-fn shape(text: &str) -> String {
+/// The fields that `text` results in, one per line.
+fn fields_of(text: &str) -> String {
     let settings = Settings::parse(text).unwrap_or_else(|error| panic!("{error}\n{text}"));
     format!("{:#?}", Fields::of(&settings))
 }
 
 #[test]
-fn every_key_has_another_value_here() {
+fn every_key_has_a_non_default_value() {
     let mut documented = BTreeSet::new();
-    walk(|path, _| {
+    rewrite(|path, _| {
         documented.insert(path.to_owned());
         None
     });
-    // The secret's own keys are not the documented ones alone.
+    // A secret has further keys than the one documented.
     assert!(documented.remove("secrets.peer-key.env"));
-    let here: BTreeSet<String> = OTHERS.iter().map(|(key, _)| (*key).to_owned()).collect();
-    assert_eq!(here, documented);
+    let listed: BTreeSet<String> = NON_DEFAULTS
+        .iter()
+        .map(|(key, _)| (*key).to_owned())
+        .collect();
+    assert_eq!(listed, documented);
 }
 
 #[test]
-fn each_key_alone_changes_something() {
-    let default = shape(&documented());
-    for (key, value) in OTHERS.iter().filter(|(_, value)| !value.is_empty()) {
-        let text = walk(|path, _| (path == *key).then(|| (*value).to_owned()));
-        assert_ne!(shape(&text), default, "{key} changes nothing");
+fn each_key_alone_changes_a_field() {
+    let default = fields_of(&documented());
+    for (key, value) in NON_DEFAULTS.iter().filter(|(_, value)| !value.is_empty()) {
+        let text = rewrite(|path, _| (path == *key).then(|| (*value).to_owned()));
+        assert_ne!(fields_of(&text), default, "{key} changes nothing");
     }
 }
 
 #[test]
-fn all_keys_change_what_they_name() {
-    let default = shape(&documented());
-    let all = shape(&walk(|path, _| other(path).map(str::to_owned)));
+fn all_keys_change_the_fields_they_name() {
+    let default = fields_of(&documented());
+    let all = fields_of(&rewrite(|path, _| non_default(path).map(str::to_owned)));
     let lines = default.lines().zip(all.lines());
     let changed = lines.filter(|(before, after)| before != after);
     let changed: Vec<&str> = changed.map(|(_, after)| after.trim()).collect();
--- a/crates/serve/tests/all/main.rs
+++ b/crates/serve/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the entry's process, without the process.
+//! Tests of the settings conversion, without starting a process.
 
 mod examples;
 mod fields;
--- a/src/bin/primrosectl.rs
+++ b/src/bin/primrosectl.rs
@@ -1,4 +1,4 @@
-//! The operators' command line; `primrosectl --help` lists the commands.
+//! Command line for operators; `primrosectl --help` lists the commands.
 
 use clap::Parser;
 use primroseroute_ctl::{Cli, exit, run};
--- a/src/bin/primroseroute.rs
+++ b/src/bin/primroseroute.rs
@@ -1,13 +1,13 @@
-//! The entry's process; `primroseroute --help` lists the commands.
+//! The entry process; `primroseroute --help` lists the commands.
 
 use clap::Parser;
 use primroseroute_serve::{Cli, run};
 use std::{io, num::NonZero, process::ExitCode, thread::available_parallelism};
 use tokio::runtime::{Builder, Runtime};
 
-/// The runtime for as many processor cores as the process may use.
+/// Builds a runtime for the number of processor cores available to the process.
 ///
-/// On one core a second thread does nothing but wake up and hand work over, and a small entry has no time for that.
+/// On a single core, worker threads would only add wake-ups and hand-overs, which a small entry cannot afford.
 fn runtime() -> io::Result<Runtime> {
     let cores = available_parallelism().map_or(1, NonZero::get);
     let mut builder = if cores > 1 {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! The workspace's root: its two binaries, and the integration tests of all crates together.
+//! Root package of the workspace: the two binaries and the integration tests across crates.
 //!
-//! `primroseroute` is the entry, `primrosectl` the operators' command line. The code of both is in
-//! `crates/`; `README.md` starts there.
+//! `primroseroute` is the entry, `primrosectl` the operators' command line. Their code is in
+//! `crates/`; `README.md` gives an overview.
--- a/tests/all/lines.rs
+++ b/tests/all/lines.rs
@@ -15,7 +15,7 @@
     "crates/gateway/src",
     "crates/serve/src/site.rs",
     "crates/serve/src/metered.rs",
-    "crates/serve/src/page.rs",
+    "crates/serve/src/metrics_handler.rs",
     "platform/src",
 ];
 
