--- a/crates/inspect/src/job.rs
+++ b/crates/inspect/src/job.rs
@@ -1,4 +1,4 @@
-//! A job's story: what was promised, and where each of its tasks stands.
+//! Details of a job: its objective and the state of each of its tasks.
 
 use crate::parsed;
 use primroseroute_cell::row::{self, Accepted, Claim, Phase, Progress};
@@ -9,50 +9,50 @@
 };
 use serde::Serialize;
 
-/// What is known of a job.
+/// Details of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Story {
-    /// Its id.
+    /// Job id.
     pub id: JobId,
-    /// Its queue.
+    /// Queue that it was submitted to.
     pub queue: Name,
-    /// The pool that runs it.
+    /// Pool that runs it.
     pub pool: Name,
-    /// Time of day of its acceptance, in milliseconds since 1970.
+    /// Time of its acceptance, in milliseconds since the Unix epoch.
     pub accepted_ms: u64,
-    /// Time from then in which it should be done, in milliseconds.
+    /// Time from acceptance within which it should complete, in milliseconds.
     pub objective_ms: u64,
-    /// Failed runs after which a task has failed.
+    /// Number of failed runs after which a task counts as failed.
     pub max_attempts: u32,
-    /// Whether a cancel of it is stored.
+    /// Whether a cancellation of it is stored.
     pub cancelled: bool,
-    /// Its state; pending where its owner has stored nothing yet.
+    /// State; pending while its owner has not stored any progress.
     pub state: State,
-    /// Time of day of its end, in milliseconds since 1970.
+    /// Time of its end, in milliseconds since the Unix epoch.
     pub ended_ms: Option<u64>,
-    /// Its tasks; none before its first start, nor after its end.
+    /// Its tasks; empty before its first start and after its end.
     pub tasks: Vec<Task>,
 }
 
-/// Where one task stands.
+/// State of one task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Task {
-    /// Its name, as workers and log lines have it.
+    /// Task id as used by workers and in log lines.
     pub name: String,
-    /// Whether it waits, is placed, leaves its worker, or is done.
+    /// Phase: waiting, placed, leaving its worker, or done.
     pub phase: &'static str,
-    /// Where it is placed.
+    /// Worker that it is placed on.
     pub worker: Option<Name>,
-    /// Its highest run; 0 where it was never started.
+    /// Number of its latest run; 0 if it was never started.
     pub run: u32,
     /// Number of its runs that have failed.
     pub failed: usize,
 }
 
-/// The story of a job; `None` where no such job was accepted, or its rows were deleted since.
+/// Returns the details of a job; `None` if no such job was accepted, or its rows have been deleted.
 ///
 /// # Errors
-/// Those of the calls, and [`Error::Unavailable`] for a row that can't be read.
+/// Errors of the calls, and [`Error::Unavailable`] for a row that cannot be parsed.
 pub async fn job(rows: &dyn Rows, id: &JobId) -> Result<Option<Story>, Error> {
     let Some(claim) = read_row(rows, row::claim(id)).await? else {
         return Ok(None);
@@ -75,17 +75,17 @@
         cancelled: cancel.is_some(),
         state: progress
             .as_ref()
-            .map_or(State::Pending, |known| known.state),
-        ended_ms: progress.as_ref().and_then(|known| known.ended_ms),
-        tasks: progress.map_or_else(Vec::new, |known| tasks(id, &known)),
+            .map_or(State::Pending, |progress| progress.state),
+        ended_ms: progress.as_ref().and_then(|progress| progress.ended_ms),
+        tasks: progress.map_or_else(Vec::new, |progress| tasks(id, &progress)),
     }))
 }
 
 fn tasks(id: &JobId, progress: &Progress) -> Vec<Task> {
     let mut tasks = Vec::new();
     for (&occurrence, steps) in &progress.steps {
-        for (step, known) in (0..).zip(steps) {
-            for (index, task) in (0..).zip(known) {
+        for (step, states) in (0..).zip(steps) {
+            for (index, task) in (0..).zip(states) {
                 let name = TaskId {
                     job: id.clone(),
                     occurrence,
--- a/crates/inspect/src/lib.rs
+++ b/crates/inspect/src/lib.rs
@@ -1,7 +1,7 @@
-//! What operators see of the job path, read from the store and from the list of instances.
+//! Read-only operator views of the job path, from the store and the list of instances.
 //!
-//! No entry is asked: the rows are what the entries go by, so this also works while a pool's owner is
-//! away. All of it only reads.
+//! No entry is contacted: the rows are the source of truth for the entries, so this also works while
+//! a pool's owner is unavailable.
 
 mod job;
 mod pool;
@@ -14,7 +14,7 @@
 use primroseroute_platform::{Error, rows::Row};
 use serde::de::DeserializeOwned;
 
-/// Reads a row's JSON.
+/// Parses the JSON value of a row.
 fn parsed<T: DeserializeOwned>(row: &Row) -> Result<T, Error> {
     let value = row.value.as_deref().unwrap_or_default();
     serde_json::from_slice(value)
--- a/crates/inspect/src/pool.rs
+++ b/crates/inspect/src/pool.rs
@@ -1,4 +1,4 @@
-//! Pools: who owns them, what they need and have, and what waits.
+//! Pools: ownership, demand for workers, instances and queued jobs.
 
 use crate::parsed;
 use primroseroute_cell::row::{self, CommitRecord, DesiredWorkers, Owner};
@@ -11,35 +11,35 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A pool as it stands.
+/// Current state of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Pool {
-    /// Its name.
+    /// Pool name.
     pub name: Name,
-    /// Whether its instances are switched off.
+    /// Whether the pool is on standby, with its instances switched off.
     pub standby: bool,
-    /// The entry that owns it; none where it was given up, or never owned.
+    /// The entry that owns it; `None` if it was released or never owned.
     pub owner: Option<Name>,
     /// The owner's fencing token.
     pub token: u64,
-    /// Workers that it can use, with headroom and trend.
+    /// Number of workers that it can use, including headroom and trend.
     pub wanted: Option<u64>,
-    /// Workers that it has use for now, for work that can be in time.
+    /// Number of workers needed now for work that can still meet its objective.
     pub needed_now: Option<u64>,
-    /// Workers beyond those that it has use for, for work that is late already.
+    /// Number of additional workers needed for work that is already late.
     pub needed_late: Option<u64>,
-    /// Its instances that are up.
+    /// Number of its instances that are up.
     pub up: usize,
-    /// Those that are moving here, or in maintenance, or down.
+    /// Number of its instances that are moving here, in maintenance, or down.
     pub away: usize,
-    /// For each queue, its jobs of which no task has started.
+    /// Number of jobs per queue of which no task has started.
     pub queued: BTreeMap<Name, u64>,
 }
 
-/// All pools of the newest configuration.
+/// Returns all pools of the newest configuration.
 ///
 /// # Errors
-/// Those of the calls, and [`Error::Unavailable`] for a row that can't be read.
+/// Errors of the calls, and [`Error::Unavailable`] for a row that cannot be parsed.
 pub async fn pools(rows: &dyn Rows, site: &dyn Site) -> Result<Vec<Pool>, Error> {
     let (instructions, _version) = site.instructions().await?;
     let configurations = instructions
@@ -51,8 +51,8 @@
     let newest = configurations.max_by_key(|configuration| configuration.number);
     let instances = site.instances().await?;
     let mut pools = Vec::new();
-    for known in newest.into_iter().flat_map(|newest| newest.pools) {
-        pools.push(pool(rows, &known.name, known.standby, &instances).await?);
+    for configured in newest.into_iter().flat_map(|newest| newest.pools) {
+        pools.push(pool(rows, &configured.name, configured.standby, &instances).await?);
     }
     Ok(pools)
 }
@@ -69,8 +69,8 @@
     let owner = owner.filter(|owner| !owner.released);
     let wanted = read_row(rows, row::desired_workers(name)).await?;
     let wanted: Option<DesiredWorkers> = wanted.as_ref().map(parsed).transpose()?;
-    let batch = read_row(rows, row::commit_record(name)).await?;
-    let batch: Option<CommitRecord> = batch.as_ref().map(parsed).transpose()?;
+    let commit_record = read_row(rows, row::commit_record(name)).await?;
+    let commit_record: Option<CommitRecord> = commit_record.as_ref().map(parsed).transpose()?;
     let own = instances.iter().filter(|instance| instance.pool == *name);
     let (up, away): (Vec<&Instance>, Vec<&Instance>) =
         own.partition(|instance| instance.state == InstanceState::Up);
@@ -84,6 +84,8 @@
         needed_late: wanted.map(|wanted| wanted.late),
         up: up.len(),
         away: away.len(),
-        queued: batch.map(|batch| batch.queued).unwrap_or_default(),
+        queued: commit_record
+            .map(|commit_record| commit_record.queued)
+            .unwrap_or_default(),
     })
 }
--- a/crates/inspect/src/wave.rs
+++ b/crates/inspect/src/wave.rs
@@ -1,4 +1,4 @@
-//! Waves of maintenance and how far they are.
+//! Maintenance waves and their progress.
 
 use crate::parsed;
 use primroseroute_cell::row::{self, WaveProgress as Progress};
@@ -11,25 +11,25 @@
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// A wave as it stands.
+/// Current state of a wave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Wave {
-    /// Its number.
+    /// Wave number.
     pub number: u64,
-    /// Most instances in maintenance at a time.
+    /// Maximum number of instances in maintenance at a time.
     pub maximum: usize,
     /// Instances that may be in maintenance.
     pub active: BTreeSet<Name>,
-    /// Instances that have had theirs.
+    /// Instances that have completed maintenance.
     pub done: BTreeSet<Name>,
-    /// Instances that wait for theirs.
+    /// Instances that are waiting for maintenance.
     pub waiting: BTreeSet<Name>,
 }
 
-/// All waves that were asked for.
+/// Returns all requested waves.
 ///
 /// # Errors
-/// Those of the calls, and [`Error::Unavailable`] for a row that can't be read.
+/// Errors of the calls, and [`Error::Unavailable`] for a row that cannot be parsed.
 pub async fn waves(rows: &dyn Rows, site: &dyn Site) -> Result<Vec<Wave>, Error> {
     let (instructions, _version) = site.instructions().await?;
     let mut waves = Vec::new();
