--- a/crates/api/src/job.rs
+++ b/crates/api/src/job.rs
@@ -1,4 +1,4 @@
-//! Orders on background jobs.
+//! Requests on background jobs.
 
 use primroseroute_domain::{change::Seq, id};
 use primroseroute_jobs::Kind;
@@ -6,44 +6,44 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A job to be submitted.
+/// A job to submit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Spec {
-    /// Its name; no other job may have it.
+    /// Name, unique among jobs.
     pub name: id::Job,
     /// The account whose share it uses.
     pub account: id::Account,
     /// The pool whose instances run it.
     pub pool: id::Pool,
-    /// What sort of work it is.
+    /// Kind of work.
     pub kind: Kind,
-    /// What its owner believes that it needs.
+    /// Resource demand declared by its owner.
     pub declared: Resources,
 }
 
-/// Jobs to be submitted in one change.
+/// Request to submit jobs in one change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Submit {
     /// The jobs.
     pub jobs: Vec<Spec>,
-    /// Why, for the audit trail.
+    /// Reason, recorded in the audit trail.
     #[serde(default)]
     pub reason: Arc<str>,
 }
 
-/// Jobs to be cancelled in one change: by name, or else all of an account or kind.
+/// Request to cancel jobs in one change: by name, or else all jobs of an account or kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Cancel {
     /// The jobs' names.
     pub jobs: Vec<id::Job>,
-    /// Jobs of this account.
+    /// Account whose jobs are cancelled.
     pub account: Option<id::Account>,
-    /// Jobs of this kind.
+    /// Kind of the jobs that are cancelled.
     pub kind: Option<Kind>,
-    /// Why, for the audit trail.
+    /// Reason, recorded in the audit trail.
     pub reason: Arc<str>,
 }
 
@@ -51,10 +51,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Cancelled {
-    /// The change's place in the order of changes.
+    /// Sequence number of the change.
     pub version: Seq,
-    /// Jobs that it cancelled, or that were cancelled already.
+    /// Number of jobs that it cancelled or that had been cancelled already.
     pub cancelled: usize,
-    /// Jobs that match and that one change had no room for; cancel again to take them.
+    /// Number of matching jobs that did not fit into one change; repeat the request to cancel them.
     pub left: usize,
 }
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the admin address of an entry and `primrosectl` say to each other, as JSON over HTTP.
+//! JSON types of the admin HTTP API, shared by entries and `primrosectl`.
 //!
-//! Every request but the health checks and the metrics carries an operator token. A refusal is RFC
-//! 9457 problem details, which [`Problem`] reads back. Paths are in [`path`].
+//! Every request except health checks and metrics carries an operator token. Errors are RFC 9457
+//! problem details, which [`Problem`] deserializes. Paths are in [`path`].
 
 mod job;
 pub mod path;
@@ -21,67 +21,67 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-/// A template to be applied, with the operator's reason.
+/// Request to apply a template.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Apply {
     /// The template.
     pub template: Template,
-    /// Refuse unless the row has this version; 0 means that it must not exist.
+    /// Expected version of the row, or the request is rejected; 0 means that the row must not exist.
     #[serde(default)]
     pub if_version: Option<Seq>,
-    /// Why, for the audit trail.
+    /// Reason, recorded in the audit trail.
     #[serde(default)]
     pub reason: Arc<str>,
 }
 
-/// A request to take an instance out of service or to put it back.
+/// Request to take an instance out of service or to return it to service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Order {
-    /// Refuse unless the row has this version.
+    /// Expected version of the row, or the request is rejected.
     #[serde(default)]
     pub if_version: Option<Seq>,
-    /// Why, for the audit trail.
+    /// Reason, recorded in the audit trail.
     #[serde(default)]
     pub reason: Arc<str>,
-    /// Go ahead although an availability budget forbids it.
+    /// Proceed even if an availability budget forbids it.
     #[serde(default)]
     pub force: bool,
 }
 
-/// A request to move an instance to another pool.
+/// Request to move an instance to another pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Move {
-    /// The pool that it joins.
+    /// Target pool.
     pub pool: id::Pool,
-    /// Version, reason and force of the order.
+    /// Expected version, reason and force flag.
     pub order: Order,
 }
 
-/// A wave to be started, with the operator's reason.
+/// Request to start a wave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Start {
-    /// The wave.
+    /// The wave to start.
     pub order: wave::Order,
-    /// Why, for the audit trail.
+    /// Reason, recorded in the audit trail.
     #[serde(default)]
     pub reason: Arc<str>,
 }
 
-/// One wave and how far it is.
+/// One wave and its progress.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Wave {
-    /// Its row with its version.
+    /// The row with its version.
     pub row: Versioned<wave::Row>,
-    /// How far it is.
+    /// Progress of the wave.
     pub progress: wave::Progress,
-    /// Instances maintained an hour, over the whole wave so far.
+    /// Maintained instances per hour, averaged over the wave so far.
     pub rate: f64,
-    /// When it ends if it goes on as it did; none before the first instance is done.
+    /// Estimated end at the current rate; `None` before the first instance is done.
     pub ends: Option<Instant>,
 }
 
@@ -89,41 +89,41 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Accepted {
-    /// Its place in the order of changes, which is the version of the rows that it wrote.
+    /// Sequence number of the change, which is also the version of the rows that it wrote.
     pub version: Seq,
 }
 
-/// What a template would change.
+/// Difference between a template and the current one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Diff {
-    /// The version in force, if the account exists.
+    /// Current version, if the account exists.
     pub version: Option<Seq>,
-    /// Unified lines: ` ` kept, `-` removed, `+` added.
+    /// Unified diff lines: ` ` unchanged, `-` removed, `+` added.
     pub lines: Vec<String>,
-    /// Faults that would refuse the template.
+    /// Faults for which the template would be rejected.
     pub faults: Vec<Fault>,
 }
 
-/// One instance as an entry sees it.
+/// One instance as seen by the responding entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Instance {
-    /// Its row with its version.
+    /// The row with its version.
     pub row: Versioned<Row>,
-    /// Requests that this entry has in flight on it.
+    /// Number of requests that the entry has in flight to it.
     pub in_flight: u32,
 }
 
-/// One service with the place where it runs.
+/// One service and the pool that it runs on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Service {
-    /// Its name.
+    /// Name.
     pub name: id::Service,
     /// The account that owns it.
     pub account: id::Account,
-    /// Its pool.
+    /// Pool that it runs on.
     pub pool: id::Pool,
     /// Host names that select it.
     pub hosts: Vec<Arc<str>>,
@@ -131,53 +131,53 @@
     pub path_prefix: Option<Arc<str>>,
 }
 
-/// One pool with its budget and how it stands.
+/// One pool with its promised and current capacity.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Pool {
-    /// Its name.
+    /// Name.
     pub name: id::Pool,
     /// The account that owns it.
     pub account: id::Account,
-    /// Instances promised to be serving.
+    /// Promised number of serving instances.
     pub promised: u32,
-    /// Instances that serve.
+    /// Number of serving instances.
     pub serving: u32,
-    /// Instances of the pool in any state.
+    /// Number of instances in the pool, in any state.
     pub members: u32,
 }
 
-/// One entry as the answering entry knows it.
+/// One entry as seen by the responding entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Entry {
-    /// Its name.
+    /// Name.
     pub name: id::Entry,
-    /// The newest change in force there.
+    /// The newest change in effect on it.
     pub seq: Seq,
-    /// How long ago it was last heard; none if never since it was registered.
+    /// Time since it was last heard from; `None` if not since its registration.
     pub heard: Option<Duration>,
 }
 
-/// How the system stands, as one entry sees it.
+/// Status of the system as seen by one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Status {
-    /// The answering entry.
+    /// The responding entry.
     pub entry: id::Entry,
-    /// The newest change in force in it.
+    /// The newest change in effect on it.
     pub seq: Seq,
-    /// How long ago the store last confirmed the view; none before the first time.
+    /// Time since the store last confirmed the entry's view; `None` before the first confirmation.
     pub confirmed: Option<Duration>,
-    /// Every registered entry.
+    /// All registered entries.
     pub entries: Vec<Entry>,
-    /// Whether the registrations were read from the store for this answer; where not, an entry that
-    /// registered lately may be missing.
+    /// Whether the registrations were read from the store for this response; if not, recently
+    /// registered entries may be missing.
     #[serde(default)]
     pub complete: bool,
-    /// The entry that holds the controller's lease, as far as known.
+    /// The entry that holds the controller's lease, if known.
     pub controller: Option<id::Entry>,
-    /// Instances by state.
+    /// Number of instances by state.
     pub instances: BTreeMap<String, u32>,
     /// The pools.
     pub pools: Vec<Pool>,
@@ -187,20 +187,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Audit {
-    /// The last change that was looked at, whether or not it matched; read on from here.
+    /// The last change examined, matching or not; the next page starts after it.
     pub read_to: Seq,
-    /// Changes that match, in their order.
+    /// Matching changes in ascending order.
     pub records: Vec<Record>,
 }
 
-/// Problem details as this system sends them.
+/// RFC 9457 problem details as sent by this system.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Problem {
-    /// The numbered code.
+    /// The result code.
     pub code: Code,
-    /// What is particular to the case.
+    /// Details of the case.
     pub detail: String,
-    /// What became of the request.
+    /// Whether the request was executed.
     pub outcome: Verdict,
 }
--- a/crates/api/src/path.rs
+++ b/crates/api/src/path.rs
@@ -1,32 +1,32 @@
-//! Paths on the admin address, in one place for both sides.
+//! URL paths of the admin API, shared by server and client.
 
-/// Whether the process runs; for restarting it.
+/// Liveness check, used to decide on a restart of the process.
 pub const HEALTHZ: &str = "/healthz";
-/// Whether the balancer should send callers here.
+/// Readiness check for the load balancer.
 pub const READYZ: &str = "/readyz";
-/// Metrics in Prometheus form.
+/// Metrics in the Prometheus text format.
 pub const METRICS: &str = "/metrics";
-/// All templates; one is below its name.
+/// All templates; a single one is at its name below this path.
 pub const ACCOUNTS: &str = "/v1/accounts";
-/// What a template would change, posted here.
+/// POST: what a template would change.
 pub const DIFF: &str = "/v1/diff";
 /// All services.
 pub const SERVICES: &str = "/v1/services";
 /// All pools.
 pub const POOLS: &str = "/v1/pools";
-/// All instances; orders are below their names.
+/// All instances; requests on one are below its name.
 pub const INSTANCES: &str = "/v1/instances";
-/// All jobs, and where new ones are posted; one is below its name.
+/// All jobs; POST submits new ones. A single job is at its name below this path.
 pub const JOBS: &str = "/v1/jobs";
-/// Where cancellations of jobs are posted.
+/// POST: cancels jobs.
 pub const CANCEL: &str = "/v1/jobs/cancel";
-/// Registered entries; one is removed below its name.
+/// Registered entries; removal of one is below its name.
 pub const ENTRIES: &str = "/v1/entries";
-/// All waves; a wave is started here, and commanded below its name.
+/// All waves; POST starts one. Commands on a wave are below its name.
 pub const WAVES: &str = "/v1/waves";
-/// What a wave would do, posted here.
+/// POST: what a wave would do.
 pub const WAVE_PLAN: &str = "/v1/wave-plan";
-/// How the system stands.
+/// Status of the system.
 pub const STATUS: &str = "/v1/status";
 /// The audit trail.
 pub const AUDIT: &str = "/v1/audit";
