--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,20 +1,20 @@
-//! Rules between values that each are valid alone.
+//! Validation of constraints between values that are individually valid.
 
 use crate::{reader::Reader, schema::Settings};
 use http::uri::PathAndQuery;
 use std::{collections::BTreeSet, time::Duration};
 
-/// Longest time between two reads of the newest change. A view counts as current for 3 s after the
-/// store confirmed it; this leaves a tenth that is added at random, and 800 ms for the read.
-const LONGEST_POLL: Duration = Duration::from_secs(2);
+/// Maximum interval between two reads of the newest change. A view counts as current for 3 s after
+/// the store confirmed it; this leaves 10% for random jitter and 800 ms for the read.
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Weights count in hundredths, so a smaller one would be none.
-const LEAST_WEIGHT: f64 = 0.01;
+/// Minimum non-zero weight. The planner uses hundredths, so a smaller weight would round to zero.
+const MIN_WEIGHT: f64 = 0.01;
 
-/// Most that a weight may be, so that costs stay far within the planner's whole numbers.
-const MOST_WEIGHT: f64 = 1000.0;
+/// Maximum weight, so that costs stay far within the range of the planner's integers.
+const MAX_WEIGHT: f64 = 1000.0;
 
-/// Reports every broken rule of `settings` to `reader`.
+/// Reports every violated constraint of `settings` to `reader`.
 pub(crate) fn check(settings: &Settings, reader: &mut Reader) {
     durations(settings, reader);
     limits(settings, reader);
@@ -91,7 +91,7 @@
         ("fleet.weights.roll-out", weights.roll_out),
     ];
     for (path, weight) in all {
-        if weight != 0.0 && !(LEAST_WEIGHT..=MOST_WEIGHT).contains(&weight) {
+        if weight != 0.0 && !(MIN_WEIGHT..=MAX_WEIGHT).contains(&weight) {
             reader.fault_at(path, "0, or a number from 0.01 to 1000");
         }
     }
@@ -107,24 +107,24 @@
         ("listen.admin", listen.admin),
         ("listen.peers", listen.peers),
     ];
-    // The registration row shows it as it stands: others that read 0.0.0.0 there would connect to
-    // themselves, and find this entry only as long as their settings list it.
+    // The address is published unchanged in the registration row: entries that read 0.0.0.0 there
+    // would connect to themselves, and reach this entry only if their settings list it as a peer.
     if listen.peers.ip().is_unspecified() {
         reader.fault_at("listen.peers", "an address that other entries can reach");
     }
-    let mut taken = BTreeSet::new();
+    let mut seen = BTreeSet::new();
     for (path, address) in all {
-        // Port 0 takes any free port, so two of them never clash.
-        if address.port() != 0 && !taken.insert(address) {
+        // Port 0 binds to any free port, so two such addresses never conflict.
+        if address.port() != 0 && !seen.insert(address) {
             reader.fault_at(path, "an address of its own");
         }
     }
 }
 
 fn peers(settings: &Settings, reader: &mut Reader) {
-    let mut taken = BTreeSet::from([&settings.entry.name]);
+    let mut seen = BTreeSet::from([&settings.entry.name]);
     for (index, peer) in settings.peers.iter().enumerate() {
-        if !taken.insert(&peer.name) {
+        if !seen.insert(&peer.name) {
             let path = format!("peers[{index}].name");
             reader.fault_at(&path, "the name of another entry, listed once");
         }
@@ -132,9 +132,9 @@
 }
 
 fn operators(settings: &Settings, reader: &mut Reader) {
-    let mut taken = BTreeSet::new();
+    let mut seen = BTreeSet::new();
     for (index, operator) in settings.secrets.operators.iter().enumerate() {
-        if !taken.insert(&operator.name) {
+        if !seen.insert(&operator.name) {
             let path = format!("secrets.operators[{index}].name");
             reader.fault_at(&path, "a name that no other operator has");
         }
@@ -143,7 +143,7 @@
 
 fn timers(settings: &Settings, reader: &mut Reader) {
     let timers = &settings.timers;
-    if timers.poll > LONGEST_POLL {
+    if timers.poll > MAX_POLL_INTERVAL {
         reader.fault_at("timers.poll", "a duration of at most 2s");
     }
     let renewal = timers.renew.saturating_add(settings.platform.timeout);
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,4 +1,4 @@
-//! The documented default and the reference page, from the sections' declarations.
+//! Generates the documented default settings and the reference page from the section declarations.
 
 use crate::{
     reader::{Key, Section, key_of},
@@ -9,88 +9,88 @@
 };
 use std::fmt::Write;
 
-/// A section as the documents show it.
-struct Part {
+/// Documentation of a section.
+struct SectionDoc {
     path: &'static str,
     doc: &'static str,
     keys: &'static [Key],
 }
 
-fn part<S: Section>(path: &'static str) -> Part {
-    Part {
+fn section_doc<S: Section>(path: &'static str) -> SectionDoc {
+    SectionDoc {
         path,
         doc: S::DOC.trim(),
         keys: S::KEYS,
     }
 }
 
-fn parts() -> [Part; 10] {
+fn section_docs() -> [SectionDoc; 10] {
     [
-        part::<Entry>("entry"),
-        part::<Listen>("listen"),
-        part::<Platform>("platform"),
-        part::<Peer>("peers[]"),
-        part::<Limits>("limits"),
-        part::<Timers>("timers"),
-        part::<Weights>("fleet.weights"),
-        part::<Capacity>("fleet.capacity"),
-        part::<Lifecycle>("fleet.lifecycle"),
-        part::<Telemetry>("telemetry"),
+        section_doc::<Entry>("entry"),
+        section_doc::<Listen>("listen"),
+        section_doc::<Platform>("platform"),
+        section_doc::<Peer>("peers[]"),
+        section_doc::<Limits>("limits"),
+        section_doc::<Timers>("timers"),
+        section_doc::<Weights>("fleet.weights"),
+        section_doc::<Capacity>("fleet.capacity"),
+        section_doc::<Lifecycle>("fleet.lifecycle"),
+        section_doc::<Telemetry>("telemetry"),
     ]
 }
 
-/// Settings that hold every key with its default, and an example where a key has none.
+/// Returns commented settings with every key at its default, or an example value if it has none.
 ///
 /// They parse to `Settings::default()`.
 pub fn documented() -> String {
     let mut out =
         String::from("# Settings of one entry. A key without \"required\" may be left out.\n");
-    let mut fleet = false;
-    for part in parts() {
-        if part.path == "peers[]" {
-            peers_and_secrets(&mut out, &part);
+    let mut fleet_started = false;
+    for section in section_docs() {
+        if section.path == "peers[]" {
+            peers_and_secrets(&mut out, &section);
             continue;
         }
-        let Some(name) = part.path.strip_prefix(FLEET) else {
-            write_section(&mut out, "\n", "", part.path, &part);
+        let Some(name) = section.path.strip_prefix(FLEET_PREFIX) else {
+            write_section(&mut out, "\n", "", section.path, &section);
             continue;
         };
-        if !std::mem::replace(&mut fleet, true) {
+        if !std::mem::replace(&mut fleet_started, true) {
             out.push_str("\n# Fleet planning.\nfleet:\n");
         }
-        write_section(&mut out, "  ", "  ", name, &part);
+        write_section(&mut out, "  ", "  ", name, &section);
     }
     out
 }
 
-/// What the paths of the sections inside `fleet` begin with.
-const FLEET: &str = "fleet.";
+/// Path prefix of the sections inside `fleet`.
+const FLEET_PREFIX: &str = "fleet.";
 
-fn write_section(out: &mut String, before: &str, indent: &str, name: &str, part: &Part) {
-    write_doc(out, before, part.doc);
-    writeln!(out, "{indent}{name}:").expect("a string takes all");
-    write_keys(out, &format!("{indent}  "), part.keys);
+fn write_section(out: &mut String, before: &str, indent: &str, name: &str, section: &SectionDoc) {
+    write_doc(out, before, section.doc);
+    writeln!(out, "{indent}{name}:").expect("writing to a string cannot fail");
+    write_keys(out, &format!("{indent}  "), section.keys);
 }
 
 fn write_doc(out: &mut String, before: &str, doc: &str) {
-    writeln!(out, "{before}# {doc}").expect("a string takes all");
+    writeln!(out, "{before}# {doc}").expect("writing to a string cannot fail");
 }
 
 fn write_keys(out: &mut String, indent: &str, keys: &[Key]) {
     for key in keys {
-        let need = if key.required { " Required." } else { "" };
-        write_doc(out, indent, &format!("{}{need}", key.doc.trim()));
+        let required = if key.required { " Required." } else { "" };
+        write_doc(out, indent, &format!("{}{required}", key.doc.trim()));
         let name = key_of(key.field);
-        writeln!(out, "{indent}{name}: {}", key.sample).expect("a string takes all");
+        writeln!(out, "{indent}{name}: {}", key.sample).expect("writing to a string cannot fail");
     }
 }
 
-fn peers_and_secrets(out: &mut String, peers: &Part) {
+fn peers_and_secrets(out: &mut String, peers: &SectionDoc) {
     write_doc(out, "\n", peers.doc);
     let keys = peers.keys.iter();
     let keys = keys.map(|key| format!("`{}: {}`", key_of(key.field), key.sample));
     let keys = keys.collect::<Vec<_>>().join(" and ");
-    writeln!(out, "# Each has {keys}.").expect("a string takes all");
+    writeln!(out, "# Each has {keys}.").expect("writing to a string cannot fail");
     out.push_str("peers: []\n");
     write!(
         out,
@@ -101,20 +101,20 @@
          # The key that entries show each other: `file: PATH` or `env: NAME`. Required.\n  \
          peer-key:\n    env: {PEER_KEY}\n"
     )
-    .expect("a string takes all");
+    .expect("writing to a string cannot fail");
 }
 
-/// The reference page in Markdown.
+/// Returns the reference page in Markdown.
 pub fn reference() -> String {
     let mut out = String::from(INTRODUCTION);
-    for part in parts() {
+    for section in section_docs() {
         write!(
             out,
             "\n## `{}`\n\n{}\n\n| key | default | value | meaning |\n|---|---|---|---|\n",
-            part.path, part.doc
+            section.path, section.doc
         )
-        .expect("a string takes all");
-        for key in part.keys {
+        .expect("writing to a string cannot fail");
+        for key in section.keys {
             let default = if key.required {
                 format!("required, such as `{}`", key.sample)
             } else {
@@ -122,16 +122,16 @@
             };
             let (name, doc) = (key_of(key.field), key.doc.trim());
             writeln!(out, "| `{name}` | {default} | {} | {doc} |", key.expected)
-                .expect("a string takes all");
+                .expect("writing to a string cannot fail");
         }
     }
-    out.push_str(SECRETS);
+    out.push_str(SECRETS_AND_RULES);
     write!(
         out,
         "\n## The documented default\n\n```yaml\n{}```\n",
         documented()
     )
-    .expect("a string takes all");
+    .expect("writing to a string cannot fail");
     out
 }
 
@@ -150,7 +150,7 @@
 This page is made from the code; a test compares the two.
 ";
 
-const SECRETS: &str = "
+const SECRETS_AND_RULES: &str = "
 ## `secrets`
 
 A secret is named by a file or an environment variable and never written into the settings. White
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -1,8 +1,8 @@
-//! What is wrong with settings, and where.
+//! Faults of settings and their positions.
 
 use std::{fmt, path::PathBuf};
 
-/// A place in a file; lines and columns count from 1.
+/// A position in a file, with lines and columns counted from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
     /// The line.
@@ -12,18 +12,18 @@
 }
 
 impl Place {
-    /// The start of the file: the place of what is missing from it as a whole.
+    /// The start of the file, used for keys missing from the whole file.
     pub const START: Self = Self { line: 1, column: 1 };
 }
 
-/// One fault.
+/// One fault of the settings.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
-    /// Where it is.
+    /// Position in the file.
     pub place: Place,
-    /// The path of the value, such as `peers[1].address`; empty for the whole file.
+    /// Path of the value, such as `peers[1].address`; empty for the whole file.
     pub path: String,
-    /// What was expected there.
+    /// What was expected at this position.
     pub expected: String,
 }
 
@@ -38,21 +38,21 @@
     }
 }
 
-/// Why settings could not be read.
+/// Error of loading settings.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file cannot be read.
     #[error("{}: cannot be read: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why not.
+        /// Underlying I/O error.
         source: std::io::Error,
     },
-    /// The settings are faulty; every fault is here, in the order of the file.
+    /// The settings are invalid; holds all faults in file order.
     #[error("{}", list(faults))]
     Invalid {
-        /// The faults, at least one.
+        /// The faults; at least one.
         faults: Vec<Fault>,
     },
 }
@@ -63,7 +63,7 @@
 }
 
 impl Error {
-    /// The faults in the settings; none where the file could not be read.
+    /// The faults in the settings; empty if the file could not be read.
     pub fn faults(&self) -> &[Fault] {
         match self {
             Self::Unreadable { .. } => &[],
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,15 +1,15 @@
-//! Settings of one entry, read from YAML.
+//! Settings of one entry in YAML.
 //!
-//! [`Settings::load`] reads a file and reports every fault at once, each with its line, its column,
-//! its path and what was expected there. Serde's derive stops at the first fault, so the document is
-//! first read into a tree whose nodes know their places, and the sections then take what they know
-//! from it; what is left over is an unknown key. Faults name keys and never repeat a value, since it
-//! may be a secret in the wrong place.
+//! [`Settings::load`] reads a file and reports all faults at once, each with its line, its column, its
+//! path and what was expected. Serde's derived implementations stop at the first fault. Therefore the
+//! document is first parsed into a tree of nodes with positions, from which each section takes its
+//! keys; remaining keys are unknown. Faults name keys and never repeat a value, which may be a
+//! misplaced secret.
 //!
-//! Each section declares its keys, defaults and descriptions once. The types, the reader, the
-//! documented default ([`documented`]) and the reference page ([`reference`]) come from that.
+//! Each section declares its keys, defaults and descriptions once. The types, the parser, the
+//! documented default ([`documented`]) and the reference page ([`reference`]) are generated from that.
 //!
-//! Secrets are named by file or environment variable, never written into the settings; see
+//! Secrets are referenced by file or environment variable and never part of the settings; see
 //! [`secret`].
 
 mod check;
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -1,4 +1,4 @@
-//! A YAML document as a tree whose nodes know their places.
+//! YAML documents as trees of nodes with source positions.
 
 use crate::fault::{Fault, Place};
 use serde::{
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(crate) struct Pair {
     pub(crate) key: String,
-    /// Where the key stands.
+    /// Position of the key.
     pub(crate) place: Place,
     pub(crate) value: Node,
 }
@@ -38,15 +38,14 @@
 }
 
 impl Node {
-    /// Reads a document.
+    /// Parses a document.
     ///
-    /// The only fault is the first one of the YAML itself, after which nothing can be told of the
-    /// rest.
-    pub(crate) fn read(text: &str) -> Result<Self, Fault> {
+    /// Reports only the first YAML syntax error, since nothing after it can be interpreted.
+    pub(crate) fn parse(text: &str) -> Result<Self, Fault> {
         let options = Options {
-            // A name such as `n` or `off` is text.
+            // Names such as `n` or `off` are text, not booleans.
             strict_booleans: true,
-            // A snippet of the file could show a secret.
+            // A snippet of the file could reveal a secret.
             with_snippet: false,
             ..Options::default()
         };
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Taking sections out of a document's tree, with every fault on the way.
+//! Extracts sections from a document tree and collects all faults.
 
 use crate::{
     fault::{Fault, Place},
@@ -7,42 +7,43 @@
 };
 use std::collections::BTreeMap;
 
-/// What a section must be.
+/// Expectation reported for a section that is not a map.
 pub(crate) const A_MAP: &str = "a map";
 
-/// One key of a section, for the reader and for the documents.
+/// One key of a section, for the reader and the documentation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Key {
-    /// The field's name; [`key_of`] makes the key.
+    /// Name of the Rust field; [`key_of`] converts it to the key.
     pub(crate) field: &'static str,
-    /// What it sets.
+    /// Description.
     pub(crate) doc: &'static str,
-    /// The default, or an example where the key is required.
+    /// Default value, or an example if the key is required.
     pub(crate) sample: &'static str,
-    /// Whether there is no default.
+    /// Whether the key is required, that is, has no default.
     pub(crate) required: bool,
-    /// What may be written.
+    /// Description of valid values.
     pub(crate) expected: &'static str,
 }
 
 /// A section: a map whose keys all have scalar values.
 pub(crate) trait Section: Sized {
-    /// Its keys in the order of the documents.
+    /// Keys in the order of the documentation.
     const KEYS: &'static [Key];
 
-    /// What the section is about.
+    /// Description of the section.
     const DOC: &'static str;
 
     /// Takes the section's keys from `map`.
     fn take(reader: &mut Reader, map: &mut Map<'_>) -> Self;
 }
 
-/// The key of a field: the same words with dashes.
+/// The settings key of a field: its name in kebab case.
 pub(crate) fn key_of(field: &str) -> String {
     field.replace('_', "-")
 }
 
-/// Declares sections: each field once, with its need, its default or example, and its description.
+/// Declares sections: each field with `required` or `default`, its default or example, and its
+/// description.
 macro_rules! sections {
     ($(
         $(#[doc = $about:literal])+
@@ -86,15 +87,15 @@
 }
 pub(crate) use sections;
 
-/// A map on its way through the reader; keys that nobody took are unknown.
+/// A map that is being read; keys that are never taken are unknown.
 #[derive(Debug)]
 pub(crate) struct Map<'a> {
     path: String,
     place: Place,
-    left: Vec<&'a Pair>,
+    remaining: Vec<&'a Pair>,
     known: Vec<String>,
-    /// Something else stands there, which was reported.
-    broken: bool,
+    /// The node is not a map, which has been reported.
+    malformed: bool,
 }
 
 impl<'a> Map<'a> {
@@ -106,15 +107,15 @@
         }
     }
 
-    /// Takes the value of `key`, if it is there.
+    /// Takes the value of `key`, if present.
     pub(crate) fn take(&mut self, key: &str) -> Option<&'a Node> {
         self.known.push(key.to_owned());
-        let index = self.left.iter().position(|pair| pair.key == key)?;
-        Some(&self.left.remove(index).value)
+        let index = self.remaining.iter().position(|pair| pair.key == key)?;
+        Some(&self.remaining.remove(index).value)
     }
 }
 
-/// Collects faults and the places of values.
+/// Collects faults and the positions of values.
 #[derive(Debug, Default)]
 pub(crate) struct Reader {
     faults: Vec<Fault>,
@@ -122,7 +123,7 @@
 }
 
 impl Reader {
-    /// The map at `path`; an empty one where there is none, with a fault where something else is.
+    /// Returns the map at `path`; an empty one if `node` is missing or, with a fault, not a map.
     pub(crate) fn map<'a>(
         &mut self,
         path: &str,
@@ -133,29 +134,29 @@
         let mut map = Map {
             path: path.to_owned(),
             place: node.map_or(parent, |node| node.place),
-            left: Vec::new(),
+            remaining: Vec::new(),
             known: Vec::new(),
-            broken: false,
+            malformed: false,
         };
         self.places.insert(path.to_owned(), map.place);
         match node.map(|node| &node.kind) {
             None | Some(Kind::Null) => {}
-            Some(Kind::Map(pairs)) => map.left = pairs.iter().collect(),
+            Some(Kind::Map(pairs)) => map.remaining = pairs.iter().collect(),
             Some(Kind::Scalar(_) | Kind::List(_)) => {
-                map.broken = true;
+                map.malformed = true;
                 self.fault(path, map.place, expected);
             }
         }
         map
     }
 
-    /// The map under `key` of `map`.
+    /// Returns the map at `key` of `map`.
     pub(crate) fn child<'a>(&mut self, map: &mut Map<'a>, key: &str, expected: &str) -> Map<'a> {
         let node = map.take(key);
         self.map(&map.join(key), node, map.place, expected)
     }
 
-    /// The section under `key` of `map`.
+    /// Reads the section at `key` of `map`.
     pub(crate) fn section<S: Section>(&mut self, map: &mut Map<'_>, key: &str) -> S {
         let mut child = self.child(map, key, A_MAP);
         let section = S::take(self, &mut child);
@@ -163,7 +164,7 @@
         section
     }
 
-    /// The items of the list under `key` of `map`, as maps.
+    /// Returns the items of the list at `key` of `map` as maps.
     pub(crate) fn list<'a>(
         &mut self,
         map: &mut Map<'a>,
@@ -188,7 +189,7 @@
             .collect()
     }
 
-    /// The value of a key of `map`, or its sample where it is missing or faulty.
+    /// Reads the value of a key of `map`; its sample if it is missing or invalid.
     pub(crate) fn scalar<T: Value>(
         &mut self,
         map: &mut Map<'_>,
@@ -197,21 +198,25 @@
         sample: &'static str,
     ) -> T {
         let key = key_of(field);
-        let read = self.optional(map, &key);
-        if read.is_none() && required && !map.broken && !self.places.contains_key(&map.join(&key)) {
+        let value = self.optional(map, &key);
+        if value.is_none()
+            && required
+            && !map.malformed
+            && !self.places.contains_key(&map.join(&key))
+        {
             let expected = format!("{}; this key is required", T::EXPECTED);
             self.fault(&map.join(&key), map.place, expected);
         }
-        read.unwrap_or_else(|| T::read(sample).expect("samples are valid values"))
+        value.unwrap_or_else(|| T::parse(sample).expect("samples are valid values"))
     }
 
-    /// The value of a key of `map`, if it is there and not faulty.
+    /// Reads the value of a key of `map`, if it is present and valid.
     pub(crate) fn optional<T: Value>(&mut self, map: &mut Map<'_>, key: &str) -> Option<T> {
         let path = map.join(key);
         let node = map.take(key)?;
         self.places.insert(path.clone(), node.place);
         let value = match &node.kind {
-            Kind::Scalar(text) => T::read(text),
+            Kind::Scalar(text) => T::parse(text),
             Kind::Null | Kind::List(_) | Kind::Map(_) => None,
         };
         if value.is_none() {
@@ -220,30 +225,30 @@
         value
     }
 
-    /// Reports every key of `map` that nobody took.
+    /// Reports every key of `map` that was not taken as unknown.
     pub(crate) fn finish(&mut self, map: &Map<'_>) {
         let expected = format!("one of the keys {}", map.known.join(", "));
-        for pair in &map.left {
+        for pair in &map.remaining {
             self.fault(&map.join(&pair.key), pair.place, expected.as_str());
         }
     }
 
-    /// Reports a fault of the map as a whole, unless it is reported as no map at all.
-    pub(crate) fn fault_of(&mut self, map: &Map<'_>, expected: &str) {
-        if !map.broken {
+    /// Reports a fault of the map as a whole, unless it was already reported as not being a map.
+    pub(crate) fn map_fault(&mut self, map: &Map<'_>, expected: &str) {
+        if !map.malformed {
             self.fault(&map.path, map.place, expected);
         }
     }
 
-    /// Reports a fault at `path`, at its place or at that of the map around it.
+    /// Reports a fault at `path`, at its own position or that of the innermost enclosing value.
     pub(crate) fn fault_at(&mut self, path: &str, expected: &str) {
-        let mut around = path;
+        let mut enclosing = path;
         let place = loop {
-            if let Some(place) = self.places.get(around) {
+            if let Some(place) = self.places.get(enclosing) {
                 break *place;
             }
-            match around.rfind(['.', '[']) {
-                Some(end) => around = &around[..end],
+            match enclosing.rfind(['.', '[']) {
+                Some(end) => enclosing = &enclosing[..end],
                 None => break Place::START,
             }
         };
@@ -258,12 +263,12 @@
         });
     }
 
-    /// Whether nothing under `path` was faulty so far; the empty path is the whole file.
+    /// Whether no fault under `path` has been reported so far; the empty path is the whole file.
     pub(crate) fn is_clean(&self, path: &str) -> bool {
         !self.faults.iter().any(|fault| fault.path.starts_with(path))
     }
 
-    /// The faults in the order of the file.
+    /// Returns the faults in file order.
     pub(crate) fn into_faults(mut self) -> Vec<Fault> {
         self.faults.sort();
         self.faults
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,4 +1,4 @@
-//! The sections and their keys.
+//! The sections of the settings and their keys.
 
 use crate::{
     check,
@@ -139,30 +139,30 @@
 /// Fleet planning.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// What the planner weighs.
+    /// Weights of the planner's objectives.
     pub weights: Weights,
-    /// What each worker has for jobs.
+    /// Capacity of each worker for jobs.
     pub capacity: Capacity,
-    /// When a worker passes from one state to the next.
+    /// Conditions for a worker's state transitions.
     pub lifecycle: Lifecycle,
 }
 
 /// The settings of one entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Who this entry is.
+    /// Identity of this entry.
     pub entry: Entry,
-    /// Where it listens.
+    /// Listen addresses.
     pub listen: Listen,
-    /// The platform's service.
+    /// Connection to the platform.
     pub platform: Platform,
-    /// Other entries to connect to at the start.
+    /// Other entries to connect to at start.
     pub peers: Vec<Peer>,
-    /// Where its secrets are.
+    /// Sources of the secrets.
     pub secrets: Secrets,
-    /// Bounds on what it takes on.
+    /// Limits on requests and connections.
     pub limits: Limits,
-    /// How often things happen.
+    /// Intervals and timeouts.
     pub timers: Timers,
     /// Fleet planning.
     pub fleet: Fleet,
@@ -171,23 +171,23 @@
 }
 
 impl Default for Settings {
-    /// Every default, and the examples of [`crate::documented`] where a key has none.
+    /// All defaults, and the examples of [`crate::documented`] for keys without a default.
     fn default() -> Self {
         Self::take(&mut Reader::default(), None)
     }
 }
 
 impl Settings {
-    /// Reads the settings in the file `path` and checks that its secrets can be read.
+    /// Loads settings from the file at `path` and checks that their secrets can be read.
     ///
     /// # Errors
-    /// [`Error::Unreadable`] for the file, or [`Error::Invalid`] with every fault.
+    /// [`Error::Unreadable`] if the file cannot be read, or [`Error::Invalid`] with all faults.
     pub fn load(path: &Path) -> Result<Self, Error> {
         let text = fs::read_to_string(path).map_err(|source| Error::Unreadable {
             path: path.to_owned(),
             source,
         })?;
-        let (settings, mut reader) = Self::read(&text)?;
+        let (settings, mut reader) = Self::parse_tree(&text)?;
         if reader.is_clean("secrets") {
             let environment = |name: &str| std::env::var(name).ok();
             let missing = settings.secrets.resolve(&environment).err();
@@ -195,32 +195,33 @@
                 reader.fault_at(&secret.path, &secret.expected);
             }
         }
-        settings.unless_faulty(reader)
+        settings.into_result(reader)
     }
 
-    /// Reads the settings in `text`, without looking for its secrets.
+    /// Parses settings from `text`, without reading their secrets.
     ///
     /// # Errors
-    /// [`Error::Invalid`] with every fault.
+    /// [`Error::Invalid`] with all faults.
     pub fn parse(text: &str) -> Result<Self, Error> {
-        let (settings, reader) = Self::read(text)?;
-        settings.unless_faulty(reader)
+        let (settings, reader) = Self::parse_tree(text)?;
+        settings.into_result(reader)
     }
 
-    fn read(text: &str) -> Result<(Self, Reader), Error> {
-        let node = Node::read(text).map_err(|fault| Error::Invalid {
+    fn parse_tree(text: &str) -> Result<(Self, Reader), Error> {
+        let node = Node::parse(text).map_err(|fault| Error::Invalid {
             faults: vec![fault],
         })?;
         let mut reader = Reader::default();
         let settings = Self::take(&mut reader, Some(&node));
-        // A faulty value stands as its default, which could break a rule that the file keeps.
+        // An invalid value was replaced by its default, which could violate a constraint that the file
+        // itself satisfies.
         if reader.is_clean("") {
             check::check(&settings, &mut reader);
         }
         Ok((settings, reader))
     }
 
-    fn unless_faulty(self, reader: Reader) -> Result<Self, Error> {
+    fn into_result(self, reader: Reader) -> Result<Self, Error> {
         let faults = reader.into_faults();
         if faults.is_empty() {
             Ok(self)
--- a/crates/settings/src/secret.rs
+++ b/crates/settings/src/secret.rs
@@ -1,7 +1,7 @@
-//! Secrets: where they are, and what they turn out to be.
+//! Sources of secrets, and the secrets read from them.
 //!
-//! Settings name a file or an environment variable. The hash of an operator's token is no secret
-//! and may be written as it is.
+//! Settings refer to a file or an environment variable. The hash of an operator's token is not secret
+//! and may be given literally.
 
 use crate::reader::{A_MAP, Map, Reader};
 use primroseroute_domain::account::TokenHash;
@@ -13,21 +13,21 @@
     sync::Arc,
 };
 
-/// Where a secret is.
+/// Source of a secret.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// In a file; white space at its end does not count.
+    /// A file; trailing white space is ignored.
     File(PathBuf),
-    /// In an environment variable.
+    /// An environment variable.
     Environment(Arc<str>),
 }
 
-/// How an operator's token is named.
+/// Reference to an operator's token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Token {
-    /// By its SHA-256.
+    /// SHA-256 of the token.
     Hash(TokenHash),
-    /// By where the token itself is.
+    /// Source of the token itself.
     At(Source),
 }
 
@@ -36,74 +36,74 @@
 pub struct Operator {
     /// The name that the audit trail shows.
     pub name: Arc<str>,
-    /// Its token.
+    /// The operator's token.
     pub token: Token,
 }
 
-/// Where the secrets of an entry are.
+/// Sources of an entry's secrets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Secrets {
-    /// Operators; with none, nobody may operate through this entry.
+    /// Operators; if empty, nobody may operate through this entry.
     pub operators: Vec<Operator>,
-    /// The key that entries show each other.
+    /// Shared key by which entries authenticate to each other.
     pub peer_key: Source,
 }
 
-/// A secret's bytes, which are never printed.
+/// Bytes of a secret; never printed.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(Arc<[u8]>);
 
 impl Secret {
-    /// The bytes, for the one place that needs them.
+    /// Returns the bytes, for the one place that needs them.
     pub fn expose(&self) -> &[u8] {
         &self.0
     }
 }
 
 impl fmt::Debug for Secret {
-    /// Shows nothing of it.
+    /// Prints nothing of the secret.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Secret(…)")
     }
 }
 
-/// The secrets of an entry.
+/// The resolved secrets of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Resolved {
-    /// Hashes of the operators' tokens, by the operators' names.
+    /// Hashes of the operators' tokens by operator name.
     pub operators: BTreeMap<Arc<str>, TokenHash>,
-    /// The key that entries show each other.
+    /// Shared key by which entries authenticate to each other.
     pub peer_key: Secret,
 }
 
-/// A secret that cannot be had, is too short, or that another operator has too.
+/// A secret that cannot be read, is too short, or is shared with another operator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: expected {expected}")]
 pub struct Missing {
-    /// The path of the setting that names it.
+    /// Path of the setting that refers to it.
     pub path: String,
     /// What was expected.
     pub expected: String,
 }
 
-/// Looks an environment variable up.
+/// Looks up an environment variable.
 pub type Environment<'a> = dyn Fn(&str) -> Option<String> + 'a;
 
 /// Environment variable of the peer key in the documented settings.
 pub(crate) const PEER_KEY: &str = "PRIMROSEROUTE_PEER_KEY";
 
-/// Bytes of a peer key that the peer link asks for at least.
-const LEAST_KEY: usize = 16;
+/// Minimum length of a peer key in bytes, as required by the peer link.
+const MIN_KEY_BYTES: usize = 16;
 
 const SOURCE: &str = "`file: PATH` or `env: NAME`; a secret is never written here";
 
 const OPERATOR: &str = "`name: NAME` and one of `hash: SHA-256`, `file: PATH`, `env: NAME`; \
                         a secret is never written here";
 
-/// An operator's name where the file has none; with a fault, so nobody gets it.
-const NAMELESS: &str = "operator";
+/// Placeholder for a missing operator name; a fault is reported with it, so it is never used.
+const PLACEHOLDER_NAME: &str = "operator";
 
-/// Digits of a SHA-256 in hexadecimal.
+/// Number of hexadecimal digits of a SHA-256.
 const HASH_DIGITS: usize = 64;
 
 impl Source {
@@ -126,7 +126,7 @@
         Ok(Secret(text.into()))
     }
 
-    /// The one source that `map` names.
+    /// Takes all sources in `map`; a valid one has exactly one.
     fn take(reader: &mut Reader, map: &mut Map<'_>) -> Vec<Self> {
         let file: Option<Arc<str>> = reader.optional(map, "file");
         let variable: Option<Arc<str>> = reader.optional(map, "env");
@@ -139,7 +139,7 @@
 
 impl Operator {
     fn take(reader: &mut Reader, mut map: Map<'_>) -> Option<Self> {
-        let name = reader.scalar(&mut map, "name", true, NAMELESS);
+        let name = reader.scalar(&mut map, "name", true, PLACEHOLDER_NAME);
         let token = Token::take(reader, &mut map)?;
         Some(Self { name, token })
     }
@@ -155,11 +155,11 @@
         if let Some(hash) = hash {
             let digit = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
             if hash.len() != HASH_DIGITS || !hash.bytes().all(digit) {
-                reader.fault_of(map, "a SHA-256 as 64 lower-case hexadecimal digits");
+                reader.map_fault(map, "a SHA-256 as 64 lower-case hexadecimal digits");
             }
             all.push(Self::Hash(TokenHash(hash)));
         }
-        one(reader, map, all, OPERATOR)
+        exactly_one(reader, map, all, OPERATOR)
     }
 
     fn hash(&self, environment: &Environment<'_>) -> Result<TokenHash, String> {
@@ -172,7 +172,7 @@
     }
 }
 
-/// The SHA-256 of a token.
+/// Returns the SHA-256 of a token.
 fn hash_of(token: &[u8]) -> TokenHash {
     let digits = Sha256::digest(token)
         .iter()
@@ -181,10 +181,15 @@
     TokenHash(digits.concat().into())
 }
 
-/// The only one of `all`, or a fault.
-fn one<T>(reader: &mut Reader, map: &Map<'_>, mut all: Vec<T>, expected: &str) -> Option<T> {
+/// Returns the only element of `all`, or reports a fault if there is not exactly one.
+fn exactly_one<T>(
+    reader: &mut Reader,
+    map: &Map<'_>,
+    mut all: Vec<T>,
+    expected: &str,
+) -> Option<T> {
     if all.len() != 1 {
-        reader.fault_of(map, expected);
+        reader.map_fault(map, expected);
     }
     reader.finish(map);
     all.pop()
@@ -200,7 +205,7 @@
             .collect();
         let mut key = reader.child(&mut map, "peer-key", SOURCE);
         let keys = Source::take(reader, &mut key);
-        let peer_key = one(reader, &key, keys, SOURCE);
+        let peer_key = exactly_one(reader, &key, keys, SOURCE);
         reader.finish(&map);
         Self {
             operators,
@@ -208,19 +213,20 @@
         }
     }
 
-    /// Reads every secret.
+    /// Reads all secrets.
     ///
     /// # Errors
-    /// Each secret that cannot be had, a peer key that is too short, and each operator's token that another one has too: the
-    /// audit trail could not tell the two apart.
+    /// Each secret that cannot be read, a peer key that is too short, and each operator's token that another operator has
+    /// too, since the audit trail could not tell the two operators apart.
     pub fn resolve(&self, environment: &Environment<'_>) -> Result<Resolved, Vec<Missing>> {
         let mut missing = Vec::new();
         let mut operators = BTreeMap::new();
-        let mut taken = BTreeSet::new();
+        let mut seen = BTreeSet::new();
         for (index, operator) in self.operators.iter().enumerate() {
             let hash = operator.token.hash(environment).and_then(|hash| {
-                let own = taken.insert(Arc::clone(&hash.0));
-                own.then_some(hash)
+                let unique = seen.insert(Arc::clone(&hash.0));
+                unique
+                    .then_some(hash)
                     .ok_or_else(|| "a token that no other operator has".to_owned())
             });
             match hash {
@@ -234,9 +240,10 @@
             }
         }
         let key = self.peer_key.read(environment).and_then(|key| {
-            let long = key.expose().len() >= LEAST_KEY;
-            long.then_some(key)
-                .ok_or_else(|| format!("a key of at least {LEAST_KEY} bytes"))
+            let long_enough = key.expose().len() >= MIN_KEY_BYTES;
+            long_enough
+                .then_some(key)
+                .ok_or_else(|| format!("a key of at least {MIN_KEY_BYTES} bytes"))
         });
         match key {
             Ok(peer_key) if missing.is_empty() => Ok(Resolved {
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -1,32 +1,32 @@
-//! Values of single settings.
+//! Types of single settings and their parsers.
 
 use log::LevelFilter;
 use primroseroute_domain::id;
 use std::{fmt, net::SocketAddr, str::FromStr, sync::Arc, time::Duration};
 
-/// A type of setting that is written as one scalar.
+/// A type whose settings are written as one scalar.
 pub(crate) trait Value: Sized {
-    /// What a reader of a fault should write instead.
+    /// Description of valid values, used in faults.
     const EXPECTED: &'static str;
 
-    /// The value that `text` means.
-    fn read(text: &str) -> Option<Self>;
+    /// Parses `text`; `None` if it is invalid.
+    fn parse(text: &str) -> Option<Self>;
 }
 
-/// Values whose `FromStr` reads just what the settings allow.
-macro_rules! parsed {
+/// Implements [`Value`] for types whose `FromStr` accepts exactly the valid settings.
+macro_rules! from_str_values {
     ($($type:ty => $expected:literal;)*) => {$(
         impl Value for $type {
             const EXPECTED: &'static str = $expected;
 
-            fn read(text: &str) -> Option<Self> {
+            fn parse(text: &str) -> Option<Self> {
                 <$type>::from_str(text).ok()
             }
         }
     )*};
 }
 
-parsed! {
+from_str_values! {
     u32 => "a whole number";
     u64 => "a whole number";
     SocketAddr => "an IP address and port, such as 127.0.0.1:8080";
@@ -38,7 +38,7 @@
 impl Value for f64 {
     const EXPECTED: &'static str = "a number";
 
-    fn read(text: &str) -> Option<Self> {
+    fn parse(text: &str) -> Option<Self> {
         text.parse().ok().filter(|number: &Self| number.is_finite())
     }
 }
@@ -46,7 +46,7 @@
 impl Value for Duration {
     const EXPECTED: &'static str = "a duration, such as 500ms, 30s or 2m";
 
-    fn read(text: &str) -> Option<Self> {
+    fn parse(text: &str) -> Option<Self> {
         humantime::parse_duration(text).ok()
     }
 }
@@ -54,7 +54,7 @@
 impl Value for Arc<str> {
     const EXPECTED: &'static str = "a text that is not empty";
 
-    fn read(text: &str) -> Option<Self> {
+    fn parse(text: &str) -> Option<Self> {
         (!text.trim().is_empty()).then(|| text.into())
     }
 }
@@ -63,13 +63,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Bytes(pub u64);
 
-/// Units of memory, each 1024 times the one before.
+/// Units of memory with their sizes as powers of two.
 const UNITS: [(&str, u32); 4] = [("KiB", 10), ("MiB", 20), ("GiB", 30), ("TiB", 40)];
 
 impl Value for Bytes {
     const EXPECTED: &'static str = "an amount of memory in KiB, MiB, GiB or TiB, such as 256GiB";
 
-    fn read(text: &str) -> Option<Self> {
+    fn parse(text: &str) -> Option<Self> {
         let unit = |(unit, bits): (&str, u32)| {
             let number: u64 = text.strip_suffix(unit)?.trim_end().parse().ok()?;
             number.checked_mul(1 << bits).map(Self)
@@ -104,9 +104,9 @@
 impl Value for Url {
     const EXPECTED: &'static str = "a URL of the form http://HOST:PORT";
 
-    fn read(text: &str) -> Option<Self> {
+    fn parse(text: &str) -> Option<Self> {
         let uri: http::Uri = text.parse().ok()?;
-        let whole = uri.scheme_str() == Some("http") && uri.host().is_some();
-        (whole && uri.query().is_none()).then(|| Self(text.into()))
+        let has_host = uri.scheme_str() == Some("http") && uri.host().is_some();
+        (has_host && uri.query().is_none()).then(|| Self(text.into()))
     }
 }
--- a/crates/settings/tests/all/document.rs
+++ b/crates/settings/tests/all/document.rs
@@ -10,8 +10,8 @@
 
 #[test]
 fn documented_names_every_key() {
-    // Without its values, the documented default must still read as the same settings, but for the
-    // required keys: so no key's documented value differs from its default.
+    // Only the required keys: omitting all others must give the same settings, so no documented value
+    // differs from its default.
     let text = documented();
     let required: Vec<&str> = text
         .lines()
@@ -30,12 +30,12 @@
             "peer-key:",
         ]
     );
-    let least = "entry: {name: entry-1, zone: zone-a, region: region-1}\n\
+    let minimal = "entry: {name: entry-1, zone: zone-a, region: region-1}\n\
                  listen: {peers: '127.0.0.1:8082'}\n\
                  platform: {url: 'http://127.0.0.1:7000'}\n\
                  secrets: {peer-key: {env: PRIMROSEROUTE_PEER_KEY}}\n";
     assert_eq!(
-        Settings::parse(least).expect("nothing is missing"),
+        Settings::parse(minimal).expect("no required key is missing"),
         Settings::default()
     );
 }
--- a/crates/settings/tests/all/faults.rs
+++ b/crates/settings/tests/all/faults.rs
@@ -1,11 +1,11 @@
-//! Faults: all at once, each with its place, its path and what was expected.
+//! All faults are reported at once, each with its position, path and expectation.
 
 use expect_test::{Expect, expect};
 use primroseroute_settings::{Settings, documented};
 
-fn shows(text: &str, want: &Expect) {
-    let error = Settings::parse(text).expect_err("the settings are faulty");
-    want.assert_eq(&format!("{error}\n"));
+fn assert_faults(text: &str, expected: &Expect) {
+    let error = Settings::parse(text).expect_err("the settings are invalid");
+    expected.assert_eq(&format!("{error}\n"));
 }
 
 /// The documented default with `from` replaced by `to`.
@@ -15,19 +15,19 @@
     text.replace(from, to)
 }
 
-/// Names each case: what is replaced in the documented default, and the faults.
+/// One test per case: a replacement in the documented default, and the resulting faults.
 macro_rules! cases {
-    ($($name:ident($from:literal => $to:literal) $want:expr;)*) => {$(
+    ($($name:ident($from:literal => $to:literal) $expected:expr;)*) => {$(
         #[test]
         fn $name() {
-            shows(&with($from, $to), &$want);
+            assert_faults(&with($from, $to), &$expected);
         }
     )*};
 }
 
 #[test]
 fn every_fault_at_once() {
-    shows(
+    assert_faults(
         "entry:\n  name: Entry 1\n  zone: zone-a\n  colour: red\n\
          listen:\n  callers: somewhere\n\
          peers:\n  - name: entry-2\n    address: [1]\n    weight: 3\n  - entry-3\n\
@@ -56,7 +56,7 @@
 
 #[test]
 fn empty_file_misses_required_keys() {
-    shows(
+    assert_faults(
         "",
         &expect![[r"
             1:1: entry.name: expected a name of 1 to 63 of a-z, 0-9, `-`, `.`; this key is required
@@ -69,7 +69,7 @@
     );
 }
 
-/// No token's SHA-256, but it could be one's.
+/// A well-formed SHA-256 of no known token.
 const ZEROS: &str = "0000000000000000000000000000000000000000000000000000000000000000";
 
 #[test]
@@ -99,7 +99,7 @@
             "peers: []",
             "peers: [{name: entry-1, address: '127.0.0.1:1'}]",
         );
-    shows(
+    assert_faults(
         &text,
         &expect![[r"
             17:10: listen.admin: expected an address of its own
@@ -170,23 +170,23 @@
 
 #[test]
 fn faults_never_repeat_a_value() {
-    // A secret stands where each value of the documented default stands, one after the other; once
-    // as a faulty value, and once beside a fault of the YAML itself.
+    // Replaces each value of the documented default in turn by a secret: once as an invalid value, and
+    // once next to a YAML syntax error.
     let text = documented();
     let lines = text.lines();
     let lines = lines.filter(|line| !line.starts_with('#') && line.contains(": "));
-    let mut faulty = 0;
+    let mut invalid = 0;
     for line in lines {
         let (key, _) = line.split_once(": ").expect("the line has a value");
         for secret in ["hunter2 [x", "hunter2\n  ]"] {
             let swapped = text.replace(line, &format!("{key}: {secret}"));
             if let Err(error) = Settings::parse(&swapped) {
                 assert!(!error.to_string().contains("hunter2"), "{error}");
-                faulty += 1;
+                invalid += 1;
             }
         }
     }
-    assert!(faulty > 40, "only {faulty} were faulty");
+    assert!(invalid > 40, "only {invalid} were invalid");
 }
 
 #[test]
--- a/crates/settings/tests/all/secrets.rs
+++ b/crates/settings/tests/all/secrets.rs
@@ -1,4 +1,4 @@
-//! Secrets are read from where the settings say, and never shown.
+//! Secrets are read from their configured sources and never printed.
 
 use expect_test::expect;
 use primroseroute_settings::{Settings, documented};
@@ -10,17 +10,17 @@
 /// SHA-256 of `another`.
 const ANOTHER: &str = "ae448ac86c4e8e4dec645729708ef41873ae79c6dff84eff73360989487f08e5";
 
-/// Looks like the SHA-256 of a further token.
+/// A well-formed SHA-256 of no known token.
 const OTHER: &str = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef";
 
-/// A peer key of the least length.
+/// A peer key of the minimum length.
 const KEY: &str = "0123456789abcdef";
 
 fn settings(secrets: &str) -> Settings {
     let (before, after) = documented()
         .split_once("secrets:\n")
         .map(|(before, after)| (before.to_owned(), after.to_owned()))
-        .expect("the section is there");
+        .expect("the section exists");
     let (_, after) = after.split_once("\n\n").expect("a section follows");
     Settings::parse(&format!("{before}secrets:\n{secrets}\n\n{after}")).expect("it is valid")
 }
@@ -41,13 +41,17 @@
         "KEY" => Some(KEY.to_owned()),
         _ => None,
     };
-    let resolved = secrets.resolve(&environment).expect("all are there");
+    let resolved = secrets
+        .resolve(&environment)
+        .expect("all secrets are available");
     let operators = resolved.operators.iter();
     let operators: Vec<_> = operators.map(|(name, hash)| (&**name, &*hash.0)).collect();
     assert_eq!(operators, [("a", OTHER), ("b", HASH), ("c", ANOTHER)]);
     assert_eq!(resolved.peer_key.expose(), KEY.as_bytes());
     assert!(!format!("{resolved:?}").contains(KEY), "{resolved:?}");
-    let missing = secrets.resolve(&|_| None).expect_err("two are missing");
+    let missing = secrets
+        .resolve(&|_| None)
+        .expect_err("two secrets are missing");
     let missing: Vec<String> = missing.iter().map(ToString::to_string).collect();
     expect![[r"
         secrets.operators[2]: expected the environment variable TOKEN to be there and readable
@@ -55,7 +59,7 @@
     .assert_eq(&missing.join("\n"));
 }
 
-/// The trail would show whichever of the two names comes first.
+// With a shared token, the audit trail would show whichever of the two names comes first.
 #[test]
 fn token_of_two_operators_is_refused() {
     let secrets = settings(&format!(
@@ -66,7 +70,7 @@
         "KEY" => Some(KEY.to_owned()),
         _ => Some("token".to_owned()),
     });
-    let missing = missing.expect_err("both have one token");
+    let missing = missing.expect_err("both operators have the same token");
     let missing: Vec<String> = missing.iter().map(ToString::to_string).collect();
     assert_eq!(
         missing,
@@ -95,7 +99,7 @@
     let text = documented().replace("retries: 2", "retries: many");
     let text = text.replace("env: PRIMROSEROUTE_PEER_KEY", "file: /nowhere/key");
     fs::write(&file, text).expect("a file can be written");
-    let error = Settings::load(&file).expect_err("two things are wrong");
+    let error = Settings::load(&file).expect_err("there are two faults");
     expect![[r"
         38:5: secrets.peer-key: expected the file /nowhere/key to be there and readable
         55:12: limits.retries: expected a whole number"]]
