--- a/crates/ctl/src/command/site.rs
+++ b/crates/ctl/src/command/site.rs
@@ -8,7 +8,7 @@
 use eyre::{Result, WrapErr, eyre};
 use primroseroute_adapter::{Client, Settings, Site as Adapter, Store};
 use primroseroute_domain::work::JobId;
-use primroseroute_inspect::{Pool, Story, Wave};
+use primroseroute_inspect::{JobDetails, Pool, Wave};
 use std::time::Duration;
 
 /// Longest time of a call that names none: an operator waits for the answer.
@@ -98,18 +98,18 @@
     Ok(exit::DONE)
 }
 
-fn show_job(story: &Story, printer: &mut Printer<'_>) -> Result<u8> {
+fn show_job(details: &JobDetails, printer: &mut Printer<'_>) -> Result<u8> {
     if printer.output == crate::cli::Output::Table {
-        let ended = or_none(story.ended_ms);
+        let ended = or_none(details.ended_ms);
         printer.line(&format!(
             "{} of {} on {}: {:?}, accepted {}, objective {} ms, ended {ended}, cancelled {}",
-            story.id,
-            story.queue,
-            story.pool,
-            story.state,
-            story.accepted_ms,
-            story.objective_ms,
-            story.cancelled
+            details.id,
+            details.queue,
+            details.pool,
+            details.state,
+            details.accepted_ms,
+            details.objective_ms,
+            details.cancelled
         ))?;
     }
     let row = |task: &primroseroute_inspect::Task| {
@@ -122,9 +122,9 @@
         ]
     };
     printer.print(&Shown {
-        value: story,
+        value: details,
         titles: &["task", "phase", "worker", "run", "failed runs"],
-        rows: story.tasks.iter().map(row).collect(),
+        rows: details.tasks.iter().map(row).collect(),
     })?;
     Ok(exit::DONE)
 }
--- a/crates/inspect/src/job.rs
+++ b/crates/inspect/src/job.rs
@@ -11,7 +11,7 @@
 
 /// Details of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Story {
+pub struct JobDetails {
     /// Job id.
     pub id: JobId,
     /// Queue that it was submitted to.
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 /// Errors of the calls, and [`Error::Unavailable`] for a row that cannot be parsed.
-pub async fn job(rows: &dyn Rows, id: &JobId) -> Result<Option<Story>, Error> {
+pub async fn job(rows: &dyn Rows, id: &JobId) -> Result<Option<JobDetails>, Error> {
     let Some(claim) = read_row(rows, row::claim(id)).await? else {
         return Ok(None);
     };
@@ -65,7 +65,7 @@
     let cancel = read_row(rows, row::cancel(&pool, id)).await?;
     let progress = read_row(rows, row::progress(&pool, id)).await?;
     let progress: Option<Progress> = progress.as_ref().map(parsed).transpose()?;
-    Ok(Some(Story {
+    Ok(Some(JobDetails {
         id: id.clone(),
         queue,
         pool,
--- a/crates/inspect/src/lib.rs
+++ b/crates/inspect/src/lib.rs
@@ -7,7 +7,7 @@
 mod pool;
 mod wave;
 
-pub use job::{Story, Task, job};
+pub use job::{JobDetails, Task, job};
 pub use pool::{Pool, pools};
 pub use wave::{Wave, waves};
 
--- a/tests/site/inspect.rs
+++ b/tests/site/inspect.rs
@@ -7,13 +7,13 @@
 use eyre::{Result, ensure, eyre};
 use http::StatusCode;
 use primroseroute_domain::work::{JobId, State};
-use primroseroute_inspect::{Pool, Story};
+use primroseroute_inspect::{JobDetails, Pool};
 use primroseroute_platform::site::{Instruction, Wave};
 use std::time::Duration;
 
 cases! {
     pools_show_owners_wanted_workers_and_queues => pools();
-    job_story_while_its_owner_is_down => story();
+    job_story_while_its_owner_is_down => details();
     job_that_nobody_accepted_has_no_story => unknown();
     waves_show_their_progress => waves();
 }
@@ -23,7 +23,7 @@
     Ok(primroseroute_inspect::pools(&caller, &caller).await?)
 }
 
-async fn job_story(fixture: &Fixture, id: &JobId) -> Result<Option<Story>> {
+async fn job_details(fixture: &Fixture, id: &JobId) -> Result<Option<JobDetails>> {
     let caller = fixture.world.caller("operator");
     Ok(primroseroute_inspect::job(&caller, id).await?)
 }
@@ -61,36 +61,36 @@
 }
 
 // The job's details remain available after its owner is killed: its accepted form, and where each task runs.
-async fn story() -> Result<()> {
+async fn details() -> Result<()> {
     let mut fixture = Fixture::open(102, 2, 3).await?;
     let id = fixture.submit("e-0", &long_running(2)).await?;
     sleep_secs(1).await;
     let owner = fixture.owner(POOL).await?;
     fixture.kill(&owner);
-    let story = job_story(&fixture, &id)
+    let details = job_details(&fixture, &id)
         .await?
-        .ok_or_else(|| eyre!("no story"))?;
-    ensure!(story.state == State::Running && !story.cancelled);
-    ensure!(&*story.queue == "holds" && &*story.pool == POOL);
-    ensure!(story.tasks.len() == 2, "{story:?}");
-    for task in &story.tasks {
+        .ok_or_else(|| eyre!("no details"))?;
+    ensure!(details.state == State::Running && !details.cancelled);
+    ensure!(&*details.queue == "holds" && &*details.pool == POOL);
+    ensure!(details.tasks.len() == 2, "{details:?}");
+    for task in &details.tasks {
         ensure!(task.phase == "placed" && task.worker.is_some() && task.run == 1);
         ensure!(task.name.starts_with(id.as_str()));
     }
     let other = fixture.nodes.keys().next().cloned();
     let other = other.ok_or_else(|| eyre!("no entry is left"))?;
     ensure!(fixture.cancel(&other, &id).await == StatusCode::OK);
-    let story = job_story(&fixture, &id)
+    let details = job_details(&fixture, &id)
         .await?
-        .ok_or_else(|| eyre!("no story"))?;
-    ensure!(story.cancelled, "{story:?}");
+        .ok_or_else(|| eyre!("no details"))?;
+    ensure!(details.cancelled, "{details:?}");
     Ok(())
 }
 
 async fn unknown() -> Result<()> {
     let mut fixture = Fixture::open(103, 1, 1).await?;
     let id = fixture.next_job_id();
-    ensure!(job_story(&fixture, &id).await?.is_none());
+    ensure!(job_details(&fixture, &id).await?.is_none());
     Ok(())
 }
 
