--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -4,14 +4,14 @@
 
 /// A position in a file, with lines and columns counted from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct Position {
     /// The line.
     pub line: u64,
     /// The column.
     pub column: u64,
 }
 
-impl Place {
+impl Position {
     /// The start of the file, used for keys missing from the whole file.
     pub const START: Self = Self { line: 1, column: 1 };
 }
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
     /// Position in the file.
-    pub place: Place,
+    pub position: Position,
     /// Path of the value, such as `peers[1].address`; empty for the whole file.
     pub path: String,
     /// What was expected at this position.
@@ -29,7 +29,7 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Place { line, column } = self.place;
+        let Position { line, column } = self.position;
         write!(f, "{line}:{column}: ")?;
         if !self.path.is_empty() {
             write!(f, "{}: ", self.path)?;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -22,7 +22,7 @@
 mod value;
 
 pub use document::{documented, reference};
-pub use fault::{Error, Fault, Place};
+pub use fault::{Error, Fault, Position};
 pub use schema::{
     Capacity, Entry, Fleet, Lifecycle, Limits, Listen, Peer, Platform, Settings, Telemetry, Timers,
     Weights,
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -1,6 +1,6 @@
 //! YAML documents as trees of nodes with source positions.
 
-use crate::fault::{Fault, Place};
+use crate::fault::{Fault, Position};
 use serde::{
     Deserialize, Deserializer,
     de::{MapAccess, SeqAccess, Visitor},
@@ -10,7 +10,7 @@
 
 #[derive(Debug)]
 pub(crate) struct Node {
-    pub(crate) place: Place,
+    pub(crate) position: Position,
     pub(crate) kind: Kind,
 }
 
@@ -26,12 +26,12 @@
 pub(crate) struct Pair {
     pub(crate) key: String,
     /// Position of the key.
-    pub(crate) place: Place,
+    pub(crate) position: Position,
     pub(crate) value: Node,
 }
 
-fn place(location: Location) -> Place {
-    Place {
+fn position(location: Location) -> Position {
+    Position {
         line: location.line(),
         column: location.column(),
     }
@@ -51,7 +51,7 @@
         };
         let read = serde_saphyr::from_str_with_options::<Spanned<Kind>>(text, options);
         read.map(Self::from).map_err(|error| Fault {
-            place: error.location().map_or(Place::START, place),
+            position: error.location().map_or(Position::START, position),
             path: String::new(),
             expected: format!("YAML ({error})"),
         })
@@ -61,7 +61,7 @@
 impl From<Spanned<Kind>> for Node {
     fn from(spanned: Spanned<Kind>) -> Self {
         Self {
-            place: place(spanned.referenced),
+            position: position(spanned.referenced),
             kind: spanned.value,
         }
     }
@@ -118,7 +118,7 @@
         let mut pairs = Vec::new();
         while let Some(key) = map.next_key::<Spanned<String>>()? {
             pairs.push(Pair {
-                place: place(key.referenced),
+                position: position(key.referenced),
                 key: key.value,
                 value: map.next_value::<Spanned<Kind>>()?.into(),
             });
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,7 +1,7 @@
 //! Extracts sections from a document tree and collects all faults.
 
 use crate::{
-    fault::{Fault, Place},
+    fault::{Fault, Position},
     node::{Kind, Node, Pair},
     value::Value,
 };
@@ -91,7 +91,7 @@
 #[derive(Debug)]
 pub(crate) struct Map<'a> {
     path: String,
-    place: Place,
+    position: Position,
     remaining: Vec<&'a Pair>,
     known: Vec<String>,
     /// The node is not a map, which has been reported.
@@ -119,7 +119,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Reader {
     faults: Vec<Fault>,
-    places: BTreeMap<String, Place>,
+    positions: BTreeMap<String, Position>,
 }
 
 impl Reader {
@@ -128,23 +128,23 @@
         &mut self,
         path: &str,
         node: Option<&'a Node>,
-        parent: Place,
+        parent: Position,
         expected: &str,
     ) -> Map<'a> {
         let mut map = Map {
             path: path.to_owned(),
-            place: node.map_or(parent, |node| node.place),
+            position: node.map_or(parent, |node| node.position),
             remaining: Vec::new(),
             known: Vec::new(),
             malformed: false,
         };
-        self.places.insert(path.to_owned(), map.place);
+        self.positions.insert(path.to_owned(), map.position);
         match node.map(|node| &node.kind) {
             None | Some(Kind::Null) => {}
             Some(Kind::Map(pairs)) => map.remaining = pairs.iter().collect(),
             Some(Kind::Scalar(_) | Kind::List(_)) => {
                 map.malformed = true;
-                self.fault(path, map.place, expected);
+                self.fault(path, map.position, expected);
             }
         }
         map
@@ -153,7 +153,7 @@
     /// Returns the map at `key` of `map`.
     pub(crate) fn child<'a>(&mut self, map: &mut Map<'a>, key: &str, expected: &str) -> Map<'a> {
         let node = map.take(key);
-        self.map(&map.join(key), node, map.place, expected)
+        self.map(&map.join(key), node, map.position, expected)
     }
 
     /// Reads the section at `key` of `map`.
@@ -175,16 +175,16 @@
         let Some(node) = map.take(key) else {
             return Vec::new();
         };
-        self.places.insert(path.clone(), node.place);
+        self.positions.insert(path.clone(), node.position);
         let Kind::List(items) = &node.kind else {
-            self.fault(&path, node.place, "a list");
+            self.fault(&path, node.position, "a list");
             return Vec::new();
         };
         let items = items.iter().enumerate();
         items
             .map(|(index, item)| {
                 let path = format!("{path}[{index}]");
-                self.map(&path, Some(item), node.place, expected)
+                self.map(&path, Some(item), node.position, expected)
             })
             .collect()
     }
@@ -202,10 +202,10 @@
         if value.is_none()
             && required
             && !map.malformed
-            && !self.places.contains_key(&map.join(&key))
+            && !self.positions.contains_key(&map.join(&key))
         {
             let expected = format!("{}; this key is required", T::EXPECTED);
-            self.fault(&map.join(&key), map.place, expected);
+            self.fault(&map.join(&key), map.position, expected);
         }
         value.unwrap_or_else(|| T::parse(sample).expect("samples are valid values"))
     }
@@ -214,13 +214,13 @@
     pub(crate) fn optional<T: Value>(&mut self, map: &mut Map<'_>, key: &str) -> Option<T> {
         let path = map.join(key);
         let node = map.take(key)?;
-        self.places.insert(path.clone(), node.place);
+        self.positions.insert(path.clone(), node.position);
         let value = match &node.kind {
             Kind::Scalar(text) => T::parse(text),
             Kind::Null | Kind::List(_) | Kind::Map(_) => None,
         };
         if value.is_none() {
-            self.fault(&path, node.place, T::EXPECTED);
+            self.fault(&path, node.position, T::EXPECTED);
         }
         value
     }
@@ -229,35 +229,35 @@
     pub(crate) fn finish(&mut self, map: &Map<'_>) {
         let expected = format!("one of the keys {}", map.known.join(", "));
         for pair in &map.remaining {
-            self.fault(&map.join(&pair.key), pair.place, expected.as_str());
+            self.fault(&map.join(&pair.key), pair.position, expected.as_str());
         }
     }
 
     /// Reports a fault of the map as a whole, unless it was already reported as not being a map.
     pub(crate) fn map_fault(&mut self, map: &Map<'_>, expected: &str) {
         if !map.malformed {
-            self.fault(&map.path, map.place, expected);
+            self.fault(&map.path, map.position, expected);
         }
     }
 
     /// Reports a fault at `path`, at its own position or that of the innermost enclosing value.
     pub(crate) fn fault_at(&mut self, path: &str, expected: &str) {
         let mut enclosing = path;
-        let place = loop {
-            if let Some(place) = self.places.get(enclosing) {
-                break *place;
+        let position = loop {
+            if let Some(position) = self.positions.get(enclosing) {
+                break *position;
             }
             match enclosing.rfind(['.', '[']) {
                 Some(end) => enclosing = &enclosing[..end],
-                None => break Place::START,
+                None => break Position::START,
             }
         };
-        self.fault(path, place, expected);
+        self.fault(path, position, expected);
     }
 
-    fn fault(&mut self, path: &str, place: Place, expected: impl Into<String>) {
+    fn fault(&mut self, path: &str, position: Position, expected: impl Into<String>) {
         self.faults.push(Fault {
-            place,
+            position,
             path: path.to_owned(),
             expected: expected.into(),
         });
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     check,
-    fault::{Error, Place},
+    fault::{Error, Position},
     node::Node,
     reader::{A_MAP, Map, Reader, Section, sections},
     secret::Secrets,
@@ -231,7 +231,7 @@
     }
 
     fn take(reader: &mut Reader, node: Option<&Node>) -> Self {
-        let mut map = reader.map("", node, Place::START, A_MAP);
+        let mut map = reader.map("", node, Position::START, A_MAP);
         let settings = Self {
             entry: reader.section(&mut map, "entry"),
             listen: reader.section(&mut map, "listen"),
