--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -190,9 +190,9 @@
         let (settings, mut reader) = Self::parse_tree(&text)?;
         if reader.is_clean("secrets") {
             let environment = |name: &str| std::env::var(name).ok();
-            let missing = settings.secrets.resolve(&environment).err();
-            for secret in missing.unwrap_or_default() {
-                reader.fault_at(&secret.path, &secret.expected);
+            let faults = settings.secrets.resolve(&environment).err();
+            for fault in faults.unwrap_or_default() {
+                reader.fault_at(&fault.path, &fault.expected);
             }
         }
         settings.into_result(reader)
--- a/crates/settings/src/secret.rs
+++ b/crates/settings/src/secret.rs
@@ -79,7 +79,7 @@
 /// A secret that cannot be read, is too short, or is shared with another operator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: expected {expected}")]
-pub struct Missing {
+pub struct SecretFault {
     /// Path of the setting that refers to it.
     pub path: String,
     /// What was expected.
@@ -100,7 +100,7 @@
 const OPERATOR: &str = "`name: NAME` and one of `hash: SHA-256`, `file: PATH`, `env: NAME`; \
                         a secret is never written here";
 
-/// Placeholder for a missing operator name; a fault is reported with it, so it is never used.
+/// Placeholder for a faults operator name; a fault is reported with it, so it is never used.
 const PLACEHOLDER_NAME: &str = "operator";
 
 /// Number of hexadecimal digits of a SHA-256.
@@ -218,8 +218,8 @@
     /// # Errors
     /// Each secret that cannot be read, a peer key that is too short, and each operator's token that another operator has
     /// too, since the audit trail could not tell the two operators apart.
-    pub fn resolve(&self, environment: &Environment<'_>) -> Result<Resolved, Vec<Missing>> {
-        let mut missing = Vec::new();
+    pub fn resolve(&self, environment: &Environment<'_>) -> Result<Resolved, Vec<SecretFault>> {
+        let mut faults = Vec::new();
         let mut operators = BTreeMap::new();
         let mut seen = BTreeSet::new();
         for (index, operator) in self.operators.iter().enumerate() {
@@ -233,7 +233,7 @@
                 Ok(hash) => {
                     operators.insert(Arc::clone(&operator.name), hash);
                 }
-                Err(expected) => missing.push(Missing {
+                Err(expected) => faults.push(SecretFault {
                     path: format!("secrets.operators[{index}]"),
                     expected,
                 }),
@@ -246,17 +246,17 @@
                 .ok_or_else(|| format!("a key of at least {MIN_KEY_BYTES} bytes"))
         });
         match key {
-            Ok(peer_key) if missing.is_empty() => Ok(Resolved {
+            Ok(peer_key) if faults.is_empty() => Ok(Resolved {
                 operators,
                 peer_key,
             }),
-            Ok(_) => Err(missing),
+            Ok(_) => Err(faults),
             Err(expected) => {
-                missing.push(Missing {
+                faults.push(SecretFault {
                     path: "secrets.peer-key".to_owned(),
                     expected,
                 });
-                Err(missing)
+                Err(faults)
             }
         }
     }
