--- a/crates/serve/src/cli.rs
+++ b/crates/serve/src/cli.rs
@@ -1,6 +1,6 @@
 //! Command line of the entry process.
 
-use crate::{Fields, components, signal, site};
+use crate::{EntryOptions, components, signal, site};
 use clap::{Parser, Subcommand};
 use eyre::{Result, WrapErr};
 use log::LevelFilter;
@@ -99,11 +99,11 @@
 }
 
 async fn serve(settings: &Settings) -> Result<ExitCode> {
-    let fields = Fields::of(settings);
-    let log = Log::start(fields.level).wrap_err("failed to start logging")?;
+    let options = EntryOptions::of(settings);
+    let log = Log::start(options.level).wrap_err("failed to start logging")?;
     let shutdown = signal::shutdown()?;
-    let name = fields.entry.clone();
-    let entry = Entry::spawn(components::build(fields, &settings.secrets)?)
+    let name = options.entry.clone();
+    let entry = Entry::spawn(components::build(options, &settings.secrets)?)
         .await
         .wrap_err("failed to start the entry")?;
     log::info!(
--- a/crates/serve/src/components.rs
+++ b/crates/serve/src/components.rs
@@ -1,6 +1,6 @@
 //! Construction of the entry's components from its settings.
 
-use crate::fields::Fields;
+use crate::entry_options::EntryOptions;
 use eyre::{Result, WrapErr, eyre};
 use primroseroute_admin::Tokens;
 use primroseroute_audit::Keep;
@@ -44,48 +44,49 @@
 ///
 /// # Errors
 /// If a secret is missing, the platform's URL is unusable, or no randomness is available.
-pub(crate) fn build(fields: Fields, secrets: &Secrets) -> Result<Parts> {
+pub(crate) fn build(options: EntryOptions, secrets: &Secrets) -> Result<Parts> {
     let environment = |name: &str| std::env::var(name).ok();
     let secrets = secrets.resolve(&environment).map_err(|missing| {
         let lines: Vec<String> = missing.iter().map(ToString::to_string).collect();
         eyre!("missing secrets: {}", lines.join("; "))
     })?;
-    let client = Client::open(&fields.platform).wrap_err("failed to create the platform client")?;
+    let client =
+        Client::open(&options.platform).wrap_err("failed to create the platform client")?;
     let client = Arc::new(client);
     let identity = Identity {
-        entry: fields.entry,
+        entry: options.entry,
         incarnation: Uuid::new_v4(),
     };
     let dial = TcpDialer {
-        listen: fields.listen.peers,
+        listen: options.listen.peers,
         key: Key::new(secrets.peer_key.expose()).wrap_err("invalid peer key")?,
-        peers: fields.peers,
+        peers: options.peers,
     };
     Ok(Parts {
         identity,
-        zone: fields.zone,
-        region: Some(fields.region),
-        listen: fields.listen,
+        zone: options.zone,
+        region: Some(options.region),
+        listen: options.listen,
         table: Arc::clone(&client) as _,
         objects: Arc::clone(&client) as _,
         keep: Keep::default(),
         instances: Arc::clone(&client) as _,
         tasks: client,
-        probe: Arc::new(HttpProbe::open(fields.health_path)),
+        probe: Arc::new(HttpProbe::open(options.health_path)),
         backend: Arc::new(Pool::open()),
         dial: Box::new(dial),
         clock: Arc::new(SystemClock),
         seed: rand::random(),
         operators: Tokens(secrets.operators),
         meter: Meter::open().wrap_err("failed to set up metrics")?,
-        flow: fields.flow,
-        path: fields.path,
-        front: fields.front,
-        membership: fields.membership,
-        timers: fields.timers,
-        controller: fields.controller,
-        lifecycle: fields.lifecycle,
-        jobs: fields.jobs,
-        weights: fields.weights,
+        flow: options.flow,
+        path: options.path,
+        front: options.front,
+        membership: options.membership,
+        timers: options.timers,
+        controller: options.controller,
+        lifecycle: options.lifecycle,
+        jobs: options.jobs,
+        weights: options.weights,
     })
 }
--- a/crates/serve/src/fields.rs
+++ b/crates/serve/src/entry_options.rs
@@ -18,7 +18,7 @@
 
 /// Everything that the settings determine, except for the secrets.
 #[derive(Clone, Debug)]
-pub struct Fields {
+pub struct EntryOptions {
     /// Name of the entry.
     pub entry: id::Entry,
     /// Its availability zone.
@@ -55,7 +55,7 @@
     pub level: LevelFilter,
 }
 
-impl Fields {
+impl EntryOptions {
     /// Converts `settings`.
     pub fn of(settings: &Settings) -> Self {
         let Settings { entry, listen, .. } = settings;
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -5,11 +5,11 @@
 
 mod cli;
 mod components;
-mod fields;
+mod entry_options;
 mod metered;
 mod metrics_handler;
 mod signal;
 mod site;
 
 pub use cli::{Cli, run};
-pub use fields::Fields;
+pub use entry_options::EntryOptions;
--- a/crates/serve/tests/all/fields.rs
+++ b/crates/serve/tests/all/entry_options.rs
@@ -1,11 +1,11 @@
-//! Every key of the settings affects the field that it names.
+//! Every key of the settings affects the option that it names.
 //!
 //! Guards against a key that is parsed but ignored: the file is valid, and the entry uses a constant
 //! instead. Each key is set to a non-default value, alone and together with all others.
 
 use expect_test::expect;
 use primroseroute_domain::id;
-use primroseroute_serve::Fields;
+use primroseroute_serve::EntryOptions;
 use primroseroute_settings::{Settings, documented};
 use std::collections::BTreeSet;
 
@@ -87,10 +87,10 @@
         .filter(|value| !value.is_empty())
 }
 
-/// The fields that `text` results in, one per line.
-fn fields_of(text: &str) -> String {
+/// The options that `text` results in, one per line.
+fn options_of(text: &str) -> String {
     let settings = Settings::parse(text).unwrap_or_else(|error| panic!("{error}\n{text}"));
-    format!("{:#?}", Fields::of(&settings))
+    format!("{:#?}", EntryOptions::of(&settings))
 }
 
 #[test]
@@ -110,18 +110,18 @@
 }
 
 #[test]
-fn each_key_alone_changes_a_field() {
-    let default = fields_of(&documented());
+fn each_key_alone_changes_an_option() {
+    let default = options_of(&documented());
     for (key, value) in NON_DEFAULTS.iter().filter(|(_, value)| !value.is_empty()) {
         let text = rewrite(|path, _| (path == *key).then(|| (*value).to_owned()));
-        assert_ne!(fields_of(&text), default, "{key} changes nothing");
+        assert_ne!(options_of(&text), default, "{key} changes nothing");
     }
 }
 
 #[test]
-fn all_keys_change_the_fields_they_name() {
-    let default = fields_of(&documented());
-    let all = fields_of(&rewrite(|path, _| non_default(path).map(str::to_owned)));
+fn all_keys_change_the_options_they_name() {
+    let default = options_of(&documented());
+    let all = options_of(&rewrite(|path, _| non_default(path).map(str::to_owned)));
     let lines = default.lines().zip(all.lines());
     let changed = lines.filter(|(before, after)| before != after);
     let changed: Vec<&str> = changed.map(|(_, after)| after.trim()).collect();
@@ -177,7 +177,7 @@
         "peers: [{name: entry-8, address: '127.0.0.1:1004'}]",
     );
     let settings = Settings::parse(&text).expect("it is valid");
-    let [peer] = &*Fields::of(&settings).peers else {
+    let [peer] = &*EntryOptions::of(&settings).peers else {
         panic!("one peer is listed");
     };
     assert_eq!(peer.entry.as_ref().map(id::Entry::as_str), Some("entry-8"));
--- a/crates/serve/tests/all/examples.rs
+++ b/crates/serve/tests/all/examples.rs
@@ -1,7 +1,7 @@
 //! The settings of the example deployments are valid and agree with their weights and hardware.
 
 use primroseroute_fleet::placement::Weights;
-use primroseroute_serve::Fields;
+use primroseroute_serve::EntryOptions;
 use primroseroute_settings::{Settings, secret::Token};
 use sha2::{Digest, Sha256};
 use std::{fs, path::PathBuf};
@@ -31,17 +31,17 @@
 fn check_deployment(deployment: &str, cores: f64, memory: f64) {
     let text = read(&format!("settings/{deployment}.yaml"));
     let settings = Settings::parse(&text).unwrap_or_else(|error| panic!("{error}"));
-    let fields = Fields::of(&settings);
+    let options = EntryOptions::of(&settings);
     let weights = read(&format!("weights/{deployment}.yaml"));
     let weights: Weights = serde_saphyr::from_str(&weights).expect("the weights are valid");
-    // Only the ratios matter; `Fields` holds hundredths.
+    // Only the ratios matter; `EntryOptions` holds hundredths.
     let hundredths = Weights {
         buffer: weights.buffer * 100,
         moves: weights.moves * 100,
         rollout: weights.rollout * 100,
     };
-    assert_eq!(fields.weights, hundredths);
-    let capacity = fields.jobs.capacity;
+    assert_eq!(options.weights, hundredths);
+    let capacity = options.jobs.capacity;
     let deviations = [
         capacity.cores - cores,
         capacity.memory / GIB - memory,
@@ -49,7 +49,7 @@
     ];
     assert!(deviations.iter().all(|by| by.abs() < 1e-9), "{capacity:?}");
     assert!(
-        fields.peers.len() >= 2,
+        options.peers.len() >= 2,
         "one peer may be down at the same time as the store"
     );
     check_example_tokens(&settings);
