--- a/crates/settings/src/secret.rs
+++ b/crates/settings/src/secret.rs
@@ -100,7 +100,7 @@
 const OPERATOR: &str = "`name: NAME` and one of `hash: SHA-256`, `file: PATH`, `env: NAME`; \
                         a secret is never written here";
 
-/// Placeholder for a faults operator name; a fault is reported with it, so it is never used.
+/// Placeholder for a missing operator name; a fault is reported with it, so it is never used.
 const PLACEHOLDER_NAME: &str = "operator";
 
 /// Number of hexadecimal digits of a SHA-256.
