--- a/crates/serve/src/metered.rs
+++ b/crates/serve/src/metered.rs
@@ -24,13 +24,13 @@
             status,
             took,
         } = answered;
-        self.0.answered(queue.as_ref(), *status, *took);
+        self.0.response_sent(queue.as_ref(), *status, *took);
     }
 }
 
 impl primroseroute_owner::Observer for Observer {
     fn started(&self, outcome: Outcome) {
-        self.0.started(match outcome {
+        self.0.start_finished(match outcome {
             Outcome::Started => "started",
             Outcome::Refused(_) => "refused",
             Outcome::Unsent => "unsent",
@@ -40,7 +40,7 @@
     }
 
     fn ended(&self, how: End) {
-        self.0.ended(how);
+        self.0.run_ended(how);
     }
 
     fn lost(&self, cause: Cause, runs: usize) {
@@ -49,35 +49,35 @@
             Cause::Crash => "crash",
             Cause::Lapse => "lapse",
         };
-        self.0.lost(cause, runs as u64);
+        self.0.runs_lost(cause, runs as u64);
     }
 
     fn taken_over(&self, pool: &Name) {
-        self.0.taken_over(pool);
+        self.0.pool_taken_over(pool);
     }
 
     fn owns(&self, pools: usize) {
-        self.0.owns(pools as u64);
+        self.0.pools_owned(pools as u64);
     }
 
     fn queued(&self, queue: &Name, jobs: u64) {
-        self.0.queued(queue, jobs);
+        self.0.jobs_queued(queue, jobs);
     }
 
     fn committed(&self, took: Duration) {
-        self.0.committed(took);
+        self.0.commit_finished(took);
     }
 
     fn jobs_read(&self, pool: &Name, ago: Duration) {
-        self.0.jobs_read(pool, ago);
+        self.0.jobs_feed_age(pool, ago);
     }
 
     fn round(&self, pool: &Name, took: Duration) {
-        self.0.round(pool, took);
+        self.0.round_finished(pool, took);
     }
 
     fn sending(&self, order: &'static str, waited: Duration) {
-        self.0.sending(order, waited);
+        self.0.order_waited(order, waited);
     }
 }
 
@@ -101,7 +101,7 @@
         let started_at = Instant::now();
         let result = future.await;
         self.meter
-            .called(call, result.as_ref().err(), started_at.elapsed());
+            .call_finished(call, result.as_ref().err(), started_at.elapsed());
         result
     }
 }
--- a/crates/telemetry/src/site.rs
+++ b/crates/telemetry/src/site.rs
@@ -116,7 +116,7 @@
     }
 
     /// Records a response to a caller.
-    pub fn answered(&self, queue: Option<&Name>, status: u16, took: Duration) {
+    pub fn response_sent(&self, queue: Option<&Name>, status: u16, took: Duration) {
         let queue = named("queue", queue);
         self.answer_seconds
             .record(took.as_secs_f64(), std::slice::from_ref(&queue));
@@ -125,7 +125,7 @@
     }
 
     /// Records a call with its duration and its error, if any.
-    pub fn called(&self, call: &'static str, error: Option<&PlatformError>, took: Duration) {
+    pub fn call_finished(&self, call: &'static str, error: Option<&PlatformError>, took: Duration) {
         let call = KeyValue::new("call", call);
         self.call_seconds
             .record(took.as_secs_f64(), std::slice::from_ref(&call));
@@ -134,56 +134,56 @@
     }
 
     /// Counts an attempted start of a run by its outcome.
-    pub fn started(&self, outcome: &'static str) {
+    pub fn start_finished(&self, outcome: &'static str) {
         self.starts.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
     /// Counts a run that ended.
-    pub fn ended(&self, end: End) {
+    pub fn run_ended(&self, end: End) {
         self.ends
             .add(1, &[KeyValue::new("how", end_kind_label(end))]);
     }
 
     /// Counts runs that were lost without reporting an end.
-    pub fn lost(&self, cause: &'static str, runs: u64) {
+    pub fn runs_lost(&self, cause: &'static str, runs: u64) {
         self.lost.add(runs, &[KeyValue::new("cause", cause)]);
     }
 
     /// Counts a takeover of a pool.
-    pub fn taken_over(&self, pool: &Name) {
+    pub fn pool_taken_over(&self, pool: &Name) {
         self.takeovers.add(1, &[named("pool", Some(pool))]);
     }
 
     /// Sets the number of pools that this entry owns.
-    pub fn owns(&self, pools: u64) {
+    pub fn pools_owned(&self, pools: u64) {
         self.pools_owned.record(pools, &[]);
     }
 
     /// Sets the number of jobs of a queue that have not started.
-    pub fn queued(&self, queue: &Name, jobs: u64) {
+    pub fn jobs_queued(&self, queue: &Name, jobs: u64) {
         self.queued_jobs
             .record(jobs, &[named("queue", Some(queue))]);
     }
 
     /// Records the duration of an owner's commit.
-    pub fn committed(&self, took: Duration) {
+    pub fn commit_finished(&self, took: Duration) {
         self.commit_seconds.record(took.as_secs_f64(), &[]);
     }
 
     /// Records the age of the latest response of the change feed of a pool's jobs.
-    pub fn jobs_read(&self, pool: &Name, ago: Duration) {
+    pub fn jobs_feed_age(&self, pool: &Name, ago: Duration) {
         self.jobs_read_seconds
             .record(ago.as_secs_f64(), &[named("pool", Some(pool))]);
     }
 
     /// Records the duration of a round of a pool's decision loop.
-    pub fn round(&self, pool: &Name, took: Duration) {
+    pub fn round_finished(&self, pool: &Name, took: Duration) {
         self.round_seconds
             .record(took.as_secs_f64(), &[named("pool", Some(pool))]);
     }
 
     /// Records how long an order to a worker was queued.
-    pub fn sending(&self, order: &'static str, waited: Duration) {
+    pub fn order_waited(&self, order: &'static str, waited: Duration) {
         self.order_seconds
             .record(waited.as_secs_f64(), &[KeyValue::new("order", order)]);
     }
--- a/crates/telemetry/tests/all/site.rs
+++ b/crates/telemetry/tests/all/site.rs
@@ -10,19 +10,19 @@
     let meter = Meter::open().expect("the registry is new");
     let queue: Name = "holds".into();
     let took = Duration::from_millis(3);
-    meter.answered(Some(&queue), 200, took);
-    meter.answered(None, 404, took);
-    meter.called("commit", Some(&Error::Throttled), took);
-    meter.started("started");
-    meter.ended(End::Lapsed);
-    meter.lost("crash", 3);
-    meter.taken_over(&"stay".into());
-    meter.owns(2);
-    meter.queued(&queue, 7);
-    meter.committed(took);
-    meter.jobs_read(&"stay".into(), took);
-    meter.round(&"stay".into(), took);
-    meter.sending("start", took);
+    meter.response_sent(Some(&queue), 200, took);
+    meter.response_sent(None, 404, took);
+    meter.call_finished("commit", Some(&Error::Throttled), took);
+    meter.start_finished("started");
+    meter.run_ended(End::Lapsed);
+    meter.runs_lost("crash", 3);
+    meter.pool_taken_over(&"stay".into());
+    meter.pools_owned(2);
+    meter.jobs_queued(&queue, 7);
+    meter.commit_finished(took);
+    meter.jobs_feed_age(&"stay".into(), took);
+    meter.round_finished(&"stay".into(), took);
+    meter.order_waited("start", took);
     meter
 }
 
