--- a/crates/telemetry/src/budget.rs
+++ b/crates/telemetry/src/budget.rs
@@ -22,7 +22,7 @@
 
 /// Maximum number of lines of one kind per second: enough to see what happens, and at 400 bytes per
 /// line and ten kinds at once less than 200 KB per second.
-pub const LINES_A_SECOND: u32 = 40;
+pub const MAX_LINES_PER_SECOND: u32 = 40;
 
 /// Capacity of the queue of lines to be written: about one second's worth.
 const QUEUE_CAPACITY: usize = 512;
@@ -42,27 +42,27 @@
 
 /// Decision on a line.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct Decision {
     /// Whether the line is written.
     pub write: bool,
     /// Number of suppressed lines per kind in the window that has just ended.
-    pub left_out: Vec<(Kind, u32)>,
+    pub suppressed: Vec<(Kind, u32)>,
 }
 
 impl Budget {
     /// Counts a line of `kind` at `now` and decides whether it is written.
-    pub fn count(&mut self, kind: Kind, now: Instant) -> Verdict {
+    pub fn count(&mut self, kind: Kind, now: Instant) -> Decision {
         let expired = self.window_start.is_none_or(|start| now >= start + WINDOW);
-        let left_out = if expired {
+        let suppressed = if expired {
             self.start_window(now)
         } else {
             Vec::new()
         };
         let count = self.counts.entry(kind).or_default();
         *count += 1;
-        Verdict {
-            write: *count <= LINES_A_SECOND,
-            left_out,
+        Decision {
+            write: *count <= MAX_LINES_PER_SECOND,
+            suppressed,
         }
     }
 
@@ -71,8 +71,8 @@
         let counts = std::mem::take(&mut self.counts);
         let counts = counts.into_iter();
         counts
-            .filter(|(_kind, count)| *count > LINES_A_SECOND)
-            .map(|(kind, count)| (kind, count - LINES_A_SECOND))
+            .filter(|(_kind, count)| *count > MAX_LINES_PER_SECOND)
+            .map(|(kind, count)| (kind, count - MAX_LINES_PER_SECOND))
             .collect()
     }
 }
@@ -157,16 +157,16 @@
             record.file_static().unwrap_or_default(),
             record.line().unwrap_or_default(),
         );
-        let verdict = {
+        let decision = {
             let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
             budget.count(kind, Instant::now())
         };
-        for ((file, line), count) in verdict.left_out {
+        for ((file, line), count) in decision.suppressed {
             self.push(notice(&format!(
                 "{count} lines of {file}:{line} were left out"
             )));
         }
-        if verdict.write {
+        if decision.write {
             let mut line = Vec::with_capacity(400);
             crate::log::line(&mut line, now, record)?;
             line.push(b'\n');
--- a/crates/telemetry/tests/all/budget.rs
+++ b/crates/telemetry/tests/all/budget.rs
@@ -1,6 +1,6 @@
 //! Log lines are rate-limited per kind, and a stalled reader does not block the caller.
 
-use primroseroute_telemetry::budget::{Budget, LINES_A_SECOND, Outlet};
+use primroseroute_telemetry::budget::{Budget, MAX_LINES_PER_SECOND, Outlet};
 use std::{
     io::{self, Write},
     sync::mpsc::{Receiver, Sender, channel},
@@ -15,13 +15,13 @@
     let mut budget = Budget::default();
     let start = Instant::now();
     let mut written = 0;
-    for _line in 0..LINES_A_SECOND + 7 {
+    for _line in 0..MAX_LINES_PER_SECOND + 7 {
         written += u32::from(budget.count(KIND, start).write);
     }
-    assert_eq!(written, LINES_A_SECOND);
+    assert_eq!(written, MAX_LINES_PER_SECOND);
     assert!(budget.count(OTHER, start).write);
     let next = budget.count(OTHER, start + Duration::from_secs(1));
-    assert_eq!(next.left_out, vec![(KIND, 7)]);
+    assert_eq!(next.suppressed, vec![(KIND, 7)]);
     assert!(budget.count(KIND, start + Duration::from_secs(1)).write);
 }
 
