--- a/benches/request_path/inner.rs
+++ b/benches/request_path/inner.rs
@@ -76,7 +76,7 @@
             service: finished.service.as_ref(),
             code: finished.code,
             verdict: finished.verdict,
-            took: finished.latency,
+            duration: finished.latency,
         });
     }
 
--- a/crates/telemetry/src/meter.rs
+++ b/crates/telemetry/src/meter.rs
@@ -57,7 +57,7 @@
     /// The verdict reported to the caller.
     pub verdict: Verdict,
     /// Time from the request head to the end of the response.
-    pub took: Duration,
+    pub duration: Duration,
 }
 
 /// Defines enums for closed sets of label values.
@@ -244,9 +244,9 @@
     /// Counts a finished request.
     pub fn request(&self, request: Request<'_>) {
         let service = named("service", request.service);
-        let took = request.took.as_secs_f64();
+        let duration = request.duration.as_secs_f64();
         self.request_seconds
-            .record(took, std::slice::from_ref(&service));
+            .record(duration, std::slice::from_ref(&service));
         let labels = [
             named("account", request.account),
             service,
@@ -277,10 +277,10 @@
     }
 
     /// Records a call to the platform with its duration and its error, if any.
-    pub fn store_call(&self, call: StoreCall, error: Option<&PlatformError>, took: Duration) {
+    pub fn store_call(&self, call: StoreCall, error: Option<&PlatformError>, duration: Duration) {
         let call = label("call", call.label());
         self.store_seconds
-            .record(took.as_secs_f64(), std::slice::from_ref(&call));
+            .record(duration.as_secs_f64(), std::slice::from_ref(&call));
         self.store_calls
             .add(1, &[call, label("end", end_label(error))]);
     }
--- a/crates/telemetry/src/site.rs
+++ b/crates/telemetry/src/site.rs
@@ -91,7 +91,7 @@
             starts: counter("starts", "Starts of runs, by what came of them"),
             ends: counter("ends", "Ends of runs, by how"),
             lost: counter("runs_lost", "Runs that were lost without an end, by cause"),
-            takeovers: counter("takeovers", "Pools that this entry took over"),
+            takeovers: counter("takeovers", "Pools that this entry duration over"),
             pools_owned: gauge("pools_owned", "Pools that this entry owns"),
             queued_jobs: gauge("queued_jobs", "Jobs of which no task has started, by queue"),
             commit_seconds: durations(
@@ -116,19 +116,24 @@
     }
 
     /// Records a response to a caller.
-    pub fn response_sent(&self, queue: Option<&Name>, status: u16, took: Duration) {
+    pub fn response_sent(&self, queue: Option<&Name>, status: u16, duration: Duration) {
         let queue = named("queue", queue);
         self.answer_seconds
-            .record(took.as_secs_f64(), std::slice::from_ref(&queue));
+            .record(duration.as_secs_f64(), std::slice::from_ref(&queue));
         let status = KeyValue::new("status", i64::from(status));
         self.answers.add(1, &[queue, status]);
     }
 
     /// Records a call with its duration and its error, if any.
-    pub fn call_finished(&self, call: &'static str, error: Option<&PlatformError>, took: Duration) {
+    pub fn call_finished(
+        &self,
+        call: &'static str,
+        error: Option<&PlatformError>,
+        duration: Duration,
+    ) {
         let call = KeyValue::new("call", call);
         self.call_seconds
-            .record(took.as_secs_f64(), std::slice::from_ref(&call));
+            .record(duration.as_secs_f64(), std::slice::from_ref(&call));
         self.calls
             .add(1, &[call, KeyValue::new("end", end_label(error))]);
     }
@@ -166,8 +171,8 @@
     }
 
     /// Records the duration of an owner's commit.
-    pub fn commit_finished(&self, took: Duration) {
-        self.commit_seconds.record(took.as_secs_f64(), &[]);
+    pub fn commit_finished(&self, duration: Duration) {
+        self.commit_seconds.record(duration.as_secs_f64(), &[]);
     }
 
     /// Records the age of the latest response of the change feed of a pool's jobs.
@@ -177,9 +182,9 @@
     }
 
     /// Records the duration of a round of a pool's decision loop.
-    pub fn round_finished(&self, pool: &Name, took: Duration) {
+    pub fn round_finished(&self, pool: &Name, duration: Duration) {
         self.round_seconds
-            .record(took.as_secs_f64(), &[named("pool", Some(pool))]);
+            .record(duration.as_secs_f64(), &[named("pool", Some(pool))]);
     }
 
     /// Records how long an order to a worker was queued.
--- a/crates/telemetry/tests/all/metrics.rs
+++ b/crates/telemetry/tests/all/metrics.rs
@@ -41,7 +41,7 @@
         service: Some(&service),
         code: None,
         verdict: Verdict::Completed,
-        took: Duration::from_millis(3),
+        duration: Duration::from_millis(3),
     };
     meter.request(request);
     meter.request(request);
@@ -57,14 +57,14 @@
     meter.retry(&service, Code::ConnectFailed);
     meter.ejected(&name("pool-a"), 2);
     meter.ejected(&name("pool-a"), 1);
-    let took = Duration::from_millis(4);
-    meter.store_call(StoreCall::Commit, None, took);
+    let duration = Duration::from_millis(4);
+    meter.store_call(StoreCall::Commit, None, duration);
     meter.store_call(
         StoreCall::Commit,
         Some(&Error::Unknown("lost".into())),
-        took,
+        duration,
     );
-    meter.store_call(StoreCall::Read, Some(&Error::Throttled), took);
+    meter.store_call(StoreCall::Read, Some(&Error::Throttled), duration);
     meter.view(Seq(41));
     meter.view(Seq(42));
     expect![[r#"
--- a/crates/telemetry/tests/all/site.rs
+++ b/crates/telemetry/tests/all/site.rs
@@ -9,20 +9,20 @@
 fn recorded_meter() -> Meter {
     let meter = Meter::open().expect("the registry is new");
     let queue: Name = "holds".into();
-    let took = Duration::from_millis(3);
-    meter.response_sent(Some(&queue), 200, took);
-    meter.response_sent(None, 404, took);
-    meter.call_finished("commit", Some(&Error::Throttled), took);
+    let duration = Duration::from_millis(3);
+    meter.response_sent(Some(&queue), 200, duration);
+    meter.response_sent(None, 404, duration);
+    meter.call_finished("commit", Some(&Error::Throttled), duration);
     meter.start_finished("started");
     meter.run_ended(End::Lapsed);
     meter.runs_lost("crash", 3);
     meter.pool_taken_over(&"stay".into());
     meter.pools_owned(2);
     meter.jobs_queued(&queue, 7);
-    meter.commit_finished(took);
-    meter.jobs_feed_age(&"stay".into(), took);
-    meter.round_finished(&"stay".into(), took);
-    meter.order_waited("start", took);
+    meter.commit_finished(duration);
+    meter.jobs_feed_age(&"stay".into(), duration);
+    meter.round_finished(&"stay".into(), duration);
+    meter.order_waited("start", duration);
     meter
 }
 
