--- a/crates/serve/src/parts.rs
+++ b/crates/serve/src/components.rs
@@ -1,6 +1,6 @@
-//! Settings turned into what the entry is given.
+//! Construction of the entry's components from its settings.
 
-use crate::fields::Fields;
+use crate::entry_options::EntryOptions;
 use eyre::{Result, WrapErr, eyre};
 use primroseroute_admin::Tokens;
 use primroseroute_audit::Keep;
@@ -15,15 +15,15 @@
 use std::{net::SocketAddr, sync::Arc};
 use uuid::Uuid;
 
-/// Opens the peer link on TCP.
+/// Opens the peer link over TCP.
 #[derive(Debug)]
-struct Rpc {
+struct TcpDialer {
     listen: SocketAddr,
     key: Key,
     peers: Vec<Address>,
 }
 
-impl Dial for Rpc {
+impl Dial for TcpDialer {
     fn dial(self: Box<Self>, identity: Identity, local: Arc<dyn Local>) -> Result<Dialed> {
         let settings = rpc::Settings {
             identity,
@@ -32,7 +32,7 @@
             peers: self.peers,
             limits: rpc::Limits::default(),
         };
-        let link = rpc::Link::bind(settings, local).wrap_err("binding the peer port")?;
+        let link = rpc::Link::bind(settings, local).wrap_err("failed to bind the peer port")?;
         Ok(Dialed {
             address: link.address(),
             link,
@@ -40,52 +40,53 @@
     }
 }
 
-/// The parts of the entry that `fields` describe.
+/// Builds the components of the entry.
 ///
 /// # Errors
-/// Where a secret is missing, the platform's URL cannot be used, or randomness cannot be had.
-pub(crate) fn build(fields: Fields, secrets: &Secrets) -> Result<Components> {
+/// If a secret is missing, the platform's URL is unusable, or no randomness is available.
+pub(crate) fn build(options: EntryOptions, secrets: &Secrets) -> Result<Components> {
     let environment = |name: &str| std::env::var(name).ok();
     let secrets = secrets.resolve(&environment).map_err(|missing| {
         let lines: Vec<String> = missing.iter().map(ToString::to_string).collect();
-        eyre!("secrets are missing: {}", lines.join("; "))
+        eyre!("missing secrets: {}", lines.join("; "))
     })?;
-    let client = Client::open(&fields.platform).wrap_err("opening the platform's client")?;
+    let client =
+        Client::open(&options.platform).wrap_err("failed to create the platform client")?;
     let client = Arc::new(client);
     let identity = Identity {
-        entry: fields.entry,
+        entry: options.entry,
         incarnation: Uuid::new_v4(),
     };
-    let dial = Rpc {
-        listen: fields.listen.peers,
-        key: Key::new(secrets.peer_key.expose()).wrap_err("reading the peer key")?,
-        peers: fields.peers,
+    let dial = TcpDialer {
+        listen: options.listen.peers,
+        key: Key::new(secrets.peer_key.expose()).wrap_err("invalid peer key")?,
+        peers: options.peers,
     };
     Ok(Components {
         identity,
-        zone: fields.zone,
-        region: Some(fields.region),
-        listen: fields.listen,
+        zone: options.zone,
+        region: Some(options.region),
+        listen: options.listen,
         table: Arc::clone(&client) as _,
         objects: Arc::clone(&client) as _,
         keep: Keep::default(),
         instances: Arc::clone(&client) as _,
         tasks: client,
-        probe: Arc::new(HttpProbe::new(fields.health_path)),
+        probe: Arc::new(HttpProbe::new(options.health_path)),
         backend: Arc::new(ConnectionPool::new()),
         dial: Box::new(dial),
         clock: Arc::new(SystemClock),
         seed: rand::random(),
         operators: Tokens(secrets.operators),
-        meter: Meter::open().wrap_err("opening the metrics")?,
-        flow: fields.flow,
-        request_options: fields.path,
-        server_options: fields.front,
-        membership: fields.membership,
-        timers: fields.timers,
-        controller: fields.controller,
-        lifecycle: fields.lifecycle,
-        jobs: fields.jobs,
-        weights: fields.weights,
+        meter: Meter::open().wrap_err("failed to set up metrics")?,
+        flow: options.flow,
+        request_options: options.path,
+        server_options: options.front,
+        membership: options.membership,
+        timers: options.timers,
+        controller: options.controller,
+        lifecycle: options.lifecycle,
+        jobs: options.jobs,
+        weights: options.weights,
     })
 }
--- a/crates/serve/src/metered.rs
+++ b/crates/serve/src/metered.rs
@@ -1,4 +1,4 @@
-//! The job path's calls and decisions, counted.
+//! Metrics of the job path: calls to the platform and workers, and decisions of gateways and owners.
 
 use async_trait::async_trait;
 use primroseroute_cell::{Cause, Outcome};
@@ -13,7 +13,7 @@
 use std::{sync::Arc, time::Duration};
 use tokio::time::Instant;
 
-/// Counts what gateways and owners tell.
+/// Records the events of gateways and owners as metrics.
 #[derive(Debug)]
 pub(crate) struct Observer(pub(crate) Meter);
 
@@ -24,13 +24,13 @@
             status,
             duration,
         } = response;
-        self.0.answered(queue.as_ref(), *status, *duration);
+        self.0.response_sent(queue.as_ref(), *status, *duration);
     }
 }
 
 impl primroseroute_owner::Observer for Observer {
     fn start_finished(&self, outcome: Outcome) {
-        self.0.started(match outcome {
+        self.0.start_finished(match outcome {
             Outcome::Started => "started",
             Outcome::Refused(_) => "refused",
             Outcome::Unsent => "unsent",
@@ -40,7 +40,7 @@
     }
 
     fn run_ended(&self, how: End) {
-        self.0.ended(how);
+        self.0.run_ended(how);
     }
 
     fn runs_lost(&self, cause: Cause, runs: usize) {
@@ -49,39 +49,39 @@
             Cause::Crash => "crash",
             Cause::Lapse => "lapse",
         };
-        self.0.lost(cause, runs as u64);
+        self.0.runs_lost(cause, runs as u64);
     }
 
     fn pool_taken_over(&self, pool: &Name) {
-        self.0.taken_over(pool);
+        self.0.pool_taken_over(pool);
     }
 
     fn pools_owned(&self, pools: usize) {
-        self.0.owns(pools as u64);
+        self.0.pools_owned(pools as u64);
     }
 
     fn jobs_queued(&self, queue: &Name, jobs: u64) {
-        self.0.queued(queue, jobs);
+        self.0.jobs_queued(queue, jobs);
     }
 
     fn commit_finished(&self, took: Duration) {
-        self.0.committed(took);
+        self.0.commit_finished(took);
     }
 
     fn jobs_feed_age(&self, pool: &Name, ago: Duration) {
-        self.0.jobs_read(pool, ago);
+        self.0.jobs_feed_age(pool, ago);
     }
 
     fn round_finished(&self, pool: &Name, took: Duration) {
-        self.0.round(pool, took);
+        self.0.round_finished(pool, took);
     }
 
     fn order_waited(&self, order: &'static str, waited: Duration) {
-        self.0.sending(order, waited);
+        self.0.order_waited(order, waited);
     }
 }
 
-/// Something whose calls are counted and timed.
+/// Wraps a client and records the number, outcome and duration of its calls.
 #[derive(Debug)]
 pub(crate) struct Metered<T: ?Sized> {
     inner: Arc<T>,
@@ -96,12 +96,12 @@
     async fn timed<A>(
         &self,
         call: &'static str,
-        work: impl Future<Output = Result<A, Error>>,
+        future: impl Future<Output = Result<A, Error>>,
     ) -> Result<A, Error> {
-        let begin = Instant::now();
-        let result = work.await;
+        let started_at = Instant::now();
+        let result = future.await;
         self.meter
-            .called(call, result.as_ref().err(), begin.elapsed());
+            .call_finished(call, result.as_ref().err(), started_at.elapsed());
         result
     }
 }
@@ -151,7 +151,7 @@
         percent: u32,
         token: u64,
     ) -> Result<Answer, Error> {
-        let pace = self.inner.throttle(target, task, run, percent, token);
-        self.timed("pace", pace).await
+        let throttled = self.inner.throttle(target, task, run, percent, token);
+        self.timed("pace", throttled).await
     }
 }
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -1,6 +1,6 @@
-//! A YAML document as a tree whose nodes know their places.
+//! YAML documents as trees of nodes with source positions.
 
-use crate::fault::{Fault, Place};
+use crate::fault::{Fault, Position};
 use serde::{
     Deserialize, Deserializer,
     de::{MapAccess, SeqAccess, Visitor},
@@ -10,7 +10,7 @@
 
 #[derive(Debug)]
 pub(crate) struct Node {
-    pub(crate) place: Place,
+    pub(crate) position: Position,
     pub(crate) kind: Kind,
 }
 
@@ -25,34 +25,33 @@
 #[derive(Debug)]
 pub(crate) struct Pair {
     pub(crate) key: String,
-    /// Where the key stands.
-    pub(crate) place: Place,
+    /// Position of the key.
+    pub(crate) position: Position,
     pub(crate) value: Node,
 }
 
-fn place(location: Location) -> Place {
-    Place {
+fn position(location: Location) -> Position {
+    Position {
         line: location.line(),
         column: location.column(),
     }
 }
 
 impl Node {
-    /// Reads a document.
+    /// Parses a document.
     ///
-    /// The only fault is the first one of the YAML itself, after which nothing can be told of the
-    /// rest.
-    pub(crate) fn read(text: &str) -> Result<Self, Fault> {
+    /// Reports only the first YAML syntax error, since nothing after it can be interpreted.
+    pub(crate) fn parse(text: &str) -> Result<Self, Fault> {
         let options = Options {
-            // A name such as `n` or `off` is text.
+            // Names such as `n` or `off` are text, not booleans.
             strict_booleans: true,
-            // A snippet of the file could show a secret.
+            // A snippet of the file could reveal a secret.
             with_snippet: false,
             ..Options::default()
         };
         let read = serde_saphyr::from_str_with_options::<Spanned<Kind>>(text, options);
         read.map(Self::from).map_err(|error| Fault {
-            place: error.location().map_or(Place::START, place),
+            position: error.location().map_or(Position::START, position),
             path: String::new(),
             expected: format!("YAML ({error})"),
         })
@@ -62,7 +61,7 @@
 impl From<Spanned<Kind>> for Node {
     fn from(spanned: Spanned<Kind>) -> Self {
         Self {
-            place: place(spanned.referenced),
+            position: position(spanned.referenced),
             kind: spanned.value,
         }
     }
@@ -119,7 +118,7 @@
         let mut pairs = Vec::new();
         while let Some(key) = map.next_key::<Spanned<String>>()? {
             pairs.push(Pair {
-                place: place(key.referenced),
+                position: position(key.referenced),
                 key: key.value,
                 value: map.next_value::<Spanned<Kind>>()?.into(),
             });
--- a/crates/telemetry/tests/all/site.rs
+++ b/crates/telemetry/tests/all/site.rs
@@ -1,34 +1,36 @@
-//! The job path's metrics.
+//! Metrics of the job path.
 
 use primroseroute_domain::work::{End, Name};
 use primroseroute_platform::Error;
 use primroseroute_telemetry::site::Meter;
 use std::time::Duration;
 
-/// A meter on which every instrument was used.
-fn used() -> Meter {
-    let meter = Meter::open().expect("the registry is fresh");
+/// A meter with a value recorded on every instrument.
+fn recorded_meter() -> Meter {
+    let meter = Meter::open().expect("the registry is new");
     let queue: Name = "holds".into();
-    let took = Duration::from_millis(3);
-    meter.answered(Some(&queue), 200, took);
-    meter.answered(None, 404, took);
-    meter.called("commit", Some(&Error::Throttled), took);
-    meter.started("started");
-    meter.ended(End::Lapsed);
-    meter.lost("crash", 3);
-    meter.taken_over(&"stay".into());
-    meter.owns(2);
-    meter.queued(&queue, 7);
-    meter.committed(took);
-    meter.jobs_read(&"stay".into(), took);
-    meter.round(&"stay".into(), took);
-    meter.sending("start", took);
+    let duration = Duration::from_millis(3);
+    meter.response_sent(Some(&queue), 200, duration);
+    meter.response_sent(None, 404, duration);
+    meter.call_finished("commit", Some(&Error::Throttled), duration);
+    meter.start_finished("started");
+    meter.run_ended(End::Lapsed);
+    meter.runs_lost("crash", 3);
+    meter.pool_taken_over(&"stay".into());
+    meter.pools_owned(2);
+    meter.jobs_queued(&queue, 7);
+    meter.commit_finished(duration);
+    meter.jobs_feed_age(&"stay".into(), duration);
+    meter.round_finished(&"stay".into(), duration);
+    meter.order_waited("start", duration);
     meter
 }
 
 #[test]
 fn instruments_render_with_their_labels() {
-    let text = used().render().expect("the metrics are plain");
+    let text = recorded_meter()
+        .render()
+        .expect("the metrics can be rendered");
     for line in [
         "primroseroute_answers_total{queue=\"holds\",status=\"200\"} 1",
         "primroseroute_answers_total{queue=\"-\",status=\"404\"} 1",
@@ -48,12 +50,14 @@
     }
 }
 
-// Operators find each metric on the page, and nothing on the page is missing from the code.
+// The operators' page lists exactly the exported metrics.
 #[test]
 fn page_lists_every_metric_and_no_other() {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/OPERATIONS.md");
-    let page = std::fs::read_to_string(page).expect("the page is there");
-    let text = used().render().expect("the metrics are plain");
+    let page = std::fs::read_to_string(page).expect("the page is readable");
+    let text = recorded_meter()
+        .render()
+        .expect("the metrics can be rendered");
     let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     let exported: std::collections::BTreeSet<&str> =
         types.filter_map(|line| line.split(' ').next()).collect();
