--- a/crates/admin/src/edit/account.rs
+++ b/crates/admin/src/edit/account.rs
@@ -1,4 +1,4 @@
-//! Applying a client account's template.
+//! Applies a client account's template.
 
 use super::expect_version;
 use primroseroute_api::{Apply, Diff};
@@ -11,7 +11,7 @@
 use primroseroute_view::Snapshot;
 use std::collections::BTreeMap;
 
-/// Every fault that `template` would have beside the other accounts of `snapshot`.
+/// Validates `template` on its own and together with the other accounts of `snapshot`.
 pub fn faults(snapshot: &Snapshot, template: &Template) -> Vec<Fault> {
     let mut after: BTreeMap<id::Account, Template> = snapshot
         .accounts()
@@ -24,19 +24,19 @@
     faults
 }
 
-/// Puts the template into `draft`; an equal one changes nothing.
+/// Adds the template to `draft`, unless it equals the current one.
 ///
 /// # Errors
-/// [`Code::InvalidTemplate`] with every fault, [`Code::VersionConflict`] where another version is
-/// in force than the one named.
+/// [`Code::InvalidTemplate`] with every fault, [`Code::VersionConflict`] if the current version is
+/// not the expected one.
 pub fn apply(snapshot: &Snapshot, order: &Apply, draft: &mut Draft) -> Result<(), Refusal> {
     let template = &order.template;
     let current = snapshot.accounts().get(&template.account);
     expect_version(current.map(|row| row.version), order.if_version)?;
     let faults = faults(snapshot, template);
     if !faults.is_empty() {
-        let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
-        return Err(Refusal::new(Code::InvalidTemplate, lines.join("; ")));
+        let messages: Vec<String> = faults.iter().map(ToString::to_string).collect();
+        return Err(Refusal::new(Code::InvalidTemplate, messages.join("; ")));
     }
     if current.is_none_or(|row| row.value != *template) {
         draft.put(
@@ -48,10 +48,10 @@
     Ok(())
 }
 
-/// What the template would change, line by line of its JSON.
+/// Line diff between the JSON of the current template and that of `template`.
 ///
 /// # Panics
-/// Never: templates serialize.
+/// Never: templates always serialize.
 pub fn diff(snapshot: &Snapshot, template: &Template) -> Diff {
     let current = snapshot.accounts().get(&template.account);
     let text =
@@ -68,7 +68,7 @@
     }
 }
 
-/// The shortest edit from `before` to `after`, by the longest common subsequence.
+/// Shortest edit script from `before` to `after`, by their longest common subsequence.
 fn diff_lines(before: &[&str], after: &[&str]) -> Vec<String> {
     let mut common = vec![vec![0_usize; after.len() + 1]; before.len() + 1];
     for (i, old) in before.iter().enumerate().rev() {
--- a/crates/admin/src/edit/entry.rs
+++ b/crates/admin/src/edit/entry.rs
@@ -1,12 +1,13 @@
-//! Removing an entry that is known to run no more.
+//! Removes an entry whose process no longer runs.
 
 use primroseroute_domain::id;
 use primroseroute_ledger::{Draft, key};
 
-/// Takes the registration of `name` away, so that no drain waits for it any more.
+/// Deletes the registration of `name`, so that drains no longer wait for it.
 ///
-/// The operator vouches that its process does not run: an entry that is only paused or cut off
-/// would go on sending by its old view. One that does run registers again with its next heartbeat.
+/// The operator must make sure that its process is not running: an entry that is only suspended or
+/// partitioned would keep sending requests based on its old view. One that does run registers again
+/// with its next heartbeat.
 pub fn remove(name: &id::Entry, draft: &mut Draft) {
     draft.delete(key::entry(name), None);
 }
--- a/crates/admin/src/edit/instance.rs
+++ b/crates/admin/src/edit/instance.rs
@@ -1,4 +1,4 @@
-//! Operators' orders to one instance, within its pool's budget.
+//! Operators' orders to one instance, within its pool's availability budget.
 
 use super::{expect_version, fleet};
 use primroseroute_api::Order;
@@ -27,11 +27,11 @@
     draft.put(key::instance(&next.id), Some(found.version), next);
 }
 
-/// Lets `name` finish what it has in flight and take nothing new, until it is released.
+/// Drains `name`: it finishes its requests in flight and gets no new ones until it is released.
 ///
 /// # Errors
 /// [`Code::NotFound`], [`Code::VersionConflict`], [`Code::IllegalTransition`], and
-/// [`Code::BudgetForbids`] where its pool's budget does not let it leave, unless forced.
+/// [`Code::BudgetForbids`] if its pool's budget does not permit it, unless forced.
 pub fn drain(
     snapshot: &Snapshot,
     name: &id::Instance,
@@ -53,11 +53,11 @@
     Ok(())
 }
 
-/// Puts a drained instance back into service, or has a quarantined one checked again.
+/// Puts a drained instance back into service, or a quarantined one back into probation.
 ///
 /// # Errors
-/// [`Code::NotFound`], [`Code::VersionConflict`], and [`Code::IllegalTransition`] where it neither
-/// drains nor is quarantined, or the platform takes it away.
+/// [`Code::NotFound`], [`Code::VersionConflict`], and [`Code::IllegalTransition`] if it is neither
+/// draining nor quarantined, or the platform is withdrawing it.
 pub fn release(
     snapshot: &Snapshot,
     name: &id::Instance,
@@ -78,7 +78,7 @@
 ///
 /// # Errors
 /// [`Code::NotFound`], [`Code::VersionConflict`], [`Code::IllegalTransition`], and
-/// [`Code::BudgetForbids`] where its present pool's budget does not let it leave.
+/// [`Code::BudgetForbids`] if the budget of its current pool does not permit it.
 pub fn move_to(
     snapshot: &Snapshot,
     name: &id::Instance,
@@ -88,8 +88,8 @@
     draft: &mut Draft,
 ) -> Result<(), Refusal> {
     let found = find(snapshot, name, order)?;
-    let wanted = lifecycle::Command::Move(pool.clone());
-    let next = lifecycle::apply_command(&fleet(snapshot), name, &wanted, now)?;
+    let command = lifecycle::Command::Move(pool.clone());
+    let next = lifecycle::apply_command(&fleet(snapshot), name, &command, now)?;
     put(found, &next, draft);
     Ok(())
 }
--- a/crates/admin/src/edit/job.rs
+++ b/crates/admin/src/edit/job.rs
@@ -1,4 +1,4 @@
-//! Submitting, cancelling and releasing background jobs.
+//! Submits, cancels and releases background jobs.
 
 use super::expect_version;
 use primroseroute_api::{Cancel, Order, Spec, Submit};
@@ -13,19 +13,20 @@
 use primroseroute_view::Snapshot;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Jobs of one order: their rows are one change, under half of what the store writes in a second.
+/// Maximum jobs of one order. Their rows are one change, less than half of what the store writes in
+/// a second.
 pub const MOST: usize = 250;
 
-/// How many times a worker's size a declaration may be: declared sizes are off by up to ten times,
-/// and what is larger still fits nowhere whatever the truth.
-const OFF: f64 = 10.0;
+/// Maximum ratio of a job's declared size to a worker's capacity. Declared sizes are wrong by up to a
+/// factor of ten, so a job beyond that fits on no worker whatever its true size.
+const MAX_DECLARED_RATIO: f64 = 10.0;
 
-/// How many jobs a cancellation took and how many that match it left for the next.
+/// Result of a cancellation: how many jobs it covered, and how many matching ones remain for the next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Taken {
-    /// Jobs that are cancelled by this change, or were already.
+    /// Jobs that this change cancels, or that were cancelled already.
     pub cancelled: usize,
-    /// Jobs that match and were beyond [`MOST`].
+    /// Matching jobs beyond [`MOST`], which are unchanged.
     pub left: usize,
 }
 
@@ -33,27 +34,27 @@
     Refusal::new(Code::MalformedRequest, detail)
 }
 
-fn unreadable(error: &impl std::fmt::Display) -> Refusal {
+fn unparsable(error: &impl std::fmt::Display) -> Refusal {
     Refusal::new(Code::ViewStale, error.to_string())
 }
 
 /// The row of a job.
 ///
 /// # Errors
-/// [`Code::NotFound`]; [`Code::ViewStale`] where it cannot be read.
+/// [`Code::NotFound`]; [`Code::ViewStale`] if it cannot be parsed.
 pub fn find(snapshot: &Snapshot, name: &id::Job) -> Result<Versioned<Row>, Refusal> {
     let json = snapshot.rows().get(&key::job(name));
     let json = json.ok_or_else(|| Refusal::new(Code::NotFound, format!("job {name}")))?;
-    serde_json::from_str(json).map_err(|error| unreadable(&error))
+    serde_json::from_str(json).map_err(|error| unparsable(&error))
 }
 
 /// The rows of all jobs.
 ///
 /// # Errors
-/// [`Code::ViewStale`] where one cannot be read.
+/// [`Code::ViewStale`] if one cannot be parsed.
 pub fn all(snapshot: &Snapshot) -> Result<BTreeMap<id::Job, Versioned<Row>>, Refusal> {
     let rows = snapshot.rows_with_prefix(key::JOBS);
-    rows.map_err(|error| unreadable(&error))
+    rows.map_err(|error| unparsable(&error))
 }
 
 fn sizes(declared: Resources) -> [(&'static str, f64); 3] {
@@ -64,7 +65,7 @@
     ]
 }
 
-/// What is wrong with a job in itself.
+/// Validates a job on its own, without the snapshot.
 fn faults(spec: &Spec) -> Vec<String> {
     let mut faults = Vec::new();
     if spec.kind.0.parse::<id::Job>().is_err() {
@@ -85,7 +86,7 @@
     faults
 }
 
-fn check_places(snapshot: &Snapshot, spec: &Spec) -> Result<(), Refusal> {
+fn check_references(snapshot: &Snapshot, spec: &Spec) -> Result<(), Refusal> {
     let missing = |what: String| Err(Refusal::new(Code::NotFound, what));
     if !snapshot.accounts().contains_key(&spec.account) {
         return missing(format!("account {}", spec.account));
@@ -98,7 +99,7 @@
 
 fn check_size(spec: &Spec, capacity: Resources) -> Result<(), Refusal> {
     for ((what, declared), (_, has)) in sizes(spec.declared).into_iter().zip(sizes(capacity)) {
-        if declared > OFF * has {
+        if declared > MAX_DECLARED_RATIO * has {
             let detail = format!(
                 "job {} declares {what} {declared}; a worker has {has}",
                 spec.name
@@ -109,23 +110,23 @@
     Ok(())
 }
 
-fn is_same(row: &Row, spec: &Spec) -> bool {
+fn matches_spec(row: &Row, spec: &Spec) -> bool {
     row.account == spec.account
         && row.pool == spec.pool
         && row.kind == spec.kind
         && row.declared == spec.declared
 }
 
-/// Puts new jobs into `draft`; one that is there already with the same content changes nothing.
+/// Adds new jobs to `draft`; a job that exists already with the same content is left unchanged.
 ///
-/// The first token is above the change's place, and each start after it costs a change. So a name
-/// that comes back after its row was deleted starts above all its earlier tokens, which the platform
-/// remembers and would refuse.
+/// A job's first token is the sequence number of the change that submits it, and each later start
+/// needs a change of its own. A name that is reused after its row was deleted therefore starts above
+/// all its earlier tokens, which the platform remembers and would refuse.
 ///
 /// # Errors
-/// [`Code::MalformedRequest`] for no jobs, too many, or a name twice; [`Code::InvalidTemplate`] with
-/// every fault; [`Code::NotFound`] where account or pool do not exist; [`Code::JobTooLarge`];
-/// [`Code::JobStateForbids`] where another job has the name.
+/// [`Code::MalformedRequest`] for no jobs, too many, or a duplicate name; [`Code::InvalidTemplate`]
+/// with every fault; [`Code::NotFound`] if the account or pool does not exist;
+/// [`Code::JobTooLarge`]; [`Code::JobStateForbids`] if a different job has the name.
 pub fn submit(
     snapshot: &Snapshot,
     order: &Submit,
@@ -145,10 +146,10 @@
         return Err(Refusal::new(Code::InvalidTemplate, faults.join("; ")));
     }
     for spec in &order.jobs {
-        check_places(snapshot, spec)?;
+        check_references(snapshot, spec)?;
         check_size(spec, capacity)?;
         if snapshot.rows().contains_key(&key::job(&spec.name)) {
-            if is_same(&find(snapshot, &spec.name)?.value, spec) {
+            if matches_spec(&find(snapshot, &spec.name)?.value, spec) {
                 continue;
             }
             let detail = format!("another job is named {}", spec.name);
@@ -170,8 +171,8 @@
     Ok(())
 }
 
-/// The state after a cancellation; none where the job has ended or is being cancelled.
-fn cancelled(state: &State) -> Option<State> {
+/// The state after a cancellation; `None` if the job has ended or is being cancelled.
+fn state_after_cancel(state: &State) -> Option<State> {
     match state {
         State::Queued | State::Parked(_) => Some(State::Cancelled),
         State::Running(at) => Some(State::Cancelling(at.clone())),
@@ -179,24 +180,24 @@
     }
 }
 
-/// Cancels jobs, all in one change: by name, or those of an account or kind.
+/// Cancels jobs in one change, either by name or by account and kind.
 ///
 /// # Errors
-/// [`Code::MalformedRequest`] unless either names or account or kind are given; [`Code::NotFound`]
-/// for a name that no job has; [`Code::JobStateForbids`] for one that is done.
+/// [`Code::MalformedRequest`] unless either names, or an account or a kind, are given;
+/// [`Code::NotFound`] for an unknown name; [`Code::JobStateForbids`] for a job that is done.
 pub fn cancel(snapshot: &Snapshot, order: &Cancel, draft: &mut Draft) -> Result<Taken, Refusal> {
-    let by_what = order.account.is_some() || order.kind.is_some();
-    if order.jobs.is_empty() != by_what || order.jobs.len() > MOST {
+    let by_filter = order.account.is_some() || order.kind.is_some();
+    if order.jobs.is_empty() != by_filter || order.jobs.len() > MOST {
         let detail = format!("name up to {MOST} jobs, or else an account or kind");
         return Err(malformed(detail));
     }
-    let found = if by_what {
-        matching(snapshot, order)?
+    let found = if by_filter {
+        find_matching(snapshot, order)?
     } else {
-        named(snapshot, &order.jobs)?
+        find_by_name(snapshot, &order.jobs)?
     };
     for Versioned { version, value } in found.iter().take(MOST) {
-        if let Some(state) = cancelled(&value.state) {
+        if let Some(state) = state_after_cancel(&value.state) {
             let row = Row {
                 state,
                 ..value.clone()
@@ -210,7 +211,7 @@
     })
 }
 
-fn named(snapshot: &Snapshot, names: &[id::Job]) -> Result<Vec<Versioned<Row>>, Refusal> {
+fn find_by_name(snapshot: &Snapshot, names: &[id::Job]) -> Result<Vec<Versioned<Row>>, Refusal> {
     let names: BTreeSet<&id::Job> = names.iter().collect();
     let find_open = |name: &id::Job| {
         let found = find(snapshot, name)?;
@@ -223,11 +224,11 @@
     names.into_iter().map(find_open).collect()
 }
 
-fn matching(snapshot: &Snapshot, order: &Cancel) -> Result<Vec<Versioned<Row>>, Refusal> {
+fn find_matching(snapshot: &Snapshot, order: &Cancel) -> Result<Vec<Versioned<Row>>, Refusal> {
     let matches = |row: &Row| {
         let by_account = order.account.as_ref();
         let by_kind = order.kind.as_ref();
-        cancelled(&row.state).is_some()
+        state_after_cancel(&row.state).is_some()
             && by_account.is_none_or(|account| *account == row.account)
             && by_kind.is_none_or(|kind| *kind == row.kind)
     };
@@ -235,11 +236,10 @@
     Ok(rows.filter(|row| matches(&row.value)).collect())
 }
 
-/// Puts a parked job back into the queue, its failures forgotten.
+/// Puts a parked job back into the queue and clears its failures.
 ///
 /// # Errors
-/// [`Code::NotFound`], [`Code::VersionConflict`], and [`Code::JobStateForbids`] where it is not
-/// parked.
+/// [`Code::NotFound`], [`Code::VersionConflict`], and [`Code::JobStateForbids`] if it is not parked.
 pub fn release(
     snapshot: &Snapshot,
     name: &id::Job,
--- a/crates/admin/src/edit/mod.rs
+++ b/crates/admin/src/edit/mod.rs
@@ -1,4 +1,4 @@
-//! What an operator's order changes: a snapshot in, rows out, or a numbered refusal.
+//! Computes the row changes of an operator's order on a snapshot, or refuses it with a numbered code.
 
 mod account;
 mod entry;
@@ -16,12 +16,12 @@
     outcome::{Code, Refusal},
 };
 
-/// Refuses unless `have` is the version that the operator named; 0 names a row that must not exist.
-pub(crate) fn expect_version(have: Option<Seq>, named: Option<Seq>) -> Result<(), Refusal> {
+/// Refuses unless `have` is the version that the operator expects; 0 means that the row must not exist.
+pub(crate) fn expect_version(have: Option<Seq>, expected: Option<Seq>) -> Result<(), Refusal> {
     let have = have.unwrap_or(Seq(0));
-    match named {
-        Some(named) if named != have => {
-            let detail = format!("the row has version {have} and not {named}");
+    match expected {
+        Some(expected) if expected != have => {
+            let detail = format!("the row has version {have} and not {expected}");
             Err(Refusal::new(Code::VersionConflict, detail))
         }
         _ => Ok(()),
--- a/crates/admin/src/edit/wave.rs
+++ b/crates/admin/src/edit/wave.rs
@@ -1,4 +1,4 @@
-//! Planning, starting and commanding maintenance waves.
+//! Plans, starts and controls maintenance waves.
 
 use super::expect_version;
 use primroseroute_api::Order as Guarded;
@@ -16,7 +16,7 @@
 use primroseroute_view::Snapshot;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The fleet of `snapshot`, as far as its rows tell.
+/// The fleet according to the rows of `snapshot`; unplanned absences are not known from them.
 pub fn fleet(snapshot: &Snapshot) -> Fleet {
     Fleet {
         budgets: Fleet::budgets(snapshot.templates()),
@@ -25,19 +25,19 @@
     }
 }
 
-/// All waves of `snapshot` by name.
+/// All waves of `snapshot`, by name.
 ///
 /// # Errors
-/// [`Code::ViewStale`] where a row cannot be read.
+/// [`Code::ViewStale`] if a row cannot be parsed.
 pub fn waves(snapshot: &Snapshot) -> Result<BTreeMap<id::Wave, Versioned<Row>>, Refusal> {
     let rows = snapshot.rows_with_prefix(key::WAVES);
     rows.map_err(|error| Refusal::new(Code::ViewStale, error.to_string()))
 }
 
-/// What the wave would do if nothing failed.
+/// Plans the wave under the assumption that nothing fails.
 ///
 /// # Errors
-/// [`Code::NotFound`], [`Code::WaveOverlaps`] and [`Code::WaveCannotFinish`], as the planner says.
+/// [`Code::NotFound`], [`Code::WaveOverlaps`] and [`Code::WaveCannotFinish`], from the planner.
 pub fn plan(
     snapshot: &Snapshot,
     weights: Weights,
@@ -51,10 +51,10 @@
     wave::plan(&fleet(snapshot), weights, order, &others, now)
 }
 
-/// Puts a new wave into `draft`.
+/// Adds a new wave to `draft`.
 ///
 /// # Errors
-/// As [`plan`]; [`Code::WaveStateForbids`] where a wave of this name exists.
+/// As [`plan`]; [`Code::WaveStateForbids`] if a wave of this name exists.
 pub fn start(
     snapshot: &Snapshot,
     weights: Weights,
--- a/crates/admin/src/http/job.rs
+++ b/crates/admin/src/http/job.rs
@@ -1,9 +1,9 @@
-//! Orders and reads on background jobs.
+//! Reads and changes of background jobs.
 
 use super::{
     Shared, reply,
-    router::named,
-    write::{Asked, Call},
+    router::name_in_path,
+    write::{IncomingRequest, OperatorRequest},
 };
 use crate::edit::job::{self, Taken};
 use gotham::{
@@ -22,15 +22,15 @@
 use primroseroute_view::Snapshot;
 use serde::Deserialize;
 
-/// The query of `/v1/jobs`.
+/// Query parameters of `/v1/jobs`.
 #[derive(Debug, Deserialize, StateData)]
-pub(super) struct Chosen {
+pub(super) struct JobFilter {
     account: Option<String>,
     kind: Option<String>,
     state: Option<String>,
 }
 
-impl StaticResponseExtender for Chosen {
+impl StaticResponseExtender for JobFilter {
     type ResBody = Body;
 
     fn extend(_state: &mut State, response: &mut Response<Body>) {
@@ -38,8 +38,8 @@
     }
 }
 
-impl Chosen {
-    fn is_met(&self, row: &Row) -> bool {
+impl JobFilter {
+    fn matches(&self, row: &Row) -> bool {
         let is = |wanted: &Option<String>, value: &str| {
             wanted.as_ref().is_none_or(|wanted| wanted == value)
         };
@@ -50,45 +50,49 @@
 }
 
 pub(super) fn jobs(shared: &Shared, state: &State) -> Result<Vec<Versioned<Row>>, Refusal> {
-    let chosen = Chosen::borrow_from(state);
+    let filter = JobFilter::borrow_from(state);
     let rows = job::all(&shared.0.cell.current())?.into_values();
-    Ok(rows.filter(|row| chosen.is_met(&row.value)).collect())
+    Ok(rows.filter(|row| filter.matches(&row.value)).collect())
 }
 
 pub(super) fn one(shared: &Shared, state: &State) -> Result<Versioned<Row>, Refusal> {
-    job::find(&shared.0.cell.current(), &named(state)?)
+    job::find(&shared.0.cell.current(), &name_in_path(state)?)
 }
 
 pub(super) async fn submit(mut state: State) -> HandlerResult {
-    let asked = Call::take(&mut state).read::<Submit>().await;
-    Ok((state, reply::json(submitted(asked).await)))
+    let request = IncomingRequest::take(&mut state).read::<Submit>().await;
+    Ok((state, reply::json(submit_jobs(request).await)))
 }
 
-async fn submitted(asked: Result<Asked<Submit>, Refusal>) -> Result<Accepted, Refusal> {
-    let asked = asked?;
-    let now = asked.shared.0.clock.now();
-    let capacity = asked.shared.0.capacity;
+async fn submit_jobs(
+    request: Result<OperatorRequest<Submit>, Refusal>,
+) -> Result<Accepted, Refusal> {
+    let request = request?;
+    let now = request.shared.0.clock.now();
+    let capacity = request.shared.0.capacity;
     let decide = |snapshot: &Snapshot, draft: &mut Draft| {
-        job::submit(snapshot, &asked.order, capacity, now, draft)
+        job::submit(snapshot, &request.order, capacity, now, draft)
     };
-    asked.commit(&asked.order.reason, &decide).await
+    request.commit(&request.order.reason, &decide).await
 }
 
 pub(super) async fn cancel(mut state: State) -> HandlerResult {
-    let asked = Call::take(&mut state).read::<Cancel>().await;
-    Ok((state, reply::json(cancelled(asked).await)))
+    let request = IncomingRequest::take(&mut state).read::<Cancel>().await;
+    Ok((state, reply::json(cancel_jobs(request).await)))
 }
 
-async fn cancelled(asked: Result<Asked<Cancel>, Refusal>) -> Result<Cancelled, Refusal> {
-    let asked = asked?;
-    let taken = Mutex::new(Taken::default());
+async fn cancel_jobs(
+    request: Result<OperatorRequest<Cancel>, Refusal>,
+) -> Result<Cancelled, Refusal> {
+    let request = request?;
+    let result = Mutex::new(Taken::default());
     let decide = |snapshot: &Snapshot, draft: &mut Draft| {
-        // Decided again after a lost race: only the last decision counts.
-        *taken.lock() = job::cancel(snapshot, &asked.order, draft)?;
+        // Runs again after a conflict; only the last result counts.
+        *result.lock() = job::cancel(snapshot, &request.order, draft)?;
         Ok(())
     };
-    let Accepted { version } = asked.commit(&asked.order.reason, &decide).await?;
-    let Taken { cancelled, left } = taken.into_inner();
+    let Accepted { version } = request.commit(&request.order.reason, &decide).await?;
+    let Taken { cancelled, left } = result.into_inner();
     Ok(Cancelled {
         version,
         cancelled,
@@ -97,15 +101,19 @@
 }
 
 pub(super) async fn release(mut state: State) -> HandlerResult {
-    let name = named(&state);
-    let call = Call::take(&mut state);
-    Ok((state, reply::json(released(name, call).await)))
+    let name = name_in_path(&state);
+    let incoming = IncomingRequest::take(&mut state);
+    Ok((state, reply::json(release_job(name, incoming).await)))
 }
 
-async fn released(name: Result<id::Job, Refusal>, call: Call) -> Result<Accepted, Refusal> {
-    let asked = call.read::<Order>().await?;
+async fn release_job(
+    name: Result<id::Job, Refusal>,
+    incoming: IncomingRequest,
+) -> Result<Accepted, Refusal> {
+    let request = incoming.read::<Order>().await?;
     let name = name?;
-    let decide =
-        |snapshot: &Snapshot, draft: &mut Draft| job::release(snapshot, &name, &asked.order, draft);
-    asked.commit(&asked.order.reason, &decide).await
+    let decide = |snapshot: &Snapshot, draft: &mut Draft| {
+        job::release(snapshot, &name, &request.order, draft)
+    };
+    request.commit(&request.order.reason, &decide).await
 }
--- a/crates/admin/src/http/mod.rs
+++ b/crates/admin/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The interface over HTTP.
+//! The admin API over HTTP.
 
 mod auth;
 mod job;
@@ -20,31 +20,31 @@
 use primroseroute_view::SnapshotCell;
 use std::{net::SocketAddr, panic::AssertUnwindSafe, sync::Arc};
 
-/// What the interface works on.
+/// Components that the admin API uses.
 #[derive(Clone, Debug)]
 pub struct Parts {
     /// The running entry.
     pub local: Arc<dyn Local>,
-    /// Where changes are committed.
+    /// The ledger to which changes are committed.
     pub ledger: Ledger,
     /// The audit trail.
     pub trail: Trail,
     /// The entry's view.
     pub cell: Arc<SnapshotCell>,
-    /// Wall-clock time for change records.
+    /// Wall clock for change records.
     pub clock: Arc<dyn Clock>,
-    /// What the deployment weighs, for dry runs.
+    /// The deployment's cost weights, for planning waves.
     pub weights: Weights,
-    /// What a worker has for jobs.
+    /// Capacity of a worker for jobs.
     pub capacity: Resources,
-    /// Who may use it.
+    /// Tokens of the operators that may use the API.
     pub tokens: Tokens,
 }
 
-/// [`Parts`] as gotham's handlers find them.
+/// [`Parts`] in the form in which gotham's handlers share them.
 ///
-/// gotham catches a handler's panic and wants to know that shared state survives it. The parts are
-/// handles whose locks are held for single steps, so a panic leaves nothing half written.
+/// gotham catches panics of handlers and requires shared state to be unwind safe. The components are
+/// handles whose locks are held for single operations only, so a panic leaves no partial write.
 #[derive(Debug, StateData)]
 struct Shared(AssertUnwindSafe<Arc<Parts>>);
 
@@ -54,17 +54,17 @@
     }
 }
 
-/// The running interface.
+/// The running admin API server.
 #[derive(Debug)]
 pub struct Admin {
     server: Server,
 }
 
 impl Admin {
-    /// Binds `address` and serves the interface on it.
+    /// Binds `address` and serves the admin API on it.
     ///
     /// # Errors
-    /// Where the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn bind(address: SocketAddr, options: Options, parts: Parts) -> Result<Self> {
         let router = router::build(Shared(AssertUnwindSafe(Arc::new(parts))));
         Ok(Self {
@@ -77,12 +77,12 @@
         self.server.address()
     }
 
-    /// Finishes what is in flight and closes.
+    /// Shuts down after requests in flight have finished.
     pub async fn stop(self) {
         self.server.stop().await;
     }
 
-    /// Closes at once, as a killed process would.
+    /// Closes all connections at once, as a killed process would.
     pub fn abort(self) {
         self.server.abort();
     }
--- a/crates/admin/src/http/read.rs
+++ b/crates/admin/src/http/read.rs
@@ -1,8 +1,8 @@
-//! Reads, answered from the entry's own view.
+//! Read handlers, which answer from the entry's own view.
 
 use super::{
     Shared, reply,
-    router::{Filter, named, shared},
+    router::{AuditFilter, name_in_path, shared},
 };
 use gotham::{handler::HandlerResult, helpers::http::Body, prelude::FromState, state::State};
 use http::{HeaderMap, Response, StatusCode};
@@ -19,14 +19,15 @@
 use std::{collections::BTreeMap, time::Duration};
 use tokio::time::timeout;
 
-/// Most records of one page of the audit trail.
-const MAX_PAGE: u32 = 1000;
+/// Maximum records in one page of the audit trail.
+const MAX_PAGE_SIZE: u32 = 1000;
 
-/// Records of a page where the operator names no limit.
-const PAGE: u32 = 100;
+/// Records in a page if the operator gives no limit.
+const DEFAULT_PAGE_SIZE: u32 = 100;
 
-/// Longest wait for the registrations: an operator asks for the status in an outage too.
-const REGISTRATIONS: Duration = Duration::from_secs(1);
+/// Timeout of reading the registrations. It is short because operators ask for the status during
+/// outages of the store too.
+const REGISTRATIONS_TIMEOUT: Duration = Duration::from_secs(1);
 
 pub(super) fn healthz(state: State) -> (State, Response<Body>) {
     (state, reply::text(StatusCode::OK, "running\n"))
@@ -49,20 +50,20 @@
 
 pub(super) async fn status(state: State) -> HandlerResult {
     let shared = shared(&state);
-    let allowed = super::auth::operator(&shared, HeaderMap::borrow_from(&state));
-    let status = match allowed {
-        Ok(_operator) => Ok(standing(&shared).await),
+    let authorized = super::auth::operator(&shared, HeaderMap::borrow_from(&state));
+    let status = match authorized {
+        Ok(_operator) => Ok(build_status(&shared).await),
         Err(refusal) => Err(refusal),
     };
     Ok((state, reply::json(status)))
 }
 
-async fn standing(shared: &Shared) -> Status {
+async fn build_status(shared: &Shared) -> Status {
     let parts = &shared.0;
-    let registered = registered(shared).await;
+    let registered = read_registrations(shared).await;
     let complete = registered.is_some();
     let entries = match registered {
-        Some(rows) => with_registered(rows, parts.local.entries()),
+        Some(rows) => merge_registrations(rows, parts.local.entries()),
         None => parts.local.entries(),
     };
     let snapshot = parts.cell.current();
@@ -78,29 +79,29 @@
         complete,
         controller: parts.local.controller(),
         instances,
-        pools: pools_of(&snapshot),
+        pools: list_pools(&snapshot),
     }
 }
 
-/// The registrations as they are in the store now; none where it does not answer soon.
+/// Reads the current registrations from the store; `None` if it fails or times out.
 ///
-/// What the entry knows of them may be some seconds old. An operator who waits for a change would
-/// then be told that it is in force everywhere, while an entry that registered since serves without.
-async fn registered(shared: &Shared) -> Option<Vec<Registration>> {
+/// The entry's own list may be some seconds old. An operator who waits for a change would then be
+/// told that it is in effect everywhere, while an entry that has registered since serves without it.
+async fn read_registrations(shared: &Shared) -> Option<Vec<Registration>> {
     let read = shared.0.ledger.scan::<Registration>(key::ENTRIES);
-    match timeout(REGISTRATIONS, read).await {
+    match timeout(REGISTRATIONS_TIMEOUT, read).await {
         Ok(Ok(rows)) => Some(rows.into_iter().map(|(_key, row)| row).collect()),
         Ok(Err(error)) => {
-            log::debug!("the registrations could not be read: {error}");
+            log::debug!("cannot read the entry registrations: {error}");
             None
         }
         Err(_elapsed) => None,
     }
 }
 
-/// The registered entries, each with what is known of it; one that is not known yet has in force
-/// what its registration says.
-fn with_registered(rows: Vec<Registration>, known: Vec<Entry>) -> Vec<Entry> {
+/// The registered entries, each with its known state. For an entry that is not known yet, the
+/// sequence number acknowledged in its registration is used.
+fn merge_registrations(rows: Vec<Registration>, known: Vec<Entry>) -> Vec<Entry> {
     let mut known: BTreeMap<id::Entry, Entry> = known
         .into_iter()
         .map(|entry| (entry.name.clone(), entry))
@@ -116,7 +117,7 @@
     found.collect()
 }
 
-#[expect(clippy::unnecessary_wraps, reason = "every read has one signature")]
+#[expect(clippy::unnecessary_wraps, reason = "all reads share one signature")]
 pub(super) fn services(shared: &Shared, _state: &State) -> Result<Vec<Service>, Refusal> {
     let snapshot = shared.0.cell.current();
     let services = snapshot.pools().flat_map(|(account, pool)| {
@@ -131,7 +132,7 @@
     Ok(services.collect())
 }
 
-fn pools_of(snapshot: &Snapshot) -> Vec<Pool> {
+fn list_pools(snapshot: &Snapshot) -> Vec<Pool> {
     let pool = |(account, pool): (&id::Account, &primroseroute_domain::account::Pool)| {
         let mut members = 0;
         let mut serving = 0;
@@ -150,12 +151,12 @@
     snapshot.pools().map(pool).collect()
 }
 
-#[expect(clippy::unnecessary_wraps, reason = "every read has one signature")]
+#[expect(clippy::unnecessary_wraps, reason = "all reads share one signature")]
 pub(super) fn pools(shared: &Shared, _state: &State) -> Result<Vec<Pool>, Refusal> {
-    Ok(pools_of(&shared.0.cell.current()))
+    Ok(list_pools(&shared.0.cell.current()))
 }
 
-#[expect(clippy::unnecessary_wraps, reason = "every read has one signature")]
+#[expect(clippy::unnecessary_wraps, reason = "all reads share one signature")]
 pub(super) fn instances(shared: &Shared, _state: &State) -> Result<Vec<Instance>, Refusal> {
     let snapshot = shared.0.cell.current();
     let found = snapshot.instances().iter().map(|(name, row)| Instance {
@@ -165,7 +166,7 @@
     Ok(found.collect())
 }
 
-#[expect(clippy::unnecessary_wraps, reason = "every read has one signature")]
+#[expect(clippy::unnecessary_wraps, reason = "all reads share one signature")]
 pub(super) fn accounts(
     shared: &Shared,
     _state: &State,
@@ -181,7 +182,7 @@
 }
 
 pub(super) fn account(shared: &Shared, state: &State) -> Result<Versioned<Template>, Refusal> {
-    let name: id::Account = named(state)?;
+    let name: id::Account = name_in_path(state)?;
     let snapshot = shared.0.cell.current();
     let found = snapshot.accounts().get(&name).cloned();
     found.ok_or_else(|| Refusal::new(Code::NotFound, format!("account {name}")))
@@ -189,35 +190,35 @@
 
 pub(super) async fn audit(mut state: State) -> HandlerResult {
     let shared = shared(&state);
-    let allowed = super::auth::operator(&shared, HeaderMap::borrow_from(&state));
-    let filter = Filter::take_from(&mut state);
-    let page = match allowed {
-        Ok(_operator) => records(&shared, &filter).await,
+    let authorized = super::auth::operator(&shared, HeaderMap::borrow_from(&state));
+    let filter = AuditFilter::take_from(&mut state);
+    let page = match authorized {
+        Ok(_operator) => audit_page(&shared, &filter).await,
         Err(refusal) => Err(refusal),
     };
     Ok((state, reply::json(page)))
 }
 
-async fn records(shared: &Shared, filter: &Filter) -> Result<Audit, Refusal> {
+async fn audit_page(shared: &Shared, filter: &AuditFilter) -> Result<Audit, Refusal> {
     let after = Seq(filter.after.unwrap_or(0));
-    let limit = filter.limit.unwrap_or(PAGE).min(MAX_PAGE);
+    let limit = filter.limit.unwrap_or(DEFAULT_PAGE_SIZE).min(MAX_PAGE_SIZE);
     let records = shared.0.trail.after(after, limit).await?;
-    let wanted = |record: &Record| {
-        let by = filter
+    let matches = |record: &Record| {
+        let by_actor = filter
             .actor
             .as_ref()
             .is_none_or(|actor| record.actor.contains(actor.as_str()));
-        let on = filter.key.as_ref().is_none_or(|key| {
+        let by_key = filter.key.as_ref().is_none_or(|key| {
             record
                 .edits
                 .iter()
                 .any(|edit| edit.key.starts_with(key.as_str()))
         });
-        by && on
+        by_actor && by_key
     };
     let read_to = records.last().map_or(after, |record| record.seq);
     Ok(Audit {
         read_to,
-        records: records.into_iter().filter(wanted).collect(),
+        records: records.into_iter().filter(matches).collect(),
     })
 }
--- a/crates/admin/src/http/reply.rs
+++ b/crates/admin/src/http/reply.rs
@@ -1,4 +1,4 @@
-//! Answers: JSON, plain text, and problem details.
+//! Builds responses: JSON, plain text, and problem details.
 
 use gotham::helpers::http::Body;
 use http::{HeaderValue, Response, StatusCode, header};
@@ -8,29 +8,31 @@
 use serde::Serialize;
 
 /// Media type of problem details (RFC 9457).
-const PROBLEM: HeaderValue = HeaderValue::from_static("application/problem+json");
+const PROBLEM_JSON: HeaderValue = HeaderValue::from_static("application/problem+json");
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 const TEXT: HeaderValue = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
 
-fn with(status: StatusCode, kind: HeaderValue, bytes: Vec<u8>) -> Response<Body> {
+fn response_with(status: StatusCode, content_type: HeaderValue, bytes: Vec<u8>) -> Response<Body> {
     let body = Full::new(bytes.into()).map_err(|never| match never {});
     let mut response = Response::new(Body::new(body));
     *response.status_mut() = status;
-    response.headers_mut().insert(header::CONTENT_TYPE, kind);
+    response
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, content_type);
     response
 }
 
-/// Plain text.
+/// A plain-text response.
 pub(super) fn text(status: StatusCode, text: impl Into<String>) -> Response<Body> {
-    with(status, TEXT, text.into().into_bytes())
+    response_with(status, TEXT, text.into().into_bytes())
 }
 
-/// The value as JSON, or the refusal as problem details.
+/// A response response_with the value as JSON, or response_with the refusal as problem details.
 pub(super) fn json<T: Serialize>(result: Result<T, Refusal>) -> Response<Body> {
     match result {
         Ok(value) => {
             let bytes = serde_json::to_vec(&value).expect("interface types serialize");
-            with(StatusCode::OK, JSON, bytes)
+            response_with(StatusCode::OK, JSON, bytes)
         }
         Err(refusal) => problem(&refusal),
     }
@@ -44,9 +46,9 @@
         outcome: code.verdict(),
     };
     let status = StatusCode::from_u16(code.status()).expect("codes have valid statuses");
-    with(
+    response_with(
         status,
-        PROBLEM,
+        PROBLEM_JSON,
         serde_json::to_vec(&body).expect("problems serialize"),
     )
 }
--- a/crates/admin/src/http/wave.rs
+++ b/crates/admin/src/http/wave.rs
@@ -1,9 +1,9 @@
-//! Waves over HTTP.
+//! Reads and changes of waves.
 
 use super::{
     Shared, reply,
-    router::named,
-    write::{Asked, Call},
+    router::name_in_path,
+    write::{IncomingRequest, OperatorRequest},
 };
 use crate::edit;
 use gotham::{handler::HandlerResult, state::State};
@@ -32,13 +32,15 @@
 }
 
 pub(super) async fn plan(mut state: State) -> HandlerResult {
-    let asked = Call::take(&mut state).read::<wave::Order>().await;
-    let result = asked.and_then(|asked| -> Result<Plan, Refusal> {
-        let parts = &asked.shared.0;
+    let request = IncomingRequest::take(&mut state)
+        .read::<wave::Order>()
+        .await;
+    let result = request.and_then(|request| -> Result<Plan, Refusal> {
+        let parts = &request.shared.0;
         edit::plan(
             &parts.cell.current(),
             parts.weights,
-            &asked.order,
+            &request.order,
             parts.clock.now(),
         )
     });
@@ -46,18 +48,18 @@
 }
 
 pub(super) async fn start(mut state: State) -> HandlerResult {
-    let call = Call::take(&mut state);
-    Ok((state, reply::json(started(call).await)))
+    let incoming = IncomingRequest::take(&mut state);
+    Ok((state, reply::json(start_wave(incoming).await)))
 }
 
-async fn started(call: Call) -> Result<Accepted, Refusal> {
-    let asked = call.read::<Start>().await?;
-    let parts = &asked.shared.0;
+async fn start_wave(incoming: IncomingRequest) -> Result<Accepted, Refusal> {
+    let request = incoming.read::<Start>().await?;
+    let parts = &request.shared.0;
     let now = parts.clock.now();
     let decide = |snapshot: &Snapshot, draft: &mut Draft| {
-        edit::start(snapshot, parts.weights, &asked.order.order, now, draft)
+        edit::start(snapshot, parts.weights, &request.order.order, now, draft)
     };
-    asked.commit(&asked.order.reason, &decide).await
+    request.commit(&request.order.reason, &decide).await
 }
 
 pub(super) async fn pause(state: State) -> HandlerResult {
@@ -73,21 +75,24 @@
 }
 
 async fn command(mut state: State, command: Command) -> HandlerResult {
-    let name = named(&state);
-    let call = Call::take(&mut state);
-    Ok((state, reply::json(commanded(name, call, command).await)))
+    let name = name_in_path(&state);
+    let incoming = IncomingRequest::take(&mut state);
+    Ok((
+        state,
+        reply::json(command_wave(name, incoming, command).await),
+    ))
 }
 
-async fn commanded(
+async fn command_wave(
     name: Result<id::Wave, Refusal>,
-    call: Call,
+    incoming: IncomingRequest,
     command: Command,
 ) -> Result<Accepted, Refusal> {
-    let asked: Asked<Order> = call.read().await?;
+    let request: OperatorRequest<Order> = incoming.read().await?;
     let name = name?;
-    let now = asked.shared.0.clock.now();
+    let now = request.shared.0.clock.now();
     let decide = |snapshot: &Snapshot, draft: &mut Draft| {
-        edit::command(snapshot, &name, command, &asked.order, now, draft)
+        edit::command(snapshot, &name, command, &request.order, now, draft)
     };
-    asked.commit(&asked.order.reason, &decide).await
+    request.commit(&request.order.reason, &decide).await
 }
--- a/crates/admin/src/http/write.rs
+++ b/crates/admin/src/http/write.rs
@@ -1,8 +1,8 @@
-//! Changes: an operator's order becomes one change of the ledger.
+//! Change handlers: each commits an operator's order as one change of the ledger.
 
 use super::{
     Shared, reply,
-    router::{named, shared},
+    router::{name_in_path, shared},
 };
 use crate::edit;
 use gotham::{handler::HandlerResult, helpers::http::Body, prelude::FromState, state::State};
@@ -20,17 +20,17 @@
 use serde::de::DeserializeOwned;
 use std::sync::Arc;
 
-/// Largest body of an order: a template of 270 pools is about 100 KiB.
-const MAX_BODY: usize = 1 << 20;
+/// Maximum size of a request body. A template of 270 pools is about 100 KiB.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// What a handler takes out of gotham's state, which must not be held across an await.
-pub(super) struct Call {
+/// A request taken out of gotham's state, which must not be held across an await point.
+pub(super) struct IncomingRequest {
     shared: Shared,
     headers: HeaderMap,
     body: Body,
 }
 
-impl Call {
+impl IncomingRequest {
     pub(super) fn take(state: &mut State) -> Self {
         Self {
             shared: shared(state),
@@ -39,17 +39,17 @@
         }
     }
 
-    pub(super) async fn read<T: DeserializeOwned>(self) -> Result<Asked<T>, Refusal> {
+    pub(super) async fn read<T: DeserializeOwned>(self) -> Result<OperatorRequest<T>, Refusal> {
         let operator = super::auth::operator(&self.shared, &self.headers)?;
         let malformed = |detail: String| Refusal::new(Code::MalformedRequest, detail);
-        let body = Limited::new(self.body, MAX_BODY);
+        let body = Limited::new(self.body, MAX_BODY_BYTES);
         let bytes = body
             .collect()
             .await
             .map_err(|error| malformed(error.to_string()))?
             .to_bytes();
         let order = serde_json::from_slice(&bytes).map_err(|error| malformed(error.to_string()))?;
-        Ok(Asked {
+        Ok(OperatorRequest {
             shared: self.shared,
             operator,
             order,
@@ -57,14 +57,14 @@
     }
 }
 
-/// An operator's request: who asks, and for what.
-pub(super) struct Asked<T> {
+/// An authenticated request with its parsed body.
+pub(super) struct OperatorRequest<T> {
     pub(super) shared: Shared,
     operator: Arc<str>,
     pub(super) order: T,
 }
 
-impl<T> Asked<T> {
+impl<T> OperatorRequest<T> {
     pub(super) async fn commit(
         &self,
         reason: &Arc<str>,
@@ -76,7 +76,7 @@
             reason: Arc::clone(reason),
             guards: Vec::new(),
         };
-        let done = commit_with_retry(
+        let committed = commit_with_retry(
             &parts.ledger,
             &parts.cell,
             parts.clock.as_ref(),
@@ -84,37 +84,42 @@
             decide,
         )
         .await?;
-        let version = done.map_or_else(|| parts.cell.current().seq(), |record| record.seq);
+        let version = committed.map_or_else(|| parts.cell.current().seq(), |record| record.seq);
         Ok(Accepted { version })
     }
 }
 
 pub(super) async fn apply(mut state: State) -> HandlerResult {
-    let name = named(&state);
-    let call = Call::take(&mut state);
-    Ok((state, reply::json(apply_named(name, call).await)))
+    let name = name_in_path(&state);
+    let incoming = IncomingRequest::take(&mut state);
+    Ok((state, reply::json(apply_template(name, incoming).await)))
 }
 
-async fn apply_named(name: Result<id::Account, Refusal>, call: Call) -> Result<Accepted, Refusal> {
-    let asked = call.read::<Apply>().await?;
+async fn apply_template(
+    name: Result<id::Account, Refusal>,
+    incoming: IncomingRequest,
+) -> Result<Accepted, Refusal> {
+    let request = incoming.read::<Apply>().await?;
     let name = name?;
-    if name != asked.order.template.account {
+    if name != request.order.template.account {
         let detail = format!("the path names {name}, the template another account");
         return Err(Refusal::new(Code::MalformedRequest, detail));
     }
     let decide =
-        |snapshot: &Snapshot, draft: &mut Draft| edit::apply(snapshot, &asked.order, draft);
-    asked.commit(&asked.order.reason, &decide).await
+        |snapshot: &Snapshot, draft: &mut Draft| edit::apply(snapshot, &request.order, draft);
+    request.commit(&request.order.reason, &decide).await
 }
 
 pub(super) async fn diff(mut state: State) -> HandlerResult {
-    let asked = Call::take(&mut state).read::<Template>().await;
-    let result = asked.map(|asked| edit::diff(&asked.shared.0.cell.current(), &asked.order));
+    let request = IncomingRequest::take(&mut state).read::<Template>().await;
+    let result =
+        request.map(|request| edit::diff(&request.shared.0.cell.current(), &request.order));
     Ok((state, reply::json(result)))
 }
 
-/// One order on an instance.
-type Act = fn(&Snapshot, &id::Instance, &Order, Instant, &mut Draft) -> Result<(), Refusal>;
+/// Applies one kind of order to an instance.
+type InstanceOrder =
+    fn(&Snapshot, &id::Instance, &Order, Instant, &mut Draft) -> Result<(), Refusal>;
 
 pub(super) async fn drain(state: State) -> HandlerResult {
     on_instance(state, edit::drain).await
@@ -124,54 +129,63 @@
     on_instance(state, edit::release).await
 }
 
-async fn on_instance(mut state: State, act: Act) -> HandlerResult {
-    let name = named(&state);
-    let call = Call::take(&mut state);
-    Ok((state, reply::json(order_named(name, call, act).await)))
+async fn on_instance(mut state: State, act: InstanceOrder) -> HandlerResult {
+    let name = name_in_path(&state);
+    let incoming = IncomingRequest::take(&mut state);
+    Ok((
+        state,
+        reply::json(order_instance(name, incoming, act).await),
+    ))
 }
 
-async fn order_named(
+async fn order_instance(
     name: Result<id::Instance, Refusal>,
-    call: Call,
-    act: Act,
+    incoming: IncomingRequest,
+    act: InstanceOrder,
 ) -> Result<Accepted, Refusal> {
-    let asked = call.read::<Order>().await?;
+    let request = incoming.read::<Order>().await?;
     let name = name?;
-    let now = asked.shared.0.clock.now();
+    let now = request.shared.0.clock.now();
     let decide =
-        |snapshot: &Snapshot, draft: &mut Draft| act(snapshot, &name, &asked.order, now, draft);
-    asked.commit(&asked.order.reason, &decide).await
+        |snapshot: &Snapshot, draft: &mut Draft| act(snapshot, &name, &request.order, now, draft);
+    request.commit(&request.order.reason, &decide).await
 }
 
 pub(super) async fn remove(mut state: State) -> HandlerResult {
-    let name = named(&state);
-    let call = Call::take(&mut state);
-    Ok((state, reply::json(remove_named(name, call).await)))
+    let name = name_in_path(&state);
+    let incoming = IncomingRequest::take(&mut state);
+    Ok((state, reply::json(remove_entry(name, incoming).await)))
 }
 
-async fn remove_named(name: Result<id::Entry, Refusal>, call: Call) -> Result<Accepted, Refusal> {
-    let asked = call.read::<Order>().await?;
+async fn remove_entry(
+    name: Result<id::Entry, Refusal>,
+    incoming: IncomingRequest,
+) -> Result<Accepted, Refusal> {
+    let request = incoming.read::<Order>().await?;
     let name = name?;
     let decide = |_: &Snapshot, draft: &mut Draft| {
         edit::remove(&name, draft);
         Ok(())
     };
-    asked.commit(&asked.order.reason, &decide).await
+    request.commit(&request.order.reason, &decide).await
 }
 
 pub(super) async fn move_to(mut state: State) -> HandlerResult {
-    let name = named(&state);
-    let call = Call::take(&mut state);
-    Ok((state, reply::json(moved(name, call).await)))
+    let name = name_in_path(&state);
+    let incoming = IncomingRequest::take(&mut state);
+    Ok((state, reply::json(move_instance(name, incoming).await)))
 }
 
-async fn moved(name: Result<id::Instance, Refusal>, call: Call) -> Result<Accepted, Refusal> {
-    let asked = call.read::<Move>().await?;
+async fn move_instance(
+    name: Result<id::Instance, Refusal>,
+    incoming: IncomingRequest,
+) -> Result<Accepted, Refusal> {
+    let request = incoming.read::<Move>().await?;
     let name = name?;
-    let now = asked.shared.0.clock.now();
-    let Move { pool, order } = &asked.order;
+    let now = request.shared.0.clock.now();
+    let Move { pool, order } = &request.order;
     let decide = |snapshot: &Snapshot, draft: &mut Draft| {
         edit::move_to(snapshot, &name, pool, order, now, draft)
     };
-    asked.commit(&order.reason, &decide).await
+    request.commit(&order.reason, &decide).await
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,12 +1,12 @@
-//! The operators' interface of an entry: health, metrics, reads and changes over HTTP.
+//! The admin HTTP API of an entry: health, metrics, reads and changes.
 //!
-//! Any entry answers it. Reads come from the entry's own view; changes go through the ledger, so
-//! two operators at two entries meet in one order of changes, and a version that an operator names
-//! holds at the commit.
+//! Every entry serves it. Reads are answered from the entry's own view; changes are committed
+//! through the ledger, so changes by operators at different entries are totally ordered, and an
+//! expected version that an operator gives is checked at commit.
 //!
-//! * [`edit`]: what an order changes, as pure functions of a snapshot.
-//! * [`Local`]: what only the running entry knows, handed in at construction.
-//! * [`Admin::bind`]: the HTTP side, a gotham router.
+//! * [`edit`]: computes the row changes of an operator's order, as pure functions of a snapshot.
+//! * [`Local`]: state of the running entry that is not in the view, passed in at construction.
+//! * [`Admin::bind`]: the HTTP server, a gotham router.
 
 pub mod edit;
 mod http;
--- a/crates/admin/src/local.rs
+++ b/crates/admin/src/local.rs
@@ -1,40 +1,40 @@
-//! What the interface needs to know of the entry that it runs in.
+//! The state of the local entry that the admin API reads.
 
 use primroseroute_api::Entry;
 use primroseroute_domain::{account::TokenHash, id};
 use std::{collections::BTreeMap, fmt, sync::Arc, time::Duration};
 use subtle::ConstantTimeEq;
 
-/// What only the running entry knows.
+/// State of the running entry that is not in the view.
 pub trait Local: Send + Sync + fmt::Debug {
     /// The entry's name.
     fn name(&self) -> id::Entry;
 
-    /// Whether the balancer should send callers here.
+    /// Whether the load balancer should route callers to this entry.
     fn is_ready(&self) -> bool;
 
     /// Requests in flight on `instance` from this entry.
     fn in_flight(&self, instance: &id::Instance) -> u32;
 
-    /// Every registered entry as far as known, this one among them.
+    /// All known registered entries, including this one.
     fn entries(&self) -> Vec<Entry>;
 
-    /// The entry that holds the controller's lease, as far as known.
+    /// The entry that holds the controller lease, if known.
     fn controller(&self) -> Option<id::Entry>;
 
-    /// How long ago the store last confirmed the view.
+    /// Time since the store last confirmed the view.
     fn confirmed(&self) -> Option<Duration>;
 
-    /// Metrics in Prometheus form.
+    /// Metrics in the Prometheus text format.
     fn metrics(&self) -> String;
 }
 
-/// Operators by the hash of their token.
+/// Operators and the hashes of their tokens.
 #[derive(Clone, Debug, Default)]
 pub struct Tokens(pub BTreeMap<Arc<str>, TokenHash>);
 
 impl Tokens {
-    /// The operator whose token has `hash`; every hash is compared, each in constant time.
+    /// Finds the operator whose token has `hash`. Compares against every hash, each in constant time.
     pub fn find(&self, hash: &str) -> Option<Arc<str>> {
         let mut found = None;
         for (operator, known) in &self.0 {
--- a/crates/admin/tests/all/job.rs
+++ b/crates/admin/tests/all/job.rs
@@ -1,4 +1,4 @@
-//! Orders on jobs.
+//! Operators' orders on background jobs.
 
 use super::{draft, json, name, template};
 use primroseroute_admin::edit::job::{self, MOST, Taken};
@@ -34,8 +34,8 @@
     Snapshot::from_rows(Seq(9), rows).expect("the rows are readable")
 }
 
-/// The rows that a cancellation writes, by name.
-fn cancelled(rows: Vec<Row>, order: &Cancel) -> (Taken, BTreeMap<id::Job, Row>) {
+/// Applies a cancellation; returns its result and the rows that it writes, by name.
+fn cancel(rows: Vec<Row>, order: &Cancel) -> (Taken, BTreeMap<id::Job, Row>) {
     let mut draft = draft();
     let taken = job::cancel(&snapshot(rows), order, &mut draft).expect("it is accepted");
     let edits = draft.record().edits.into_iter();
@@ -65,26 +65,26 @@
         ("d", State::Done),
     ];
     let rows = states.map(|(job, state)| row(job, state)).to_vec();
-    let (taken, written) = cancelled(rows, &of_account());
+    let (taken, written) = cancel(rows, &of_account());
     assert_eq!(taken.cancelled, 3);
     let states: Vec<(&str, &State)> = written
         .iter()
         .map(|(job, row)| (job.as_str(), &row.state))
         .collect();
     let cancelling = State::Cancelling(at);
-    let wanted = [
+    let expected = [
         ("p", &State::Cancelled),
         ("q", &State::Cancelled),
         ("r", &cancelling),
     ];
-    assert_eq!(states, wanted);
+    assert_eq!(states, expected);
     assert!(written.values().all(|row| row.token == Token(3)));
 }
 
 #[test]
 fn cancellation_is_bounded_and_says_what_is_left() {
     let rows = (0..MOST + 50).map(|n| row(&format!("j{n}"), State::Queued));
-    let (taken, written) = cancelled(rows.collect(), &of_account());
+    let (taken, written) = cancel(rows.collect(), &of_account());
     assert_eq!((taken.cancelled, taken.left), (MOST, 50));
     assert_eq!(written.len(), MOST);
 }
@@ -102,8 +102,8 @@
     assert_eq!(refusal.code, Code::JobStateForbids);
 }
 
-/// A name comes back after its row was deleted. The platform remembers its tokens, all of which are
-/// at most the places of changes before this one.
+/// Guards against reusing a token when a job's name is submitted again after its row was deleted: the
+/// platform remembers the tokens, all of which are at most the sequence numbers of earlier changes.
 #[test]
 fn first_token_is_the_place_of_the_change() {
     let spec = primroseroute_api::Spec {
--- a/crates/admin/tests/all/main.rs
+++ b/crates/admin/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Operators' orders as pure functions of a snapshot.
+//! Operators' orders, tested as pure functions of a snapshot.
 
 mod job;
 
@@ -66,7 +66,7 @@
     serde_json::to_string(&row).expect("rows serialize").into()
 }
 
-/// Account `a` at version 4 with instances `i0`, `i1`, … in `states`.
+/// A snapshot with account `a` at version 4 and instances `i0`, `i1`, … in `states`.
 fn snapshot(states: &[State]) -> Snapshot {
     let instances = states.iter().enumerate().map(|(index, state)| {
         let id = format!("i{index}");
@@ -84,8 +84,8 @@
     Draft::new(head, Instant(1), "operator:test", "test", Uuid::nil())
 }
 
-/// The row that an order leaves behind, none where it changes nothing.
-fn ordered(
+/// Applies an order to `i0`; returns its new state, or `None` if the order changes nothing.
+fn apply_order(
     act: fn(&Snapshot, &id::Instance, &Order, Instant, &mut Draft) -> Result<(), Refusal>,
     states: &[State],
     force: bool,
@@ -116,7 +116,7 @@
     ($($name:ident: $act:ident, $states:expr, $force:expr => $want:expr;)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(ordered(edit::$act, &$states, $force), $want);
+            assert_eq!(apply_order(edit::$act, &$states, $force), $want);
         }
     )*};
 }
@@ -141,7 +141,10 @@
         => Err(Code::IllegalTransition);
 }
 
-fn applied(change: impl FnOnce(&mut Template), if_version: Option<u64>) -> Result<usize, Refusal> {
+fn apply_template(
+    change: impl FnOnce(&mut Template),
+    if_version: Option<u64>,
+) -> Result<usize, Refusal> {
     let mut template = template("a");
     change(&mut template);
     let order = Apply {
@@ -158,7 +161,7 @@
     ($($name:ident: $change:expr, $version:expr => $want:expr;)*) => {$(
         #[test]
         fn $name() {
-            let done = applied($change, $version).map_err(|refusal| refusal.code);
+            let done = apply_template($change, $version).map_err(|refusal| refusal.code);
             assert_eq!(done, $want);
         }
     )*};
@@ -192,7 +195,7 @@
 
 #[test]
 fn every_fault_is_named_with_its_place() {
-    let refusal = applied(
+    let refusal = apply_template(
         |t| {
             t.share = 0;
             t.pools[0].budget.promised = 0;
