--- a/crates/report/src/plot.rs
+++ b/crates/report/src/plot.rs
@@ -1,7 +1,7 @@
-//! A plot of each pool's instances over time, as SVG.
+//! Plots each pool's instances over time, as SVG.
 //!
-//! One panel a pool, one under the other: serving, promised and held instances as steps, and the
-//! time of each wave that covered the pool as a shaded area with the wave's name.
+//! There is one panel per pool, from top to bottom: serving, promised and held instances as step
+//! lines, and the duration of each wave that covered the pool as a shaded area with the wave's name.
 
 use crate::{
     replay::Found,
@@ -19,21 +19,21 @@
 };
 use primroseroute_domain::{id, time::Instant};
 
-/// Width of the picture, in pixels.
-const WIDTH: u32 = 1_000;
+/// Width of the image.
+const WIDTH_PX: u32 = 1_000;
 
-/// Height of one panel, in pixels: labels, and a few pixels for each of a pool's some ten instances.
-const PANEL: u32 = 220;
+/// Height of one panel. It leaves room for the labels and a few pixels for each instance of a pool,
+/// which has about ten.
+const PANEL_HEIGHT_PX: u32 = 220;
 
-/// Size of the smallest text, in pixels.
-const TEXT: u32 = 12;
+/// Size of the smallest text.
+const FONT_SIZE_PX: u32 = 12;
 
-/// Milliseconds of an hour.
-const HOUR: f64 = 3_600_000.0;
+const HOUR_MS: f64 = 3_600_000.0;
 
-/// Why a plot cannot be drawn.
+/// Error while drawing a plot.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the plot cannot be drawn: {0}")]
+#[error("cannot draw the plot: {0}")]
 pub struct Error(String);
 
 type Svg<'a> = SVGBackend<'a>;
@@ -45,14 +45,14 @@
     }
 }
 
-/// One of a pool's lines.
+/// A line in the panel of a pool.
 struct Curve {
     label: &'static str,
     colour: RGBColor,
     value: fn(&Point) -> u32,
 }
 
-/// Promised last: it must be seen where the others lie on it.
+/// Drawn in this order: promised is last so that it stays visible where the lines coincide.
 const CURVES: [Curve; 3] = [
     Curve {
         label: "held",
@@ -71,48 +71,48 @@
     },
 ];
 
-/// Draws what a replay found.
+/// Draws the result of a replay.
 ///
 /// # Errors
-/// [`Error`] where the drawing library fails.
+/// [`Error`] if the drawing library fails.
 pub fn svg(found: &Found) -> Result<String, Error> {
     let mut text = String::new();
-    paint(&mut text, found)?;
+    render(&mut text, found)?;
     Ok(text)
 }
 
-fn paint(text: &mut String, found: &Found) -> Result<(), Error> {
+fn render(text: &mut String, found: &Found) -> Result<(), Error> {
     let pools = &found.series.pools;
     let panels = pools.len().max(1);
-    let height = PANEL.saturating_mul(u32::try_from(panels).unwrap_or(u32::MAX));
-    let root = SVGBackend::with_string(text, (WIDTH, height)).into_drawing_area();
+    let height = PANEL_HEIGHT_PX.saturating_mul(u32::try_from(panels).unwrap_or(u32::MAX));
+    let root = SVGBackend::with_string(text, (WIDTH_PX, height)).into_drawing_area();
     root.fill(&WHITE)?;
     let areas = root.split_evenly((panels, 1));
     for (area, (pool, points)) in areas.iter().zip(pools) {
-        draw(area, pool, points, found)?;
+        draw_panel(area, pool, points, found)?;
     }
     root.present()?;
     Ok(())
 }
 
-fn draw(
+fn draw_panel(
     area: &DrawingArea<Svg<'_>, Shift>,
     pool: &id::Pool,
     points: &[Point],
     found: &Found,
 ) -> Result<(), Error> {
     let period = found.report.period;
-    let most = points
+    let values = points
         .iter()
         .flat_map(|point| CURVES.iter().map(|curve| (curve.value)(point)));
-    let top = f64::from(most.max().unwrap_or(0)) + 1.0;
+    let top = f64::from(values.max().unwrap_or(0)) + 1.0;
     let mut panel = ChartBuilder::on(area)
-        .caption(pool.as_str(), ("sans-serif", TEXT + 4))
+        .caption(pool.as_str(), ("sans-serif", FONT_SIZE_PX + 4))
         .margin(8)
         .x_label_area_size(32)
         .y_label_area_size(40)
         .build_cartesian_2d(
-            0.0..hours(period, period.to).max(f64::MIN_POSITIVE),
+            0.0..hours_since_start(period, period.to).max(f64::MIN_POSITIVE),
             0.0..top,
         )?;
     panel
@@ -121,13 +121,13 @@
         .x_desc("hours since the period's start")
         .y_desc("instances")
         .draw()?;
-    let covering = found.report.waves.iter();
-    for wave in covering.filter(|wave| wave.pools.contains(pool)) {
-        shade(&mut panel, wave, period, top)?;
+    let waves = found.report.waves.iter();
+    for wave in waves.filter(|wave| wave.pools.contains(pool)) {
+        shade_wave(&mut panel, wave, period, top)?;
     }
     for curve in &CURVES {
         let colour = curve.colour;
-        let steps = steps(points, period, curve.value);
+        let steps = step_line(points, period, curve.value);
         panel
             .draw_series(LineSeries::new(steps, colour.stroke_width(2)))?
             .label(curve.label)
@@ -136,38 +136,47 @@
     panel
         .configure_series_labels()
         .background_style(WHITE.mix(0.8))
-        .label_font(("sans-serif", TEXT))
+        .label_font(("sans-serif", FONT_SIZE_PX))
         .draw()?;
     Ok(())
 }
 
-fn shade(panel: &mut Panel<'_, '_>, wave: &Wave, period: Period, top: f64) -> Result<(), Error> {
-    let left = hours(period, wave.started);
-    let right = hours(period, wave.ended.unwrap_or(period.to));
+fn shade_wave(
+    panel: &mut Panel<'_, '_>,
+    wave: &Wave,
+    period: Period,
+    top: f64,
+) -> Result<(), Error> {
+    let left = hours_since_start(period, wave.started);
+    let right = hours_since_start(period, wave.ended.unwrap_or(period.to));
     let area = Rectangle::new([(left, 0.0), (right, top)], GREEN.mix(0.2).filled());
-    let name = Text::new(wave.id.to_string(), (left, top), ("sans-serif", TEXT));
+    let name = Text::new(
+        wave.id.to_string(),
+        (left, top),
+        ("sans-serif", FONT_SIZE_PX),
+    );
     panel.draw_series([area])?;
     panel.draw_series([name])?;
     Ok(())
 }
 
-/// Hours from the period's start to `at`, inside the period.
-fn hours(period: Period, at: Instant) -> f64 {
-    at.min(period.to).since(period.from).as_millis() as f64 / HOUR
+/// Hours from the period's start to `at`, clamped to the period.
+fn hours_since_start(period: Period, at: Instant) -> f64 {
+    at.min(period.to).since(period.from).as_millis() as f64 / HOUR_MS
 }
 
-/// Corners of a line that keeps each value until the next point.
-fn steps(points: &[Point], period: Period, value: fn(&Point) -> u32) -> Vec<(f64, f64)> {
-    let mut corners = Vec::new();
+/// Vertices of a step line, which keeps each value until the next point.
+fn step_line(points: &[Point], period: Period, value: fn(&Point) -> u32) -> Vec<(f64, f64)> {
+    let mut vertices = Vec::new();
     for point in points {
-        let (x, y) = (hours(period, point.at), f64::from(value(point)));
-        if let Some(&(_x, last)) = corners.last() {
-            corners.push((x, last));
+        let (x, y) = (hours_since_start(period, point.at), f64::from(value(point)));
+        if let Some(&(_x, last)) = vertices.last() {
+            vertices.push((x, last));
         }
-        corners.push((x, y));
+        vertices.push((x, y));
     }
-    if let Some(&(_x, last)) = corners.last() {
-        corners.push((hours(period, period.to), last));
+    if let Some(&(_x, last)) = vertices.last() {
+        vertices.push((hours_since_start(period, period.to), last));
     }
-    corners
+    vertices
 }
--- a/crates/report/src/replay.rs
+++ b/crates/report/src/replay.rs
@@ -1,4 +1,4 @@
-//! The trail, replayed.
+//! Replays the audit trail.
 
 use crate::{
     report::{Period, Report},
@@ -13,56 +13,56 @@
 use primroseroute_fleet::placement::Weights;
 use std::sync::Arc;
 
-/// Why a trail cannot be replayed.
+/// Error while replaying a trail.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// A record is missing.
-    #[error("the trail has change {found} where change {expected} should be")]
+    #[error("the audit trail has a gap: expected change {expected}, found change {found}")]
     Gap {
-        /// The place that should come next.
+        /// The expected sequence number.
         expected: Seq,
-        /// The place that came.
+        /// The sequence number of the record that was passed.
         found: Seq,
     },
-    /// A row of a record cannot be read.
-    #[error("change {seq} holds a row `{key}` that cannot be read: {detail}")]
+    /// A row of a record cannot be parsed.
+    #[error("cannot parse row `{key}` of change {seq}: {detail}")]
     Corrupt {
-        /// The record.
+        /// The record's sequence number.
         seq: Seq,
         /// The row's key.
         key: Arc<str>,
-        /// What is wrong with it.
+        /// The parse error.
         detail: String,
     },
 }
 
-/// What a replay found.
+/// Result of a replay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Found {
-    /// The figures.
+    /// The costs of the period.
     pub report: Report,
-    /// Instances over time.
+    /// Instances of each pool over time.
     pub series: Series,
 }
 
-/// A replay under way.
+/// A replay in progress.
 #[derive(Clone, Debug)]
 pub struct Replay {
     period: Period,
     weights: Weights,
-    /// The last record taken.
+    /// Sequence number of the last record taken.
     seq: Seq,
-    /// Its time, never earlier than that of the one before.
+    /// Time of that record, never earlier than that of the one before it.
     at: Instant,
     rows: Rows,
-    /// None before the period.
+    /// `None` until the period begins.
     tally: Option<Tally>,
 }
 
 impl Replay {
-    /// A replay for `period` that begins with the trail's first change.
+    /// Creates a replay for `period` that starts with the trail's first change.
     ///
-    /// `weights` are the deployment's; only the lower bound of the buffer cost depends on them.
+    /// `weights` are those of the deployment; only the lower bound of the buffer cost depends on them.
     pub fn open(period: Period, weights: Weights) -> Self {
         let to = period.to.max(period.from);
         Self {
@@ -75,12 +75,12 @@
         }
     }
 
-    /// The last record taken; read on from here.
+    /// Sequence number of the last record taken, after which reading continues.
     pub fn read_to(&self) -> Seq {
         self.seq
     }
 
-    /// Whether the last record taken lies after the period, so that later ones change nothing.
+    /// Whether the last record taken is after the period, so that later ones have no effect.
     pub fn is_past(&self) -> bool {
         self.at >= self.period.to
     }
@@ -88,7 +88,7 @@
     /// Takes the next record of the trail.
     ///
     /// # Errors
-    /// [`Error`]; the replay is then of no more use.
+    /// [`Error`]; the replay must not be used after that.
     pub fn take(&mut self, record: &Record) -> Result<(), Error> {
         let expected = self.seq.next();
         if record.seq != expected {
@@ -103,25 +103,25 @@
             return Ok(());
         }
         if self.at <= self.period.from {
-            return self.rows.amend(record);
+            return self.rows.apply(record);
         }
-        self.change(record)
+        self.take_in_period(record)
     }
 
-    fn change(&mut self, record: &Record) -> Result<(), Error> {
+    fn take_in_period(&mut self, record: &Record) -> Result<(), Error> {
         let (rows, at) = (&mut self.rows, self.at);
         let (from, weights) = (self.period.from, self.weights);
         let tally = self
             .tally
             .get_or_insert_with(|| Tally::begin(rows, from, weights));
-        tally.pass(rows, at);
+        tally.advance(rows, at);
         let before = rows.fleet.clone();
-        rows.amend(record)?;
-        tally.change(&before, rows, at);
+        rows.apply(record)?;
+        tally.record_change(&before, rows, at);
         Ok(())
     }
 
-    /// Ends the replay with the records taken so far.
+    /// Finishes the replay with the records taken so far.
     pub fn end(self) -> Found {
         let Self {
             period,
--- a/crates/report/src/report.rs
+++ b/crates/report/src/report.rs
@@ -1,74 +1,74 @@
-//! The figures of a period.
+//! The costs of a period.
 
 use primroseroute_domain::{id, time::Instant};
 use primroseroute_fleet::{measure::Cost, wave::State};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// From an instant, included, to another, not included.
+/// A time range that includes its start and excludes its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Period {
-    /// Its start.
+    /// Start, included.
     pub from: Instant,
-    /// Its end; a period that ends before it starts is empty.
+    /// End, not included; a period that ends before it starts is empty.
     pub to: Instant,
 }
 
-/// What one pool or one account cost.
+/// Cost of one pool or one account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Line {
-    /// Buffer cost, its lower bound, and moves into it.
+    /// Buffer cost, its lower bound, and moves into the pool or account.
     pub cost: Cost,
-    /// Seconds in which a wave covered an instance of it.
+    /// Time during which a wave covered one of its instances.
     pub rollout_seconds: f64,
 }
 
-/// What one wave cost.
+/// Cost of one wave.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Wave {
-    /// Its name; a name may be used again for a later wave.
+    /// Its name, which a later wave may reuse.
     pub id: id::Wave,
-    /// What it was doing at the end of the period.
+    /// Its state at the end of the period.
     pub state: State,
     /// When it began.
     pub started: Instant,
-    /// When it ended; none where that was not in the period.
+    /// When it ended; `None` if it did not end within the period.
     pub ended: Option<Instant>,
-    /// Pools of which it covered an instance in the period.
+    /// Pools of which it covered an instance during the period.
     pub pools: BTreeSet<id::Pool>,
-    /// What these pools cost in the period while the wave had not ended.
+    /// Cost of these pools within the period and before the wave's end.
     pub cost: Cost,
-    /// Seconds from its start to its end, or to the period's end.
+    /// Time from its start to its end, or to the period's end.
     pub rollout_seconds: f64,
-    /// Instances that it rebooted and that came back, in the period.
+    /// Instances that it rebooted and that came back, within the period.
     pub maintained: u32,
 }
 
-/// What a fleet cost over a period.
+/// Cost of a fleet over a period.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Report {
     /// The period.
     pub period: Period,
-    /// Changes in the period.
+    /// Number of changes within the period.
     pub changes: u64,
-    /// Each account that had a pool in the period.
+    /// Accounts that had a pool within the period.
     pub accounts: BTreeMap<id::Account, Line>,
-    /// Each pool that was promised in the period.
+    /// Pools that had an availability budget within the period.
     pub pools: BTreeMap<id::Pool, Line>,
     /// The account of each pool.
     pub owners: BTreeMap<id::Pool, id::Account>,
-    /// Waves that had not ended before the period, in the order of their start.
+    /// Waves that had not ended before the period, ordered by their start.
     pub waves: Vec<Wave>,
-    /// Slot-hours of spares, which any pool may have.
+    /// Slot-hours of spare instances, which any pool may take.
     pub spare_slot_hours: f64,
 }
 
 impl Report {
-    /// The cost over all pools.
+    /// Total cost of all pools.
     pub fn total(&self) -> Cost {
         self.pools
             .values()
@@ -77,7 +77,7 @@
     }
 }
 
-/// Both costs together.
+/// The sum of two costs.
 pub(crate) fn add(a: Cost, b: Cost) -> Cost {
     Cost {
         buffer_slot_hours: a.buffer_slot_hours + b.buffer_slot_hours,
--- a/crates/report/src/rows.rs
+++ b/crates/report/src/rows.rs
@@ -1,4 +1,4 @@
-//! The rows as a change left them.
+//! The rows after each change.
 
 use crate::replay::Error;
 use primroseroute_domain::{
@@ -12,32 +12,32 @@
 use serde::de::DeserializeOwned;
 use std::{collections::BTreeMap, sync::Arc};
 
-/// Rows that a report reads.
+/// Rows that a report depends on.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Rows {
     pub(crate) fleet: Fleet,
     pub(crate) waves: BTreeMap<Arc<str>, wave::Row>,
-    /// The account that had each pool last; pools that are no more stay.
+    /// The account that had each pool last, including pools that no longer exist.
     pub(crate) owners: BTreeMap<id::Pool, id::Account>,
     templates: BTreeMap<Arc<str>, Template>,
 }
 
 impl Rows {
-    /// Takes a record's edits in.
-    pub(crate) fn amend(&mut self, record: &Record) -> Result<(), Error> {
+    /// Applies a record's edits.
+    pub(crate) fn apply(&mut self, record: &Record) -> Result<(), Error> {
         for edit in &record.edits {
             let corrupt = |error: serde_json::Error| Error::Corrupt {
                 seq: record.seq,
                 key: Arc::clone(&edit.key),
                 detail: error.to_string(),
             };
-            self.edit(edit).map_err(corrupt)?;
+            self.apply_edit(edit).map_err(corrupt)?;
         }
         Ok(())
     }
 
-    /// Rows of other kinds are no part of a report.
-    fn edit(&mut self, edit: &Edit) -> Result<(), serde_json::Error> {
+    /// Applies one edit; a report ignores rows of other kinds.
+    fn apply_edit(&mut self, edit: &Edit) -> Result<(), serde_json::Error> {
         if edit.key.starts_with(key::INSTANCES) {
             self.edit_instance(edit)
         } else if edit.key.starts_with(key::ACCOUNTS) {
@@ -83,9 +83,9 @@
     Ok(())
 }
 
-/// The row's value after the change; none where the change deleted it.
+/// The row's value after the change; `None` if the change deleted it.
 fn value<T: DeserializeOwned>(edit: &Edit) -> Result<Option<T>, serde_json::Error> {
-    let read = |text: &str| serde_json::from_str::<Versioned<T>>(text);
-    let row = edit.after.as_deref().map(read).transpose()?;
+    let parse = |text: &str| serde_json::from_str::<Versioned<T>>(text);
+    let row = edit.after.as_deref().map(parse).transpose()?;
     Ok(row.map(|row| row.value))
 }
--- a/crates/report/src/series.rs
+++ b/crates/report/src/series.rs
@@ -1,34 +1,34 @@
-//! Instances of each pool over time, for the plot.
+//! Time series of each pool's instances, for the plot.
 
 use primroseroute_domain::{id, instance::State, time::Instant};
 use primroseroute_fleet::{Fleet, placement};
 use std::collections::BTreeMap;
 
-/// What a pool had from an instant on.
+/// Instances of a pool from a point in time until the next point.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Point {
-    /// Since when.
+    /// Start of the interval.
     pub at: Instant,
     /// Instances that serve.
     pub serving: u32,
-    /// Instances that are promised.
+    /// Instances that the availability budget promises.
     pub promised: u32,
-    /// Instances that are held, also while they reboot.
+    /// Instances that the pool holds, including those that reboot.
     pub held: u32,
 }
 
-/// Each pool's points in the order of time; only changes, the first at the period's start.
+/// Points of each pool, ordered by time: one at the period's start and one for each change.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Series {
-    /// The points of each pool that was promised in the period.
+    /// Points of each pool that had an availability budget within the period.
     pub pools: BTreeMap<id::Pool, Vec<Point>>,
 }
 
 impl Series {
-    /// Takes in the fleet as it is from `at` on.
+    /// Records the state of the fleet from `at` on.
     pub(crate) fn observe(&mut self, fleet: &Fleet, at: Instant) {
         let mut now: BTreeMap<&id::Pool, Point> = BTreeMap::new();
-        // A pool that is no more ends at zero.
+        // A deleted pool ends at zero.
         for pool in self.pools.keys().chain(fleet.budgets.keys()) {
             let promised = fleet.budgets.get(pool).map_or(0, |budget| budget.promised);
             let point = Point {
@@ -60,7 +60,7 @@
     }
 }
 
-/// A later change of the same instant takes the place of the earlier one.
+/// Appends a point if it differs from the last; of several at the same time only the last is kept.
 fn push(points: &mut Vec<Point>, point: Point) {
     if points.last().is_some_and(|last| last.at == point.at) {
         points.pop();
--- a/crates/report/src/tally.rs
+++ b/crates/report/src/tally.rs
@@ -1,10 +1,10 @@
-//! Adding up what lies inside the period.
+//! Sums of costs and times within the period.
 
 use crate::{
     report::{Line, Period, Report, add},
     rows::Rows,
     series::Series,
-    wave::{Waves, covered},
+    wave::{WaveTracker, covered},
 };
 use primroseroute_domain::{id, time::Instant};
 use primroseroute_fleet::{Fleet, measure::Meter, placement::Weights};
@@ -13,31 +13,31 @@
     time::Duration,
 };
 
-/// What was added up so far.
+/// The sums so far.
 #[derive(Clone, Debug)]
 pub(crate) struct Tally {
     weights: Weights,
-    /// Until when time was added up.
+    /// Time up to which the sums are complete.
     now: Instant,
     changes: u64,
     meter: Meter,
-    waves: Waves,
+    waves: WaveTracker,
     series: Series,
-    /// How long each pool was covered by a wave.
+    /// Time during which a wave covered each pool.
     pools: BTreeMap<id::Pool, Duration>,
-    /// The same for each account.
+    /// Time during which a wave covered a pool of each account.
     accounts: BTreeMap<id::Account, Duration>,
 }
 
 impl Tally {
-    /// Begins at `from` with the rows as they are then.
+    /// Starts at `from`, when the rows are `rows`.
     pub(crate) fn begin(rows: &Rows, from: Instant, weights: Weights) -> Self {
         let mut tally = Self {
             weights,
             now: from,
             changes: 0,
             meter: Meter::new(weights),
-            waves: Waves::default(),
+            waves: WaveTracker::default(),
             series: Series::default(),
             pools: BTreeMap::new(),
             accounts: BTreeMap::new(),
@@ -46,8 +46,8 @@
         tally
     }
 
-    /// Adds the time until `at`, in which the rows were `rows`.
-    pub(crate) fn pass(&mut self, rows: &Rows, at: Instant) {
+    /// Adds the time until `at`, during which the rows were `rows`.
+    pub(crate) fn advance(&mut self, rows: &Rows, at: Instant) {
         let time = at.since(self.now);
         self.now = at;
         let running = rows.waves.values().filter(|wave| wave.ended.is_none());
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Takes in a change at `at`, from `before` to `rows`.
-    pub(crate) fn change(&mut self, before: &Fleet, rows: &Rows, at: Instant) {
+    /// Records a change at `at`, from `before` to `rows`.
+    pub(crate) fn record_change(&mut self, before: &Fleet, rows: &Rows, at: Instant) {
         self.changes += 1;
         self.observe(rows, at);
         self.waves.count_maintained(before, &rows.fleet);
@@ -80,15 +80,15 @@
         self.series.observe(&rows.fleet, at);
     }
 
-    /// Ends at the period's end with the rows as they are then.
+    /// Finishes at the period's end, when the rows are `rows`.
     pub(crate) fn end(mut self, rows: &Rows, period: Period) -> (Report, Series) {
-        self.pass(rows, period.to);
+        self.advance(rows, period.to);
         self.observe(rows, period.to);
-        let measured = self.meter.report();
+        let costs = self.meter.report();
         let mut pools = BTreeMap::<_, Line>::new();
         for pool in self.series.pools.keys() {
             pools.entry(pool.clone()).or_default().cost =
-                measured.pools.get(pool).copied().unwrap_or_default();
+                costs.pools.get(pool).copied().unwrap_or_default();
         }
         let mut accounts = BTreeMap::<_, Line>::new();
         for (pool, line) in &mut pools {
@@ -114,7 +114,7 @@
                 .collect(),
             pools,
             waves: self.waves.end(period),
-            spare_slot_hours: measured.spare_slot_hours,
+            spare_slot_hours: costs.spare_slot_hours,
         };
         (report, self.series)
     }
--- a/crates/report/src/wave.rs
+++ b/crates/report/src/wave.rs
@@ -1,4 +1,4 @@
-//! What waves cost while they roll out.
+//! Costs of waves during their roll-out.
 
 use crate::report::{Period, Wave, add};
 use primroseroute_domain::{id, instance::Purpose, time::Instant};
@@ -19,27 +19,27 @@
     covered.filter_map(|row| row.pool.as_ref()).collect()
 }
 
-/// A wave's name and start: a name may be used again once its wave has ended.
+/// Identifies a wave by its start and name, since a name may be reused once its wave has ended.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Name {
+struct WaveKey {
     started: Instant,
     id: id::Wave,
 }
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct TrackedWave {
     row: wave::Row,
     meter: Meter,
     pools: BTreeSet<id::Pool>,
     maintained: u32,
 }
 
-/// Waves that had not ended before the period.
+/// WaveTracker that had not ended before the period.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Waves(BTreeMap<Name, Seen>);
+pub(crate) struct WaveTracker(BTreeMap<WaveKey, TrackedWave>);
 
-impl Waves {
-    /// Takes in the rows as they are from `at` on.
+impl WaveTracker {
+    /// Records the state of the rows from `at` on.
     pub(crate) fn observe<'a>(
         &mut self,
         fleet: &Fleet,
@@ -47,33 +47,37 @@
         at: Instant,
         weights: Weights,
     ) {
-        // A wave that ended with this change, or whose row is no more, has its last interval added.
-        for seen in self.0.values_mut().filter(|seen| seen.row.ended.is_none()) {
-            seen.meter.observe(fleet, at);
+        // This adds the last interval of a wave that ended with this change, or whose row was deleted.
+        for tracked in self
+            .0
+            .values_mut()
+            .filter(|tracked| tracked.row.ended.is_none())
+        {
+            tracked.meter.observe(fleet, at);
         }
         for row in rows {
-            let name = Name {
+            let key = WaveKey {
                 started: row.started,
                 id: row.id().clone(),
             };
-            if !self.0.contains_key(&name) {
+            if !self.0.contains_key(&key) {
                 if row.ended.is_some() {
                     continue;
                 }
                 self.0
-                    .insert(name.clone(), Seen::begin(row, fleet, at, weights));
+                    .insert(key.clone(), TrackedWave::begin(row, fleet, at, weights));
             }
-            if let Some(seen) = self.0.get_mut(&name) {
-                seen.row = row.clone();
+            if let Some(tracked) = self.0.get_mut(&key) {
+                tracked.row = row.clone();
                 if row.ended.is_none() {
                     let pools = covered(fleet, row).into_iter().cloned();
-                    seen.pools.extend(pools);
+                    tracked.pools.extend(pools);
                 }
             }
         }
     }
 
-    /// Counts the instances that waves maintained between two states of the rows.
+    /// Counts instances whose maintenance by a wave finished between two states of the rows.
     pub(crate) fn count_maintained(&mut self, before: &Fleet, after: &Fleet) {
         for (name, row) in &after.rows {
             let Some(old) = before.rows.get(name) else {
@@ -84,22 +88,25 @@
             };
             if row.maintained > old.maintained {
                 // The latest wave of that name is the one that took the instance out.
-                let found = self.0.iter_mut().rfind(|(name, _seen)| name.id == *id);
-                if let Some((_name, seen)) = found {
-                    seen.maintained += 1;
+                let found = self.0.iter_mut().rfind(|(key, _tracked)| key.id == *id);
+                if let Some((_key, tracked)) = found {
+                    tracked.maintained += 1;
                 }
             }
         }
     }
 
-    /// The waves as of the period's end.
+    /// The costs of the waves as of the period's end.
     pub(crate) fn end(self, period: Period) -> Vec<Wave> {
-        let lines = self.0.into_values().map(|seen| seen.line(period));
+        let lines = self
+            .0
+            .into_values()
+            .map(|tracked| tracked.into_report(period));
         lines.collect()
     }
 }
 
-impl Seen {
+impl TrackedWave {
     fn begin(row: &wave::Row, fleet: &Fleet, at: Instant, weights: Weights) -> Self {
         let mut meter = Meter::new(weights);
         meter.observe(fleet, at);
@@ -111,7 +118,7 @@
         }
     }
 
-    fn line(self, period: Period) -> Wave {
+    fn into_report(self, period: Period) -> Wave {
         let costs = &self.meter.report().pools;
         let of_pool = |pool| costs.get(pool).copied().unwrap_or_default();
         let cost = self.pools.iter().map(of_pool).fold(Cost::default(), add);
--- a/crates/report/tests/all/fixture.rs
+++ b/crates/report/tests/all/fixture.rs
@@ -1,4 +1,4 @@
-//! Records as the ledger writes them.
+//! Builds records in the form in which the ledger writes them.
 
 use primroseroute_domain::{
     account::{Budget, Pool, Survive, Template},
@@ -14,15 +14,15 @@
 use std::sync::Arc;
 use uuid::Uuid;
 
-/// Milliseconds of an hour.
+/// Milliseconds per hour.
 pub const HOUR: u64 = 3_600_000;
 
-/// A name of any kind.
+/// Parses a name of any kind.
 pub fn name<T: std::str::FromStr<Err: std::fmt::Debug>>(text: &str) -> T {
     text.parse().expect("a valid name")
 }
 
-/// A row of `pool` in `state`.
+/// An instance row of `pool` in `state`.
 pub fn row(id: &str, pool: Option<&str>, state: State, purpose: Option<Purpose>) -> Row {
     Row {
         id: name(id),
@@ -37,12 +37,12 @@
     }
 }
 
-/// A row that serves `pool`.
+/// An instance row that serves `pool`.
 pub fn serving(id: &str, pool: &str) -> Row {
     row(id, Some(pool), State::Serving, None)
 }
 
-/// A template of `account` with one pool that promises `promised`.
+/// A template of `account` with one pool that promises `promised` instances.
 pub fn template(account: &str, pool: &str, promised: u32) -> Template {
     let pool = Pool {
         name: name(pool),
@@ -61,7 +61,7 @@
     }
 }
 
-/// A wave over `pools` that began at `started`.
+/// A wave over `pools` that started at `started`.
 pub fn wave_row(id: &str, pools: &[&str], started: u64) -> wave::Row {
     let order = wave::Order {
         id: name(id),
@@ -75,7 +75,7 @@
     wave::Row::begin(order, Instant(started))
 }
 
-/// The same wave, rolled out at `ended`.
+/// The same wave after it finished at `ended`.
 pub fn rolled_out(row: wave::Row, ended: u64) -> wave::Row {
     wave::Row {
         state: wave::State::Done,
@@ -97,22 +97,22 @@
     }
 }
 
-/// A change of an instance's row.
+/// An edit that writes an instance's row.
 pub fn instance(row: &Row) -> Edit {
     put(key::instance(&row.id), row)
 }
 
-/// A change of an account's template.
+/// An edit that writes an account's template.
 pub fn account(template: &Template) -> Edit {
     put(key::account(&template.account), template)
 }
 
-/// A change of a wave's row.
+/// An edit that writes a wave's row.
 pub fn wave(row: &wave::Row) -> Edit {
     put(key::wave(row.id()), row)
 }
 
-/// A deletion of the row with `key`.
+/// An edit that deletes the row with `key`.
 pub fn delete(key: Arc<str>) -> Edit {
     Edit {
         key,
@@ -121,12 +121,12 @@
     }
 }
 
-/// A trail under construction.
+/// An audit trail under construction.
 #[derive(Debug, Default)]
 pub struct Trail(pub Vec<Record>);
 
 impl Trail {
-    /// Adds a change at `at`.
+    /// Appends a change at `at`.
     pub fn at(mut self, at: u64, edits: Vec<Edit>) -> Self {
         let record = Record {
             seq: Seq(self.0.len() as u64 + 1),
@@ -140,13 +140,13 @@
         self
     }
 
-    /// What a replay of it finds.
+    /// Replays the trail.
     pub fn replay(&self, from: u64, to: u64) -> Result<Found, Error> {
         replay(&self.0, period(from, to))
     }
 }
 
-/// From `from` to `to`.
+/// The period from `from` to `to`.
 pub fn period(from: u64, to: u64) -> Period {
     Period {
         from: Instant(from),
@@ -154,7 +154,7 @@
     }
 }
 
-/// What a replay of `records` finds.
+/// Replays `records`.
 pub fn replay(records: &[Record], period: Period) -> Result<Found, Error> {
     let mut replay = Replay::open(period, Weights::default());
     for record in records {
@@ -163,12 +163,15 @@
     Ok(replay.end())
 }
 
-/// A pool's name.
+/// Parses a pool's name.
 pub fn pool(text: &str) -> id::Pool {
     name(text)
 }
 
-/// Fails where the figures differ by more than rounding.
-pub fn near(found: f64, wanted: f64) {
-    assert!((found - wanted).abs() < 1e-9, "{found}, not {wanted}");
+/// Fails if the values differ by more than rounding errors.
+pub fn near(found: f64, expected: f64) {
+    assert!(
+        (found - expected).abs() < 1e-9,
+        "got {found}, expected {expected}"
+    );
 }
--- a/crates/report/tests/all/known.rs
+++ b/crates/report/tests/all/known.rs
@@ -1,4 +1,4 @@
-//! Histories whose figures can be worked out by hand.
+//! Histories whose costs are computed by hand.
 
 use crate::fixture::{
     HOUR, Trail, account, delete, instance, name, near, period, pool, replay, rolled_out, row,
@@ -10,20 +10,20 @@
     instance::{Purpose, Row, State},
     time::Instant,
 };
-use primroseroute_fleet::{measure::Cost, wave::State as Waving};
+use primroseroute_fleet::{measure::Cost, wave::State as WaveState};
 use primroseroute_ledger::key;
 use primroseroute_report::{Error, Line, Point, Report};
 
 cases! {
-    wave_and_move_cost_what_the_hand_says => story();
+    wave_and_move_cost_what_the_hand_says => wave_and_move();
     plot_points_are_the_changes => points();
     changes_of_one_instant_are_one_point => one_instant();
     empty_trail_gives_an_empty_report => empty();
     period_before_and_after_all_changes => outside();
-    period_takes_its_start_in_and_leaves_its_end_out => borders();
+    period_takes_its_start_in_and_leaves_its_end_out => boundaries();
     wave_that_began_before_the_period_keeps_its_whole_time => earlier_wave();
     name_of_an_ended_wave_may_come_again => same_name();
-    waves_side_by_side_count_once_for_a_pool => side_by_side();
+    waves_side_by_side_count_once_for_a_pool => concurrent_waves();
     record_with_an_older_time_goes_back_in_no_figure => older();
     deleted_rows_cost_nothing_more => deleted();
     pool_counts_for_its_last_account => owners();
@@ -32,12 +32,12 @@
     past_records_end_the_reading => past();
 }
 
-fn during(id: &str, state: State) -> Row {
+fn in_wave(id: &str, state: State) -> Row {
     row(id, Some("p"), state, Some(Purpose::Wave(name("w"))))
 }
 
 /// Three instances serve `p`, which promises two; two serve `q`, which promises one; one is spare.
-/// From 2 h to 3 h a wave reboots `i0`; at 4 h `j1` moves from `q` to `p`.
+/// From 2 h to 3 h a wave reboots `i0`; at 4 h `j1` moves from `q` to `p`, and at 6 h `j0`.
 fn history() -> Trail {
     let rows = [
         serving("i0", "p"),
@@ -58,11 +58,11 @@
         .at(0, rows.iter().map(instance).collect())
         .at(
             2 * HOUR,
-            vec![wave(&begun), instance(&during("i0", State::Draining))],
+            vec![wave(&begun), instance(&in_wave("i0", State::Draining))],
         )
         .at(
             2 * HOUR + HOUR / 2,
-            vec![instance(&during("i0", State::Maintenance))],
+            vec![instance(&in_wave("i0", State::Maintenance))],
         )
         .at(
             3 * HOUR,
@@ -73,7 +73,7 @@
 }
 
 fn found(trail: &Trail, from: u64, to: u64) -> Report {
-    trail.replay(from, to).expect("it is whole").report
+    trail.replay(from, to).expect("the trail has no gap").report
 }
 
 fn cost(buffer: f64, bound: f64, moves: u32) -> Cost {
@@ -91,9 +91,10 @@
     }
 }
 
-/// `p` holds one instance of 8 slots beyond its promise for 3 h and two for 1 h, also while `i0`
-/// reboots; its bound is one in maintenance, 4 h. `q` holds one too many for 3 h.
-fn story() {
+/// `p` holds one instance of 8 slots more than it promises for 3 h and two for 1 h, including while
+/// `i0` reboots; its lower bound is one instance in maintenance for 4 h. `q` holds one instance more
+/// than it promises for 3 h.
+fn wave_and_move() {
     let report = found(&history(), HOUR, 5 * HOUR);
     let p = line(cost(40.0, 32.0, 1), 3_600.0);
     let q = line(cost(24.0, 32.0, 0), 0.0);
@@ -106,27 +107,29 @@
         panic!("{:?}", report.waves);
     };
     assert_eq!(wave.id, name("w"));
-    assert_eq!(wave.state, Waving::Done);
+    assert_eq!(wave.state, WaveState::Done);
     assert_eq!(wave.pools, [pool("p")].into());
     assert_eq!(wave.cost, cost(8.0, 8.0, 0));
     assert_eq!((wave.rollout_seconds, wave.maintained), (3_600.0, 1));
 }
 
 fn points() {
-    let found = history().replay(HOUR, 5 * HOUR).expect("it is whole");
+    let found = history()
+        .replay(HOUR, 5 * HOUR)
+        .expect("the trail has no gap");
     let point = |hours: u64, serving, held| Point {
         at: Instant(hours * HOUR),
         serving,
         promised: 2,
         held,
     };
-    let wanted = vec![
+    let expected = vec![
         point(1, 3, 3),
         point(2, 2, 3),
         point(3, 3, 3),
         point(4, 4, 4),
     ];
-    assert_eq!(found.series.pools[&pool("p")], wanted);
+    assert_eq!(found.series.pools[&pool("p")], expected);
 }
 
 fn one_instant() {
@@ -134,7 +137,7 @@
         .at(0, vec![account(&template("a", "p", 1))])
         .at(HOUR, vec![instance(&serving("i", "p"))])
         .at(HOUR, vec![instance(&serving("k", "p"))]);
-    let found = trail.replay(0, 2 * HOUR).expect("it is whole");
+    let found = trail.replay(0, 2 * HOUR).expect("the trail has no gap");
     let points = found.series.pools[&pool("p")].iter();
     let points: Vec<_> = points
         .map(|point| (point.at.0 / HOUR, point.serving))
@@ -161,9 +164,9 @@
     assert_eq!((before.changes, before.pools.len()), (0, 0));
 }
 
-/// A move at the period's start belongs to the state that it starts with; one at its end to the
-/// next period, so that two periods side by side have every move once.
-fn borders() {
+/// A move at the period's start belongs to its initial state, and one at its end to the next period,
+/// so that two adjacent periods never count a move twice.
+fn boundaries() {
     let trail = history();
     let first = found(&trail, 3 * HOUR, 4 * HOUR);
     let second = found(&trail, 4 * HOUR, 5 * HOUR);
@@ -179,7 +182,7 @@
     let trail = history();
     let report = found(&trail, 2 * HOUR + HOUR / 4, 2 * HOUR + 3 * HOUR / 4);
     let wave = &report.waves[0];
-    assert_eq!((wave.ended, wave.state), (None, Waving::Running));
+    assert_eq!((wave.ended, wave.state), (None, WaveState::Running));
     near(wave.rollout_seconds, 2_700.0);
     assert_eq!(wave.cost, cost(4.0, 4.0, 0));
     near(report.pools[&pool("p")].rollout_seconds, 1_800.0);
@@ -199,7 +202,7 @@
     assert_eq!(times, [(2, 3_600.0), (7, 7_200.0)]);
 }
 
-fn side_by_side() {
+fn concurrent_waves() {
     let (one, two) = (wave_row("w", &["p"], HOUR), wave_row("v", &[], 2 * HOUR));
     let trail = Trail::default()
         .at(0, vec![account(&template("a", "p", 1))])
@@ -214,7 +217,7 @@
     near(account.rollout_seconds, 14_400.0);
 }
 
-/// A writer whose clock is an hour behind takes the role over. No time may be counted twice.
+/// A writer whose clock is an hour behind takes over as controller. No time may be counted twice.
 fn older() {
     let trail = Trail::default()
         .at(0, vec![account(&template("a", "p", 1))])
@@ -252,36 +255,41 @@
 fn gap() {
     let mut trail = history();
     trail.0.remove(3);
-    let error = trail.replay(HOUR, 5 * HOUR).expect_err("one is missing");
-    let wanted = Error::Gap {
+    let error = trail
+        .replay(HOUR, 5 * HOUR)
+        .expect_err("a record is missing");
+    let expected = Error::Gap {
         expected: Seq(4),
         found: Seq(5),
     };
-    assert_eq!(error, wanted);
-    let error = replay(&history().0[1..], period(0, HOUR)).expect_err("the first is missing");
+    assert_eq!(error, expected);
+    let error =
+        replay(&history().0[1..], period(0, HOUR)).expect_err("the first record is missing");
     assert!(matches!(error, Error::Gap { found: Seq(2), .. }), "{error}");
 }
 
 fn corrupt() {
     let mut trail = history();
     trail.0[1].edits[0].after = Some("{".into());
-    let error = trail.replay(HOUR, 5 * HOUR).expect_err("it is no row");
+    let error = trail
+        .replay(HOUR, 5 * HOUR)
+        .expect_err("the row is malformed");
     let named =
         matches!(&error, Error::Corrupt { seq: Seq(2), key, .. } if **key == *"instance/i0");
     assert!(named, "{error}");
 }
 
 fn past() {
-    let mut reading = primroseroute_report::Replay::open(
+    let mut replay = primroseroute_report::Replay::open(
         period(0, 3 * HOUR),
         primroseroute_fleet::placement::Weights::default(),
     );
     let mut taken = Vec::new();
     for record in &history().0 {
-        reading.take(record).expect("it is whole");
-        taken.push(reading.is_past());
+        replay.take(record).expect("the trail has no gap");
+        taken.push(replay.is_past());
     }
     assert_eq!(taken, [false, false, false, false, true, true, true]);
-    assert_eq!(reading.read_to(), Seq(7));
-    assert_eq!(reading.end().report.changes, 2);
+    assert_eq!(replay.read_to(), Seq(7));
+    assert_eq!(replay.end().report.changes, 2);
 }
--- a/crates/report/tests/all/main.rs
+++ b/crates/report/tests/all/main.rs
@@ -1,6 +1,6 @@
-//! Reports on histories whose figures are known, and on random ones beside a naive replay.
+//! Tests reports on histories with known costs, and on random ones against a reference implementation.
 
-/// Names each case: one test for each line.
+/// Declares one test per line.
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident => $body:expr;)+) => {$(
         $(#[$doc])*
--- a/crates/report/tests/all/naive.rs
+++ b/crates/report/tests/all/naive.rs
@@ -1,4 +1,4 @@
-//! A naive replay: every millisecond, the rows are read anew from the whole trail.
+//! A reference implementation: rebuilds the rows from the whole trail for every millisecond.
 
 use primroseroute_domain::{
     account::Template,
@@ -13,13 +13,13 @@
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Hours of a millisecond.
-const TICK: f64 = 1.0 / 3_600_000.0;
+/// One millisecond, in hours.
+const TICK_HOURS: f64 = 1.0 / 3_600_000.0;
 
-/// A wave's start and name.
-pub type Name = (u64, String);
+/// Identifies a wave by its start and name.
+pub type WaveKey = (u64, String);
 
-/// Sums by pool, account and wave.
+/// Sums per pool, account and wave.
 #[derive(Debug, Default)]
 pub struct Sums {
     pub changes: u64,
@@ -28,12 +28,12 @@
     pub spare: f64,
     pub pool_seconds: BTreeMap<id::Pool, f64>,
     pub account_seconds: BTreeMap<id::Account, f64>,
-    pub wave_pools: BTreeMap<Name, BTreeSet<id::Pool>>,
-    pub wave_buffer: BTreeMap<Name, BTreeMap<id::Pool, f64>>,
-    pub wave_moves: BTreeMap<Name, BTreeMap<id::Pool, u32>>,
+    pub wave_pools: BTreeMap<WaveKey, BTreeSet<id::Pool>>,
+    pub wave_buffer: BTreeMap<WaveKey, BTreeMap<id::Pool, f64>>,
+    pub wave_moves: BTreeMap<WaveKey, BTreeMap<id::Pool, u32>>,
 }
 
-/// The rows after some of the records.
+/// The rows after a prefix of the records.
 #[derive(Debug, Default)]
 struct Rows {
     instances: BTreeMap<String, Row>,
@@ -44,7 +44,7 @@
 
 fn value<T: DeserializeOwned>(text: &str) -> T {
     serde_json::from_str::<Versioned<T>>(text)
-        .expect("it is a row")
+        .expect("valid row")
         .value
 }
 
@@ -100,7 +100,7 @@
             .filter(holds)
             .count()
             .try_into()
-            .expect("few")
+            .expect("fits a u32")
     }
 
     fn buffers(&self) -> BTreeMap<id::Pool, f64> {
@@ -111,7 +111,7 @@
         self.promised().into_iter().map(slots).collect()
     }
 
-    fn running(&self) -> impl Iterator<Item = (Name, &wave::Row)> {
+    fn running(&self) -> impl Iterator<Item = (WaveKey, &wave::Row)> {
         let running = self.waves.values().filter(|wave| wave.ended.is_none());
         running.map(|wave| ((wave.started.0, wave.id().to_string()), wave))
     }
@@ -124,7 +124,7 @@
     }
 }
 
-/// Times of the records, none earlier than the one before.
+/// Times of the records, each at least that of the one before.
 fn times(records: &[Record]) -> Vec<Instant> {
     let mut latest = Instant(0);
     let mut time = |record: &Record| {
@@ -134,15 +134,18 @@
     records.iter().map(&mut time).collect()
 }
 
-/// What `records` cost over `period`.
+/// Computes the costs of `records` over `period`.
 pub fn sums(records: &[Record], period: Period) -> Sums {
     let mut sums = Sums::default();
     let times = times(records);
-    let until = |at: Instant| times.iter().filter(|time| **time <= at).count();
+    let count_until = |at: Instant| times.iter().filter(|time| **time <= at).count();
     for tick in period.from.0..period.to.0 {
-        add_tick(&mut sums, &Rows::after(&records[..until(Instant(tick))]));
+        add_tick(
+            &mut sums,
+            &Rows::after(&records[..count_until(Instant(tick))]),
+        );
     }
-    let first = until(period.from);
+    let first = count_until(period.from);
     add_covered(&mut sums, &Rows::after(&records[..first]));
     for (index, time) in times.iter().enumerate().skip(first) {
         if *time < period.to {
@@ -158,17 +161,17 @@
 
 fn add_tick(sums: &mut Sums, rows: &Rows) {
     for (pool, slots) in rows.buffers() {
-        *sums.buffer.entry(pool).or_default() += slots * TICK;
+        *sums.buffer.entry(pool).or_default() += slots * TICK_HOURS;
     }
     let spares = rows.instances.values();
     let spares = spares.filter(|row| row.pool.is_none() && row.state == State::Probation);
-    sums.spare += spares.count() as f64 * f64::from(SLOTS) * TICK;
+    sums.spare += spares.count() as f64 * f64::from(SLOTS) * TICK_HOURS;
     let mut pools = BTreeSet::new();
     for (name, wave) in rows.running() {
         pools.extend(rows.covered(wave));
         let of_wave = sums.wave_buffer.entry(name).or_default();
         for (pool, slots) in rows.buffers() {
-            *of_wave.entry(pool).or_default() += slots * TICK;
+            *of_wave.entry(pool).or_default() += slots * TICK_HOURS;
         }
     }
     let accounts: BTreeSet<_> = pools
--- a/crates/report/tests/all/plot.rs
+++ b/crates/report/tests/all/plot.rs
@@ -1,4 +1,4 @@
-//! The structure of the plot.
+//! Tests the structure of the plot.
 
 use crate::fixture::{
     HOUR, Trail, account, instance, rolled_out, serving, template, wave, wave_row,
@@ -10,15 +10,15 @@
     nothing_to_show_is_still_a_picture => blank();
 }
 
-/// The colour of a shaded wave, as the drawing library writes it.
+/// The fill colour of a wave's area, as the drawing library writes it.
 const SHADE: &str = "fill=\"#00FF00\"";
 
 fn count(text: &str, part: &str) -> usize {
     text.matches(part).count()
 }
 
-/// Two pools, of which a wave covers one: two panels with three lines each, and one shaded area
-/// from a quarter to a half of the panel's width.
+/// Two pools, one of which is covered by a wave: two panels with three lines each, and one shaded
+/// area from a quarter to a half of the panel's width.
 fn panels() {
     let row = wave_row("patch-week", &["p"], HOUR);
     let templates = [template("a", "p", 1), template("b", "q", 1)];
@@ -30,11 +30,12 @@
         )
         .at(HOUR, vec![wave(&row)])
         .at(2 * HOUR, vec![wave(&rolled_out(row, 2 * HOUR))]);
-    let text = svg(&trail.replay(0, 4 * HOUR).expect("it is whole")).expect("it is drawn");
+    let text =
+        svg(&trail.replay(0, 4 * HOUR).expect("the trail has no gap")).expect("plots can be drawn");
     assert!(text.starts_with("<svg ") && text.trim_end().ends_with("</svg>"));
     assert!(text.contains("height=\"440\""));
     for label in ["held", "serving", "promised", "instances"] {
-        // The title of an axis stands once in each panel, and so does the label of a line.
+        // Each panel contains the title of an axis and the label of a line once.
         assert_eq!(count(&text, &format!("\n{label}\n")), 2, "{label}: {text}");
     }
     for title in ["p", "q", "patch-week"] {
@@ -42,7 +43,7 @@
     }
     assert_eq!(count(&text, SHADE), 1, "{text}");
     let shade = text.lines().find(|line| line.contains(SHADE));
-    let shade = shade.expect("it is there");
+    let shade = shade.expect("a shaded area");
     let field = |name: &str| {
         let rest = shade.split(&format!(" {name}=\"")).nth(1);
         let value = rest.and_then(|rest| rest.split('"').next());
@@ -50,13 +51,13 @@
             .and_then(|value| value.parse::<u32>().ok())
             .expect("a number")
     };
-    // The panel is 1,000 pixels without its margins of 8 and its labels of 40.
+    // The image is 1,000 pixels wide, less two margins of 8 and the axis labels of 40.
     assert!(field("width").abs_diff(944 / 4) <= 2, "{shade}");
     assert!(field("x").abs_diff(48 + 944 / 4) <= 2, "{shade}");
 }
 
 fn blank() {
-    let found = Trail::default().replay(0, 0).expect("it is whole");
-    let text = svg(&found).expect("it is drawn");
+    let found = Trail::default().replay(0, 0).expect("the trail has no gap");
+    let text = svg(&found).expect("plots can be drawn");
     assert!(text.contains("height=\"220\""), "{text}");
 }
--- a/crates/report/tests/all/random.rs
+++ b/crates/report/tests/all/random.rs
@@ -1,4 +1,4 @@
-//! Random trails: the replay and the naive one agree.
+//! Random trails: compares the replay with the reference implementation.
 
 use crate::{
     fixture::{
@@ -24,7 +24,8 @@
     replay_agrees_with_a_naive_one => agree();
 }
 
-/// Trails tried: together under a second, and with each kind of step hundreds of times.
+/// Number of random trails. They take less than a second in total and contain each kind of step
+/// hundreds of times.
 const CASES: u32 = 400;
 
 const POOLS: [&str; 3] = ["p", "q", "r"];
@@ -39,7 +40,7 @@
     State::Leaving,
 ];
 
-/// What one change does.
+/// Content of one change.
 #[derive(Clone, Debug)]
 enum Step {
     Put {
@@ -56,7 +57,7 @@
         account: usize,
     },
     Withdraw(usize),
-    /// Begins the wave, or ends it where it runs.
+    /// Starts the wave, or ends it if it is running.
     Wave {
         wave: usize,
         pool: usize,
@@ -129,7 +130,7 @@
     }
 }
 
-/// Some records share an instant, and some are older than the one before.
+/// Builds a trail in which some records have equal times and some are older than the one before.
 fn trail(steps: &[(i64, Step)]) -> Trail {
     let mut at = 10_u64;
     let mut running = [None, None];
@@ -150,11 +151,11 @@
         let seconds = sums.pool_seconds.get(pool).copied().unwrap_or_default();
         near(line.rollout_seconds, seconds);
     }
-    let left_out = sums
+    let missing = sums
         .buffer
         .iter()
         .find(|(pool, cost)| **cost > 0.0 && !report.pools.contains_key(*pool));
-    assert_eq!(left_out, None);
+    assert_eq!(missing, None);
     for (account, line) in &report.accounts {
         let pools = report
             .pools
@@ -216,9 +217,11 @@
     let given = (vec((-1..4i64, step()), 0..30), 5..25u64, 0..40u64);
     let result = runner.run(&given, |(steps, from, length)| {
         let trail = trail(&steps);
-        let found = trail.replay(from, from + length).expect("it is whole");
+        let found = trail
+            .replay(from, from + length)
+            .expect("the trail has no gap");
         compare(&found.report, &sums(&trail.0, period(from, from + length)));
         Ok(())
     });
-    result.expect("both replays agree");
+    result.expect("the replay agrees with the reference");
 }
