--- a/crates/audit/src/archive.rs
+++ b/crates/audit/src/archive.rs
@@ -1,4 +1,4 @@
-//! Moving old records to the object store.
+//! Moves old records to the object store.
 
 use crate::read::Error;
 use primroseroute_domain::change::{Record, Seq};
@@ -9,21 +9,21 @@
 };
 use std::{fmt::Write as _, sync::Arc};
 
-/// Prefix of the archive's objects.
+/// Name prefix of the archive's objects.
 pub(crate) const PREFIX: &str = "audit/";
 
-/// How much stays in the table, and how much moves at a time.
+/// How many records stay in the table, and how many are archived at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Keep {
-    /// Newest records that stay.
+    /// Number of newest records that stay in the table.
     pub newest: u32,
-    /// Records of one object.
+    /// Number of records per object.
     pub batch: u32,
 }
 
 impl Default for Keep {
-    /// 10,000 records are two days at 4,700 changes a day, far more than an entry is ever behind;
-    /// a batch of 100 deletes 100 rows, a fifth of the writes that the store does in a second.
+    /// 10,000 records are two days at 4,700 changes a day, far more than an entry ever lags behind.
+    /// A batch of 100 deletes 100 rows, a fifth of the writes that the store accepts per second.
     fn default() -> Self {
         Self {
             newest: 10_000,
@@ -33,11 +33,11 @@
 }
 
 /// Name of the object that holds the records from `first` to `last`.
-fn name(first: Seq, last: Seq) -> Arc<str> {
+fn object_name(first: Seq, last: Seq) -> Arc<str> {
     format!("{PREFIX}{:020}-{:020}.jsonl", first.0, last.0).into()
 }
 
-/// The places that an object's name tells.
+/// Parses the first and last sequence number from an object's name.
 pub(crate) fn span(name: &str) -> Option<(Seq, Seq)> {
     let (first, last) = name
         .strip_prefix(PREFIX)?
@@ -46,15 +46,16 @@
     Some((Seq(first.parse().ok()?), Seq(last.parse().ok()?)))
 }
 
-/// Archives one batch if the table holds a whole one beyond what stays; says how many moved.
+/// Archives one batch if the table holds a full batch beyond the records that stay. Returns the number
+/// of records moved.
 ///
-/// `guard` is the controller's epoch: one that was succeeded deletes nothing.
+/// `guard` is the controller's epoch, so that a superseded controller deletes nothing.
 ///
 /// # Errors
-/// As the table and the object store fail; the next step begins again.
+/// Errors of the table and the object store; the next step starts over.
 ///
 /// # Panics
-/// Never: records serialize.
+/// Never: records always serialize.
 pub async fn step(
     ledger: &Ledger,
     objects: &dyn Store,
@@ -75,7 +76,10 @@
         return Ok(0);
     };
     objects
-        .put(name(first.seq, last.seq), lines(&records).into())
+        .put(
+            object_name(first.seq, last.seq),
+            to_json_lines(&records).into(),
+        )
         .await?;
     let writes = records
         .iter()
@@ -91,7 +95,7 @@
     }
 }
 
-fn lines(records: &[Record]) -> String {
+fn to_json_lines(records: &[Record]) -> String {
     records.iter().fold(String::new(), |mut text, record| {
         let json = serde_json::to_string(record).expect("records serialize");
         writeln!(text, "{json}").expect("writing to a string succeeds");
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,16 +1,16 @@
 //! The audit trail: who changed what, from which version to which, and why.
 //!
-//! A change's record is written in the transaction of the change itself, so no accepted change is
-//! without one and no record is of a change that was not. The newest records stay in the table,
-//! where entries follow them; older ones move to the object store in batches, so the table stays
-//! bounded. [`Trail`] reads across both.
+//! A change's record is written in the transaction of the change itself, so every accepted change
+//! has a record and every record belongs to an accepted change. The newest records stay in the
+//! table, from which entries read new changes; older ones move to the object store in batches, which
+//! bounds the table. [`Trail`] reads across both.
 //!
-//! # Why nothing is lost on the way
+//! # Why archiving loses no record
 //!
-//! A batch is stored under a name made of its first and last place, whole, before its rows are
-//! deleted. A store that answers late or loses an answer leads to the same object written again,
-//! and a controller that dies in between leaves rows that its successor archives again under the
-//! same name, since batches begin at the oldest row and have a fixed length.
+//! A whole batch is stored under a name made of its first and last sequence number before its rows
+//! are deleted. If the store responds late or a response is lost, the same object is written again.
+//! If a controller crashes in between, its successor archives the remaining rows again under the
+//! same name, since batches start at the oldest row and have a fixed length.
 
 mod archive;
 mod read;
--- a/crates/audit/src/read.rs
+++ b/crates/audit/src/read.rs
@@ -1,4 +1,4 @@
-//! Reading the trail across the archive and the table.
+//! Reads the trail across the archive and the table.
 
 use crate::archive::{PREFIX, span};
 use primroseroute_domain::{
@@ -9,21 +9,21 @@
 use primroseroute_platform::{error::Error as PlatformError, object::Store};
 use std::sync::Arc;
 
-/// Why the trail could not be read or archived.
+/// Error while reading or archiving the trail.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The table could not be read.
+    /// Reading the table failed.
     #[error(transparent)]
     Ledger(#[from] LedgerError),
-    /// The platform failed.
+    /// A platform call failed.
     #[error(transparent)]
     Platform(#[from] PlatformError),
-    /// An object of the archive does not hold what its name promises.
+    /// An object of the archive is malformed.
     #[error("archive object `{name}` cannot be read: {detail}")]
     Corrupt {
         /// The object's name.
         name: Arc<str>,
-        /// What is wrong with it.
+        /// The parse error.
         detail: String,
     },
 }
@@ -40,7 +40,7 @@
     }
 }
 
-/// The whole trail.
+/// The audit trail, archive and table together.
 #[derive(Clone, Debug)]
 pub struct Trail {
     ledger: Ledger,
@@ -53,7 +53,7 @@
         Self { ledger, objects }
     }
 
-    /// Up to `limit` records after `seq`, in order and without a gap.
+    /// Returns up to `limit` records after `seq`, in order and without a gap.
     ///
     /// # Errors
     /// [`Error`].
@@ -66,7 +66,7 @@
                 return Ok(found);
             }
             let newer = self.ledger.records_after(from, left).await?;
-            // The archive is asked only where the table has a gap, since it has older records only.
+            // The archive has only older records, so it is read only if the table has a gap here.
             match newer.first() {
                 None => return Ok(found),
                 Some(first) if first.seq == from.next() => {
@@ -74,7 +74,7 @@
                     return Ok(found);
                 }
                 Some(first) => {
-                    let archived = self.archived(from, first.seq).await?;
+                    let archived = self.read_archive(from, first.seq).await?;
                     if archived.is_empty() {
                         found.extend(newer);
                         return Ok(found);
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Records after `from` and before `end` of the first object that has any.
-    async fn archived(&self, from: Seq, end: Seq) -> Result<Vec<Record>, Error> {
+    /// Returns the records after `from` and before `end` of the first object that contains any.
+    async fn read_archive(&self, from: Seq, end: Seq) -> Result<Vec<Record>, Error> {
         for name in self.objects.list(PREFIX).await? {
             let Some((_, last)) = span(&name) else {
                 continue;
--- a/crates/audit/tests/all/main.rs
+++ b/crates/audit/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! The trail over the platform's stand-in, while records move to the archive.
+//! Tests the trail on the simulated platform while records move to the archive.
 
 use primroseroute_audit::{Keep, Trail, step};
 use primroseroute_domain::{change::Seq, time::Instant};
@@ -13,7 +13,7 @@
     batch: 4,
 };
 
-/// Names each case, which runs under paused time.
+/// Declares one test per line, each with paused time.
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident => $body:expr;)*) => {$(
         $(#[$doc])*
@@ -27,17 +27,17 @@
 cases! {
     table_stays_bounded_and_the_trail_whole => bounded();
     crash_between_object_and_delete_loses_nothing => crash_between();
-    succeeded_controller_deletes_nothing => succeeded();
+    succeeded_controller_deletes_nothing => superseded();
     limit_cuts_inside_the_archive => limited();
 }
 
-struct Bench {
+struct Fixture {
     platform: Platform,
     ledger: Ledger,
     trail: Trail,
 }
 
-async fn open(changes: u64) -> Bench {
+async fn open(changes: u64) -> Fixture {
     let platform = Platform::open(
         1,
         Options {
@@ -48,33 +48,33 @@
     let ledger = Ledger::open(Arc::new(platform.client("a")));
     let trail = Trail::open(ledger.clone(), Arc::new(platform.client("a")));
     for number in 1..=changes {
-        let head = ledger.head().await.expect("it answers");
+        let head = ledger.head().await.expect("the store responds");
         let id = Uuid::from_u128(u128::from(number));
         let mut draft = Draft::new(head, Instant(number), "operator:test", "test", id);
         draft.put("account/a".into(), None, &number);
-        ledger.commit(&draft).await.expect("nothing is in the way");
+        ledger.commit(&draft).await.expect("no conflict");
     }
-    Bench {
+    Fixture {
         platform,
         ledger,
         trail,
     }
 }
 
-impl Bench {
+impl Fixture {
     async fn step(&self) -> u32 {
         let guard = Condition::Absent("epoch/none".into());
         step(&self.ledger, &self.platform, guard, KEEP)
             .await
-            .expect("the platform answers")
+            .expect("the platform responds")
     }
 
-    async fn places(&self, after: u64, limit: u32) -> Vec<u64> {
+    async fn sequence_numbers(&self, after: u64, limit: u32) -> Vec<u64> {
         let records = self
             .trail
             .after(Seq(after), limit)
             .await
-            .expect("the platform answers");
+            .expect("the platform responds");
         records.iter().map(|record| record.seq.0).collect()
     }
 
@@ -82,65 +82,93 @@
         self.ledger
             .records_after(Seq(0), 1000)
             .await
-            .expect("the platform answers")
+            .expect("the platform responds")
             .len()
     }
 }
 
 async fn bounded() {
-    let bench = open(50).await;
-    while bench.step().await > 0 {}
-    assert!(bench.rows().await < 14, "{} rows stay", bench.rows().await);
-    assert_eq!(bench.places(0, 1000).await, (1..=50).collect::<Vec<_>>());
-    assert_eq!(bench.places(17, 1000).await, (18..=50).collect::<Vec<_>>());
+    let fixture = open(50).await;
+    while fixture.step().await > 0 {}
+    assert!(
+        fixture.rows().await < 14,
+        "{} rows stay",
+        fixture.rows().await
+    );
+    assert_eq!(
+        fixture.sequence_numbers(0, 1000).await,
+        (1..=50).collect::<Vec<_>>()
+    );
+    assert_eq!(
+        fixture.sequence_numbers(17, 1000).await,
+        (18..=50).collect::<Vec<_>>()
+    );
 }
 
-/// The controller stores a batch and dies before it deletes the rows; the answer of its successor's
-/// delete is lost, too. The trail must show every change once all along.
+/// The controller stores a batch and crashes before it deletes the rows; the response to its
+/// successor's delete is lost, too. At every point the trail must contain each change exactly once.
 async fn crash_between() {
-    let bench = open(20).await;
-    bench.platform.faults().lose_requests(Kind::Commit, 1);
+    let fixture = open(20).await;
+    fixture.platform.faults().lose_requests(Kind::Commit, 1);
     let guard = Condition::Absent("epoch/none".into());
-    step(&bench.ledger, &bench.platform, guard.clone(), KEEP)
+    step(&fixture.ledger, &fixture.platform, guard.clone(), KEEP)
         .await
-        .expect_err("it is lost");
-    assert_eq!(bench.places(0, 1000).await, (1..=20).collect::<Vec<_>>());
-    bench.platform.faults().lose_answers(Kind::Commit, 1);
-    step(&bench.ledger, &bench.platform, guard, KEEP)
+        .expect_err("the request is lost");
+    assert_eq!(
+        fixture.sequence_numbers(0, 1000).await,
+        (1..=20).collect::<Vec<_>>()
+    );
+    fixture.platform.faults().lose_answers(Kind::Commit, 1);
+    step(&fixture.ledger, &fixture.platform, guard, KEEP)
         .await
-        .expect_err("its answer is lost");
-    assert_eq!(bench.places(0, 1000).await, (1..=20).collect::<Vec<_>>());
-    while bench.step().await > 0 {}
-    assert_eq!(bench.places(0, 1000).await, (1..=20).collect::<Vec<_>>());
+        .expect_err("the response is lost");
+    assert_eq!(
+        fixture.sequence_numbers(0, 1000).await,
+        (1..=20).collect::<Vec<_>>()
+    );
+    while fixture.step().await > 0 {}
+    assert_eq!(
+        fixture.sequence_numbers(0, 1000).await,
+        (1..=20).collect::<Vec<_>>()
+    );
 }
 
-async fn succeeded() {
-    let bench = open(20).await;
+async fn superseded() {
+    let fixture = open(20).await;
     let write = Write::Put("epoch/controller".into(), "2".into());
     let txn = Txn {
         conditions: Vec::new(),
         writes: vec![write],
     };
-    bench
+    fixture
         .ledger
         .table()
         .commit(txn)
         .await
-        .expect("nothing is in the way");
+        .expect("no conflict");
     let old = Condition::Absent("epoch/controller".into());
-    assert_eq!(step(&bench.ledger, &bench.platform, old, KEEP).await, Ok(0));
-    let first = bench
+    assert_eq!(
+        step(&fixture.ledger, &fixture.platform, old, KEEP).await,
+        Ok(0)
+    );
+    let first = fixture
         .ledger
         .table()
         .read(&key::change(Seq(1)))
         .await
-        .expect("it answers");
+        .expect("the store responds");
     assert!(first.is_some());
 }
 
 async fn limited() {
-    let bench = open(30).await;
-    while bench.step().await > 0 {}
-    assert_eq!(bench.places(0, 6).await, (1..=6).collect::<Vec<_>>());
-    assert_eq!(bench.places(6, 20).await, (7..=26).collect::<Vec<_>>());
+    let fixture = open(30).await;
+    while fixture.step().await > 0 {}
+    assert_eq!(
+        fixture.sequence_numbers(0, 6).await,
+        (1..=6).collect::<Vec<_>>()
+    );
+    assert_eq!(
+        fixture.sequence_numbers(6, 20).await,
+        (7..=26).collect::<Vec<_>>()
+    );
 }
