--- a/crates/client/src/admin.rs
+++ b/crates/client/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' client.
+//! Client of the admin API, for operators' programs.
 
 use crate::http1::{self, Failure, Http};
 use http::{Method, Request, header};
@@ -19,25 +19,25 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-/// Longest wait for an answer. A change waits for the store and its settled races.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of a request. A change waits for the store and for retries after conflicts.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why an order or a read failed.
+/// Error of an order or a read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The entry refused it, with a numbered code.
+    /// The entry refused the request with a numbered code.
     #[error("{}: {}", .0.code, .0.detail)]
     Refused(Problem),
-    /// No entry answered; nothing was sent.
+    /// The entry could not be reached; nothing was sent.
     #[error("{0}")]
     Unreachable(String),
-    /// The answer was lost; an order may have been carried out.
+    /// The response was lost; an order may have been applied.
     #[error("{0}")]
     Lost(String),
 }
 
 impl Error {
-    /// What may be concluded of an order that failed like this.
+    /// What is known about the execution of an order that failed with this error.
     pub fn verdict(&self) -> Verdict {
         match self {
             Self::Refused(problem) => problem.outcome,
@@ -64,7 +64,7 @@
     }
 }
 
-/// The operators' interface of one entry.
+/// Client of one entry's admin API.
 #[derive(Clone, Debug)]
 pub struct Admin {
     http: Http,
@@ -73,16 +73,16 @@
 }
 
 impl Admin {
-    /// A client of the admin address `address` with an operator's `token`.
+    /// Creates a client of the admin address `address` that uses an operator's `token`.
     pub fn open(address: SocketAddr, token: impl Into<Arc<str>>) -> Self {
         Self {
-            http: http1::open(),
+            http: http1::new_client(),
             address,
             token: token.into(),
         }
     }
 
-    /// The admin address that it asks.
+    /// The admin address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -99,12 +99,13 @@
             .header(header::AUTHORIZATION, format!("Bearer {}", self.token))
             .body(Full::new(body.into()))
             .map_err(|error| Error::Unreachable(error.to_string()))?;
-        let response = http1::exchange(&self.http, request, LIMIT).await?;
-        let unread = |error: serde_json::Error| Error::Lost(format!("unreadable answer: {error}"));
+        let response = http1::exchange(&self.http, request, TIMEOUT).await?;
+        let unparsable =
+            |error: serde_json::Error| Error::Lost(format!("cannot parse the response: {error}"));
         if response.status().is_success() {
-            serde_json::from_slice(response.body()).map_err(unread)
+            serde_json::from_slice(response.body()).map_err(unparsable)
         } else {
-            let problem = serde_json::from_slice(response.body()).map_err(unread)?;
+            let problem = serde_json::from_slice(response.body()).map_err(unparsable)?;
             Err(Error::Refused(problem))
         }
     }
@@ -126,13 +127,13 @@
     /// Applies a template.
     ///
     /// # Errors
-    /// [`Error`]; the entry's refusals among them.
+    /// [`Error`], including refusals by the entry.
     pub async fn apply(&self, order: &Apply) -> Result<Accepted, Error> {
         let path = format!("{}/{}", path::ACCOUNTS, order.template.account);
         self.send(Method::PUT, &path, order).await
     }
 
-    /// What a template would change.
+    /// Returns what a template would change, without applying it.
     ///
     /// # Errors
     /// [`Error`].
@@ -140,7 +141,7 @@
         self.send(Method::POST, path::DIFF, template).await
     }
 
-    /// All templates.
+    /// Lists all templates.
     ///
     /// # Errors
     /// [`Error`].
@@ -148,7 +149,7 @@
         self.get(path::ACCOUNTS).await
     }
 
-    /// One template.
+    /// Returns one template.
     ///
     /// # Errors
     /// [`Error`].
@@ -156,7 +157,7 @@
         self.get(&format!("{}/{name}", path::ACCOUNTS)).await
     }
 
-    /// All services.
+    /// Lists all services.
     ///
     /// # Errors
     /// [`Error`].
@@ -164,7 +165,7 @@
         self.get(path::SERVICES).await
     }
 
-    /// All pools.
+    /// Lists all pools.
     ///
     /// # Errors
     /// [`Error`].
@@ -172,7 +173,7 @@
         self.get(path::POOLS).await
     }
 
-    /// All instances.
+    /// Lists all instances.
     ///
     /// # Errors
     /// [`Error`].
@@ -180,10 +181,10 @@
         self.get(path::INSTANCES).await
     }
 
-    /// Takes an instance out of service.
+    /// Drains an instance.
     ///
     /// # Errors
-    /// [`Error`]; the entry's refusals among them.
+    /// [`Error`], including refusals by the entry.
     pub async fn drain(&self, name: &id::Instance, order: &Order) -> Result<Accepted, Error> {
         self.send(
             Method::POST,
@@ -196,7 +197,7 @@
     /// Puts an instance back into service.
     ///
     /// # Errors
-    /// [`Error`]; the entry's refusals among them.
+    /// [`Error`], including refusals by the entry.
     pub async fn release(&self, name: &id::Instance, order: &Order) -> Result<Accepted, Error> {
         self.send(
             Method::POST,
@@ -209,7 +210,7 @@
     /// Moves an instance to another pool.
     ///
     /// # Errors
-    /// [`Error`]; the entry's refusals among them.
+    /// [`Error`], including refusals by the entry.
     pub async fn move_to(&self, name: &id::Instance, order: &Move) -> Result<Accepted, Error> {
         self.send(
             Method::POST,
@@ -219,7 +220,7 @@
         .await
     }
 
-    /// Removes an entry that is known to run no more.
+    /// Removes an entry whose process no longer runs.
     ///
     /// # Errors
     /// [`Error`].
@@ -232,7 +233,7 @@
         .await
     }
 
-    /// All waves and how far they are.
+    /// Lists all waves with their progress.
     ///
     /// # Errors
     /// [`Error`].
@@ -240,10 +241,10 @@
         self.get(path::WAVES).await
     }
 
-    /// What a wave would do if nothing failed.
+    /// Plans a wave under the assumption that nothing fails.
     ///
     /// # Errors
-    /// [`Error`]; the planner's refusals among them.
+    /// [`Error`], including refusals by the planner.
     pub async fn plan_wave(&self, order: &wave::Order) -> Result<wave::Plan, Error> {
         self.send(Method::POST, path::WAVE_PLAN, order).await
     }
@@ -251,7 +252,7 @@
     /// Starts a wave.
     ///
     /// # Errors
-    /// [`Error`]; the planner's refusals among them.
+    /// [`Error`], including refusals by the planner.
     pub async fn start_wave(&self, start: &Start) -> Result<Accepted, Error> {
         self.send(Method::POST, path::WAVES, start).await
     }
@@ -279,15 +280,15 @@
         .await
     }
 
-    /// Submits jobs, all in one change.
+    /// Submits jobs in one change.
     ///
     /// # Errors
-    /// [`Error`]; the entry's refusals among them.
+    /// [`Error`], including refusals by the entry.
     pub async fn submit(&self, order: &Submit) -> Result<Accepted, Error> {
         self.send(Method::POST, path::JOBS, order).await
     }
 
-    /// Jobs by account, kind and name of the state, where these are given.
+    /// Lists jobs, filtered by account, kind and name of the state if given.
     ///
     /// # Errors
     /// [`Error`].
@@ -307,7 +308,7 @@
         self.get(path.trim_end_matches(['?', '&'])).await
     }
 
-    /// One job.
+    /// Returns one job.
     ///
     /// # Errors
     /// [`Error`].
@@ -315,10 +316,10 @@
         self.get(&format!("{}/{name}", path::JOBS)).await
     }
 
-    /// Cancels jobs, all in one change.
+    /// Cancels jobs in one change.
     ///
     /// # Errors
-    /// [`Error`]; the entry's refusals among them.
+    /// [`Error`], including refusals by the entry.
     pub async fn cancel(&self, order: &Cancel) -> Result<Cancelled, Error> {
         self.send(Method::POST, path::CANCEL, order).await
     }
@@ -326,13 +327,13 @@
     /// Puts a parked job back into the queue.
     ///
     /// # Errors
-    /// [`Error`]; the entry's refusals among them.
+    /// [`Error`], including refusals by the entry.
     pub async fn release_job(&self, name: &id::Job, order: &Order) -> Result<Accepted, Error> {
         let path = format!("{}/{name}/release", path::JOBS);
         self.send(Method::POST, &path, order).await
     }
 
-    /// How the system stands.
+    /// Returns the status of the system.
     ///
     /// # Errors
     /// [`Error`].
@@ -340,7 +341,7 @@
         self.get(path::STATUS).await
     }
 
-    /// Changes after `after`, at most `limit`, by actor and key prefix where these are given.
+    /// Returns up to `limit` changes after `after`, filtered by actor and key prefix if given.
     ///
     /// # Errors
     /// [`Error`].
--- a/crates/client/src/caller.rs
+++ b/crates/client/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that follows the caller contract, for tests, the demo and the load tool.
+//! A client that follows the caller contract, for tests, the demo and the load tool.
 
 use crate::http1::{self, Failure, Http};
 use bytes::Bytes;
@@ -8,29 +8,29 @@
 use serde::Deserialize;
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-/// What a caller knows after one request.
+/// What a caller knows about the execution of its request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Said {
-    /// The whole answer of the backend server.
+    /// The backend server's complete response was received.
     Completed,
-    /// Proven not run.
+    /// The request is known not to have run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// The end of one request.
+/// The result of one request.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// What the caller knows.
+    /// What the caller knows about its execution.
     pub said: Said,
-    /// The numbered code of an error.
+    /// The numbered code of a problem response.
     pub code: Option<u16>,
-    /// The status; none where no answer came.
+    /// The status; `None` if no response was received.
     pub status: Option<StatusCode>,
-    /// The headers.
+    /// The response headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// The response body.
     pub body: Bytes,
 }
 
@@ -39,7 +39,7 @@
     code: u16,
 }
 
-/// A caller of one account.
+/// A caller of one client account.
 #[derive(Clone, Debug)]
 pub struct Caller {
     http: Http,
@@ -47,20 +47,20 @@
 }
 
 impl Caller {
-    /// A caller with its account's bearer token.
+    /// Creates a caller that uses its account's bearer token.
     pub fn open(token: impl Into<Arc<str>>) -> Self {
         Self {
-            http: http1::open(),
+            http: http1::new_client(),
             token: token.into(),
         }
     }
 
-    /// Sends one request to the entry at `to` and waits for its end, at most `limit`.
+    /// Sends one request to the entry at `to` and waits up to `limit` for the response.
     ///
-    /// `headers` are added as they are, such as the idempotency key.
+    /// `headers`, such as the idempotency key, are added as they are.
     ///
     /// # Panics
-    /// Where `path` or a header is malformed.
+    /// If `path` or a header is malformed.
     pub async fn send(
         &self,
         to: SocketAddr,
@@ -81,14 +81,14 @@
             .body(Full::new(body.into()))
             .expect("the request is well formed");
         match http1::exchange(&self.http, request, limit).await {
-            Ok(response) => read(response),
-            Err(Failure::Connect(_)) => nothing(Said::NotRun),
-            Err(Failure::Lost(_)) => nothing(Said::Unknown),
+            Ok(response) => parse_response(response),
+            Err(Failure::Connect(_)) => without_response(Said::NotRun),
+            Err(Failure::Lost(_)) => without_response(Said::Unknown),
         }
     }
 }
 
-fn nothing(said: Said) -> Answer {
+fn without_response(said: Said) -> Answer {
     Answer {
         said,
         code: None,
@@ -98,7 +98,7 @@
     }
 }
 
-fn read(response: http::Response<Bytes>) -> Answer {
+fn parse_response(response: http::Response<Bytes>) -> Answer {
     let (parts, body) = response.into_parts();
     let outcome = parts
         .headers
@@ -109,11 +109,11 @@
         Some(text) if text == Verdict::NotRun.as_str() => Said::NotRun,
         _ => Said::Unknown,
     };
-    let kind = parts
+    let content_type = parts
         .headers
         .get(header::CONTENT_TYPE)
         .and_then(|value| value.to_str().ok());
-    let problem = kind == Some("application/problem+json");
+    let problem = content_type == Some("application/problem+json");
     let code = problem
         .then(|| serde_json::from_slice::<Problem>(&body).ok())
         .flatten();
--- a/crates/client/src/http1.rs
+++ b/crates/client/src/http1.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1 exchange with a time limit.
+//! A single HTTP/1 exchange with a timeout.
 
 use bytes::Bytes;
 use http::{Request, Response};
@@ -13,17 +13,17 @@
 /// How an exchange failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum Failure {
-    /// No connection was made, so nothing was sent.
+    /// No connection was established, so nothing was sent.
     #[error("cannot connect: {0}")]
     Connect(String),
-    /// It broke off or took too long after the request may have been sent.
-    #[error("the answer was lost: {0}")]
+    /// The exchange failed or timed out after the request may have been sent.
+    #[error("response lost: {0}")]
     Lost(String),
 }
 
 pub(crate) type Http = Client<HttpConnector, Full<Bytes>>;
 
-pub(crate) fn open() -> Http {
+pub(crate) fn new_client() -> Http {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     // A retry inside the library could send a request twice without the caller's knowledge.
@@ -37,7 +37,7 @@
     request: Request<Full<Bytes>>,
     limit: Duration,
 ) -> Result<Response<Bytes>, Failure> {
-    let whole = async {
+    let response = async {
         let response = http.request(request).await.map_err(|error| {
             let text = format!("{error:?}");
             if error.is_connect() {
@@ -53,7 +53,7 @@
             .map_err(|error| Failure::Lost(error.to_string()))?;
         Ok(Response::from_parts(parts, bytes.to_bytes()))
     };
-    timeout(limit, whole)
+    timeout(limit, response)
         .await
         .unwrap_or_else(|elapsed| Err(Failure::Lost(elapsed.to_string())))
 }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,7 +1,7 @@
 //! HTTP clients of an entry: [`Admin`] for operators' programs, [`Caller`] for callers.
 //!
-//! Both are thin: one request, one answer, typed. `primrosectl`, the test bed and the load tool
-//! share them, so that an answer is read in one way only.
+//! Both are thin: each call is one request with a typed response. `primrosectl`, the test bed and
+//! the load tool share them, so that responses are parsed in one place only.
 
 mod admin;
 mod caller;
