--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line's grammar.
+//! Definition of the command line.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use clap_complete::Shell;
@@ -19,7 +19,7 @@
     pub(crate) command: Command,
 }
 
-/// Which entry to ask, and as whom.
+/// The entry to contact, and the operator's credentials.
 #[derive(Debug, Args)]
 pub(crate) struct Target {
     /// Admin address of any entry.
@@ -30,7 +30,7 @@
         default_value = "127.0.0.1:8081"
     )]
     pub(crate) entry: SocketAddr,
-    /// File that holds the operator's token; else `PRIMROSE_TOKEN` is read.
+    /// File that contains the operator's token; by default the token is read from `PRIMROSE_TOKEN`.
     #[arg(long, global = true, env = "PRIMROSE_TOKEN_FILE")]
     pub(crate) token_file: Option<PathBuf>,
 }
@@ -44,7 +44,7 @@
     Json,
 }
 
-/// What to do.
+/// The commands.
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
     /// Client accounts' templates.
@@ -68,15 +68,15 @@
     /// Maintenance waves.
     #[command(subcommand)]
     Wave(Wave),
-    /// How the system stands, as the entry asked sees it.
+    /// Status of the system, as seen by the contacted entry.
     Status,
     /// The audit trail.
     Audit(Audit),
     /// Buffer cost, roll-out time and moves per account, pool and wave, over a period.
     Report(Report),
-    /// Run a small deployment in this process, under load and faults, and judge it.
+    /// Run a small deployment in this process, under load and faults, and check its invariants.
     Demo(Demo),
-    /// The job path on the users' platform, as its store and its list of instances show it.
+    /// State of the job path on the users' platform, from its store and its list of instances.
     Site(Site),
     /// Print shell completions.
     Completions {
@@ -85,7 +85,7 @@
     },
 }
 
-/// Where the platform is, and what to show of it.
+/// The platform's settings, and what to show of it.
 #[derive(Debug, Args)]
 pub(crate) struct Site {
     /// An entry's settings file, which the platform writes.
@@ -98,11 +98,11 @@
 /// What to show of the job path.
 #[derive(Debug, Subcommand)]
 pub(crate) enum SiteCommand {
-    /// Pools: owners, needs, instances, and jobs that wait.
+    /// Pools: owners, wanted and present instances, and queued jobs.
     Pools,
-    /// Waves of maintenance with their progress.
+    /// Maintenance waves with their progress.
     Waves,
-    /// A job's story, also while its pool has no owner.
+    /// History of a job, also while its pool has no owner.
     Job {
         /// Its id.
         id: String,
@@ -138,7 +138,7 @@
     },
 }
 
-/// Commands on things that are only listed.
+/// Commands on resources that can only be listed.
 #[derive(Debug, Subcommand)]
 pub(crate) enum Listing {
     /// List them.
@@ -150,11 +150,11 @@
 pub(crate) enum Instance {
     /// List them.
     List,
-    /// Let an instance finish what is in flight and take nothing new.
+    /// Let an instance finish its requests in flight and send it no new ones.
     Drain {
         /// The instance.
         name: id::Instance,
-        /// Go ahead although an availability budget forbids it.
+        /// Drain even if an availability budget forbids it.
         #[arg(long)]
         force: bool,
         #[command(flatten)]
@@ -195,29 +195,29 @@
     },
     /// List all waves.
     List,
-    /// Show how far one wave is.
+    /// Show the progress of one wave.
     Status {
         /// The wave.
         name: id::Wave,
-        /// Go on until the wave has ended or waits for an operator.
+        /// Keep printing until the wave has ended or waits for an operator.
         #[arg(long)]
         watch: bool,
     },
-    /// Take no more instances out; those that are out come back.
+    /// Take no more instances out of service; those that are out return.
     Pause {
         /// The wave.
         name: id::Wave,
         #[command(flatten)]
         change: Change,
     },
-    /// Go on with a paused or halted wave, small again.
+    /// Resume a paused or halted wave, starting with small batches again.
     Resume {
         /// The wave.
         name: id::Wave,
         #[command(flatten)]
         change: Change,
     },
-    /// End a wave; instances that still drain serve again.
+    /// End a wave; instances that are still draining return to service.
     Abort {
         /// The wave.
         name: id::Wave,
@@ -226,7 +226,7 @@
     },
 }
 
-/// What a wave covers and how fast it may go.
+/// Scope and limits of a wave.
 #[derive(Debug, Args)]
 pub(crate) struct WaveOrder {
     /// The wave's name.
@@ -240,16 +240,16 @@
     /// Only instances in this rack; may be given several times.
     #[arg(long = "rack")]
     pub(crate) racks: Vec<id::Rack>,
-    /// Take nothing out before this time, such as 2026-12-02T22:00:00Z.
+    /// Take no instance out of service before this time, such as 2026-12-02T22:00:00Z.
     #[arg(long)]
     pub(crate) opens: Option<Timestamp>,
-    /// Take nothing out from this time on.
+    /// Take no instance out of service from this time on.
     #[arg(long)]
     pub(crate) closes: Option<Timestamp>,
-    /// Most instances out at a time, over all pools.
+    /// Maximum instances out of service at a time, over all pools.
     #[arg(long)]
     pub(crate) max_out: Option<u32>,
-    /// Seconds that one instance is expected to be out.
+    /// Seconds that one instance is expected to be out of service.
     #[arg(long, value_name = "SECONDS")]
     pub(crate) reboot: Option<u64>,
 }
@@ -257,7 +257,7 @@
 /// Commands on entries.
 #[derive(Debug, Subcommand)]
 pub(crate) enum Entry {
-    /// Remove an entry whose process is known to run no more, so that no drain waits for it.
+    /// Remove an entry whose process no longer runs, so that drains do not wait for it.
     Remove {
         /// The entry.
         name: id::Entry,
@@ -269,17 +269,17 @@
 /// Commands on background jobs.
 #[derive(Debug, Subcommand)]
 pub(crate) enum Job {
-    /// Submit jobs from a YAML file, which holds one or a list, or one by options.
+    /// Submit one job or a list of jobs from a YAML file, or one job described by options.
     Submit(Submission),
     /// List jobs.
     List {
-        /// Only those of this account.
+        /// Only jobs of this account.
         #[arg(long)]
         account: Option<id::Account>,
-        /// Only those of this kind.
+        /// Only jobs of this kind.
         #[arg(long)]
         kind: Option<id::Job>,
-        /// Only those in this state, such as `running`.
+        /// Only jobs in this state, such as `running`.
         #[arg(long)]
         state: Option<id::Job>,
     },
@@ -288,22 +288,22 @@
         /// The job.
         name: id::Job,
     },
-    /// Cancel jobs in one change: by name, or all of an account or kind.
+    /// Cancel jobs in one change, either by name or all jobs of an account or kind.
     Cancel {
         /// The jobs.
         #[arg(required_unless_present_any = ["account", "kind"])]
         names: Vec<id::Job>,
-        /// Those of this account.
+        /// All jobs of this account.
         #[arg(long, conflicts_with = "names")]
         account: Option<id::Account>,
-        /// Those of this kind.
+        /// All jobs of this kind.
         #[arg(long, conflicts_with = "names")]
         kind: Option<id::Job>,
-        /// Why, for the audit trail.
+        /// Reason to record in the audit trail.
         #[arg(long, default_value = "")]
         reason: String,
     },
-    /// Put a parked job back into the queue, its failures forgotten.
+    /// Put a parked job back into the queue and clear its failures.
     Release {
         /// The job.
         name: id::Job,
@@ -312,7 +312,7 @@
     },
 }
 
-/// What `job submit` is given.
+/// Arguments of `job submit`.
 #[derive(Debug, Args)]
 pub(crate) struct Submission {
     /// The file.
@@ -321,42 +321,42 @@
     /// The job's name.
     #[arg(long, conflicts_with = "file", requires_all = ["account", "pool", "kind"])]
     pub(crate) name: Option<id::Job>,
-    /// The account whose share it uses.
+    /// The account whose share the job uses.
     #[arg(long, requires = "name")]
     pub(crate) account: Option<id::Account>,
-    /// The pool whose instances run it.
+    /// The pool whose instances run the job.
     #[arg(long, requires = "name")]
     pub(crate) pool: Option<id::Pool>,
-    /// What sort of work it is.
+    /// The kind of work that the job does.
     #[arg(long, requires = "name")]
     pub(crate) kind: Option<id::Job>,
-    /// Processor cores that it needs.
+    /// CPU cores that the job needs.
     #[arg(long, requires = "name", default_value_t = 1.0)]
     pub(crate) cores: f64,
-    /// Memory that it needs, in bytes.
+    /// Memory that the job needs, in bytes.
     #[arg(long, requires = "name", default_value_t = 0.0)]
     pub(crate) memory: f64,
-    /// Accelerators that it needs.
+    /// Accelerators that the job needs.
     #[arg(long, requires = "name", default_value_t = 0.0)]
     pub(crate) accelerators: f64,
-    /// Why, for the audit trail.
+    /// Reason to record in the audit trail.
     #[arg(long, default_value = "")]
     pub(crate) reason: String,
 }
 
-/// Options of every change.
+/// Options that all changes share.
 #[derive(Debug, Args)]
 pub(crate) struct Change {
-    /// Refuse unless the row has this version; 0 means that it must not exist.
+    /// Refuse the change unless the row has this version; 0 means that it must not exist.
     #[arg(long)]
     pub(crate) if_version: Option<u64>,
-    /// Why, for the audit trail.
+    /// Reason to record in the audit trail.
     #[arg(long, default_value = "")]
     pub(crate) reason: String,
-    /// Wait until every registered entry has the change in force.
+    /// Wait until the change is in effect at every registered entry.
     #[arg(long)]
     pub(crate) wait: bool,
-    /// Longest wait, in seconds.
+    /// Maximum time to wait, in seconds.
     #[arg(long, default_value_t = 30, value_name = "SECONDS")]
     pub(crate) wait_limit: u64,
 }
@@ -367,7 +367,7 @@
     /// Only changes after this one.
     #[arg(long, default_value_t = 0)]
     pub(crate) after: u64,
-    /// Most changes to read.
+    /// Maximum number of changes to read.
     #[arg(long, default_value_t = 100)]
     pub(crate) limit: u32,
     /// Only changes whose actor contains this.
@@ -376,7 +376,7 @@
     /// Only changes of rows whose key starts with this, such as `account/`.
     #[arg(long)]
     pub(crate) key: Option<String>,
-    /// Go on printing changes as they come.
+    /// Keep printing new changes.
     #[arg(long)]
     pub(crate) follow: bool,
 }
@@ -401,10 +401,10 @@
 /// Options of the demo.
 #[derive(Debug, Args)]
 pub(crate) struct Demo {
-    /// How long callers send, in seconds.
+    /// How long callers send requests, in seconds.
     #[arg(long, default_value_t = 40, value_parser = clap::value_parser!(u64).range(3..=45))]
     pub(crate) seconds: u64,
-    /// Seed of the callers' choices.
+    /// Seed of the callers' random choices.
     #[arg(long, default_value_t = 1)]
     pub(crate) seed: u64,
 }
--- a/crates/ctl/src/command/account.rs
+++ b/crates/ctl/src/command/account.rs
@@ -1,10 +1,10 @@
-//! Commands on templates.
+//! The `account` commands.
 
-use super::{accepted, audit, if_version};
+use super::{audit, if_version, print_accepted};
 use crate::{
     cli::{Account, Output},
     exit,
-    output::{Printer, Shown},
+    output::{Printable, Printer},
 };
 use eyre::{Result, WrapErr};
 use primroseroute_api::{Apply, Audit, Diff};
@@ -16,20 +16,20 @@
 };
 use std::{fs, path::Path};
 
-/// Changes that are read at a time: the most that an entry gives.
-const PAGE: u32 = 1000;
+/// Changes per request: the maximum that an entry returns.
+const PAGE_SIZE: u32 = 1000;
 
 pub(super) async fn run(command: Account, admin: &Admin, printer: &mut Printer<'_>) -> Result<u8> {
     match command {
         Account::Apply { file, change } => {
-            let template = read(&file)?;
+            let template = read_template(&file)?;
             let order = Apply {
                 template,
                 if_version: if_version(&change),
                 reason: change.reason.as_str().into(),
             };
-            let done = admin.apply(&order).await?;
-            accepted(done, &change, admin, printer).await
+            let accepted = admin.apply(&order).await?;
+            print_accepted(accepted, &change, admin, printer).await
         }
         Account::Get { name } => get(&name, admin, printer).await,
         Account::List => list(admin, printer).await,
@@ -38,10 +38,11 @@
     }
 }
 
-/// Reads a template; the error names line, column and what was expected.
-fn read(file: &Path) -> Result<Template> {
+/// Reads a template; errors contain line, column and what was expected.
+fn read_template(file: &Path) -> Result<Template> {
     let text = fs::read_to_string(file).wrap_err_with(|| format!("reading {}", file.display()))?;
-    serde_saphyr::from_str(&text).wrap_err_with(|| format!("{} is no template", file.display()))
+    serde_saphyr::from_str(&text)
+        .wrap_err_with(|| format!("{} is not a valid template", file.display()))
 }
 
 async fn get(name: &id::Account, admin: &Admin, printer: &mut Printer<'_>) -> Result<u8> {
@@ -68,7 +69,7 @@
     };
     let rows = accounts.iter().map(row).collect();
     let titles = ["account", "version", "share", "pools"];
-    printer.print(&Shown {
+    printer.print(&Printable {
         value: &accounts,
         titles: &titles,
         rows,
@@ -77,7 +78,7 @@
 }
 
 async fn diff(file: &Path, admin: &Admin, printer: &mut Printer<'_>) -> Result<u8> {
-    let diff = admin.diff(&read(file)?).await?;
+    let diff = admin.diff(&read_template(file)?).await?;
     match printer.output {
         Output::Json => printer.json(&diff)?,
         Output::Table => print_diff(&diff, printer)?,
@@ -99,26 +100,28 @@
     Ok(())
 }
 
-/// Shows every change of one account, however long ago; the trail is read page by page.
+/// Prints all changes of one account, reading the history trail page by page.
 async fn history(name: &id::Account, admin: &Admin, printer: &mut Printer<'_>) -> Result<u8> {
     let key = format!("account/{name}");
-    let mut whole = Audit {
+    let mut history = Audit {
         read_to: Seq(0),
         records: Vec::new(),
     };
     loop {
-        let page = admin.audit(whole.read_to, PAGE, None, Some(&key)).await?;
-        let is_end = page.read_to <= whole.read_to;
-        // The entry matches by prefix, which other accounts' names may begin with too.
+        let page = admin
+            .audit(history.read_to, PAGE_SIZE, None, Some(&key))
+            .await?;
+        let is_end = page.read_to <= history.read_to;
+        // The entry filters by key prefix, which also matches longer account names.
         let is_own = |record: &Record| record.edits.iter().any(|edit| *edit.key == *key);
-        whole
+        history
             .records
             .extend(page.records.into_iter().filter(is_own));
         if is_end {
             break;
         }
-        whole.read_to = page.read_to;
+        history.read_to = page.read_to;
     }
-    audit::print(&whole, printer)?;
+    audit::print(&history, printer)?;
     Ok(exit::DONE)
 }
--- a/crates/ctl/src/command/audit.rs
+++ b/crates/ctl/src/command/audit.rs
@@ -1,8 +1,8 @@
-//! The audit trail.
+//! The `audit` command.
 
 use crate::{
     cli, exit,
-    output::{Printer, Shown},
+    output::{Printable, Printer},
 };
 use eyre::Result;
 use jiff::Timestamp;
@@ -15,8 +15,9 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often new changes are asked for: they come by the thousand a day, not by the second.
-const LOOK: Duration = Duration::from_secs(1);
+/// Interval between requests for new changes. There are thousands of changes a day, not several a
+/// second.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 pub(super) async fn run(
     filter: cli::Audit,
@@ -40,15 +41,15 @@
             return Ok(exit::DONE);
         }
         after = page.read_to.max(after);
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Prints a page.
+/// Prints a page of the audit trail.
 pub(super) fn print(page: &Audit, printer: &mut Printer<'_>) -> Result<()> {
     let rows = page.records.iter().map(row).collect();
     let titles = ["version", "at", "actor", "reason", "rows"];
-    printer.print(&Shown {
+    printer.print(&Printable {
         value: &page.records,
         titles: &titles,
         rows,
@@ -66,7 +67,7 @@
     ]
 }
 
-/// One row's change, such as `account/a 3 -> 5`.
+/// Formats one row's change, such as `account/a 3 -> 5`.
 fn edit(edit: &Edit) -> String {
     let before = edit
         .before
--- a/crates/ctl/src/command/demo.rs
+++ b/crates/ctl/src/command/demo.rs
@@ -1,8 +1,8 @@
-//! The demo, its progress and its table.
+//! The `demo` command, with its progress bar and result table.
 
 use crate::{
     cli, exit,
-    output::{Printer, Shown},
+    output::{Printable, Printer},
 };
 use eyre::Result;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -12,22 +12,22 @@
 };
 use std::time::Duration;
 
-/// Breaches that the table shows; JSON has them all.
-const BREACHES: usize = 20;
+/// Maximum violations printed below the table; JSON contains all of them.
+const MAX_PRINTED_BREACHES: usize = 20;
 
-/// A bar on standard error; it draws nothing where that is no terminal.
+/// A progress bar on standard error, invisible if that is not a terminal.
 #[derive(Debug)]
-struct Bar(ProgressBar);
+struct DemoProgress(ProgressBar);
 
-impl Bar {
-    fn open(load: Duration) -> Self {
+impl DemoProgress {
+    fn new(load: Duration) -> Self {
         let bar = ProgressBar::new(load.as_millis().try_into().unwrap_or(u64::MAX));
         let style = ProgressStyle::with_template("{elapsed_precise} {wide_bar} {msg}");
         Self(bar.with_style(style.unwrap_or_else(|_error| ProgressStyle::default_bar())))
     }
 }
 
-impl Progress for Bar {
+impl Progress for DemoProgress {
     fn show(&self, done: Duration, step: &str) {
         self.0
             .set_position(done.as_millis().try_into().unwrap_or(u64::MAX));
@@ -43,15 +43,15 @@
         seed: options.seed,
         ..Options::default()
     };
-    let bar = Bar::open(options.load);
+    let bar = DemoProgress::new(options.load);
     let report = primroseroute_demo::run(&options, &bar).await?;
     bar.0.finish_and_clear();
     print(&report, printer)
 }
 
-/// Prints the report; the code says whether an invariant broke.
+/// Prints the report; the exit code tells whether an invariant was violated.
 fn print(report: &Report, printer: &mut Printer<'_>) -> Result<u8> {
-    printer.print(&Shown {
+    printer.print(&Printable {
         value: report,
         titles: &["what", "figure"],
         rows: rows(report),
@@ -60,15 +60,15 @@
         return Ok(exit::DONE);
     }
     if printer.output == cli::Output::Table {
-        for breach in report.breaches.iter().take(BREACHES) {
-            printer.line(&text(breach))?;
+        for breach in report.breaches.iter().take(MAX_PRINTED_BREACHES) {
+            printer.line(&describe(breach))?;
         }
     }
     Ok(exit::BROKEN)
 }
 
-fn text(breach: &Breach) -> String {
-    format!("broken invariant: {breach:?}")
+fn describe(breach: &Breach) -> String {
+    format!("invariant violated: {breach:?}")
 }
 
 fn rows(report: &Report) -> Vec<Vec<String>> {
--- a/crates/ctl/src/command/instance.rs
+++ b/crates/ctl/src/command/instance.rs
@@ -1,6 +1,6 @@
-//! Commands on instances.
+//! The `instance` commands.
 
-use super::{accepted, if_version, list};
+use super::{if_version, list, print_accepted};
 use crate::{
     cli::{Change, Instance},
     output::Printer,
@@ -25,20 +25,20 @@
             force,
             change,
         } => {
-            let done = admin.drain(&name, &order(&change, force)).await?;
-            accepted(done, &change, admin, printer).await
+            let accepted = admin.drain(&name, &order(&change, force)).await?;
+            print_accepted(accepted, &change, admin, printer).await
         }
         Instance::Move { name, pool, change } => {
             let order = Move {
                 pool,
                 order: order(&change, false),
             };
-            let done = admin.move_to(&name, &order).await?;
-            accepted(done, &change, admin, printer).await
+            let accepted = admin.move_to(&name, &order).await?;
+            print_accepted(accepted, &change, admin, printer).await
         }
         Instance::Release { name, change } => {
-            let done = admin.release(&name, &order(&change, false)).await?;
-            accepted(done, &change, admin, printer).await
+            let accepted = admin.release(&name, &order(&change, false)).await?;
+            print_accepted(accepted, &change, admin, printer).await
         }
     }
 }
--- a/crates/ctl/src/command/job.rs
+++ b/crates/ctl/src/command/job.rs
@@ -1,10 +1,10 @@
-//! Commands on background jobs.
+//! The `job` commands.
 
-use super::{accepted, instance::order};
+use super::{instance::order, print_accepted};
 use crate::{
     cli::{Job, Output, Submission},
     exit,
-    output::{Printer, Shown},
+    output::{Printable, Printer},
 };
 use eyre::{Result, WrapErr, eyre};
 use primroseroute_api::{Cancel, Spec, Submit};
@@ -49,18 +49,18 @@
             cancel(&order, admin, printer).await
         }
         Job::Release { name, change } => {
-            let done = admin.release_job(&name, &order(&change, false)).await?;
-            accepted(done, &change, admin, printer).await
+            let accepted = admin.release_job(&name, &order(&change, false)).await?;
+            print_accepted(accepted, &change, admin, printer).await
         }
     }
 }
 
-/// Reads a job, or a list of them; the error names line, column and what was expected.
-fn read(file: &Path) -> Result<Vec<Spec>> {
+/// Reads one job or a list of jobs; errors contain line, column and what was expected.
+fn read_jobs(file: &Path) -> Result<Vec<Spec>> {
     let text = fs::read_to_string(file).wrap_err_with(|| format!("reading {}", file.display()))?;
     let is_content = |line: &&str| !line.is_empty() && !line.starts_with('#') && *line != "---";
     let first = text.lines().map(str::trim).find(is_content);
-    let malformed = || format!("{} holds no jobs", file.display());
+    let malformed = || format!("{} does not contain valid jobs", file.display());
     if first.is_some_and(|line| line.starts_with(['-', '['])) {
         serde_saphyr::from_str(&text).wrap_err_with(malformed)
     } else {
@@ -69,9 +69,9 @@
     }
 }
 
-/// The job that the options name.
-fn spec(submission: Submission) -> Result<Spec> {
-    let missing = || eyre!("name, account, pool and kind belong together");
+/// Builds the job that the options describe.
+fn spec_from_options(submission: Submission) -> Result<Spec> {
+    let missing = || eyre!("name, account, pool and kind must be given together");
     let kind = submission.kind.ok_or_else(missing)?;
     Ok(Spec {
         name: submission.name.ok_or_else(missing)?,
@@ -89,35 +89,35 @@
 async fn submit(submission: Submission, admin: &Admin, printer: &mut Printer<'_>) -> Result<u8> {
     let reason = submission.reason.as_str().into();
     let jobs = match &submission.file {
-        Some(file) => read(file)?,
-        None => vec![spec(submission)?],
+        Some(file) => read_jobs(file)?,
+        None => vec![spec_from_options(submission)?],
     };
     let count = jobs.len();
-    let done = admin.submit(&Submit { jobs, reason }).await?;
-    printer.print(&Shown {
-        value: &done,
+    let accepted = admin.submit(&Submit { jobs, reason }).await?;
+    printer.print(&Printable {
+        value: &accepted,
         titles: &["version", "jobs"],
-        rows: vec![vec![done.version.to_string(), count.to_string()]],
+        rows: vec![vec![accepted.version.to_string(), count.to_string()]],
     })?;
     Ok(exit::DONE)
 }
 
 async fn cancel(order: &Cancel, admin: &Admin, printer: &mut Printer<'_>) -> Result<u8> {
-    let done = admin.cancel(order).await?;
+    let accepted = admin.cancel(order).await?;
     let row = vec![
-        done.version.to_string(),
-        done.cancelled.to_string(),
-        done.left.to_string(),
+        accepted.version.to_string(),
+        accepted.cancelled.to_string(),
+        accepted.left.to_string(),
     ];
-    printer.print(&Shown {
-        value: &done,
+    printer.print(&Printable {
+        value: &accepted,
         titles: &["version", "cancelled", "left"],
         rows: vec![row],
     })?;
     Ok(exit::DONE)
 }
 
-fn line(found: &Versioned<Row>) -> Vec<String> {
+fn row(found: &Versioned<Row>) -> Vec<String> {
     const NONE: &str = "-";
     let row = &found.value;
     let at = row.state.instance().map(ToString::to_string);
@@ -136,10 +136,10 @@
 }
 
 fn list(jobs: &Vec<Versioned<Row>>, printer: &mut Printer<'_>) -> Result<u8> {
-    printer.print(&Shown {
+    printer.print(&Printable {
         value: jobs,
         titles: &TITLES,
-        rows: jobs.iter().map(line).collect(),
+        rows: jobs.iter().map(row).collect(),
     })?;
     Ok(exit::DONE)
 }
--- a/crates/ctl/src/command/list.rs
+++ b/crates/ctl/src/command/list.rs
@@ -1,9 +1,9 @@
-//! Lists and the status.
+//! The `list` commands of services, pools and instances, and the `status` command.
 
 use crate::{
     cli::Output,
     exit,
-    output::{Printer, Shown},
+    output::{Printable, Printer},
 };
 use eyre::Result;
 use primroseroute_api::{Pool, Status};
@@ -36,7 +36,7 @@
     };
     let rows = services.iter().map(row).collect();
     let titles = ["service", "account", "pool", "hosts", "path prefix"];
-    printer.print(&Shown {
+    printer.print(&Printable {
         value: &services,
         titles: &titles,
         rows,
@@ -59,7 +59,7 @@
 pub(super) async fn pools(admin: &Admin, printer: &mut Printer<'_>) -> Result<u8> {
     let pools = admin.pools().await?;
     let rows = pools.iter().map(pool_row).collect();
-    printer.print(&Shown {
+    printer.print(&Printable {
         value: &pools,
         titles: &POOL_TITLES,
         rows,
@@ -91,7 +91,7 @@
         "in flight here",
         "version",
     ];
-    printer.print(&Shown {
+    printer.print(&Printable {
         value: &instances,
         titles: &titles,
         rows,
@@ -130,17 +130,17 @@
         ]
     };
     if !status.complete {
-        printer.line("the store did not answer: an entry that registered lately may be missing")?;
+        printer.line("the store did not respond: recently registered entries may be missing")?;
     }
     let rows = status.entries.iter().map(row).collect();
     let titles = ["entry", "version in force", "heard"];
-    printer.print(&Shown {
+    printer.print(&Printable {
         value: &status.entries,
         titles: &titles,
         rows,
     })?;
     let rows = status.pools.iter().map(pool_row).collect();
-    printer.print(&Shown {
+    printer.print(&Printable {
         value: &status.pools,
         titles: &POOL_TITLES,
         rows,
--- a/crates/ctl/src/command/mod.rs
+++ b/crates/ctl/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! Carrying the commands out.
+//! Runs the commands.
 
 mod account;
 mod audit;
@@ -13,7 +13,7 @@
 use crate::{
     cli::{Change, Cli, Command, Entry, Listing, Output, Target},
     exit,
-    output::{Printer, Shown},
+    output::{Printable, Printer},
     wait,
 };
 use clap::CommandFactory;
@@ -23,35 +23,35 @@
 use primroseroute_domain::change::Seq;
 use std::{env, fs, io::Write, time::Duration};
 
-/// Names the environment variable that holds the operator's token.
-const TOKEN: &str = "PRIMROSE_TOKEN";
+/// The environment variable that holds the operator's token.
+const TOKEN_VARIABLE: &str = "PRIMROSE_TOKEN";
 
 /// Runs one command, prints its result to `out`, and returns the exit code.
 ///
 /// # Errors
-/// Where something on this side fails; refusals are printed and become exit codes.
+/// Local failures. Errors of requests are printed and returned as exit codes.
 pub async fn run(cli: Cli, out: &mut dyn Write) -> Result<u8> {
     let mut printer = Printer {
         output: cli.output,
         out,
     };
-    let done = match cli.command {
+    let result = match cli.command {
         Command::Completions { shell } => {
             clap_complete::generate(shell, &mut Cli::command(), "primrosectl", printer.out);
             return Ok(exit::DONE);
         }
         Command::Demo(options) => return demo::run(&options, &mut printer).await,
         Command::Site(options) => return site::run(&options, &mut printer).await,
-        command => carry_out(command, &open(&cli.target)?, &mut printer).await,
+        command => execute(command, &new_client(&cli.target)?, &mut printer).await,
     };
-    match done {
+    match result {
         Ok(code) => Ok(code),
-        Err(report) => refused(&report, &mut printer).ok_or(report),
+        Err(report) => print_request_error(&report, &mut printer).ok_or(report),
     }
 }
 
-/// The exit code of a failed exchange, which is printed; none for a failure on this side.
-fn refused(report: &eyre::Report, printer: &mut Printer<'_>) -> Option<u8> {
+/// Prints the error of a failed request and returns its exit code; `None` for a local failure.
+fn print_request_error(report: &eyre::Report, printer: &mut Printer<'_>) -> Option<u8> {
     let error = report.downcast_ref::<Error>()?;
     match (printer.output, error) {
         (Output::Json, Error::Refused(problem)) => printer.json(problem).ok()?,
@@ -60,7 +60,7 @@
     Some(exit::of(error))
 }
 
-async fn carry_out(command: Command, admin: &Admin, printer: &mut Printer<'_>) -> Result<u8> {
+async fn execute(command: Command, admin: &Admin, printer: &mut Printer<'_>) -> Result<u8> {
     match command {
         Command::Account(command) => account::run(command, admin, printer).await,
         Command::Instance(command) => instance::run(command, admin, printer).await,
@@ -69,8 +69,8 @@
         Command::Pool(Listing::List) => list::pools(admin, printer).await,
         Command::Entry(Entry::Remove { name, change }) => {
             let order = instance::order(&change, false);
-            let done = admin.remove(&name, &order).await?;
-            accepted(done, &change, admin, printer).await
+            let accepted = admin.remove(&name, &order).await?;
+            print_accepted(accepted, &change, admin, printer).await
         }
         Command::Wave(command) => wave::run(command, admin, printer).await,
         Command::Status => list::status(admin, printer).await,
@@ -80,41 +80,41 @@
     }
 }
 
-fn open(target: &Target) -> Result<Admin> {
+fn new_client(target: &Target) -> Result<Admin> {
     let token = match &target.token_file {
         Some(file) => fs::read_to_string(file)
             .wrap_err_with(|| format!("reading the token from {}", file.display()))?,
-        None => env::var(TOKEN)
-            .map_err(|_unset| eyre!("no operator token: set {TOKEN} or --token-file"))?,
+        None => env::var(TOKEN_VARIABLE)
+            .map_err(|_unset| eyre!("no operator token: set {TOKEN_VARIABLE} or --token-file"))?,
     };
     Ok(Admin::open(target.entry, token.trim()))
 }
 
-/// Prints an accepted change, and waits for it where the operator asked for that.
-async fn accepted(
+/// Prints an accepted change, after waiting until it is in effect if the operator asked for that.
+async fn print_accepted(
     accepted: Accepted,
     change: &Change,
     admin: &Admin,
     printer: &mut Printer<'_>,
 ) -> Result<u8> {
-    let in_force = if change.wait {
+    let in_effect = if change.wait {
         let limit = Duration::from_secs(change.wait_limit);
-        Some(wait::in_force(admin, accepted.version, limit).await?)
+        Some(wait::until_in_effect(admin, accepted.version, limit).await?)
     } else {
         None
     };
-    let text = match in_force {
+    let text = match in_effect {
         None => "accepted",
         Some(true) => "in force at every registered entry",
         Some(false) => "accepted, not yet in force at every registered entry",
     };
     let rows = vec![vec![accepted.version.to_string(), text.to_owned()]];
-    printer.print(&Shown {
+    printer.print(&Printable {
         value: &accepted,
         titles: &["version", "state"],
         rows,
     })?;
-    Ok(if in_force == Some(false) {
+    Ok(if in_effect == Some(false) {
         exit::NOT_YET
     } else {
         exit::DONE
--- a/crates/ctl/src/command/report.rs
+++ b/crates/ctl/src/command/report.rs
@@ -1,4 +1,4 @@
-//! The report over a period, from the audit trail.
+//! The `report` command, which computes costs over a period from the audit trail.
 
 use super::audit::time;
 use crate::{
@@ -14,14 +14,14 @@
 use primroseroute_report::{Found, Line, Period, Replay, Report, Wave, plot};
 use std::fs;
 
-/// Records of one page: the most that an entry gives.
-const PAGE: u32 = 1_000;
+/// Records per request: the maximum that an entry returns.
+const PAGE_SIZE: u32 = 1_000;
 
-/// Length of a period whose start is not named.
-const DAY: SignedDuration = SignedDuration::from_hours(24);
+/// Default length of the period.
+const DEFAULT_PERIOD: SignedDuration = SignedDuration::from_hours(24);
 
-/// Titles that all tables share.
-const COSTS: [&str; 4] = ["buffer slot-h", "lower bound", "moves", "roll-out"];
+/// Column titles that all tables share.
+const COST_TITLES: [&str; 4] = ["buffer slot-h", "lower bound", "moves", "roll-out"];
 
 pub(super) async fn run(
     options: &cli::Report,
@@ -29,7 +29,7 @@
     printer: &mut Printer<'_>,
 ) -> Result<u8> {
     let replay = Replay::open(period(options)?, weights(options)?);
-    let found = read(admin, replay).await?;
+    let found = replay_trail(admin, replay).await?;
     match printer.output {
         Output::Json => printer.json(&found.report)?,
         Output::Table => print(&found.report, printer)?,
@@ -45,7 +45,9 @@
     let to = options.to.unwrap_or_else(Timestamp::now);
     let from = match options.from {
         Some(from) => from,
-        None => to.checked_sub(DAY).wrap_err("the period's start")?,
+        None => to
+            .checked_sub(DEFAULT_PERIOD)
+            .wrap_err("the period's start")?,
     };
     if from >= to {
         bail!("the period ends at {to}, which is not after its start at {from}");
@@ -62,17 +64,18 @@
     };
     let text = fs::read_to_string(file)
         .wrap_err_with(|| format!("reading the weights from {}", file.display()))?;
-    serde_saphyr::from_str(&text).wrap_err_with(|| format!("{} holds no weights", file.display()))
+    serde_saphyr::from_str(&text)
+        .wrap_err_with(|| format!("{} does not contain valid weights", file.display()))
 }
 
 fn instant(at: Timestamp) -> Instant {
     Instant(u64::try_from(at.as_millisecond()).unwrap_or(0))
 }
 
-/// Reads the whole trail up to the period's end, a page at a time.
-async fn read(admin: &Admin, mut replay: Replay) -> Result<Found> {
+/// Reads the whole trail up to the period's end, page by page.
+async fn replay_trail(admin: &Admin, mut replay: Replay) -> Result<Found> {
     while !replay.is_past() {
-        let page = admin.audit(replay.read_to(), PAGE, None, None).await?;
+        let page = admin.audit(replay.read_to(), PAGE_SIZE, None, None).await?;
         if page.records.is_empty() {
             break;
         }
@@ -119,7 +122,7 @@
 }
 
 fn titles<const N: usize>(first: [&'static str; N]) -> Vec<&'static str> {
-    first.into_iter().chain(COSTS).collect()
+    first.into_iter().chain(COST_TITLES).collect()
 }
 
 fn row<const N: usize>(first: [String; N], line: &Line) -> Vec<String> {
--- a/crates/ctl/src/command/site.rs
+++ b/crates/ctl/src/command/site.rs
@@ -1,9 +1,9 @@
-//! What stands in the store and in the list of instances, on the users' platform.
+//! The `site` commands, which read the store and the list of instances on the users' platform.
 
 use crate::{
     cli::{Site, SiteCommand},
     exit,
-    output::{Printer, Shown},
+    output::{Printable, Printer},
 };
 use eyre::{Result, WrapErr, eyre};
 use primroseroute_adapter::{Client, Settings, Site as Adapter, Store};
@@ -11,10 +11,10 @@
 use primroseroute_inspect::{Pool, Story, Wave};
 use std::time::Duration;
 
-/// Longest time of a call that names none: an operator waits for the answer.
+/// Default timeout of a platform call. It is short because an operator waits for the result.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Shown where there is nothing to show.
+/// Placeholder for a missing value.
 const NONE: &str = "-";
 
 pub(super) async fn run(options: &Site, printer: &mut Printer<'_>) -> Result<u8> {
@@ -31,13 +31,14 @@
             show_waves(&primroseroute_inspect::waves(&store, &site).await?, printer)
         }
         SiteCommand::Job { id } => {
-            let id =
-                JobId::parse(id).ok_or_else(|| eyre!("a job's id has 16 hexadecimal digits"))?;
-            let Some(told) = primroseroute_inspect::job(&store, &id).await? else {
-                eprintln!("primrosectl: no such job was accepted, or its rows were deleted since");
+            let id = JobId::parse(id).ok_or_else(|| eyre!("a job id has 16 hexadecimal digits"))?;
+            let Some(story) = primroseroute_inspect::job(&store, &id).await? else {
+                eprintln!(
+                    "primrosectl: no such job was accepted, or its rows have been deleted since"
+                );
                 return Ok(exit::FAILED);
             };
-            show_job(&told, printer)
+            show_job(&story, printer)
         }
     }
 }
@@ -62,7 +63,7 @@
             queued.collect::<Vec<_>>().join(", "),
         ]
     };
-    printer.print(&Shown {
+    printer.print(&Printable {
         value: pools,
         titles: &[
             "pool",
@@ -90,7 +91,7 @@
             wave.waiting.len().to_string(),
         ]
     };
-    printer.print(&Shown {
+    printer.print(&Printable {
         value: waves,
         titles: &["wave", "at once", "active", "done", "waiting"],
         rows: waves.iter().map(row).collect(),
@@ -121,7 +122,7 @@
             task.failed.to_string(),
         ]
     };
-    printer.print(&Shown {
+    printer.print(&Printable {
         value: story,
         titles: &["task", "phase", "worker", "run", "failed runs"],
         rows: story.tasks.iter().map(row).collect(),
--- a/crates/ctl/src/command/wave.rs
+++ b/crates/ctl/src/command/wave.rs
@@ -1,22 +1,23 @@
-//! Commands on waves.
+//! The `wave` commands.
 
-use super::{accepted, audit::time, instance::order};
+use super::{audit::time, instance::order, print_accepted};
 use crate::{
     cli::{Output, Wave, WaveOrder},
     exit,
-    output::{Printer, Shown},
+    output::{Printable, Printer},
 };
 use eyre::Result;
 use jiff::Timestamp;
-use primroseroute_api::{Start, Wave as Found};
+use primroseroute_api::{Start, Wave as WaveStatus};
 use primroseroute_client::Admin;
 use primroseroute_domain::{id, time::Instant};
 use primroseroute_fleet::wave::{self, Command, Limits, Plan, Scope, State, Window};
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often a watched wave is looked at: instances take minutes, operators seconds.
-const LOOK: Duration = Duration::from_secs(1);
+/// Interval between status requests while watching a wave. Instances take minutes, and operators react
+/// within seconds.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 pub(super) async fn run(command: Wave, admin: &Admin, printer: &mut Printer<'_>) -> Result<u8> {
     let (name, verb, change) = match command {
@@ -25,49 +26,49 @@
         Wave::Status { name, watch } => return status(&name, watch, admin, printer).await,
         Wave::Start { order, change } => {
             let start = Start {
-                order: read(&order),
+                order: wave_order(&order),
                 reason: change.reason.as_str().into(),
             };
-            let done = admin.start_wave(&start).await?;
-            return accepted(done, &change, admin, printer).await;
+            let accepted = admin.start_wave(&start).await?;
+            return print_accepted(accepted, &change, admin, printer).await;
         }
         Wave::Pause { name, change } => (name, Command::Pause, change),
         Wave::Resume { name, change } => (name, Command::Resume, change),
         Wave::Abort { name, change } => (name, Command::Abort, change),
     };
-    let done = admin
+    let accepted = admin
         .command_wave(&name, verb, &order(&change, false))
         .await?;
-    accepted(done, &change, admin, printer).await
+    print_accepted(accepted, &change, admin, printer).await
 }
 
 fn instant(at: Timestamp) -> Instant {
     Instant(u64::try_from(at.as_millisecond()).unwrap_or(0))
 }
 
-fn read(given: &WaveOrder) -> wave::Order {
+fn wave_order(options: &WaveOrder) -> wave::Order {
     let defaults = Limits::default();
     wave::Order {
-        id: given.name.clone(),
+        id: options.name.clone(),
         scope: Scope {
-            pools: given.pools.iter().cloned().collect(),
-            zones: given.zones.iter().cloned().collect(),
-            racks: given.racks.iter().cloned().collect(),
+            pools: options.pools.iter().cloned().collect(),
+            zones: options.zones.iter().cloned().collect(),
+            racks: options.racks.iter().cloned().collect(),
         },
         window: Window {
-            opens: given.opens.map(instant),
-            closes: given.closes.map(instant),
+            opens: options.opens.map(instant),
+            closes: options.closes.map(instant),
         },
         limits: Limits {
-            max_out: given.max_out,
-            reboot_seconds: given.reboot.unwrap_or(defaults.reboot_seconds),
+            max_out: options.max_out,
+            reboot_seconds: options.reboot.unwrap_or(defaults.reboot_seconds),
             ..defaults
         },
     }
 }
 
-async fn plan(given: &WaveOrder, admin: &Admin, printer: &mut Printer<'_>) -> Result<u8> {
-    let plan = admin.plan_wave(&read(given)).await?;
+async fn plan(options: &WaveOrder, admin: &Admin, printer: &mut Printer<'_>) -> Result<u8> {
+    let plan = admin.plan_wave(&wave_order(options)).await?;
     match printer.output {
         Output::Json => printer.json(&plan)?,
         Output::Table => print_plan(&plan, printer)?,
@@ -97,7 +98,7 @@
     ))
 }
 
-fn row(found: &Found) -> Vec<String> {
+fn row(found: &WaveStatus) -> Vec<String> {
     let wave = &found.row.value;
     let progress = &found.progress;
     vec![
@@ -120,7 +121,7 @@
 async fn list(admin: &Admin, printer: &mut Printer<'_>) -> Result<u8> {
     let waves = admin.waves().await?;
     let rows = waves.iter().map(row).collect();
-    printer.print(&Shown {
+    printer.print(&Printable {
         value: &waves,
         titles: &TITLES,
         rows,
@@ -136,12 +137,12 @@
 ) -> Result<u8> {
     loop {
         let waves = admin.waves().await?;
-        let found: Vec<Found> = waves
+        let found: Vec<WaveStatus> = waves
             .into_iter()
             .filter(|wave| wave.row.value.id() == name)
             .collect();
         let rows = found.iter().map(row).collect();
-        printer.print(&Shown {
+        printer.print(&Printable {
             value: &found,
             titles: &TITLES,
             rows,
@@ -152,6 +153,6 @@
         if !watch || wave.row.value.state != State::Running {
             return Ok(exit::DONE);
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,6 +1,6 @@
 //! `primrosectl`, the operators' command line.
 //!
-//! Each command is one exchange with the admin address of any entry, or a few with `--wait` and
+//! Each command is one request to the admin address of any entry, or several with `--wait` and
 //! `--follow`. Output is a table for people or JSON for programs; [`exit`] lists the exit codes.
 
 mod cli;
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,4 +1,4 @@
-//! Printing results as a table or as JSON.
+//! Prints results as a table or as JSON.
 
 use crate::cli::Output;
 use comfy_table::{ContentArrangement, Table, presets::UTF8_HORIZONTAL_ONLY};
@@ -6,9 +6,9 @@
 use serde::Serialize;
 use std::io::Write;
 
-/// A result that can be printed in both ways.
-pub(crate) struct Shown<'a, T> {
-    /// What JSON shows.
+/// A result that can be printed as a table or as JSON.
+pub(crate) struct Printable<'a, T> {
+    /// The value printed as JSON.
     pub value: &'a T,
     /// Column titles of the table.
     pub titles: &'a [&'a str],
@@ -16,20 +16,20 @@
     pub rows: Vec<Vec<String>>,
 }
 
-/// Where results go and in which form.
+/// Prints results to a writer in the chosen format.
 pub(crate) struct Printer<'a> {
-    /// The form that was asked for.
+    /// The chosen format.
     pub output: Output,
-    /// Where they go.
+    /// The writer.
     pub out: &'a mut dyn Write,
 }
 
 impl Printer<'_> {
-    /// Prints `shown` in the form that was asked for.
-    pub(crate) fn print<T: Serialize>(&mut self, shown: &Shown<'_, T>) -> Result<()> {
+    /// Prints `result` in the chosen format.
+    pub(crate) fn print<T: Serialize>(&mut self, result: &Printable<'_, T>) -> Result<()> {
         match self.output {
-            Output::Json => self.json(shown.value),
-            Output::Table => self.table(shown.titles, &shown.rows),
+            Output::Json => self.json(result.value),
+            Output::Table => self.table(result.titles, &result.rows),
         }
     }
 
