--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -210,7 +210,7 @@
         #[command(flatten)]
         change: Change,
     },
-    /// Resume a paused or halted wave, starting with small batches again.
+    /// Resume a paused or halted wave, ramping up from few instances again.
     Resume {
         /// The wave.
         name: id::Wave,
