--- a/crates/ctl/src/command/report.rs
+++ b/crates/ctl/src/command/report.rs
@@ -11,7 +11,7 @@
 use primroseroute_client::Admin;
 use primroseroute_domain::time::Instant;
 use primroseroute_fleet::{measure::Cost, placement::Weights};
-use primroseroute_report::{Found, Line, Period, Replay, Report, Wave, plot};
+use primroseroute_report::{Line, Period, Replay, ReplayResult, Report, Wave, plot};
 use std::fs;
 
 /// Records per request: the maximum that an entry returns.
@@ -28,7 +28,7 @@
     admin: &Admin,
     printer: &mut Printer<'_>,
 ) -> Result<u8> {
-    let replay = Replay::open(period(options)?, weights(options)?);
+    let replay = Replay::new(period(options)?, weights(options)?);
     let found = replay_trail(admin, replay).await?;
     match printer.output {
         Output::Json => printer.json(&found.report)?,
@@ -73,17 +73,19 @@
 }
 
 /// Reads the whole trail up to the period's end, page by page.
-async fn replay_trail(admin: &Admin, mut replay: Replay) -> Result<Found> {
+async fn replay_trail(admin: &Admin, mut replay: Replay) -> Result<ReplayResult> {
     while !replay.is_past() {
-        let page = admin.audit(replay.read_to(), PAGE_SIZE, None, None).await?;
+        let page = admin
+            .audit(replay.last_seq(), PAGE_SIZE, None, None)
+            .await?;
         if page.records.is_empty() {
             break;
         }
         for record in &page.records {
-            replay.take(record)?;
+            replay.apply(record)?;
         }
     }
-    Ok(replay.end())
+    Ok(replay.finish())
 }
 
 fn print(report: &Report, printer: &mut Printer<'_>) -> Result<()> {
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Replay`] applies the trail's records one by one, starting with the first change, and keeps the
 //! resulting rows. Within the [`Period`] it passes each state of the rows to
 //! [`primroseroute_fleet::measure::Meter`], which adds up buffer cost and moves, and records how
-//! long waves were rolling out. [`Replay::end`] returns the [`Report`] and, for the plot, the
+//! long waves were rolling out. [`Replay::finish`] returns the [`Report`] and, for the plot, the
 //! [`Series`]; [`plot::svg`] draws them. Nothing here reads a clock or does I/O.
 //!
 //! # Why the command line computes it
@@ -33,7 +33,7 @@
 //!
 //! # Gaps
 //!
-//! After a missing record, every later state would be uncertain, so [`Replay::take`] refuses a
+//! After a missing record, every later state would be uncertain, so [`Replay::apply`] refuses a
 //! record that does not directly follow the one before it.
 
 pub mod plot;
@@ -44,6 +44,6 @@
 mod tally;
 mod wave;
 
-pub use replay::{Error, Found, Replay};
+pub use replay::{Error, Replay, ReplayResult};
 pub use report::{Line, Period, Report, Wave};
 pub use series::{Point, Series};
--- a/crates/report/src/plot.rs
+++ b/crates/report/src/plot.rs
@@ -4,7 +4,7 @@
 //! lines, and the duration of each wave that covered the pool as a shaded area with the wave's name.
 
 use crate::{
-    replay::Found,
+    replay::ReplayResult,
     report::{Period, Wave},
     series::Point,
 };
@@ -75,13 +75,13 @@
 ///
 /// # Errors
 /// [`Error`] if the drawing library fails.
-pub fn svg(found: &Found) -> Result<String, Error> {
+pub fn svg(found: &ReplayResult) -> Result<String, Error> {
     let mut text = String::new();
     render(&mut text, found)?;
     Ok(text)
 }
 
-fn render(text: &mut String, found: &Found) -> Result<(), Error> {
+fn render(text: &mut String, found: &ReplayResult) -> Result<(), Error> {
     let pools = &found.series.pools;
     let panels = pools.len().max(1);
     let height = PANEL_HEIGHT_PX.saturating_mul(u32::try_from(panels).unwrap_or(u32::MAX));
@@ -99,7 +99,7 @@
     area: &DrawingArea<Svg<'_>, Shift>,
     pool: &id::Pool,
     points: &[Point],
-    found: &Found,
+    found: &ReplayResult,
 ) -> Result<(), Error> {
     let period = found.report.period;
     let values = points
--- a/crates/report/src/replay.rs
+++ b/crates/report/src/replay.rs
@@ -38,7 +38,7 @@
 
 /// Result of a replay.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Found {
+pub struct ReplayResult {
     /// The costs of the period.
     pub report: Report,
     /// Instances of each pool over time.
@@ -50,7 +50,7 @@
 pub struct Replay {
     period: Period,
     weights: Weights,
-    /// Sequence number of the last record taken.
+    /// Sequence number of the last applied record.
     seq: Seq,
     /// Time of that record, never earlier than that of the one before it.
     at: Instant,
@@ -63,7 +63,7 @@
     /// Creates a replay for `period` that starts with the trail's first change.
     ///
     /// `weights` are those of the deployment; only the lower bound of the buffer cost depends on them.
-    pub fn open(period: Period, weights: Weights) -> Self {
+    pub fn new(period: Period, weights: Weights) -> Self {
         let to = period.to.max(period.from);
         Self {
             period: Period { to, ..period },
@@ -75,21 +75,21 @@
         }
     }
 
-    /// Sequence number of the last record taken, after which reading continues.
-    pub fn read_to(&self) -> Seq {
+    /// Sequence number of the last applied record, after which reading continues.
+    pub fn last_seq(&self) -> Seq {
         self.seq
     }
 
-    /// Whether the last record taken is after the period, so that later ones have no effect.
+    /// Whether the last applied record is after the period, so that later ones have no effect.
     pub fn is_past(&self) -> bool {
         self.at >= self.period.to
     }
 
-    /// Takes the next record of the trail.
+    /// Applies the next record of the trail.
     ///
     /// # Errors
     /// [`Error`]; the replay must not be used after that.
-    pub fn take(&mut self, record: &Record) -> Result<(), Error> {
+    pub fn apply(&mut self, record: &Record) -> Result<(), Error> {
         let expected = self.seq.next();
         if record.seq != expected {
             return Err(Error::Gap {
@@ -105,10 +105,10 @@
         if self.at <= self.period.from {
             return self.rows.apply(record);
         }
-        self.take_in_period(record)
+        self.apply_in_period(record)
     }
 
-    fn take_in_period(&mut self, record: &Record) -> Result<(), Error> {
+    fn apply_in_period(&mut self, record: &Record) -> Result<(), Error> {
         let (rows, at) = (&mut self.rows, self.at);
         let (from, weights) = (self.period.from, self.weights);
         let tally = self
@@ -121,8 +121,8 @@
         Ok(())
     }
 
-    /// Finishes the replay with the records taken so far.
-    pub fn end(self) -> Found {
+    /// Finishes the replay with the records applied so far.
+    pub fn finish(self) -> ReplayResult {
         let Self {
             period,
             weights,
@@ -132,6 +132,6 @@
         } = self;
         let tally = tally.unwrap_or_else(|| Tally::begin(&rows, period.from, weights));
         let (report, series) = tally.end(&rows, period);
-        Found { report, series }
+        ReplayResult { report, series }
     }
 }
--- a/crates/report/tests/all/fixture.rs
+++ b/crates/report/tests/all/fixture.rs
@@ -9,7 +9,7 @@
 };
 use primroseroute_fleet::{placement::Weights, wave};
 use primroseroute_ledger::{Versioned, key};
-use primroseroute_report::{Error, Found, Period, Replay};
+use primroseroute_report::{Error, Period, Replay, ReplayResult};
 use serde::Serialize;
 use std::sync::Arc;
 use uuid::Uuid;
@@ -141,7 +141,7 @@
     }
 
     /// Replays the trail.
-    pub fn replay(&self, from: u64, to: u64) -> Result<Found, Error> {
+    pub fn replay(&self, from: u64, to: u64) -> Result<ReplayResult, Error> {
         replay(&self.0, period(from, to))
     }
 }
@@ -155,12 +155,12 @@
 }
 
 /// Replays `records`.
-pub fn replay(records: &[Record], period: Period) -> Result<Found, Error> {
-    let mut replay = Replay::open(period, Weights::default());
+pub fn replay(records: &[Record], period: Period) -> Result<ReplayResult, Error> {
+    let mut replay = Replay::new(period, Weights::default());
     for record in records {
-        replay.take(record)?;
+        replay.apply(record)?;
     }
-    Ok(replay.end())
+    Ok(replay.finish())
 }
 
 /// Parses a pool's name.
--- a/crates/report/tests/all/known.rs
+++ b/crates/report/tests/all/known.rs
@@ -280,16 +280,16 @@
 }
 
 fn past() {
-    let mut replay = primroseroute_report::Replay::open(
+    let mut replay = primroseroute_report::Replay::new(
         period(0, 3 * HOUR),
         primroseroute_fleet::placement::Weights::default(),
     );
-    let mut taken = Vec::new();
+    let mut past = Vec::new();
     for record in &history().0 {
-        replay.take(record).expect("the trail has no gap");
-        taken.push(replay.is_past());
+        replay.apply(record).expect("the trail has no gap");
+        past.push(replay.is_past());
     }
-    assert_eq!(taken, [false, false, false, false, true, true, true]);
-    assert_eq!(replay.read_to(), Seq(7));
-    assert_eq!(replay.end().report.changes, 2);
+    assert_eq!(past, [false, false, false, false, true, true, true]);
+    assert_eq!(replay.last_seq(), Seq(7));
+    assert_eq!(replay.finish().report.changes, 2);
 }
