--- a/crates/admin/src/http/read.rs
+++ b/crates/admin/src/http/read.rs
@@ -202,7 +202,7 @@
 async fn audit_page(shared: &Shared, filter: &AuditFilter) -> Result<Audit, Refusal> {
     let after = Seq(filter.after.unwrap_or(0));
     let limit = filter.limit.unwrap_or(DEFAULT_PAGE_SIZE).min(MAX_PAGE_SIZE);
-    let records = shared.0.trail.after(after, limit).await?;
+    let records = shared.0.trail.records_after(after, limit).await?;
     let matches = |record: &Record| {
         let by_actor = filter
             .actor
--- a/crates/audit/src/archive.rs
+++ b/crates/audit/src/archive.rs
@@ -52,11 +52,11 @@
 /// `guard` is the controller's epoch, so that a superseded controller deletes nothing.
 ///
 /// # Errors
-/// Errors of the table and the object store; the next step starts over.
+/// Errors of the table and the object store; the next call starts over.
 ///
 /// # Panics
 /// Never: records always serialize.
-pub async fn step(
+pub async fn archive_batch(
     ledger: &Ledger,
     objects: &dyn Store,
     guard: Condition,
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -15,5 +15,5 @@
 mod archive;
 mod read;
 
-pub use archive::{Keep, step};
+pub use archive::{Keep, archive_batch};
 pub use read::{Error, Trail};
--- a/crates/audit/src/read.rs
+++ b/crates/audit/src/read.rs
@@ -48,8 +48,8 @@
 }
 
 impl Trail {
-    /// Opens the trail that `ledger` and `objects` hold.
-    pub fn open(ledger: Ledger, objects: Arc<dyn Store>) -> Self {
+    /// Creates a trail that reads from `ledger` and `objects`.
+    pub fn new(ledger: Ledger, objects: Arc<dyn Store>) -> Self {
         Self { ledger, objects }
     }
 
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// [`Error`].
-    pub async fn after(&self, seq: Seq, limit: u32) -> Result<Vec<Record>, Error> {
+    pub async fn records_after(&self, seq: Seq, limit: u32) -> Result<Vec<Record>, Error> {
         let mut found = Vec::new();
         loop {
             let from = found.last().map_or(seq, |record: &Record| record.seq);
--- a/crates/audit/tests/all/main.rs
+++ b/crates/audit/tests/all/main.rs
@@ -1,6 +1,6 @@
 //! Tests the trail on the simulated platform while records move to the archive.
 
-use primroseroute_audit::{Keep, Trail, step};
+use primroseroute_audit::{Keep, Trail, archive_batch};
 use primroseroute_domain::{change::Seq, time::Instant};
 use primroseroute_ledger::{Draft, Ledger, key};
 use primroseroute_platform::table::{Condition, Txn, Write};
@@ -46,7 +46,7 @@
         },
     );
     let ledger = Ledger::open(Arc::new(platform.client("a")));
-    let trail = Trail::open(ledger.clone(), Arc::new(platform.client("a")));
+    let trail = Trail::new(ledger.clone(), Arc::new(platform.client("a")));
     for number in 1..=changes {
         let head = ledger.head().await.expect("the store responds");
         let id = Uuid::from_u128(u128::from(number));
@@ -62,9 +62,9 @@
 }
 
 impl Fixture {
-    async fn step(&self) -> u32 {
+    async fn archive_batch(&self) -> u32 {
         let guard = Condition::Absent("epoch/none".into());
-        step(&self.ledger, &self.platform, guard, KEEP)
+        archive_batch(&self.ledger, &self.platform, guard, KEEP)
             .await
             .expect("the platform responds")
     }
@@ -72,7 +72,7 @@
     async fn sequence_numbers(&self, after: u64, limit: u32) -> Vec<u64> {
         let records = self
             .trail
-            .after(Seq(after), limit)
+            .records_after(Seq(after), limit)
             .await
             .expect("the platform responds");
         records.iter().map(|record| record.seq.0).collect()
@@ -89,7 +89,7 @@
 
 async fn bounded() {
     let fixture = open(50).await;
-    while fixture.step().await > 0 {}
+    while fixture.archive_batch().await > 0 {}
     assert!(
         fixture.rows().await < 14,
         "{} rows stay",
@@ -111,7 +111,7 @@
     let fixture = open(20).await;
     fixture.platform.faults().lose_requests(Kind::Commit, 1);
     let guard = Condition::Absent("epoch/none".into());
-    step(&fixture.ledger, &fixture.platform, guard.clone(), KEEP)
+    archive_batch(&fixture.ledger, &fixture.platform, guard.clone(), KEEP)
         .await
         .expect_err("the request is lost");
     assert_eq!(
@@ -119,14 +119,14 @@
         (1..=20).collect::<Vec<_>>()
     );
     fixture.platform.faults().lose_answers(Kind::Commit, 1);
-    step(&fixture.ledger, &fixture.platform, guard, KEEP)
+    archive_batch(&fixture.ledger, &fixture.platform, guard, KEEP)
         .await
         .expect_err("the response is lost");
     assert_eq!(
         fixture.sequence_numbers(0, 1000).await,
         (1..=20).collect::<Vec<_>>()
     );
-    while fixture.step().await > 0 {}
+    while fixture.archive_batch().await > 0 {}
     assert_eq!(
         fixture.sequence_numbers(0, 1000).await,
         (1..=20).collect::<Vec<_>>()
@@ -148,7 +148,7 @@
         .expect("no conflict");
     let old = Condition::Absent("epoch/controller".into());
     assert_eq!(
-        step(&fixture.ledger, &fixture.platform, old, KEEP).await,
+        archive_batch(&fixture.ledger, &fixture.platform, old, KEEP).await,
         Ok(0)
     );
     let first = fixture
@@ -162,7 +162,7 @@
 
 async fn limited() {
     let fixture = open(30).await;
-    while fixture.step().await > 0 {}
+    while fixture.archive_batch().await > 0 {}
     assert_eq!(
         fixture.sequence_numbers(0, 6).await,
         (1..=6).collect::<Vec<_>>()
--- a/crates/controller/src/housekeeping.rs
+++ b/crates/controller/src/housekeeping.rs
@@ -1,7 +1,7 @@
 //! Housekeeping by the lease holder: deletes old claims and archives old change records.
 
 use crate::{lease::HeldLease, role::Components};
-use primroseroute_audit::step;
+use primroseroute_audit::archive_batch;
 use primroseroute_claims::Sweep;
 use std::{sync::Arc, time::Duration};
 use tokio::time::Instant;
@@ -36,7 +36,9 @@
             log::warn!("could not delete old claims: {error}");
         }
         let objects = components.objects.as_ref();
-        if let Err(error) = step(&components.ledger, objects, held.guard(), components.keep).await {
+        if let Err(error) =
+            archive_batch(&components.ledger, objects, held.guard(), components.keep).await
+        {
             log::warn!("could not archive old change records: {error}");
         }
     }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -98,7 +98,7 @@
         let admin = AdminParts {
             local: Arc::new(Operators::new(Arc::clone(&core), parts.meter)),
             ledger: core.ledger.clone(),
-            trail: Trail::open(core.ledger.clone(), parts.objects),
+            trail: Trail::new(core.ledger.clone(), parts.objects),
             cell: Arc::clone(&core.cell),
             clock: Arc::clone(&parts.clock),
             weights: parts.weights,
--- a/tests/all/report.rs
+++ b/tests/all/report.rs
@@ -4,7 +4,7 @@
 use clap::Parser;
 use eyre::{Result, WrapErr, ensure};
 use primroseroute_api::Start;
-use primroseroute_audit::{Keep, step};
+use primroseroute_audit::{Keep, archive_batch};
 use primroseroute_ctl::{Cli, exit, run};
 use primroseroute_domain::{
     change::{Record, Seq},
@@ -143,7 +143,7 @@
     assert_eq!(drawn.matches("\nw\n").count(), 1, "{drawn}");
 
     let guard = || Condition::Absent("epoch/none".into());
-    while step(
+    while archive_batch(
         &site.ledger(),
         &site.platform.client("onlooker"),
         guard(),
