--- a/crates/admin/src/edit/job.rs
+++ b/crates/admin/src/edit/job.rs
@@ -15,7 +15,7 @@
 
 /// Maximum jobs of one order. Their rows are one change, less than half of what the store writes in
 /// a second.
-pub const MOST: usize = 250;
+pub const MAX_JOBS: usize = 250;
 
 /// Maximum ratio of a job's declared size to a worker's capacity. Declared sizes are wrong by up to a
 /// factor of ten, so a job beyond that fits on no worker whatever its true size.
@@ -23,10 +23,10 @@
 
 /// Result of a cancellation: how many jobs it covered, and how many matching ones remain for the next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Taken {
+pub struct CancelResult {
     /// Jobs that this change cancels, or that were cancelled already.
     pub cancelled: usize,
-    /// Matching jobs beyond [`MOST`], which are unchanged.
+    /// Matching jobs beyond [`MAX_JOBS`], which are unchanged.
     pub left: usize,
 }
 
@@ -135,8 +135,8 @@
     draft: &mut Draft,
 ) -> Result<(), Refusal> {
     let names: BTreeSet<&id::Job> = order.jobs.iter().map(|spec| &spec.name).collect();
-    if order.jobs.is_empty() || order.jobs.len() > MOST {
-        return Err(malformed(format!("an order submits 1 to {MOST} jobs")));
+    if order.jobs.is_empty() || order.jobs.len() > MAX_JOBS {
+        return Err(malformed(format!("an order submits 1 to {MAX_JOBS} jobs")));
     }
     if names.len() < order.jobs.len() {
         return Err(malformed("the order names a job twice"));
@@ -185,10 +185,14 @@
 /// # Errors
 /// [`Code::MalformedRequest`] unless either names, or an account or a kind, are given;
 /// [`Code::NotFound`] for an unknown name; [`Code::JobStateForbids`] for a job that is done.
-pub fn cancel(snapshot: &Snapshot, order: &Cancel, draft: &mut Draft) -> Result<Taken, Refusal> {
+pub fn cancel(
+    snapshot: &Snapshot,
+    order: &Cancel,
+    draft: &mut Draft,
+) -> Result<CancelResult, Refusal> {
     let by_filter = order.account.is_some() || order.kind.is_some();
-    if order.jobs.is_empty() != by_filter || order.jobs.len() > MOST {
-        let detail = format!("name up to {MOST} jobs, or else an account or kind");
+    if order.jobs.is_empty() != by_filter || order.jobs.len() > MAX_JOBS {
+        let detail = format!("name up to {MAX_JOBS} jobs, or else an account or kind");
         return Err(malformed(detail));
     }
     let found = if by_filter {
@@ -196,7 +200,7 @@
     } else {
         find_by_name(snapshot, &order.jobs)?
     };
-    for Versioned { version, value } in found.iter().take(MOST) {
+    for Versioned { version, value } in found.iter().take(MAX_JOBS) {
         if let Some(state) = state_after_cancel(&value.state) {
             let row = Row {
                 state,
@@ -205,9 +209,9 @@
             draft.put(key::job(&row.id), Some(*version), &row);
         }
     }
-    Ok(Taken {
-        cancelled: found.len().min(MOST),
-        left: found.len().saturating_sub(MOST),
+    Ok(CancelResult {
+        cancelled: found.len().min(MAX_JOBS),
+        left: found.len().saturating_sub(MAX_JOBS),
     })
 }
 
--- a/crates/admin/src/http/job.rs
+++ b/crates/admin/src/http/job.rs
@@ -5,7 +5,7 @@
     router::name_in_path,
     write::{IncomingRequest, OperatorRequest},
 };
-use crate::edit::job::{self, Taken};
+use crate::edit::job::{self, CancelResult};
 use gotham::{
     handler::HandlerResult,
     helpers::http::Body,
@@ -85,14 +85,14 @@
     request: Result<OperatorRequest<Cancel>, Refusal>,
 ) -> Result<Cancelled, Refusal> {
     let request = request?;
-    let result = Mutex::new(Taken::default());
+    let result = Mutex::new(CancelResult::default());
     let decide = |snapshot: &Snapshot, draft: &mut Draft| {
         // Runs again after a conflict; only the last result counts.
         *result.lock() = job::cancel(snapshot, &request.order, draft)?;
         Ok(())
     };
     let Accepted { version } = request.commit(&request.order.reason, &decide).await?;
-    let Taken { cancelled, left } = result.into_inner();
+    let CancelResult { cancelled, left } = result.into_inner();
     Ok(Cancelled {
         version,
         cancelled,
--- a/crates/admin/src/http/mod.rs
+++ b/crates/admin/src/http/mod.rs
@@ -22,7 +22,7 @@
 
 /// Components that the admin API uses.
 #[derive(Clone, Debug)]
-pub struct Parts {
+pub struct Components {
     /// The running entry.
     pub local: Arc<dyn Local>,
     /// The ledger to which changes are committed.
@@ -41,12 +41,12 @@
     pub tokens: Tokens,
 }
 
-/// [`Parts`] in the form in which gotham's handlers share them.
+/// [`Components`] in the form in which gotham's handlers share them.
 ///
 /// gotham catches panics of handlers and requires shared state to be unwind safe. The components are
 /// handles whose locks are held for single operations only, so a panic leaves no partial write.
 #[derive(Debug, StateData)]
-struct Shared(AssertUnwindSafe<Arc<Parts>>);
+struct Shared(AssertUnwindSafe<Arc<Components>>);
 
 impl Clone for Shared {
     fn clone(&self) -> Self {
@@ -65,8 +65,12 @@
     ///
     /// # Errors
     /// If the address cannot be bound.
-    pub async fn bind(address: SocketAddr, options: Options, parts: Parts) -> Result<Self> {
-        let router = router::build(Shared(AssertUnwindSafe(Arc::new(parts))));
+    pub async fn bind(
+        address: SocketAddr,
+        options: Options,
+        components: Components,
+    ) -> Result<Self> {
+        let router = router::build(Shared(AssertUnwindSafe(Arc::new(components))));
         Ok(Self {
             server: Server::bind(address, options, router).await?,
         })
--- a/crates/admin/src/http/read.rs
+++ b/crates/admin/src/http/read.rs
@@ -59,25 +59,25 @@
 }
 
 async fn build_status(shared: &Shared) -> Status {
-    let parts = &shared.0;
+    let components = &shared.0;
     let registered = read_registrations(shared).await;
     let complete = registered.is_some();
     let entries = match registered {
-        Some(rows) => merge_registrations(rows, parts.local.entries()),
-        None => parts.local.entries(),
+        Some(rows) => merge_registrations(rows, components.local.entries()),
+        None => components.local.entries(),
     };
-    let snapshot = parts.cell.current();
+    let snapshot = components.cell.current();
     let mut instances = BTreeMap::new();
     for row in snapshot.instances().values() {
         *instances.entry(row.value.state.to_string()).or_default() += 1;
     }
     Status {
-        entry: parts.local.name(),
+        entry: components.local.name(),
         seq: snapshot.seq(),
-        confirmed: parts.local.confirmed(),
+        confirmed: components.local.confirmed(),
         entries,
         complete,
-        controller: parts.local.controller(),
+        controller: components.local.controller(),
         instances,
         pools: list_pools(&snapshot),
     }
--- a/crates/admin/src/http/wave.rs
+++ b/crates/admin/src/http/wave.rs
@@ -14,10 +14,10 @@
 use primroseroute_view::Snapshot;
 
 pub(super) fn list(shared: &Shared, _state: &State) -> Result<Vec<Wave>, Refusal> {
-    let parts = &shared.0;
-    let snapshot = parts.cell.current();
+    let components = &shared.0;
+    let snapshot = components.cell.current();
     let fleet = edit::fleet(&snapshot);
-    let now = parts.clock.now();
+    let now = components.clock.now();
     let waves = edit::waves(&snapshot)?.into_values().map(|row| {
         let progress = progress(&fleet, &row.value);
         let until = row.value.ended.unwrap_or(now);
@@ -36,12 +36,12 @@
         .read::<wave::Order>()
         .await;
     let result = request.and_then(|request| -> Result<Plan, Refusal> {
-        let parts = &request.shared.0;
+        let components = &request.shared.0;
         edit::plan(
-            &parts.cell.current(),
-            parts.weights,
+            &components.cell.current(),
+            components.weights,
             &request.order,
-            parts.clock.now(),
+            components.clock.now(),
         )
     });
     Ok((state, reply::json(result)))
@@ -54,10 +54,16 @@
 
 async fn start_wave(incoming: IncomingRequest) -> Result<Accepted, Refusal> {
     let request = incoming.read::<Start>().await?;
-    let parts = &request.shared.0;
-    let now = parts.clock.now();
+    let components = &request.shared.0;
+    let now = components.clock.now();
     let decide = |snapshot: &Snapshot, draft: &mut Draft| {
-        edit::start(snapshot, parts.weights, &request.order.order, now, draft)
+        edit::start(
+            snapshot,
+            components.weights,
+            &request.order.order,
+            now,
+            draft,
+        )
     };
     request.commit(&request.order.reason, &decide).await
 }
--- a/crates/admin/src/http/write.rs
+++ b/crates/admin/src/http/write.rs
@@ -70,21 +70,22 @@
         reason: &Arc<str>,
         decide: &(dyn Fn(&Snapshot, &mut Draft) -> Result<(), Refusal> + Sync),
     ) -> Result<Accepted, Refusal> {
-        let parts = &self.shared.0;
+        let components = &self.shared.0;
         let author = Author {
             actor: format!("operator:{}", self.operator).into(),
             reason: Arc::clone(reason),
             guards: Vec::new(),
         };
         let committed = commit_with_retry(
-            &parts.ledger,
-            &parts.cell,
-            parts.clock.as_ref(),
+            &components.ledger,
+            &components.cell,
+            components.clock.as_ref(),
             &author,
             decide,
         )
         .await?;
-        let version = committed.map_or_else(|| parts.cell.current().seq(), |record| record.seq);
+        let version =
+            committed.map_or_else(|| components.cell.current().seq(), |record| record.seq);
         Ok(Accepted { version })
     }
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -12,5 +12,5 @@
 mod http;
 mod local;
 
-pub use http::{Admin, Parts};
+pub use http::{Admin, Components};
 pub use local::{Local, Tokens};
--- a/crates/admin/tests/all/job.rs
+++ b/crates/admin/tests/all/job.rs
@@ -1,7 +1,7 @@
 //! Operators' orders on background jobs.
 
 use super::{draft, json, name, template};
-use primroseroute_admin::edit::job::{self, MOST, Taken};
+use primroseroute_admin::edit::job::{self, CancelResult, MAX_JOBS};
 use primroseroute_api::Cancel;
 use primroseroute_domain::{change::Seq, id, outcome::Code, time::Instant};
 use primroseroute_jobs::{Kind, Reason, Row, State};
@@ -35,16 +35,16 @@
 }
 
 /// Applies a cancellation; returns its result and the rows that it writes, by name.
-fn cancel(rows: Vec<Row>, order: &Cancel) -> (Taken, BTreeMap<id::Job, Row>) {
+fn cancel(rows: Vec<Row>, order: &Cancel) -> (CancelResult, BTreeMap<id::Job, Row>) {
     let mut draft = draft();
-    let taken = job::cancel(&snapshot(rows), order, &mut draft).expect("it is accepted");
+    let result = job::cancel(&snapshot(rows), order, &mut draft).expect("it is accepted");
     let edits = draft.record().edits.into_iter();
     let written = edits.map(|edit| {
         let json = edit.after.expect("nothing is deleted");
         let row: Versioned<Row> = serde_json::from_str(&json).expect("readable");
         (row.value.id.clone(), row.value)
     });
-    (taken, written.collect())
+    (result, written.collect())
 }
 
 fn of_account() -> Cancel {
@@ -65,8 +65,8 @@
         ("d", State::Done),
     ];
     let rows = states.map(|(job, state)| row(job, state)).to_vec();
-    let (taken, written) = cancel(rows, &of_account());
-    assert_eq!(taken.cancelled, 3);
+    let (result, written) = cancel(rows, &of_account());
+    assert_eq!(result.cancelled, 3);
     let states: Vec<(&str, &State)> = written
         .iter()
         .map(|(job, row)| (job.as_str(), &row.state))
@@ -83,10 +83,10 @@
 
 #[test]
 fn cancellation_is_bounded_and_says_what_is_left() {
-    let rows = (0..MOST + 50).map(|n| row(&format!("j{n}"), State::Queued));
-    let (taken, written) = cancel(rows.collect(), &of_account());
-    assert_eq!((taken.cancelled, taken.left), (MOST, 50));
-    assert_eq!(written.len(), MOST);
+    let rows = (0..MAX_JOBS + 50).map(|n| row(&format!("j{n}"), State::Queued));
+    let (result, written) = cancel(rows.collect(), &of_account());
+    assert_eq!((result.cancelled, result.left), (MAX_JOBS, 50));
+    assert_eq!(written.len(), MAX_JOBS);
 }
 
 #[test]
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -9,7 +9,7 @@
     share, spread,
 };
 use eyre::{Context, Result};
-use primroseroute_admin::{Admin, Parts as AdminParts};
+use primroseroute_admin::{Admin, Components as AdminComponents};
 use primroseroute_audit::Trail;
 use primroseroute_claims::{Claims, Options};
 use primroseroute_controller::{Components as ControllerComponents, Controller, Roster};
@@ -95,7 +95,7 @@
             options: parts.path,
         }));
         let front = Front::bind(parts.listen.callers, parts.front, path).await?;
-        let admin = AdminParts {
+        let admin = AdminComponents {
             local: Arc::new(Operators::new(Arc::clone(&core), parts.meter)),
             ledger: core.ledger.clone(),
             trail: Trail::new(core.ledger.clone(), parts.objects),
