--- a/crates/admin/src/edit/job.rs
+++ b/crates/admin/src/edit/job.rs
@@ -180,7 +180,7 @@
     }
 }
 
-/// Cancels jobs in one change, either by name or by account and kind.
+/// Cancels jobs in one change, either by name or by account or kind.
 ///
 /// # Errors
 /// [`Code::MalformedRequest`] unless either names, or an account or a kind, are given;
--- a/crates/admin/src/http/read.rs
+++ b/crates/admin/src/http/read.rs
@@ -26,7 +26,7 @@
 const DEFAULT_PAGE_SIZE: u32 = 100;
 
 /// Timeout of reading the registrations. It is short because operators ask for the status during
-/// outages of the store too.
+/// outages too.
 const REGISTRATIONS_TIMEOUT: Duration = Duration::from_secs(1);
 
 pub(super) fn healthz(state: State) -> (State, Response<Body>) {
--- a/crates/admin/src/http/reply.rs
+++ b/crates/admin/src/http/reply.rs
@@ -27,7 +27,7 @@
     response_with(status, TEXT, text.into().into_bytes())
 }
 
-/// A response response_with the value as JSON, or response_with the refusal as problem details.
+/// A response with the value as JSON, or with the refusal as problem details.
 pub(super) fn json<T: Serialize>(result: Result<T, Refusal>) -> Response<Body> {
     match result {
         Ok(value) => {
--- a/crates/ctl/src/command/site.rs
+++ b/crates/ctl/src/command/site.rs
@@ -32,13 +32,13 @@
         }
         SiteCommand::Job { id } => {
             let id = JobId::parse(id).ok_or_else(|| eyre!("a job id has 16 hexadecimal digits"))?;
-            let Some(story) = primroseroute_inspect::job(&store, &id).await? else {
+            let Some(details) = primroseroute_inspect::job(&store, &id).await? else {
                 eprintln!(
                     "primrosectl: no such job was accepted, or its rows have been deleted since"
                 );
                 return Ok(exit::FAILED);
             };
-            show_job(&story, printer)
+            show_job(&details, printer)
         }
     }
 }
--- a/crates/report/src/wave.rs
+++ b/crates/report/src/wave.rs
@@ -34,7 +34,7 @@
     maintained: u32,
 }
 
-/// WaveTracker that had not ended before the period.
+/// Tracks the waves that had not ended before the period.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WaveTracker(BTreeMap<WaveKey, TrackedWave>);
 
--- a/crates/report/tests/all/known.rs
+++ b/crates/report/tests/all/known.rs
@@ -165,7 +165,7 @@
 }
 
 /// A move at the period's start belongs to its initial state, and one at its end to the next period,
-/// so that two adjacent periods never count a move twice.
+/// so that two adjacent periods together count every move exactly once.
 fn boundaries() {
     let trail = history();
     let first = found(&trail, 3 * HOUR, 4 * HOUR);
--- a/crates/report/tests/all/main.rs
+++ b/crates/report/tests/all/main.rs
@@ -13,6 +13,6 @@
 
 mod fixture;
 mod known;
-mod naive;
 mod plot;
 mod random;
+mod reference;
--- a/crates/report/tests/all/random.rs
+++ b/crates/report/tests/all/random.rs
@@ -5,7 +5,7 @@
         Trail, account, delete, instance, name, near, period, rolled_out, row, template, wave,
         wave_row,
     },
-    naive::{Sums, sums},
+    reference::{Sums, sums},
 };
 use primroseroute_domain::{
     change::Edit,
@@ -43,22 +43,22 @@
 /// Content of one change.
 #[derive(Clone, Debug)]
 enum Step {
-    Put {
+    PutInstance {
         row: usize,
         pool: usize,
         state: usize,
         purpose: usize,
         maintained: bool,
     },
-    Lose(usize),
-    Promise {
+    DeleteInstance(usize),
+    PutAccount {
         pool: usize,
         promised: u32,
         account: usize,
     },
-    Withdraw(usize),
+    DeleteAccount(usize),
     /// Starts the wave, or ends it if it is running.
-    Wave {
+    ToggleWave {
         wave: usize,
         pool: usize,
     },
@@ -66,26 +66,33 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let put = (0..4usize, 0..4usize, 0..7usize, 0..4usize, any::<bool>());
-    let put = put.prop_map(|(row, pool, state, purpose, maintained)| Step::Put {
-        row,
+    let put = put.prop_map(
+        |(row, pool, state, purpose, maintained)| Step::PutInstance {
+            row,
+            pool,
+            state,
+            purpose,
+            maintained,
+        },
+    );
+    let put_account = (0..3usize, 1..3u32, 0..2usize);
+    let put_account = put_account.prop_map(|(pool, promised, account)| Step::PutAccount {
         pool,
-        state,
-        purpose,
-        maintained,
+        promised,
+        account,
     });
-    let promise = (0..3usize, 1..3u32, 0..2usize);
     prop_oneof![
         6 => put,
-        1 => (0..4usize).prop_map(Step::Lose),
-        3 => promise.prop_map(|(pool, promised, account)| Step::Promise { pool, promised, account }),
-        1 => (0..2usize).prop_map(Step::Withdraw),
-        3 => (0..2usize, 0..4usize).prop_map(|(wave, pool)| Step::Wave { wave, pool }),
+        1 => (0..4usize).prop_map(Step::DeleteInstance),
+        3 => put_account,
+        1 => (0..2usize).prop_map(Step::DeleteAccount),
+        3 => (0..2usize, 0..4usize).prop_map(|(wave, pool)| Step::ToggleWave { wave, pool }),
     ]
 }
 
 fn edit(step: &Step, at: u64, running: &mut [Option<primroseroute_fleet::wave::Row>; 2]) -> Edit {
     match *step {
-        Step::Put {
+        Step::PutInstance {
             row: number,
             pool,
             state,
@@ -108,14 +115,14 @@
             let maintained = maintained.then_some(Instant(at));
             instance(&Row { maintained, ..put })
         }
-        Step::Lose(number) => delete(key::instance(&name(&format!("i{number}")))),
-        Step::Promise {
+        Step::DeleteInstance(number) => delete(key::instance(&name(&format!("i{number}")))),
+        Step::PutAccount {
             pool,
             promised,
             account: number,
         } => account(&template(["a", "b"][number], POOLS[pool], promised)),
-        Step::Withdraw(number) => delete(key::account(&name(["a", "b"][number]))),
-        Step::Wave { wave: number, pool } => {
+        Step::DeleteAccount(number) => delete(key::account(&name(["a", "b"][number]))),
+        Step::ToggleWave { wave: number, pool } => {
             let next = match running[number].take() {
                 Some(row) => rolled_out(row, at),
                 None => wave_row(
