--- a/crates/ctl/src/command/demo.rs
+++ b/crates/ctl/src/command/demo.rs
@@ -64,7 +64,7 @@
             printer.line(&describe(breach))?;
         }
     }
-    Ok(exit::BROKEN)
+    Ok(exit::INVARIANT_VIOLATED)
 }
 
 fn describe(breach: &Breach) -> String {
--- a/crates/ctl/src/command/mod.rs
+++ b/crates/ctl/src/command/mod.rs
@@ -57,7 +57,7 @@
         (Output::Json, Error::Refused(problem)) => printer.json(problem).ok()?,
         _ => eprintln!("primrosectl: {error}"),
     }
-    Some(exit::of(error))
+    Some(exit::from_error(error))
 }
 
 async fn execute(command: Command, admin: &Admin, printer: &mut Printer<'_>) -> Result<u8> {
@@ -115,7 +115,7 @@
         rows,
     })?;
     Ok(if in_effect == Some(false) {
-        exit::NOT_YET
+        exit::NOT_YET_IN_EFFECT
     } else {
         exit::DONE
     })
--- a/crates/ctl/src/exit.rs
+++ b/crates/ctl/src/exit.rs
@@ -16,12 +16,12 @@
 /// The command may have been applied: check before retrying.
 pub const UNKNOWN: u8 = 5;
 /// The change was accepted, but is not yet in effect at every registered entry.
-pub const NOT_YET: u8 = 6;
+pub const NOT_YET_IN_EFFECT: u8 = 6;
 /// The demo found a violated invariant.
-pub const BROKEN: u8 = 7;
+pub const INVARIANT_VIOLATED: u8 = 7;
 
 /// The exit code for a failed request.
-pub fn of(error: &Error) -> u8 {
+pub fn from_error(error: &Error) -> u8 {
     match (error, error.verdict()) {
         (_, Verdict::Unknown) => UNKNOWN,
         (Error::Unreachable(_), _) => UNREACHABLE,
--- a/tests/all/ctl/wait.rs
+++ b/tests/all/ctl/wait.rs
@@ -40,7 +40,7 @@
         "1",
     ];
     let done = desk.ctl(&words).await?;
-    assert_eq!(done.code, exit::NOT_YET, "{}", done.printed);
+    assert_eq!(done.code, exit::NOT_YET_IN_EFFECT, "{}", done.printed);
     assert!(
         done.printed.contains("not yet in force"),
         "{}",
@@ -89,7 +89,7 @@
     let entry = site.entry("entry-0").entry.admin();
     let done = ctl(entry, file(OPERATOR_TOKEN)?.path(), &words).await?;
     assert!(site.entry("late").entry.in_force() <= seq);
-    assert_eq!(done.code, exit::NOT_YET, "{}", done.printed);
+    assert_eq!(done.code, exit::NOT_YET_IN_EFFECT, "{}", done.printed);
     Ok(())
 }
 
@@ -137,7 +137,7 @@
     ];
     let entry = site.entry("entry-0").entry.admin();
     let done = ctl(entry, file(OPERATOR_TOKEN)?.path(), &words).await?;
-    assert_eq!(done.code, exit::NOT_YET, "{}", done.printed);
+    assert_eq!(done.code, exit::NOT_YET_IN_EFFECT, "{}", done.printed);
     Ok(())
 }
 
