--- a/crates/report/tests/all/random.rs
+++ b/crates/report/tests/all/random.rs
@@ -76,15 +76,14 @@
         },
     );
     let put_account = (0..3usize, 1..3u32, 0..2usize);
-    let put_account = put_account.prop_map(|(pool, promised, account)| Step::PutAccount {
-        pool,
-        promised,
-        account,
-    });
     prop_oneof![
         6 => put,
         1 => (0..4usize).prop_map(Step::DeleteInstance),
-        3 => put_account,
+        3 => put_account.prop_map(|(pool, promised, account)| Step::PutAccount {
+            pool,
+            promised,
+            account,
+        }),
         1 => (0..2usize).prop_map(Step::DeleteAccount),
         3 => (0..2usize, 0..4usize).prop_map(|(wave, pool)| Step::ToggleWave { wave, pool }),
     ]
