--- a/crates/admin/src/http/wave.rs
+++ b/crates/admin/src/http/wave.rs
@@ -1,9 +1,9 @@
-//! Waves over HTTP.
+//! Reads and changes of waves.
 
 use super::{
     Shared, reply,
-    router::named,
-    write::{Asked, Call},
+    router::name_in_path,
+    write::{IncomingRequest, OperatorRequest},
 };
 use crate::edit;
 use gotham::{handler::HandlerResult, state::State};
@@ -14,10 +14,10 @@
 use primroseroute_view::Snapshot;
 
 pub(super) fn list(shared: &Shared, _state: &State) -> Result<Vec<Wave>, Refusal> {
-    let parts = &shared.0;
-    let snapshot = parts.cell.current();
+    let components = &shared.0;
+    let snapshot = components.cell.current();
     let fleet = edit::fleet(&snapshot);
-    let now = parts.clock.now();
+    let now = components.clock.now();
     let waves = edit::waves(&snapshot)?.into_values().map(|row| {
         let progress = progress(&fleet, &row.value);
         let until = row.value.ended.unwrap_or(now);
@@ -32,32 +32,40 @@
 }
 
 pub(super) async fn plan(mut state: State) -> HandlerResult {
-    let asked = Call::take(&mut state).read::<wave::Order>().await;
-    let result = asked.and_then(|asked| -> Result<Plan, Refusal> {
-        let parts = &asked.shared.0;
+    let request = IncomingRequest::take(&mut state)
+        .read::<wave::Order>()
+        .await;
+    let result = request.and_then(|request| -> Result<Plan, Refusal> {
+        let components = &request.shared.0;
         edit::plan(
-            &parts.cell.current(),
-            parts.weights,
-            &asked.order,
-            parts.clock.now(),
+            &components.cell.current(),
+            components.weights,
+            &request.order,
+            components.clock.now(),
         )
     });
     Ok((state, reply::json(result)))
 }
 
 pub(super) async fn start(mut state: State) -> HandlerResult {
-    let call = Call::take(&mut state);
-    Ok((state, reply::json(started(call).await)))
+    let incoming = IncomingRequest::take(&mut state);
+    Ok((state, reply::json(start_wave(incoming).await)))
 }
 
-async fn started(call: Call) -> Result<Accepted, Refusal> {
-    let asked = call.read::<Start>().await?;
-    let parts = &asked.shared.0;
-    let now = parts.clock.now();
+async fn start_wave(incoming: IncomingRequest) -> Result<Accepted, Refusal> {
+    let request = incoming.read::<Start>().await?;
+    let components = &request.shared.0;
+    let now = components.clock.now();
     let decide = |snapshot: &Snapshot, draft: &mut Draft| {
-        edit::start(snapshot, parts.weights, &asked.order.order, now, draft)
+        edit::start(
+            snapshot,
+            components.weights,
+            &request.order.order,
+            now,
+            draft,
+        )
     };
-    asked.commit(&asked.order.reason, &decide).await
+    request.commit(&request.order.reason, &decide).await
 }
 
 pub(super) async fn pause(state: State) -> HandlerResult {
@@ -73,21 +81,24 @@
 }
 
 async fn command(mut state: State, command: Command) -> HandlerResult {
-    let name = named(&state);
-    let call = Call::take(&mut state);
-    Ok((state, reply::json(commanded(name, call, command).await)))
+    let name = name_in_path(&state);
+    let incoming = IncomingRequest::take(&mut state);
+    Ok((
+        state,
+        reply::json(command_wave(name, incoming, command).await),
+    ))
 }
 
-async fn commanded(
+async fn command_wave(
     name: Result<id::Wave, Refusal>,
-    call: Call,
+    incoming: IncomingRequest,
     command: Command,
 ) -> Result<Accepted, Refusal> {
-    let asked: Asked<Order> = call.read().await?;
+    let request: OperatorRequest<Order> = incoming.read().await?;
     let name = name?;
-    let now = asked.shared.0.clock.now();
+    let now = request.shared.0.clock.now();
     let decide = |snapshot: &Snapshot, draft: &mut Draft| {
-        edit::command(snapshot, &name, command, &asked.order, now, draft)
+        edit::command(snapshot, &name, command, &request.order, now, draft)
     };
-    asked.commit(&asked.order.reason, &decide).await
+    request.commit(&request.order.reason, &decide).await
 }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -9,7 +9,7 @@
     store_poll::{self, StorePoll},
 };
 use eyre::{Context, Result};
-use primroseroute_admin::{Admin, Parts as AdminParts};
+use primroseroute_admin::{Admin, Components as AdminComponents};
 use primroseroute_audit::Trail;
 use primroseroute_claims::{Claims, Options};
 use primroseroute_controller::{Components as ControllerComponents, Controller, Roster};
@@ -110,10 +110,10 @@
             handler,
         )
         .await?;
-        let admin = AdminParts {
+        let admin = AdminComponents {
             local: Arc::new(OperatorApi::new(Arc::clone(&core), components.meter)),
             ledger: core.ledger.clone(),
-            trail: Trail::open(core.ledger.clone(), components.objects),
+            trail: Trail::new(core.ledger.clone(), components.objects),
             cell: Arc::clone(&core.cell),
             clock: Arc::clone(&components.clock),
             weights: components.weights,
--- a/crates/report/tests/all/random.rs
+++ b/crates/report/tests/all/random.rs
@@ -1,11 +1,11 @@
-//! Random trails: the replay and the naive one agree.
+//! Random trails: compares the replay with the reference implementation.
 
 use crate::{
     fixture::{
         Trail, account, delete, instance, name, near, period, rolled_out, row, template, wave,
         wave_row,
     },
-    naive::{Sums, sums},
+    reference::{Sums, sums},
 };
 use primroseroute_domain::{
     change::Edit,
@@ -24,7 +24,8 @@
     replay_agrees_with_a_naive_one => agree();
 }
 
-/// Trails tried: together under a second, and with each kind of step hundreds of times.
+/// Number of random trails. They take less than a second in total and contain each kind of step
+/// hundreds of times.
 const CASES: u32 = 400;
 
 const POOLS: [&str; 3] = ["p", "q", "r"];
@@ -39,25 +40,25 @@
     State::Leaving,
 ];
 
-/// What one change does.
+/// Content of one change.
 #[derive(Clone, Debug)]
 enum Step {
-    Put {
+    PutInstance {
         row: usize,
         pool: usize,
         state: usize,
         purpose: usize,
         maintained: bool,
     },
-    Lose(usize),
-    Promise {
+    DeleteInstance(usize),
+    PutAccount {
         pool: usize,
         promised: u32,
         account: usize,
     },
-    Withdraw(usize),
-    /// Begins the wave, or ends it where it runs.
-    Wave {
+    DeleteAccount(usize),
+    /// Starts the wave, or ends it if it is running.
+    ToggleWave {
         wave: usize,
         pool: usize,
     },
@@ -65,26 +66,32 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let put = (0..4usize, 0..4usize, 0..7usize, 0..4usize, any::<bool>());
-    let put = put.prop_map(|(row, pool, state, purpose, maintained)| Step::Put {
-        row,
-        pool,
-        state,
-        purpose,
-        maintained,
-    });
-    let promise = (0..3usize, 1..3u32, 0..2usize);
+    let put = put.prop_map(
+        |(row, pool, state, purpose, maintained)| Step::PutInstance {
+            row,
+            pool,
+            state,
+            purpose,
+            maintained,
+        },
+    );
+    let put_account = (0..3usize, 1..3u32, 0..2usize);
     prop_oneof![
         6 => put,
-        1 => (0..4usize).prop_map(Step::Lose),
-        3 => promise.prop_map(|(pool, promised, account)| Step::Promise { pool, promised, account }),
-        1 => (0..2usize).prop_map(Step::Withdraw),
-        3 => (0..2usize, 0..4usize).prop_map(|(wave, pool)| Step::Wave { wave, pool }),
+        1 => (0..4usize).prop_map(Step::DeleteInstance),
+        3 => put_account.prop_map(|(pool, promised, account)| Step::PutAccount {
+            pool,
+            promised,
+            account,
+        }),
+        1 => (0..2usize).prop_map(Step::DeleteAccount),
+        3 => (0..2usize, 0..4usize).prop_map(|(wave, pool)| Step::ToggleWave { wave, pool }),
     ]
 }
 
 fn edit(step: &Step, at: u64, running: &mut [Option<primroseroute_fleet::wave::Row>; 2]) -> Edit {
     match *step {
-        Step::Put {
+        Step::PutInstance {
             row: number,
             pool,
             state,
@@ -107,14 +114,14 @@
             let maintained = maintained.then_some(Instant(at));
             instance(&Row { maintained, ..put })
         }
-        Step::Lose(number) => delete(key::instance(&name(&format!("i{number}")))),
-        Step::Promise {
+        Step::DeleteInstance(number) => delete(key::instance(&name(&format!("i{number}")))),
+        Step::PutAccount {
             pool,
             promised,
             account: number,
         } => account(&template(["a", "b"][number], POOLS[pool], promised)),
-        Step::Withdraw(number) => delete(key::account(&name(["a", "b"][number]))),
-        Step::Wave { wave: number, pool } => {
+        Step::DeleteAccount(number) => delete(key::account(&name(["a", "b"][number]))),
+        Step::ToggleWave { wave: number, pool } => {
             let next = match running[number].take() {
                 Some(row) => rolled_out(row, at),
                 None => wave_row(
@@ -129,7 +136,7 @@
     }
 }
 
-/// Some records share an instant, and some are older than the one before.
+/// Builds a trail in which some records have equal times and some are older than the one before.
 fn trail(steps: &[(i64, Step)]) -> Trail {
     let mut at = 10_u64;
     let mut running = [None, None];
@@ -150,11 +157,11 @@
         let seconds = sums.pool_seconds.get(pool).copied().unwrap_or_default();
         near(line.rollout_seconds, seconds);
     }
-    let left_out = sums
+    let missing = sums
         .buffer
         .iter()
         .find(|(pool, cost)| **cost > 0.0 && !report.pools.contains_key(*pool));
-    assert_eq!(left_out, None);
+    assert_eq!(missing, None);
     for (account, line) in &report.accounts {
         let pools = report
             .pools
@@ -216,9 +223,11 @@
     let given = (vec((-1..4i64, step()), 0..30), 5..25u64, 0..40u64);
     let result = runner.run(&given, |(steps, from, length)| {
         let trail = trail(&steps);
-        let found = trail.replay(from, from + length).expect("it is whole");
+        let found = trail
+            .replay(from, from + length)
+            .expect("the trail has no gap");
         compare(&found.report, &sums(&trail.0, period(from, from + length)));
         Ok(())
     });
-    result.expect("both replays agree");
+    result.expect("the replay agrees with the reference");
 }
