--- a/crates/peer/src/board.rs
+++ b/crates/peer/src/board.rs
@@ -1,4 +1,4 @@
-//! The latest report of each peer, and which incarnation of a peer may still speak.
+//! The latest report of each peer, and which incarnation of a peer is accepted.
 
 use crate::report::{Identity, Report, Sighting};
 use primroseroute_domain::id;
@@ -8,11 +8,11 @@
 };
 use uuid::Uuid;
 
-/// Past incarnations remembered for a peer: far more than one machine restarts while a paused
-/// process of it could still wake up.
+/// Past incarnations remembered for each peer: far more than the restarts of one machine while a
+/// suspended process of it could still resume.
 const PAST: usize = 16;
 
-/// A former incarnation of a peer tried to speak.
+/// A previous incarnation of a peer tried to open a session.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a later incarnation of `{0}` has been seen")]
 pub struct Superseded(pub id::Entry);
@@ -24,21 +24,20 @@
     latest: Option<(Report, Duration)>,
 }
 
-/// What this entry knows of its peers. Times are since the start of the process.
+/// What this entry knows about its peers. Times are since the start of the process.
 #[derive(Clone, Debug, Default)]
 pub struct Board {
     places: BTreeMap<id::Entry, Place>,
 }
 
 impl Board {
-    /// Admits an authenticated peer, whose earlier incarnations and their reports end with this.
+    /// Admits an authenticated peer and discards its previous incarnations and their reports.
     ///
-    /// A process that was paused while its machine's name passed to a successor wakes up and
-    /// reports drains and load of long ago. An incarnation that was once replaced is therefore
-    /// never admitted again.
+    /// A process that was suspended while its machine's name passed to a successor may resume and
+    /// report outdated drains and load. A replaced incarnation is therefore never admitted again.
     ///
     /// # Errors
-    /// [`Superseded`] where a later incarnation was admitted before.
+    /// [`Superseded`] if a later incarnation was admitted before.
     pub fn admit(&mut self, peer: &Identity) -> Result<(), Superseded> {
         let Some(place) = self.places.get_mut(&peer.entry) else {
             let place = Place {
@@ -64,7 +63,8 @@
         Ok(())
     }
 
-    /// Keeps `report` if its sender is admitted and no later one of it was kept; says whether.
+    /// Stores `report` if its sender is admitted and no later report of it is stored. Returns
+    /// whether it was stored.
     pub fn keep(&mut self, report: Report, now: Duration) -> bool {
         let Some(place) = self.places.get_mut(&report.from.entry) else {
             return false;
@@ -80,7 +80,7 @@
         true
     }
 
-    /// The latest report of each peer, in the order of their names.
+    /// The latest report of each peer, ordered by name.
     pub fn sightings(&self, now: Duration) -> Vec<Sighting> {
         let latest = self
             .places
--- a/crates/peer/src/core.rs
+++ b/crates/peer/src/core.rs
@@ -1,4 +1,4 @@
-//! What both links do with what arrives: the board, the intake and the answers to pulls.
+//! Message handling common to both links: peer reports, received records and pulls.
 
 use crate::{
     Local, Newer, Slots,
@@ -14,16 +14,16 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// What became of pushed records.
+/// Result of handling received records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Pushed {
-    /// The seq in force afterwards.
+    /// The applied seq afterwards.
     InForce(Seq),
-    /// Records are missing in between: pull.
+    /// Records are missing after the contained applied seq and must be pulled.
     Gap(Seq),
 }
 
-/// The state that a link's sessions share.
+/// The state shared by the sessions of a link.
 ///
 /// Lock order: `board` is never held while `local` is called.
 #[derive(Debug)]
@@ -58,7 +58,7 @@
         self.board.lock().sightings(self.started.elapsed())
     }
 
-    /// Keeps a peer's report; says whether it shows a newer view than the one in force.
+    /// Stores a peer's report. Returns whether it shows a newer view than the applied one.
     pub(crate) fn take_report(&self, report: &Report) -> bool {
         let kept = self
             .board
@@ -79,16 +79,16 @@
         }
     }
 
-    /// Passes on what a peer tells of its own slots.
+    /// Forwards a peer's reports on its own slots.
     ///
-    /// A report that names another entry than the peer is dropped: taken for that entry's, it could
-    /// lend out slots that the entry itself uses.
+    /// A report that names an entry other than the peer is dropped: attributed to that entry, it
+    /// could lend out slots that the entry itself uses.
     pub(crate) fn take_slots(&self, peer: &id::Entry, mut pools: Vec<Slots>) {
         pools.retain(|slots| slots.report.entry == *peer);
         self.local.accept_slots(peer, pools);
     }
 
-    /// What this entry has after `seq`.
+    /// What this entry has beyond `seq`.
     pub(crate) fn newer(&self, seq: Seq) -> Newer {
         if self.local.seq() <= seq {
             return Newer::Nothing;
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Puts the answer to a pull in force and returns the seq in force afterwards.
+    /// Applies the response to a pull and returns the applied seq afterwards.
     pub(crate) fn take_newer(&self, newer: Newer) -> Seq {
         match newer {
             Newer::Records(records) => match self.take_records(records) {
--- a/crates/peer/src/delta.rs
+++ b/crates/peer/src/delta.rs
@@ -1,11 +1,11 @@
-//! Reports as changes: what a session sends instead of the whole report each time.
+//! Delta encoding of reports: a session sends changes instead of a full report each time.
 //!
-//! A whole report of 1,200 instances takes 48 KB on the wire (a name of 21 bytes 32, a load 8), over
-//! three times what a node may spend on control in a second. A session is ordered and loses nothing
-//! while it lives, so each side sends only what changed since its last report on the session, the
-//! largest changes first and at most so many as the pace allows; the rest follows with later
-//! reports. Drains are never held back. Names are sent once and then stand as indexes. A new session
-//! starts from nothing on both sides.
+//! A full report of 1,200 instances takes 48 KB on the wire (32 bytes for a 21-byte name, 8 for a
+//! load), over three times the control traffic that a node may cause in a second. A session is
+//! ordered and lossless while it lasts, so each side sends only what changed since its last report
+//! on the session, the largest changes first and at most as many as the schedule allows; the rest
+//! follows with later reports. Drains are never deferred. Names are sent once and then referenced by
+//! index. A new session starts with empty state on both sides.
 
 use crate::{
     pace::LOAD_BYTES,
@@ -14,7 +14,7 @@
 use primroseroute_domain::{change::Seq, id};
 use std::{cmp::Reverse, collections::BTreeMap, time::Duration};
 
-/// Most instances that one session can name; more is a fault of the sender.
+/// Maximum number of instances that one session can name; more is a protocol violation.
 pub const MAX_NAMES: usize = 16_384;
 
 /// A load that changed.
@@ -22,7 +22,7 @@
 pub struct LoadChange {
     /// Index of the instance's name.
     pub index: u32,
-    /// The load now; zero where there is none any more.
+    /// The current load; zero if there is none any more.
     pub load: Load,
 }
 
@@ -31,20 +31,20 @@
 pub struct DrainChange {
     /// Index of the instance's name.
     pub index: u32,
-    /// The drain now; none where it is over.
+    /// The current drain; `None` if it has ended.
     pub drain: Option<Drain>,
 }
 
-/// What changed in a report.
+/// The changes from one report to the next.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delta {
     /// The report's number.
     pub number: u64,
-    /// The seq in force.
+    /// The applied seq.
     pub seq: Seq,
-    /// Time since the store confirmed it.
+    /// Time since the store confirmed the seq.
     pub confirmed: Option<Duration>,
-    /// Instances named for the first time; each takes the next index.
+    /// Instances named for the first time; each is assigned the next index.
     pub names: Vec<id::Instance>,
     /// Loads that changed.
     pub loads: Vec<LoadChange>,
@@ -52,7 +52,7 @@
     pub drains: Vec<DrainChange>,
 }
 
-/// Why a delta cannot be applied; the session ends.
+/// Why a delta cannot be applied. The session must be closed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// An index has no name.
@@ -72,10 +72,10 @@
 }
 
 impl Sender {
-    /// The changes from what was sent before to `report`.
+    /// Returns the changes from what was sent before to `report`.
     ///
-    /// `room` is what the loads may cost: 1 for each, and for a first name as many as its bytes
-    /// equal. One load goes in any case.
+    /// `room` limits the cost of the loads: 1 for each, plus the equivalent of the name's bytes if
+    /// the instance is named for the first time. At least one load is sent in any case.
     pub fn next(&mut self, report: &Report, room: usize) -> Delta {
         let mut delta = Delta {
             number: report.number,
@@ -133,7 +133,7 @@
         for (_, instance, load) in changes {
             let named = self.indexes.contains_key(&instance);
             let cost = if named { 1 } else { 1 + name_cost(&instance) };
-            // The first goes in any case, or a long name would never go at a slow pace.
+            // The first is always sent, or a long name could never be sent with a small budget.
             if cost > left && !delta.loads.is_empty() {
                 break;
             }
@@ -151,8 +151,8 @@
     }
 }
 
-/// What naming an instance costs, in loads: a pointer, and the text with its final zero, both in
-/// whole words like a load.
+/// The cost of naming an instance, in loads: a pointer and the NUL-terminated text, both padded to
+/// whole words, which are the size of a load.
 fn name_cost(instance: &id::Instance) -> usize {
     1 + (instance.as_str().len() + 1).div_ceil(LOAD_BYTES)
 }
@@ -176,7 +176,7 @@
 }
 
 impl Receiver {
-    /// Receives the reports of `from`.
+    /// A receiver for the reports of `from`.
     pub fn new(from: Identity) -> Self {
         Self {
             names: Vec::new(),
@@ -184,10 +184,10 @@
         }
     }
 
-    /// Applies `delta` and returns the report as known now.
+    /// Applies `delta` and returns the updated report.
     ///
     /// # Errors
-    /// [`Error`] where the delta is not one that a [`Sender`] makes; the session must end.
+    /// [`Error`] if the delta is not one that a [`Sender`] produces; the session must be closed.
     pub fn apply(&mut self, delta: Delta) -> Result<&Report, Error> {
         if self.names.len() + delta.names.len() > MAX_NAMES {
             return Err(Error::TooManyNames);
--- a/crates/peer/src/intake.rs
+++ b/crates/peer/src/intake.rs
@@ -1,23 +1,23 @@
-//! Which of the records that arrive may be put in force.
+//! Selects which of the received records may be applied.
 
 use primroseroute_domain::change::{Record, Seq};
 
-/// What to do with records that arrived.
+/// Classification of received records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Intake {
-    /// All are old; nothing to do.
+    /// All are already applied.
     Old,
-    /// These follow the seq in force without a gap.
+    /// Records that follow the applied seq without a gap.
     Accept(Vec<Record>),
-    /// Records between the seq in force and the first newer one are missing.
+    /// Records between the applied seq and the first newer one are missing.
     Gap,
 }
 
-/// Chooses from `records` those that follow `in_force`, in order and without a gap.
+/// Selects from `records` those that follow `in_force`, in order and without a gap.
 ///
-/// Records at or below `in_force` are dropped whoever sends them. A push can be lost or overtaken
-/// by a later one; putting the later one in force would skip a change for good, so everything from
-/// a gap on is left to a pull, which brings it again.
+/// Records at or below `in_force` are dropped regardless of the sender. A push can be lost or
+/// overtaken by a later one; applying the later one would skip a change permanently, so all records
+/// after a gap are discarded and fetched again by a pull.
 pub fn choose(in_force: Seq, mut records: Vec<Record>) -> Intake {
     records.sort_by_key(|record| record.seq);
     records.dedup_by_key(|record| record.seq);
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,29 +1,31 @@
-//! The link between entries: changes at once, reports at intervals, views that only move forward.
+//! Communication between entries: immediate change propagation, periodic reports, monotonic views.
 //!
-//! # What crosses it
+//! # Protocol
 //!
-//! An entry that learns a change record, from the store or by its own commit, pushes it to the peers
-//! that are not known to have it. At intervals two entries exchange [`report::Report`]s: the seq in
-//! force, the load they put on each instance, and the drains they have in force. A peer whose report
-//! shows a higher seq is asked for what lies between (a *pull*); it answers with records, or with a
-//! snapshot where it no longer has them. So a lost push costs one interval and never a change.
+//! An entry that learns of a change record, from the store or by its own commit, pushes it to the
+//! peers that are not known to have it. At intervals two entries exchange [`report::Report`]s: the
+//! applied seq, the load they put on each instance, and the drains they have applied. A peer whose
+//! report shows a higher seq is asked for the difference (a *pull*); it responds with records, or
+//! with a snapshot if it no longer retains them. A lost push therefore delays a change by at most one
+//! interval and never loses it.
 //!
-//! Pools' decisions on slots tell their peers of demand and loans by [`Link::share`], one call for all
-//! busy pools of an entry; only what is news is sent.
+//! Each pool's slot allocator reports demand and loans to its peers through [`Link::share`], in one
+//! call for all busy pools of an entry; only changed reports are sent.
 //!
-//! # How the pieces fit
+//! # Structure
 //!
-//! * [`Link`] is what the entry calls, [`Local`] is what a link calls in the entry.
-//! * [`memory`] runs many entries in one process under paused time, with cuts and latency.
-//! * [`rpc`] runs over capnp-rpc on TCP, on a thread of its own.
+//! * [`Link`] is the interface that the entry calls; [`Local`] is the interface that a link calls in
+//!   the entry.
+//! * [`memory`] runs many entries in one process under paused time, with partitions and latency.
+//! * [`rpc`] runs over capnp-rpc on TCP, on a dedicated thread.
 //! * [`intake`], [`board`], [`delta`], [`pace`] and [`membership`] are the pure decisions behind
 //!   both: no clock, no I/O, no randomness.
 //!
-//! # Why a view never goes back
+//! # Views never move backwards
 //!
-//! Both links pass everything that arrives through [`intake`], which drops what is not newer than
-//! the seq in force and turns a gap into a pull; a [`Local`] must itself ignore lower seqs, since
-//! the store's poller races with the link.
+//! Both links pass all received records through [`intake`], which drops those that are not newer
+//! than the applied seq and turns a gap into a pull. A [`Local`] must itself ignore lower seqs, since
+//! the store poller races with the link.
 
 pub mod board;
 mod core;
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,4 +1,4 @@
-//! The traits between an entry and its link.
+//! The interfaces between an entry and its link.
 
 use crate::report::{Report, Sighting};
 use async_trait::async_trait;
@@ -16,11 +16,11 @@
 pub struct Row {
     /// The row's table key.
     pub key: Arc<str>,
-    /// The row's JSON.
+    /// The row's content as JSON.
     pub json: Arc<str>,
 }
 
-/// Every row that the head orders, as of one change.
+/// Every row whose changes are ordered by the head row, as of one change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Snapshot {
@@ -30,112 +30,113 @@
     pub rows: Vec<Row>,
 }
 
-/// What an entry has beyond a seq.
+/// What an entry has beyond a given seq.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Newer {
     /// Nothing.
     Nothing,
     /// The records that follow, in order and without a gap.
     Records(Vec<Record>),
-    /// Everything, because the records that follow are no longer kept.
+    /// The full state, because the records that follow are no longer retained.
     Snapshot(Snapshot),
 }
 
-/// Where a peer listens.
+/// The address of a peer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Address {
-    /// The peer's name; none where only the settings name the address.
+    /// The peer's name; `None` if the address is only known from the settings.
     #[serde(default)]
     pub entry: Option<id::Entry>,
     /// Its peer port.
     pub socket: SocketAddr,
 }
 
-/// What an entry tells about the slots of one pool.
+/// An entry's report on the slots of one pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Slots {
     /// The pool.
     pub pool: id::Pool,
-    /// The report of the pool's decisions.
+    /// The report of the pool's slot allocator.
     pub report: flow::report::Report,
 }
 
-/// Why a peer could not be asked.
+/// Why a peer could not be queried.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// No session with that peer, or the session ended.
-    #[error("peer `{0}` cannot be reached")]
+    /// There is no session with that peer, or it ended.
+    #[error("peer `{0}` is unreachable")]
     Unreachable(id::Entry),
     /// No peer has a newer view.
-    #[error("no peer that can be reached has a newer view")]
+    #[error("no reachable peer has a newer view")]
     NothingNewer,
     /// The link is closed.
     #[error("the peer link is closed")]
     Closed,
 }
 
-/// What an entry asks of its link to the other entries.
+/// An entry's link to the other entries.
 ///
-/// No call but [`Link::pull`] and [`Link::close`] waits for a peer.
+/// Only [`Link::pull`] and [`Link::close`] wait for a peer.
 #[async_trait]
 pub trait Link: Send + Sync + fmt::Debug {
-    /// Pushes `records`, just learned from the store or a commit of this entry, to the peers that
-    /// are not known to have them. A push that cannot be queued is left to the next exchange.
+    /// Pushes `records`, newly learned from the store or a commit of this entry, to the peers that
+    /// are not known to have them. A push that cannot be queued is dropped; the peer pulls the
+    /// records after the next exchange.
     fn broadcast(&self, records: Arc<[Record]>);
 
-    /// Tells all peers about the slots of busy pools. What cannot be queued for a peer is dropped;
-    /// the pools' decisions make a lost report good by a later one.
+    /// Sends reports on the slots of busy pools to all peers. Reports that cannot be queued for a
+    /// peer are dropped; the slot allocators recover from a lost report with a later one.
     fn share(&self, pools: Arc<[Slots]>);
 
-    /// Exchanges reports with all peers now: a drain has been put in force or has run empty.
+    /// Exchanges reports with all peers immediately, because a drain was applied or completed.
     fn acknowledge(&self);
 
-    /// The latest report of each peer, in the order of their names.
+    /// The latest report of each peer, ordered by name.
     fn sightings(&self) -> Vec<Sighting>;
 
-    /// Replaces the peers to connect to; sessions with others stay until they end.
+    /// Replaces the set of peers to connect to; sessions with other peers stay open until they end.
     fn connect(&self, peers: Vec<Address>);
 
-    /// Pulls from the peer with the newest view, if any is ahead of this entry's.
+    /// Pulls from the peer with the newest view, if any is ahead of this entry.
     ///
-    /// At start-up reports may not have come yet, so an entry without a view asks again.
+    /// During start-up, reports may not have been received yet, so an entry without a view retries.
     ///
     /// # Errors
-    /// [`Error::NothingNewer`] where no reachable peer is ahead.
+    /// [`Error::NothingNewer`] if no reachable peer is ahead.
     async fn pull(&self) -> Result<Seq, Error>;
 
-    /// Ends all sessions; nothing reaches [`Local`] after it returns.
+    /// Closes all sessions; [`Local`] is not called after it returns.
     async fn close(&self);
 }
 
-/// What a link asks of its entry. Calls are short and never wait on a peer or the store.
+/// The entry as its link sees it. Calls are short and never wait for a peer or the store.
 pub trait Local: Send + Sync + fmt::Debug {
-    /// The seq in force.
+    /// The applied seq.
     fn seq(&self) -> Seq;
 
-    /// The records after `seq` up to the seq in force; none where they are no longer kept.
+    /// The records after `seq` up to the applied seq; `None` if they are no longer retained.
     fn records_after(&self, seq: Seq) -> Option<Vec<Record>>;
 
-    /// The view in force, whole.
+    /// The full applied view.
     fn snapshot(&self) -> Snapshot;
 
-    /// Puts `records` in force and returns the seq then in force.
+    /// Applies `records` and returns the applied seq afterwards.
     ///
-    /// They follow each other, and the first follows what [`Local::seq`] said a moment ago. The
-    /// entry may have moved on since and must ignore what is not newer.
+    /// The records are consecutive, and the first follows a seq that [`Local::seq`] returned
+    /// earlier. The entry may have advanced since and must ignore records that are not newer.
     fn accept(&self, records: Vec<Record>) -> Seq;
 
-    /// Puts a snapshot in force if it is newer, and returns the seq then in force.
+    /// Applies a snapshot if it is newer and returns the applied seq afterwards.
     fn accept_snapshot(&self, snapshot: Snapshot) -> Seq;
 
-    /// The entry's own report; its number grows with each call.
+    /// The entry's own report; its number increases with each call.
     fn own_report(&self) -> Report;
 
-    /// What a peer tells about the slots of pools; older ones than are known may come late.
+    /// Handles a peer's reports on the slots of pools, which may arrive out of order.
     fn accept_slots(&self, peer: &id::Entry, pools: Vec<Slots>);
 
-    /// A peer's report, newer than any seen before.
+    /// Handles a peer's report, newer than any received from it before.
     fn accept_report(&self, peer: &id::Entry, report: &Report);
 }
--- a/crates/peer/src/membership.rs
+++ b/crates/peer/src/membership.rs
@@ -1,12 +1,13 @@
-//! Which entries are live, silent or gone, and what an entry does whose view is old.
+//! Which entries are live, unresponsive or terminated, and what an entry with an outdated view may
+//! do.
 //!
-//! # Why silence never means gone
+//! # An unresponsive entry is never assumed to be terminated
 //!
-//! A silent entry may be paused or cut off and still send callers' requests by an old view. If
-//! silence alone ended its say, an instance would move while that entry still sends it the old
-//! pool's requests. Only the platform can say that a process no longer runs, and only an operator
-//! can vouch for it where the platform does not; until then its missing acknowledgement stops moves
-//! and never serving.
+//! An unresponsive entry may be suspended or partitioned and still send callers' requests according
+//! to an old view. If missing reports alone removed it from the set of entries that must acknowledge,
+//! an instance would move while that entry still sends it the old pool's requests. Only the platform
+//! can state that a process no longer runs, and only an operator can confirm it where the platform
+//! does not; until then its missing acknowledgement blocks moves but never serving.
 
 use primroseroute_domain::{change::Seq, id, time::Instant};
 use primroseroute_platform::fleet::Phase;
@@ -14,46 +15,46 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 use uuid::Uuid;
 
-/// The row `entry/<name>`: an entry says that it runs, where, and how far its view is.
+/// The row `entry/<name>`, in which an entry publishes its addresses and the seq of its view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Registration {
-    /// The entry's name, which is its instance's in the platform's list.
+    /// The entry's name, which is also the name of its instance in the platform's list.
     pub name: id::Entry,
-    /// The run of its process.
+    /// The incarnation of its process.
     pub incarnation: Uuid,
-    /// Where its peer port listens.
+    /// Address of its peer port.
     pub peer: SocketAddr,
-    /// Where its admin port listens.
+    /// Address of its admin port.
     pub admin: SocketAddr,
     /// Its availability zone.
     pub zone: id::Zone,
-    /// Its region; none where there is but one.
+    /// Its region; `None` if there is only one.
     #[serde(default)]
     pub region: Option<Arc<str>>,
-    /// The newest change that it acknowledged in this row.
+    /// The newest change that it acknowledges in this row.
     pub acked: Seq,
-    /// When the row was written, by the entry's clock; orders nothing, tells people.
+    /// When the row was written, by the entry's clock; for display only, never used for ordering.
     pub heartbeat: Instant,
 }
 
-/// Times of membership.
+/// Time limits of membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Limits {
-    /// A peer that was heard within this time is live. Several exchanges must fail before it ends.
+    /// A peer whose last report is newer than this is live; spans several exchange intervals.
     pub silent_after: Duration,
-    /// A view that the store confirmed within this time counts as current.
+    /// A view that the store confirmed within this time is current.
     pub confirmed_within: Duration,
-    /// Least time between two writes of the registration row for new seqs.
+    /// Minimum time between two writes of the registration row for new seqs.
     pub batch: Duration,
-    /// Longest time between two writes of the registration row.
+    /// Maximum time between two writes of the registration row.
     pub heartbeat: Duration,
 }
 
 impl Default for Limits {
-    /// 13 s are three exchange intervals at 28 entries and a call deadline; 3 s are three revision
-    /// polls; a write each 15 s is 1.9 writes a second at 28 entries.
+    /// 13 s is three exchange intervals at 28 entries plus a call timeout; 3 s is three revision
+    /// polls; a write every 15 s is 1.9 writes per second at 28 entries.
     fn default() -> Self {
         Self {
             silent_after: Duration::from_secs(13),
@@ -64,28 +65,28 @@
     }
 }
 
-/// What is known of a registered entry.
+/// What is known about a registered entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Evidence {
-    /// Time since its last report; none if none came in its present incarnation.
+    /// Time since its last report; `None` if its current incarnation has sent none.
     pub heard: Option<Duration>,
-    /// What the platform's list says; none where the list does not have it, which proves nothing,
-    /// since the list lags and a new instance may be missing.
+    /// Its phase in the platform's list; `None` if it is not listed, which proves nothing because
+    /// the list lags and a new instance may be missing.
     pub phase: Option<Phase>,
-    /// Whether an operator removed it from the registered entries.
+    /// Whether an operator removed its registration.
     pub removed: bool,
 }
 
-/// Whether a registered entry still has a say.
+/// Whether the acknowledgement of a registered entry is required.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Standing {
-    /// It reports.
+    /// It sends reports.
     Live,
-    /// It does not report, and may still run: its acknowledgement is waited for.
+    /// It sends no reports but may still be running, so its acknowledgement is required.
     Silent,
-    /// It runs no more: nothing is waited for.
+    /// It has terminated, so its acknowledgement is not required.
     Gone,
 }
 
@@ -96,7 +97,7 @@
     }
 }
 
-/// The standing that the evidence proves.
+/// Derives the standing of an entry from the evidence.
 pub fn standing(evidence: Evidence, limits: &Limits) -> Standing {
     if evidence.removed || evidence.phase == Some(Phase::Gone) {
         return Standing::Gone;
@@ -113,50 +114,50 @@
 pub struct Peer {
     /// Its name.
     pub entry: id::Entry,
-    /// The seq in force there.
+    /// Its applied seq.
     pub seq: Seq,
 }
 
-/// The state of an entry's view.
+/// How current an entry's view is known to be.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Footing {
-    /// No newer change is known, and the store confirmed it a moment ago.
+    /// No newer change is known, and the store confirmed the view recently.
     Current,
-    /// A peer has a newer view: pull from it.
+    /// This peer has a newer view, to be pulled.
     Behind(id::Entry),
-    /// The store is silent and no peer has a newer view: go on with this one.
+    /// The store does not respond and no peer has a newer view.
     Unconfirmed,
-    /// The store and all peers are silent: others may have moved on unseen.
+    /// Neither the store nor any peer responds, so others may have a newer view.
     Alone,
     /// There is no view yet.
     Empty,
 }
 
 impl Footing {
-    /// Whether callers' requests may be served. An old view serves: refusing would turn every loss
-    /// of the store into a loss of service.
+    /// Whether callers' requests may be served. An outdated view is served: refusing requests would
+    /// turn every store outage into a service outage.
     pub fn serves(&self) -> bool {
         *self != Self::Empty
     }
 
     /// Whether drains may be acknowledged.
     ///
-    /// An entry that is alone cannot know whether the drain that it has in force was taken back and
-    /// given again with another meaning; a late acknowledgement from it, which reaches the others
-    /// once the cut heals, must not free an instance.
+    /// An isolated entry cannot know whether the drain that it has applied was revoked and ordered
+    /// again with another meaning; a late acknowledgement from it, which reaches the others once
+    /// the partition heals, must not release an instance.
     pub fn acknowledges(&self) -> bool {
         matches!(self, Self::Current | Self::Unconfirmed)
     }
 
-    /// Whether control work may go on; it needs the store in any case.
+    /// Whether the entry may act as the controller, which requires the store in any case.
     pub fn controls(&self) -> bool {
         *self == Self::Current
     }
 }
 
-/// The footing of an entry with `seq` in force, confirmed by the store `confirmed` ago, among
-/// `live` peers. Pulls go to the peer that is furthest ahead, the first by name of several.
+/// Determines the state of a view at `seq`, confirmed by the store `confirmed` ago, given the
+/// `live` peers. Pulls go to the peer that is furthest ahead; ties are resolved by the lowest name.
 pub fn footing(seq: Seq, confirmed: Option<Duration>, live: &[Peer], limits: &Limits) -> Footing {
     let ahead = live.iter().filter(|peer| peer.seq > seq);
     let best = ahead.max_by(|a, b| a.seq.cmp(&b.seq).then_with(|| b.entry.cmp(&a.entry)));
@@ -172,15 +173,15 @@
     }
 }
 
-/// Why the registration row is to be written.
+/// Reason for writing the registration row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
     /// The process started.
     Start,
-    /// Changes came into force since the last write.
+    /// Changes were applied since the last write.
     Acked,
-    /// Nothing was written for long.
+    /// The heartbeat interval has elapsed since the last write.
     Heartbeat,
 }
 
@@ -188,16 +189,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Written {
-    /// When, since the start of the process.
+    /// Time of the write, since the start of the process.
     pub at: Duration,
-    /// The seq that it acknowledged.
+    /// The seq that the write acknowledged.
     pub acked: Seq,
 }
 
-/// Whether to write the registration row at `now`, with `seq` in force, and why.
+/// Whether the registration row is due to be written at `now`, with `seq` applied, and why.
 ///
-/// Changes within [`Limits::batch`] share one write, and each write is a heartbeat, so a burst of
-/// changes costs one write a batch and a quiet entry one a heartbeat.
+/// Changes within [`Limits::batch`] share one write, and each write is also a heartbeat, so a burst
+/// of changes costs one write per batch interval and an idle entry one per heartbeat interval.
 pub fn due(last: Option<Written>, seq: Seq, now: Duration, limits: &Limits) -> Option<Cause> {
     let Some(last) = last else {
         return Some(Cause::Start);
--- a/crates/peer/src/memory.rs
+++ b/crates/peer/src/memory.rs
@@ -1,8 +1,9 @@
-//! A link in memory, for many entries in one process under paused time.
+//! An in-memory link, for many entries in one process under paused time.
 //!
-//! A [`Network`] joins any number of entries. It delivers through tokio's clock with a settable
-//! latency, and a test cuts and heals it between any two entries. Everything that arrives takes the
-//! same way as over sockets: the board, the intake, pulls. Messages are counted by kind.
+//! A [`Network`] connects any number of entries. It delivers messages by tokio's clock with a
+//! configurable latency, and a test can partition and heal it between any two entries. Received
+//! messages are handled by the same code as over sockets: peer reports, record selection, pulls.
+//! Messages are counted by kind.
 
 use crate::{
     Address, Error, Link as LinkTrait, Local, Newer, Slots,
@@ -23,23 +24,24 @@
 };
 use tokio::{task::AbortHandle, time};
 
-/// Most pushes on their way from one entry to another; further ones are left to the next exchange.
+/// Maximum number of messages in flight from one entry to another; further pushes are dropped, and
+/// the peer pulls the records after the next exchange.
 pub const QUEUE: usize = 64;
 
 /// Messages delivered, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Exchanges of reports, each a call and an answer.
+    /// Exchanges of reports, each a call and a response.
     pub exchanges: u64,
     /// Pushes.
     pub pushes: u64,
-    /// Messages about slots that arrived.
+    /// Delivered messages with slot reports.
     pub shares: u64,
-    /// Pulls that brought records.
+    /// Pulls that returned records.
     pub record_pulls: u64,
-    /// Pulls that brought a snapshot.
+    /// Pulls that returned a snapshot.
     pub snapshot_pulls: u64,
-    /// Messages lost in a cut or dropped from a full queue.
+    /// Messages lost in a partition or rejected by a full queue.
     pub lost: u64,
 }
 
@@ -53,9 +55,9 @@
     count: Count,
 }
 
-/// The network that joins entries in memory.
+/// The in-memory network between entries.
 ///
-/// Lock order: `state` is taken last and never held over a call into an entry.
+/// Lock order: `state` is taken last and never held during a call into an entry.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
     state: Arc<Mutex<State>>,
@@ -70,12 +72,12 @@
 }
 
 impl Network {
-    /// A network without entries, cuts or latency.
+    /// Creates a network without entries, partitions or latency.
     pub fn open() -> Self {
         Self::default()
     }
 
-    /// Sets the one-way latency between all entries that have none of their own.
+    /// Sets the one-way latency between all pairs of entries without a latency of their own.
     pub fn set_latency(&self, latency: Duration) {
         self.state.lock().latency = latency;
     }
@@ -85,17 +87,17 @@
         self.state.lock().latencies.insert(pair(a, b), latency);
     }
 
-    /// Cuts the link between two entries; what is on its way is lost.
+    /// Partitions two entries; messages in flight between them are lost.
     pub fn cut(&self, a: &id::Entry, b: &id::Entry) {
         self.state.lock().cuts.insert(pair(a, b));
     }
 
-    /// Heals the link between two entries.
+    /// Heals the partition between two entries.
     pub fn heal(&self, a: &id::Entry, b: &id::Entry) {
         self.state.lock().cuts.remove(&pair(a, b));
     }
 
-    /// Cuts every link between one side and the other, such as two regions.
+    /// Partitions every entry of one group from every entry of the other, such as two regions.
     pub fn part(&self, one: &[id::Entry], other: &[id::Entry]) {
         for a in one {
             for b in other {
@@ -104,19 +106,19 @@
         }
     }
 
-    /// Heals every cut.
+    /// Heals all partitions.
     pub fn heal_all(&self) {
         self.state.lock().cuts.clear();
     }
 
-    /// The messages so far.
+    /// The number of messages so far.
     pub fn count(&self) -> Count {
         self.state.lock().count
     }
 
-    /// Joins an entry and returns its link; the entry leaves when the link is closed or dropped.
+    /// Adds an entry and returns its link; the entry is removed when the link is closed or dropped.
     ///
-    /// Must be called inside a tokio runtime. Every joined entry is a peer of every other, so
+    /// Must be called within a tokio runtime. Every entry is a peer of every other, so
     /// [`LinkTrait::connect`] has no effect.
     pub fn join(&self, identity: Identity, local: Arc<dyn Local>) -> Arc<Link> {
         let node = Arc::new(Node {
@@ -139,7 +141,7 @@
         others.filter_map(|(_, node)| node.upgrade()).collect()
     }
 
-    /// Waits for a message to cross; none where a cut loses it.
+    /// Waits for the latency of a message; `None` if a partition loses it.
     async fn cross(&self, from: &id::Entry, to: &id::Entry) -> Option<()> {
         let key = pair(from, to);
         let latency = {
@@ -182,7 +184,7 @@
     network: Network,
 }
 
-/// The link of one entry in memory.
+/// The in-memory link of one entry.
 #[derive(Debug)]
 pub struct Link {
     node: Mutex<Option<Arc<Node>>>,
@@ -195,7 +197,7 @@
     }
 }
 
-/// Exchanges reports at the pace; the entry with the lower name calls.
+/// Exchanges reports at the scheduled interval; the entry with the lower name initiates.
 async fn run(node: Weak<Node>) {
     loop {
         let Some(own) = node.upgrade() else {
--- a/crates/peer/src/pace.rs
+++ b/crates/peer/src/pace.rs
@@ -1,38 +1,39 @@
-//! How often reports are exchanged and how much each may carry, so that control stays in budget.
+//! How often reports are exchanged and how many loads each may carry, to bound control traffic.
 
 use std::time::Duration;
 
-/// Bytes a second that a node may spend on the exchange of reports, both directions together.
+/// Bytes per second that a node may spend on report exchanges, both directions together.
 ///
-/// The users allow 14 KB a second for control; this leaves 4 KB for the registration, the revision
-/// poll, pushes and pulls.
+/// The requirement allows 14 KB/s of control traffic; this leaves 4 KB/s for the registration, the
+/// revision poll, pushes and pulls.
 pub const BYTES_PER_SECOND: usize = 10_000;
 
-/// Bytes of one exchange without loads: call, answer and their release, both directions.
+/// Bytes of one exchange without loads: call, response and their release, both directions.
 ///
-/// The `cost` tests measure 344 and fail above this.
+/// The `cost` tests see 344 bytes and fail above this limit.
 pub const EXCHANGE_BYTES: usize = 512;
 
-/// Bytes of one load whose instance has been named.
+/// Bytes of one load whose instance name was sent before.
 pub const LOAD_BYTES: usize = 8;
 
-/// Most peers with which reports are exchanged every second.
+/// Maximum number of peers with which reports are exchanged every second.
 const PEERS_PER_SECOND: u32 = 8;
 
-/// Fewest loads in a report, so that load always spreads in the end.
+/// Minimum number of loads in a report, so that every load is eventually sent.
 const MIN_LOADS: usize = 8;
 
-/// The pace for a number of peers.
+/// The exchange schedule for a number of peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pace {
     /// Time between two exchanges with the same peer.
     pub interval: Duration,
-    /// Most loads in one report; a first name counts as several.
+    /// Maximum number of loads in one report; an instance name sent for the first time counts as
+    /// several.
     pub loads: usize,
 }
 
-/// The pace with `peers` peers: each exchange costs a fixed part, so more peers means longer
-/// intervals, and what the fixed parts leave of the budget is divided over the loads.
+/// The schedule with `peers` peers. Each exchange has a fixed cost, so more peers mean longer
+/// intervals; the budget that remains after the fixed costs is divided among the loads.
 pub fn choose(peers: usize) -> Pace {
     let peers = u32::try_from(peers).unwrap_or(u32::MAX).max(1);
     let interval = Duration::from_secs(u64::from(peers.div_ceil(PEERS_PER_SECOND)));
--- a/crates/peer/src/proof.rs
+++ b/crates/peer/src/proof.rs
@@ -1,10 +1,10 @@
-//! The challenge and response that opens a session; the shared key never crosses the wire.
+//! Mutual challenge-response authentication that opens a session; the shared key is never sent.
 //!
 //! The caller sends HMAC-SHA-256 (RFC 2104), under the key, of a label for its direction, the
-//! callee's nonce, its own nonce and its identity. The callee answers with the same over its own
-//! identity, so that the caller hands nothing to an entry without the key. The label keeps one
-//! side's proof from being played back as the other's. A nonce is good for one call on one
-//! connection, so a recorded proof is good for nothing.
+//! callee's nonce, its own nonce and its identity. The callee responds with the same over its own
+//! identity, so that the caller discloses nothing to an entry without the key. The label prevents
+//! one side's proof from being reflected as the other's. A nonce is valid for one call on one
+//! connection, so a recorded proof cannot be replayed.
 
 use crate::report::Identity;
 use sha2::{Digest, Sha256};
@@ -18,11 +18,11 @@
 /// Length of a SHA-256 digest in bytes (FIPS 180-4).
 const DIGEST: usize = 32;
 
-/// Shortest key in bytes: proofs can be recorded and tried against guesses offline, so the key has
-/// to hold the 128 bits that make this hopeless.
+/// Minimum key length in bytes: recorded proofs allow offline guessing of the key, which 128 bits
+/// make infeasible.
 pub const MIN_KEY: usize = 16;
 
-/// The key that all entries share.
+/// The key shared by all entries.
 #[derive(Clone)]
 pub struct Key(Arc<[u8]>);
 
@@ -32,16 +32,16 @@
     }
 }
 
-/// A shared key is too short.
+/// The shared key is too short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the shared key has {0} bytes; at least {MIN_KEY} are needed")]
 pub struct TooShort(pub usize);
 
 impl Key {
-    /// A key of `bytes`.
+    /// Creates a key from `bytes`.
     ///
     /// # Errors
-    /// [`TooShort`] where there are fewer than [`MIN_KEY`].
+    /// [`TooShort`] if there are fewer than [`MIN_KEY`] bytes.
     pub fn new(bytes: &[u8]) -> Result<Self, TooShort> {
         if bytes.len() < MIN_KEY {
             return Err(TooShort(bytes.len()));
@@ -69,28 +69,28 @@
     }
 }
 
-/// Bytes that no one could foresee.
+/// Unpredictable bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Nonce(pub [u8; 16]);
 
 impl Nonce {
-    /// A fresh nonce from the system's randomness.
+    /// Generates a nonce from the system's random source.
     pub fn fresh() -> Self {
         Self(Uuid::new_v4().into_bytes())
     }
 
-    /// A nonce as received.
+    /// Parses a received nonce; `None` if its length is wrong.
     pub fn received(bytes: &[u8]) -> Option<Self> {
         bytes.try_into().ok().map(Self)
     }
 }
 
-/// Whose proof it is.
+/// The side of the connection that makes a proof.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// The entry that opened the connection.
     Caller,
-    /// The entry that was called.
+    /// The entry that accepted the connection.
     Callee,
 }
 
@@ -106,18 +106,18 @@
 /// What a proof covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Statement<'a> {
-    /// Whose proof it is.
+    /// The side that makes the proof.
     pub side: Side,
     /// The callee's nonce.
     pub callee: Nonce,
     /// The caller's nonce.
     pub caller: Nonce,
-    /// Who claims to be on that side.
+    /// The identity claimed by that side.
     pub identity: &'a Identity,
 }
 
 impl Statement<'_> {
-    /// The proof of this statement under `key`.
+    /// Computes the proof of this statement under `key`.
     pub fn prove(&self, key: &Key) -> [u8; DIGEST] {
         key.hmac(&[
             self.side.label(),
@@ -128,7 +128,7 @@
         ])
     }
 
-    /// Whether `proof` proves this statement, in time that does not depend on where they differ.
+    /// Verifies `proof` against this statement in constant time.
     pub fn holds(&self, key: &Key, proof: &[u8]) -> bool {
         self.prove(key).ct_eq(proof).into()
     }
--- a/crates/peer/src/report.rs
+++ b/crates/peer/src/report.rs
@@ -1,67 +1,67 @@
-//! What an entry tells its peers about itself.
+//! Reports that entries exchange about themselves.
 
 use primroseroute_domain::{change::Seq, id};
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, time::Duration};
 use uuid::Uuid;
 
-/// One run of an entry's process.
+/// One incarnation of an entry's process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Identity {
     /// The entry's name.
     pub entry: id::Entry,
-    /// Fresh for each start of the process.
+    /// Unique to each start of the process.
     pub incarnation: Uuid,
 }
 
-/// The load that one entry puts on one instance.
+/// The load from one entry on one instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Load {
-    /// Requests sent to the instance and not yet answered.
+    /// Requests sent to the instance that have no response yet.
     pub in_flight: u16,
-    /// Requests in flight and queued for it: the slots that the entry could use now.
+    /// Requests in flight and queued for it: the number of slots that the entry could use now.
     pub demand: u16,
 }
 
 impl Load {
-    /// Whether there is nothing to report.
+    /// Whether there is no load to report.
     pub fn is_zero(self) -> bool {
         self == Self::default()
     }
 }
 
-/// A drain that an entry has in force.
+/// A drain that an entry has applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Drain {
-    /// The version of the instance's row that the entry acknowledges: it sends nothing new.
+    /// The version of the instance's row that the entry acknowledges: it sends no new requests.
     pub seq: Seq,
-    /// Requests that are still in flight from this entry.
+    /// Requests from this entry that are still in flight.
     pub in_flight: u32,
 }
 
-/// The report of one entry at one moment.
+/// The state of one entry at one point in time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Report {
-    /// Whose report it is.
+    /// The entry that the report is about.
     pub from: Identity,
-    /// Grows with each report of one incarnation, so that a late one is recognised.
+    /// Increases with each report of one incarnation, so that reordered reports are detected.
     pub number: u64,
-    /// The newest change in force at the entry.
+    /// The newest change applied at the entry.
     pub seq: Seq,
-    /// Time since the store last confirmed that seq as the newest; none if it never did.
+    /// Time since the store last confirmed that seq as the newest; `None` if it never did.
     pub confirmed: Option<Duration>,
-    /// Load by instance; instances without load are left out.
+    /// Load by instance; instances without load are omitted.
     pub loads: BTreeMap<id::Instance, Load>,
-    /// Drains in force by instance: the entry's acknowledgements.
+    /// Applied drains by instance: the entry's acknowledgements.
     pub drains: BTreeMap<id::Instance, Drain>,
 }
 
 impl Report {
-    /// A report of `from` with nothing in force and no load.
+    /// A report of `from` with no applied change and no load.
     pub fn new(from: Identity) -> Self {
         Self {
             from,
@@ -74,11 +74,11 @@
     }
 }
 
-/// The latest report of a peer and how long ago it came.
+/// The latest report of a peer and its age.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sighting {
     /// The report.
     pub report: Report,
-    /// Time since it came, by the receiver's clock.
+    /// Time since it was received, by the receiver's clock.
     pub age: Duration,
 }
--- a/crates/peer/src/rpc/codec.rs
+++ b/crates/peer/src/rpc/codec.rs
@@ -1,4 +1,4 @@
-//! Between the domain's types and the schema's.
+//! Conversion between the domain types and the schema types.
 
 use crate::{
     Newer, Row, Snapshot,
@@ -12,17 +12,17 @@
 use std::{fmt::Display, time::Duration};
 use uuid::Uuid;
 
-/// On the wire, a view that the store never confirmed.
+/// Encoding of the confirmed age of a view that the store never confirmed.
 const NEVER: u64 = u64::MAX;
 
-/// Bytes of records that one answer to a pull carries; the rest is left to the next pull.
+/// Maximum bytes of records in one pull response; the rest is fetched by the next pull.
 const PULL_BYTES: usize = 1 << 20;
 
 pub(super) fn fault(cause: impl Display) -> Error {
     Error::failed(cause.to_string())
 }
 
-/// The length of a list as the schema counts it.
+/// Converts a length to the list length type of the schema.
 fn count(len: usize) -> Result<u32, Error> {
     u32::try_from(len).map_err(fault)
 }
@@ -99,7 +99,7 @@
     Ok(delta)
 }
 
-/// Records as JSON, as many as fit into `bytes` and at least one.
+/// Encodes records as JSON, as many as fit into `bytes` but at least one.
 pub(super) fn encode_records(records: &[Record], bytes: usize) -> Result<Vec<Vec<u8>>, Error> {
     let mut encoded = Vec::new();
     let mut total = 0;
--- a/crates/peer/src/rpc/dial.rs
+++ b/crates/peer/src/rpc/dial.rs
@@ -1,4 +1,4 @@
-//! Connections that this entry opens to its peers.
+//! Outbound connections to peers.
 
 use super::{
     codec::fault,
@@ -20,15 +20,15 @@
     time,
 };
 
-/// How a connection ended.
+/// Result of a connection that was closed without an error.
 enum End {
-    /// The address is this entry's own.
+    /// The address belongs to this entry itself.
     Own,
     /// The session with this peer ended.
     Session(Identity),
 }
 
-/// Keeps one task for each address that is wanted.
+/// Runs one connection task for each configured address.
 pub(super) async fn run(hub: Rc<Hub>, mut wanted: watch::Receiver<Vec<Address>>) {
     let mut tasks: BTreeMap<Address, AbortHandle> = BTreeMap::new();
     loop {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Keeps a session with the entry at `address`, with back-off, as long as it is wanted.
+/// Maintains a session with the entry at `address`, reconnecting with backoff, until aborted.
 async fn keep(hub: Rc<Hub>, address: Address) {
     let limits = hub.limits;
     let mut name = address.entry.clone();
@@ -62,7 +62,7 @@
         limits.longest_pause,
         rand::random::<u64>(),
     );
-    // The entry with the lower name dials first; the other only where it does not get through.
+    // The entry with the lower name connects first; the other only if that connection fails.
     if name.as_ref().is_some_and(|name| *name < hub.identity.entry) {
         time::sleep(limits.handshake).await;
     }
@@ -79,7 +79,7 @@
                 retry.reset();
             }
             Err(error) => {
-                log::debug!(address:% = address.socket, error:%; "peer cannot be reached");
+                log::debug!(address:% = address.socket, error:%; "peer connection failed");
             }
         }
         retry.sleep().await;
@@ -96,7 +96,7 @@
     let mut system = wire::system(hub, stream, Side::Client, allowance, None);
     let gate: GateClient = system.bootstrap(Side::Server);
     let entered = tokio::select! {
-        ended = &mut system => Err(ended.err().unwrap_or_else(|| fault("the peer hung up"))),
+        ended = &mut system => Err(ended.err().unwrap_or_else(|| fault("the peer closed the connection"))),
         entered = time::timeout(handshake, gate::enter(hub, &gate)) => entered.unwrap_or_else(|late| Err(fault(late))),
     };
     let entered = match entered {
--- a/crates/peer/src/rpc/gate.rs
+++ b/crates/peer/src/rpc/gate.rs
@@ -1,4 +1,4 @@
-//! The handshake, on both sides.
+//! Both sides of the authentication handshake.
 
 use super::{
     codec::{fault, read_identity, write_identity},
@@ -18,22 +18,22 @@
 };
 use tokio::sync::Notify;
 
-/// What is answered to all that fails before a caller is authenticated: nothing that helps it.
+/// Error text for all failures before a caller is authenticated; discloses no cause.
 const REFUSED: &str = "refused";
 
 /// The callee's side of one connection.
 pub(super) struct Gate {
     pub(super) hub: Rc<Hub>,
     pub(super) allowance: Allowance,
-    /// The nonce given out and not yet used: each is good for one try.
+    /// The issued nonce that is not used yet; each is valid for one attempt.
     pub(super) nonce: Cell<Option<Nonce>>,
     pub(super) session: Rc<RefCell<Option<Rc<Session>>>>,
-    /// Set off once a session is open, or the caller is refused and the connection to be dropped.
+    /// Notified when a session is open, or when the caller is rejected and the connection must close.
     pub(super) settled: Rc<Notify>,
 }
 
 impl Gate {
-    /// Checks a caller's proof and opens its session; none for a call from this entry itself.
+    /// Verifies a caller's proof and opens its session; no session if the caller is this entry.
     fn admit(
         &self,
         caller: &Identity,
@@ -107,7 +107,8 @@
         results: gate::EnterResults,
     ) -> Result<(), Error> {
         let answered = self.answer(&params, results);
-        // An entry that called itself is left to read who answered, and hangs up.
+        // If an entry connected to itself, the connection stays open so that the caller can read the
+        // callee's identity; the caller then closes it.
         if answered.is_err() || self.session.borrow().is_some() {
             self.settled.notify_one();
         }
@@ -115,15 +116,15 @@
     }
 }
 
-/// What the caller holds after a handshake.
+/// Result of a successful handshake on the caller's side.
 pub(super) struct Entered {
-    /// Who the callee proved to be.
+    /// The callee's verified identity.
     pub(super) callee: Identity,
-    /// What it offers; fails on every call where the callee is this entry itself.
+    /// The callee's capability; every call fails if the callee is this entry itself.
     pub(super) peer: peer::Client,
 }
 
-/// The caller's side.
+/// Performs the caller's side of the handshake.
 pub(super) async fn enter(hub: &Hub, gate: &gate::Client) -> Result<Entered, Error> {
     let challenge = gate.challenge_request().send().promise.await?;
     let callee_nonce = Nonce::received(challenge.get()?.get_nonce()?);
@@ -147,7 +148,7 @@
         identity: &callee,
         ..statement
     };
-    // An impostor on a peer's address gets the caller's proof, good for its one nonce, and no more.
+    // An impostor on a peer's address learns only the caller's proof, which is valid for one nonce.
     if !statement.holds(&hub.key, answer.get_proof()?) {
         return Err(Error::failed(
             "the callee does not know the shared key".to_owned(),
--- a/crates/peer/src/rpc/hub.rs
+++ b/crates/peer/src/rpc/hub.rs
@@ -1,4 +1,4 @@
-//! What the sessions of a link share, on the link's thread.
+//! State shared by the sessions of a link, on the link's thread.
 
 use super::{
     Limits,
@@ -25,13 +25,13 @@
     sync::Arc,
 };
 
-/// Why an authenticated peer gets no session.
+/// Why an authenticated peer is denied a session.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Denied {
-    /// It is a former run of its entry.
+    /// It is a previous incarnation of its entry.
     #[error(transparent)]
     Superseded(#[from] Superseded),
-    /// There are as many sessions as allowed.
+    /// The maximum number of sessions is open.
     #[error("too many sessions")]
     Full,
 }
@@ -42,9 +42,9 @@
     pub(super) limits: Limits,
     pub(super) core: Arc<Core>,
     pub(super) totals: Arc<Totals>,
-    /// Whether a pull is under way.
+    /// Whether a pull is in progress.
     pub(super) pulling: Cell<bool>,
-    /// Connections that are not authenticated yet.
+    /// Number of inbound connections that are not authenticated yet.
     pub(super) strangers: Cell<usize>,
     sessions: RefCell<Vec<Rc<Session>>>,
 }
@@ -69,8 +69,8 @@
         })
     }
 
-    /// Opens a session and ends those that it replaces: of a former run, or of the same direction,
-    /// whose connection must be dead if the peer made another.
+    /// Opens a session and ends those that it replaces: sessions of a previous incarnation, and those
+    /// of the same direction, whose connection must be dead if the peer opened another.
     pub(super) fn open(
         self: &Rc<Self>,
         peer: Identity,
@@ -100,8 +100,8 @@
         sessions.retain(|other| !Rc::ptr_eq(other, session));
     }
 
-    /// Whether the peer, which has the lower name and so the say, has a session of its own to this
-    /// entry: then no other is needed.
+    /// Whether the peer has the lower name, which takes precedence, and has opened a session to this
+    /// entry, so that no outbound session is needed.
     pub(super) fn is_served_by(&self, peer: &id::Entry) -> bool {
         let sessions = self.sessions.borrow();
         let mut inbound = sessions
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Pulls from the peers that are ahead, the furthest first, until one moves the view.
+    /// Pulls from the peers that are ahead, the furthest first, until one advances the view.
     pub(super) async fn pull(&self) -> Result<Seq, Error> {
         let before = self.core.seq();
         let mut ahead = self.core.sightings();
@@ -166,7 +166,7 @@
                 Err(error) => log::debug!(peer:% = session.peer.entry, error:%; "pull failed"),
             }
         }
-        // A push or another pull may have come first.
+        // A push or another pull may have advanced the view in the meantime.
         let now = self.core.seq();
         if now > before {
             Ok(now)
--- a/crates/peer/src/rpc/listen.rs
+++ b/crates/peer/src/rpc/listen.rs
@@ -1,4 +1,4 @@
-//! Connections that peers, and strangers, open to this entry.
+//! Inbound connections, from peers and unauthenticated clients.
 
 use super::{
     gate::Gate,
@@ -20,17 +20,18 @@
     time,
 };
 
-/// Pause after a failed accept: out of file descriptors, which the next moment may free.
+/// Delay after a failed accept, typically for lack of file descriptors, which may soon be freed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// Accepts until dropped. A stranger beyond the limit is dropped at once, so that a flood of
-/// connections holds neither memory nor descriptors; the peers' back-off outlasts it.
+/// Accepts connections until dropped. Unauthenticated connections beyond the limit are closed
+/// immediately, so that a flood of connections holds neither memory nor descriptors; peers retry
+/// with backoff until it is over.
 pub(super) async fn run(hub: Rc<Hub>, listener: TcpListener) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::warn!(error:%; "peer port cannot accept");
+                log::warn!(error:%; "accepting a peer connection failed");
                 time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
@@ -44,7 +45,7 @@
     }
 }
 
-/// Counts a connection as a stranger's until it is dropped.
+/// Counts a connection as unauthenticated until dropped.
 struct Stranger(Rc<Hub>);
 
 impl Drop for Stranger {
@@ -55,7 +56,7 @@
 
 async fn serve(hub: Rc<Hub>, stream: TcpStream) {
     let stranger = Stranger(Rc::clone(&hub));
-    // Reports and pushes are small and waited for: no delay to fill a segment.
+    // Reports and pushes are small and latency-sensitive, so Nagle's algorithm is disabled.
     if stream.set_nodelay(true).is_err() {
         return;
     }
--- a/crates/peer/src/rpc/mod.rs
+++ b/crates/peer/src/rpc/mod.rs
@@ -1,10 +1,10 @@
 //! The link over capnp-rpc on TCP.
 //!
-//! capnp-rpc's objects are not `Send`, so the link runs on a thread of its own with a
-//! current-thread runtime and a `LocalSet`; the handle reaches it through typed channels. Each pair
-//! of entries keeps one connection, opened by the entry with the lower name, over which both call
+//! capnp-rpc's objects are not `Send`, so the link runs on a dedicated thread with a current-thread
+//! runtime and a `LocalSet`; the handle communicates with it through typed channels. Each pair of
+//! entries maintains one connection, opened by the entry with the lower name, over which both call
 //! each other. Each connection has its own task and bounded queue, so a slow peer delays no other,
-//! and a panic over what one peer sent ends only its connection.
+//! and a panic caused by one peer's messages ends only its connection.
 
 mod codec;
 mod dial;
@@ -38,37 +38,38 @@
 
 pub use traffic::Traffic;
 
-/// Requests of the entry that wait for the link's thread; further pushes are left to an exchange.
+/// Capacity of the command queue to the link's thread; further pushes are dropped, and the peers
+/// pull the records after the next exchange.
 const COMMANDS: usize = 256;
 
-/// Times and bounds of the link.
+/// Timeouts and limits of the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Deadline of connecting, and of the handshake.
+    /// Timeout of connecting, and of the handshake.
     pub handshake: Duration,
-    /// Deadline of a call; a peer that misses it is connected anew.
+    /// Timeout of a call; if a peer exceeds it, the connection is closed and reopened.
     pub call: Duration,
-    /// Deadline of a pull, which may carry a snapshot.
+    /// Timeout of a pull, whose response may be a snapshot.
     pub pull: Duration,
-    /// Time without a report after which a session ends.
+    /// Time without a report after which a session is closed.
     pub silent: Duration,
-    /// First pause between two tries to reach a peer.
+    /// Initial delay between two attempts to connect to a peer.
     pub first_pause: Duration,
-    /// Longest pause between two tries to reach a peer.
+    /// Maximum delay between two attempts to connect to a peer.
     pub longest_pause: Duration,
-    /// Connections without authentication at the same time.
+    /// Maximum number of concurrent unauthenticated inbound connections.
     pub unauthenticated: usize,
-    /// Sessions at the same time.
+    /// Maximum number of concurrent sessions.
     pub sessions: usize,
-    /// Pushes that wait for one peer.
+    /// Maximum number of queued pushes for one peer.
     pub queue: usize,
-    /// The pace of exchanges; none for the pace that fits the number of peers.
+    /// The exchange schedule; `None` to derive it from the number of peers.
     pub pace: Option<Pace>,
 }
 
 impl Default for Limits {
-    /// 2 s are far over a round trip between regions; 13 s are three exchange intervals at 28
-    /// entries and a deadline; 64 sessions are two for each of 27 peers and some to spare.
+    /// 2 s is far above the round-trip time between regions; 13 s is three exchange intervals at 28
+    /// entries plus a call timeout; 64 sessions allow two for each of 27 peers plus a reserve.
     fn default() -> Self {
         Self {
             handshake: Duration::from_secs(2),
@@ -85,18 +86,18 @@
     }
 }
 
-/// What a link is bound with.
+/// Settings of a link.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This run of this entry.
+    /// This entry's name and incarnation.
     pub identity: Identity,
-    /// Where to listen for peers.
+    /// The address on which to listen for peers.
     pub listen: SocketAddr,
-    /// The key that all entries share.
+    /// The key shared by all entries.
     pub key: Key,
-    /// Peers to connect to at first; this entry's own address among them is harmless.
+    /// Initial peers to connect to; may include this entry's own address.
     pub peers: Vec<Address>,
-    /// Times and bounds.
+    /// Timeouts and limits.
     pub limits: Limits,
 }
 
@@ -106,7 +107,7 @@
     Pull(oneshot::Sender<Result<Seq, Error>>),
 }
 
-/// The running link; closing or dropping it ends its thread.
+/// A running link; closing or dropping it stops its thread.
 pub struct Link {
     address: SocketAddr,
     core: Arc<Core>,
@@ -133,7 +134,7 @@
     }
 }
 
-/// What the thread is started with; all of it may cross to the thread.
+/// Arguments of the link's thread; all of them are `Send`.
 struct Start {
     settings: Settings,
     listener: std::net::TcpListener,
@@ -146,10 +147,10 @@
 }
 
 impl Link {
-    /// Listens for peers and starts to connect to them.
+    /// Listens for peers and starts connecting to them.
     ///
     /// # Errors
-    /// Where the address cannot be bound or the thread not started.
+    /// If the address cannot be bound or the thread cannot be started.
     pub fn bind(settings: Settings, local: Arc<dyn Local>) -> io::Result<Arc<Self>> {
         let listener = std::net::TcpListener::bind(settings.listen)?;
         listener.set_nonblocking(true)?;
@@ -183,7 +184,7 @@
             .spawn(move || {
                 let local = LocalSet::new();
                 local.block_on(&runtime, run(start));
-                // Ends every task and closes every socket before the link counts as stopped.
+                // Ends all tasks and closes all sockets before the link is reported as stopped.
                 drop(local);
                 drop(runtime);
                 drop(stopped);
@@ -191,7 +192,7 @@
         Ok(link)
     }
 
-    /// Where the link listens; its port is known only now where the settings left it open.
+    /// The address on which the link listens, with the port assigned if the settings gave port 0.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -206,7 +207,7 @@
     let listener = match TcpListener::from_std(start.listener) {
         Ok(listener) => listener,
         Err(error) => {
-            log::error!(error:%; "peer port cannot be listened on");
+            log::error!(error:%; "registering the peer listener failed");
             return;
         }
     };
@@ -239,7 +240,7 @@
         Command::Pull(answer) => {
             let hub = Rc::clone(hub);
             spawn_local(async move {
-                // The asker may have gone; the view has moved all the same.
+                // The requester may have stopped waiting; the view has advanced nevertheless.
                 let _ = answer.send(hub.pull().await);
             });
         }
@@ -250,13 +251,15 @@
 impl LinkTrait for Link {
     fn broadcast(&self, records: Arc<[Record]>) {
         if self.commands.try_send(Command::Broadcast(records)).is_err() {
-            log::debug!("push left to the next exchange");
+            log::debug!("push not queued for the link thread; peers pull after the next exchange");
         }
     }
 
     fn share(&self, pools: Arc<[Slots]>) {
         if self.commands.try_send(Command::Share(pools)).is_err() {
-            log::debug!("what is told about slots is left to the next report");
+            log::debug!(
+                "slot reports not queued for the link thread; superseded by the next reports"
+            );
         }
     }
 
--- a/crates/peer/src/rpc/session.rs
+++ b/crates/peer/src/rpc/session.rs
@@ -31,19 +31,21 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Messages about slots that wait for one peer: at five a second that is more than a call takes.
+/// Capacity of the slot report queue of one peer: at five messages a second, this covers more than
+/// the duration of a call.
 const SHARES: usize = 16;
 
 /// Which side opened the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Direction {
-    /// The peer; it calls for exchanges.
+    /// The peer, which initiates the exchanges.
     Inbound,
-    /// This entry; it calls for exchanges.
+    /// This entry, which initiates the exchanges.
     Outbound,
 }
 
-/// The state of a session. Dropping the connection ends it; `ended` drops the connection.
+/// The state of a session. It ends when its connection is dropped; cancelling `ended` drops the
+/// connection.
 pub(super) struct Session {
     hub: Weak<Hub>,
     pub(super) peer: Identity,
@@ -62,7 +64,7 @@
     pub(super) ended: CancellationToken,
 }
 
-/// Waits for `call` no longer than `deadline`.
+/// Runs `call` with a timeout of `deadline`.
 async fn within<T>(
     deadline: Duration,
     call: impl Future<Output = Result<T, Error>>,
@@ -106,36 +108,36 @@
         remote.ok_or_else(|| fault("the session is not attached"))
     }
 
-    /// What the peer may call.
+    /// The capability that the peer may call.
     pub(super) fn offer(self: &Rc<Self>) -> peer::Client {
         capnp_rpc::new_client(Offer(Rc::clone(self)))
     }
 
-    /// Lets go of the peer's capability, which holds the connection.
+    /// Ends the session and releases the peer's capability, which keeps the connection open.
     pub(super) fn end(&self) {
         self.ended.cancel();
         self.remote.borrow_mut().take();
     }
 
-    /// Queues `records` unless the peer has them or its queue is full; the next exchange shows a
-    /// peer that missed some, and it pulls.
+    /// Queues `records` unless the peer has them or its queue is full; a peer that misses records
+    /// learns of it in the next exchange and pulls them.
     pub(super) fn queue(&self, records: &Arc<[Record]>) {
         let has = records
             .last()
             .is_none_or(|last| last.seq <= self.known.get());
         if !has && self.pushes.try_send(Arc::clone(records)).is_err() {
-            log::debug!(peer:% = self.peer.entry; "push left to the next exchange");
+            log::debug!(peer:% = self.peer.entry; "push not queued; peer pulls after the next exchange");
         }
     }
 
-    /// Queues what is told about slots, unless the peer is too slow to take it.
+    /// Queues slot reports, unless the queue of a slow peer is full.
     pub(super) fn queue_slots(&self, pools: &Arc<[Slots]>) {
         if self.shares.try_send(Arc::clone(pools)).is_err() {
-            log::debug!(peer:% = self.peer.entry; "what is told about slots is left out");
+            log::debug!(peer:% = self.peer.entry; "slot reports not queued for peer");
         }
     }
 
-    /// Sends what is told about slots, in order, until a call fails or the session ends.
+    /// Sends queued slot reports, in order, until a call fails or the session ends.
     pub(super) async fn run_shares(self: &Rc<Self>) -> Result<(), Error> {
         let queue = self.share_queue.borrow_mut().take();
         let mut queue = queue.ok_or_else(|| fault("the session already runs"))?;
@@ -151,7 +153,7 @@
         Ok(())
     }
 
-    /// Brings the next exchange forward.
+    /// Triggers an immediate exchange.
     pub(super) fn refresh(self: &Rc<Self>) {
         match self.direction {
             Direction::Outbound => self.now.notify_one(),
@@ -170,7 +172,7 @@
         self.known.set(self.known.get().max(seq));
     }
 
-    /// Opens the caller's side on the peer's offer.
+    /// Attaches this side of the session to the peer's capability.
     pub(super) async fn attach(self: &Rc<Self>, remote: peer::Client) -> Result<(), Error> {
         let hub = self.hub()?;
         let mut request = remote.attach_request();
@@ -181,7 +183,7 @@
         Ok(())
     }
 
-    /// Exchanges reports at the pace until a call fails or the session ends.
+    /// Exchanges reports at the scheduled interval until a call fails or the session ends.
     pub(super) async fn run_exchanges(self: &Rc<Self>) -> Result<(), Error> {
         loop {
             let interval = {
@@ -190,7 +192,7 @@
                     return Ok(());
                 }
                 within(hub.limits.call, self.exchange(&hub)).await?;
-                // Jitter keeps the exchanges of all pairs from falling into step.
+                // Jitter prevents the exchanges of all pairs from synchronizing.
                 hub.pace()
                     .interval
                     .mul_f64(0.9 + rand::random::<f64>() / 5.0)
@@ -226,7 +228,7 @@
         Ok(())
     }
 
-    /// Pushes what is queued until a call fails or the session ends.
+    /// Sends queued pushes until a call fails or the session ends.
     pub(super) async fn run_pushes(self: &Rc<Self>) -> Result<(), Error> {
         let queue = self.queue.borrow_mut().take();
         let mut queue = queue.ok_or_else(|| fault("the session already runs"))?;
@@ -250,21 +252,21 @@
         Ok(())
     }
 
-    /// Returns once the peer has been silent for too long.
+    /// Returns once the peer has sent no report for too long.
     ///
-    /// A half-open connection, whose peer vanished without a word, accepts what is sent until TCP
-    /// gives up after many minutes. Missing reports end it within seconds.
+    /// A half-open connection, whose peer disappeared without closing it, accepts data until TCP
+    /// times out after many minutes. Missing reports end the session within seconds.
     pub(super) async fn run_watch(&self) -> Result<(), Error> {
         loop {
             let deadline = self.heard.get() + self.hub()?.limits.silent;
             if Instant::now() >= deadline {
-                return Err(fault("the peer sends no reports"));
+                return Err(fault("no report from the peer within the time limit"));
             }
             time::sleep_until(deadline).await;
         }
     }
 
-    /// Pulls unless another pull is under way: one answer to 27 peers that are ahead is enough.
+    /// Pulls unless another pull is in progress: with 27 peers ahead, one pull is enough.
     async fn pull_once(self: Rc<Self>) {
         let Ok(hub) = self.hub() else {
             return;
@@ -279,7 +281,7 @@
         }
     }
 
-    /// Pulls what the peer has beyond the seq in force.
+    /// Pulls what the peer has beyond the applied seq.
     pub(super) async fn pull(&self, hub: &Hub) -> Result<Seq, Error> {
         let mut request = self.remote()?.pull_request();
         request.get().set_after(hub.core.seq().0);
@@ -295,7 +297,7 @@
     }
 }
 
-/// The session as the peer may call it.
+/// The server side of a session, called by the peer.
 struct Offer(Rc<Session>);
 
 impl peer::Server for Offer {
@@ -380,7 +382,7 @@
     }
 }
 
-/// Stands where an entry reached itself and there is no peer to call.
+/// Placeholder capability if an entry connected to itself and there is no peer to call.
 pub(super) struct Nobody;
 
 impl peer::Server for Nobody {}
--- a/crates/peer/src/rpc/slots.rs
+++ b/crates/peer/src/rpc/slots.rs
@@ -1,4 +1,4 @@
-//! Reports on slots, between the flow crate's types and the schema's.
+//! Conversion of slot reports between the flow crate's types and the schema types.
 
 use super::codec::fault;
 use crate::Slots;
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-/// Reads what `peer` tells; the reports are its own, whatever else it might claim.
+/// Decodes the slot reports of `peer`; they are always attributed to `peer` itself.
 pub(super) fn read_slots(
     peer: &id::Entry,
     from: struct_list::Reader<'_, schema::slots::Owned>,
--- a/crates/peer/src/rpc/traffic.rs
+++ b/crates/peer/src/rpc/traffic.rs
@@ -1,4 +1,4 @@
-//! What the link has sent and received, and the limit on a connection without authentication.
+//! Traffic counters of the link, and the byte limit of unauthenticated connections.
 
 use std::{
     cell::Cell,
@@ -16,24 +16,24 @@
     net::TcpStream,
 };
 
-/// Totals since the link was bound. Bytes are those of the protocol, without TCP and IP headers.
+/// Totals since the link was bound. Bytes exclude TCP and IP headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Bytes sent.
     pub sent: u64,
     /// Bytes received.
     pub received: u64,
-    /// Exchanges of reports that this entry called and that were answered.
+    /// Completed exchanges of reports that this entry initiated.
     pub exchanges: u64,
     /// Pushes that peers acknowledged.
     pub pushes: u64,
-    /// Messages about slots that peers took.
+    /// Messages with slot reports that peers acknowledged.
     pub shares: u64,
-    /// Pulls that brought records.
+    /// Pulls that returned records.
     pub record_pulls: u64,
-    /// Pulls that brought a snapshot.
+    /// Pulls that returned a snapshot.
     pub snapshot_pulls: u64,
-    /// Connections that were dropped before they were authenticated.
+    /// Connections that were closed before they were authenticated.
     pub refused: u64,
 }
 
@@ -70,14 +70,14 @@
     }
 }
 
-/// Bytes that a connection may still send before it is authenticated; none where it is.
+/// Bytes that a connection may still send before it is authenticated; `None` once it is.
 pub(super) type Allowance = Rc<Cell<Option<usize>>>;
 
 /// A connection whose bytes are counted, and limited until the peer is authenticated.
 ///
-/// A stranger could otherwise announce a message of the largest size and send it at leisure, over
-/// and over, and hold that much memory. What it sends before the handshake is over fits into
-/// [`UNAUTHENTICATED_BYTES`], which is far more than a handshake takes.
+/// Without the limit, an unauthenticated client could announce a message of the maximum size and
+/// send it slowly, over and over, and so occupy that much memory. Before the handshake is complete
+/// it may send at most [`UNAUTHENTICATED_BYTES`], far more than a handshake takes.
 #[derive(Debug)]
 pub(super) struct Meter {
     pub(super) stream: TcpStream,
@@ -85,7 +85,7 @@
     pub(super) allowance: Allowance,
 }
 
-/// Bytes read from a connection before it is authenticated: a handshake takes under 1 KB.
+/// Maximum bytes read from a connection before it is authenticated: a handshake takes under 1 KB.
 pub(super) const UNAUTHENTICATED_BYTES: usize = 4096;
 
 impl AsyncRead for Meter {
--- a/crates/peer/src/rpc/wire.rs
+++ b/crates/peer/src/rpc/wire.rs
@@ -1,4 +1,4 @@
-//! One connection: the socket, its limits and the RPC system on it.
+//! Set-up and shutdown of the RPC system on one connection.
 
 use super::{
     hub::Hub,
@@ -11,24 +11,24 @@
 use tokio::{io::split, net::TcpStream, time};
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
-/// Largest message in bytes: a snapshot of 50,000 rows of 300 bytes, ten times what is planned for.
-/// A larger message is a fault of the sender and ends the connection.
+/// Maximum message size in bytes: a snapshot of 50,000 rows of 300 bytes, ten times the planned size.
+/// A larger message is a protocol violation and ends the connection.
 const MESSAGE_BYTES: usize = 16 << 20;
 
-/// Bytes of a word, in which the encoding counts.
+/// Size of a word, the unit of the Cap'n Proto encoding, in bytes.
 const WORD: usize = 8;
 
-/// Time that a connection is given to say that it ends.
+/// Timeout of an orderly disconnect.
 const FAREWELL: Duration = Duration::from_millis(200);
 
 pub(super) type System = RpcSystem<Side>;
 
-/// A fresh allowance for a connection that is not authenticated yet.
+/// The initial allowance of an unauthenticated connection.
 pub(super) fn allowance() -> Allowance {
     Rc::new(Cell::new(Some(UNAUTHENTICATED_BYTES)))
 }
 
-/// Puts the RPC system on `stream`, on our `side`, with `gate` as what the other side may call.
+/// Creates the RPC system on `stream` for our `side`, with `gate` as the bootstrap capability.
 pub(super) fn system(
     hub: &Hub,
     stream: TcpStream,
@@ -48,7 +48,7 @@
     RpcSystem::new(Box::new(network), gate.map(|gate| gate.client))
 }
 
-/// Ends a connection: calls still open on it fail, and the socket closes.
+/// Closes a connection; pending calls on it fail.
 pub(super) async fn end(mut system: System) {
     let farewell = system.get_disconnector();
     tokio::select! {
--- a/crates/peer/tests/all/board.rs
+++ b/crates/peer/tests/all/board.rs
@@ -1,4 +1,4 @@
-//! Reports of peers that restart, and reports that come late.
+//! Reports of restarted peers, and reports that arrive out of order.
 
 use crate::{
     cases,
@@ -17,9 +17,9 @@
     }
 }
 
-/// An entry restarts, and its former process, paused until now, wakes up and reports drains of
-/// long ago. The restart must end the former reports at once, and nothing that the former process
-/// says afterwards may count, or an instance would move on an acknowledgement that no one keeps.
+/// An entry restarts, and its previous process, suspended until now, resumes and reports outdated
+/// drains. The restart must discard the previous reports at once, and later reports of the previous
+/// process must be ignored, or an instance would move on an acknowledgement that is not honored.
 fn restart() {
     let mut board = Board::default();
     assert!(!board.keep(report(1, 1), Duration::ZERO), "not admitted");
@@ -34,8 +34,8 @@
     assert_eq!(refused, Err(Superseded(entry("a"))));
 }
 
-/// Two reports cross: the earlier comes last. It must not replace the later one, or a drain that
-/// has run empty would seem to have requests in flight, and one with some to have none.
+/// Two reports are reordered and the earlier arrives last. It must not replace the later one, or a
+/// completed drain would appear to have requests in flight, and an incomplete one to have none.
 fn late() {
     let mut board = Board::default();
     board.admit(&identity("a", 1)).unwrap();
--- a/crates/peer/tests/all/cost.rs
+++ b/crates/peer/tests/all/cost.rs
@@ -1,8 +1,8 @@
-//! What reports cost a node: bytes and messages, counted, at several sizes.
+//! Traffic that reports cause on a node, in bytes and messages, at several sizes.
 //!
-//! One node exchanges with all of its peers, round by round, on links whose own timers are an hour
-//! away. A round stands for one interval of the pace; every load changes in every round, which is
-//! the worst case. Counts depend on no clock.
+//! One node exchanges reports with all of its peers, round by round, on links whose own timers are
+//! set to an hour. A round represents one exchange interval; every load changes in every round, which
+//! is the worst case. Counts do not depend on any clock.
 
 use crate::{
     cases,
@@ -17,30 +17,31 @@
 };
 use std::time::Duration;
 
-/// Rounds that are counted.
+/// Number of measured rounds.
 const ROUNDS: u16 = 10;
 
-/// Rounds after which every instance has been named at every size here.
+/// Rounds after which every instance has been named, at every size tested here.
 const NAMING: u16 = 130;
 
-/// Rounds after which every last change has been sent at every size here.
+/// Rounds after which every pending change has been sent, at every size tested here.
 const SETTLING: u16 = 30;
 
-/// Control of one node, by the users' letter; the rest is for pushes, pulls and the store.
+/// Required limit of one node's control traffic in bytes per second, which also covers pushes, pulls
+/// and the store.
 const LETTER: u64 = 14_000;
 
-/// Bytes of the protocol that one node sends and receives in a second.
+/// Bytes that one node sends and receives per second, without TCP and IP headers.
 #[derive(Debug)]
 struct Cost {
     /// While the instances are named for the first time.
     naming: u64,
-    /// While every load changes all the time.
+    /// While every load changes in every round.
     busy: u64,
     /// While nothing changes.
     rest: u64,
 }
 
-/// The node with the lowest name, which dials all others.
+/// A group of nodes; the first has the lowest name and connects to all others.
 struct Bench {
     nodes: Vec<Node>,
     pace: Pace,
@@ -70,7 +71,7 @@
         Self { nodes, pace }
     }
 
-    /// Sets reports with a load on each instance, other than the round before, and three drains.
+    /// Sets reports with a load on each instance that differs from the previous round, and three drains.
     fn load(&self, instances: usize, round: u16) {
         for node in &self.nodes {
             let mut report = Report::new(node.entry.identity.clone());
@@ -99,7 +100,7 @@
         until(|| self.nodes[0].link.traffic().exchanges == before + peers).await;
     }
 
-    /// Bytes a second over some rounds.
+    /// Measures the bytes per second over several rounds.
     async fn rate(&self, rounds: u16, before_round: impl Fn(u16)) -> u64 {
         let bytes = || {
             let traffic = self.nodes[0].link.traffic();
@@ -133,8 +134,8 @@
     Cost { naming, busy, rest }
 }
 
-/// 28 entries and 1,200 instances, every load changing all the time, must stay in the letter's
-/// budget, and so must every smaller size: the cap is by design and not by luck.
+/// 28 entries and 1,200 instances, with every load changing in every round, must stay within the
+/// required budget, and so must every smaller size.
 async fn within_budget(entries: usize, instances: usize) {
     let cost = measure(entries, instances).await;
     println!("{entries} entries, {instances} instances: {cost:?}");
@@ -148,7 +149,7 @@
     assert!(cost.rest <= empty / seconds, "{cost:?}");
 }
 
-/// The pace alone, at every number of peers up to far more than are planned.
+/// The schedule alone, for every number of peers up to far more than planned.
 fn pace_is_capped() {
     for peers in 1..=200 {
         let pace = pace::choose(peers);
--- a/crates/peer/tests/all/delta.rs
+++ b/crates/peer/tests/all/delta.rs
@@ -1,4 +1,4 @@
-//! Reports sent as changes add up to the reports themselves.
+//! Delta-encoded reports reproduce the original reports.
 
 use crate::{
     cases,
@@ -31,8 +31,9 @@
     report
 }
 
-/// The naive twin sends the whole report: with room enough the receiver must hold just that.
-/// Without room, drains are still whole, and loads are whole after enough further deltas.
+/// The reference implementation sends the full report. With a sufficient budget the receiver must
+/// hold exactly that; with a small one, drains are still complete, and loads are complete after
+/// enough further deltas.
 fn adds_up() {
     let loads = prop::collection::vec((0_usize..30, 0_u16..4, 0_u16..4), 0..30);
     let drains = prop::collection::vec((0_usize..30, 1_u64..9, 0_u32..3), 0..5);
@@ -68,7 +69,7 @@
 fn largest_first() {
     let mut sender = Sender::default();
     let whole = report(1, &vec![(0, 1, 0), (1, 8, 8), (2, 3, 0)], &vec![]);
-    // A name of 21 bytes costs 4 loads, and its load 1.
+    // Naming an instance with 21 bytes costs 4 loads, and its load 1.
     let delta = sender.next(&whole, 10);
     assert_eq!(delta.names, [instance(1), instance(2)]);
     let delta = sender.next(
@@ -78,8 +79,9 @@
     assert_eq!((delta.names.len(), delta.loads.len()), (0, 2));
 }
 
-/// A peer sends an index that it never named, or names without end. The delta must be refused, so
-/// that the session ends, instead of charging the load to some instance or filling the memory.
+/// A peer sends an index that it never named, or an unbounded number of names. The delta must be
+/// rejected, so that the session ends, instead of attributing the load to some instance or
+/// exhausting memory.
 fn refused() {
     let mut receiver = Receiver::new(identity("a", 1));
     let load = Load::default();
--- a/crates/peer/tests/all/fake.rs
+++ b/crates/peer/tests/all/fake.rs
@@ -1,4 +1,4 @@
-//! A small entry: a view that moves forward over records, and what came to it.
+//! A fake entry: a view that advances by records, and the messages it received.
 
 use parking_lot::Mutex;
 use primroseroute_domain::{
@@ -14,7 +14,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 use uuid::Uuid;
 
-/// Records that an entry keeps for peers that are behind; older ones take a snapshot.
+/// Number of records that an entry retains for peers that are behind; others need a snapshot.
 pub const KEPT: u64 = 100;
 
 pub fn entry(name: &str) -> id::Entry {
@@ -25,7 +25,7 @@
     format!("bole-hall-worker-{number:04}").parse().unwrap()
 }
 
-/// An incarnation that is the same in every run.
+/// An identity with a deterministic incarnation.
 pub fn identity(name: &str, incarnation: u128) -> Identity {
     Identity {
         entry: entry(name),
@@ -48,7 +48,7 @@
     }
 }
 
-/// What the entry `name` tells about a pool: its demand, loans and what it has seen.
+/// A slot report of the entry `name` on a pool: its demand, its loans and the reports it has seen.
 pub fn slots(name: &str, number: u64) -> Slots {
     Slots {
         pool: "stay".parse().unwrap(),
@@ -82,9 +82,9 @@
     pub kept: Vec<Record>,
     pub numbers: u64,
     pub report: Option<Report>,
-    /// What peers told about slots, in the order in which it came.
+    /// Received slot reports, in order of arrival.
     pub slots: Vec<(id::Entry, Slots)>,
-    /// Every seq that came into force, in order.
+    /// Every applied seq, in order.
     pub history: Vec<Seq>,
     pub heard: Vec<Report>,
     pub snapshots: u32,
@@ -104,20 +104,20 @@
         })
     }
 
-    /// An entry with every change up to `seq` in force.
+    /// An entry that has applied every change up to `seq`.
     pub fn at(identity: Identity, seq: u64) -> Arc<Self> {
         let entry = Self::open(identity);
         entry.accept(records(1, seq));
         entry
     }
 
-    /// What every entry must have in force after the changes up to `seq`: the naive replay.
+    /// Reference implementation: the rows that every entry must have after the changes up to `seq`.
     pub fn rows_at(seq: u64) -> BTreeMap<Arc<str>, Arc<str>> {
         let edits = records(1, seq).into_iter().flat_map(|record| record.edits);
         edits.map(|edit| (edit.key, edit.after.unwrap())).collect()
     }
 
-    /// Asserts that `seq` is in force, whole, and that no lower seq ever followed a higher one.
+    /// Asserts that `seq` is applied completely, and that no lower seq ever followed a higher one.
     pub fn assert_at(&self, seq: u64) {
         let state = self.state.lock();
         assert_eq!(state.seq, Seq(seq), "{:?}", self.identity.entry);
@@ -157,7 +157,7 @@
             .extend(pools.into_iter().map(|slots| (peer.clone(), slots)));
     }
 
-    /// Without a guard of its own, on purpose: the link alone must keep the view from going back.
+    /// Intentionally without a check: the link alone must prevent the view from moving backwards.
     fn accept(&self, records: Vec<Record>) -> Seq {
         let mut state = self.state.lock();
         for record in records {
--- a/crates/peer/tests/all/hostile.rs
+++ b/crates/peer/tests/all/hostile.rs
@@ -1,4 +1,4 @@
-//! Strangers, impostors and faulty peers on the peer port, with real sockets.
+//! Unauthenticated clients, impostors and faulty peers on the peer port, with real sockets.
 
 use crate::{
     fake::{Entry, identity},
@@ -15,8 +15,8 @@
     time,
 };
 
-/// An entry has another key. It must get neither records nor reports nor a name, on connections of
-/// either direction, and must not be able to hand in any.
+/// An entry has a different key. It must receive neither records nor reports nor a name, on
+/// connections of either direction, and must not be able to submit any.
 async fn wrong_key() {
     let one = identity("a", 1);
     let a = Node::bind(Entry::at(one.clone(), 3), settings(one, &[]));
@@ -34,17 +34,13 @@
     for node in [&a, &b] {
         assert!(node.link.sightings().is_empty());
         assert!(node.entry.state.lock().heard.is_empty());
-        assert_eq!(
-            node.entry.state.lock().numbers,
-            0,
-            "no report was even made"
-        );
+        assert_eq!(node.entry.state.lock().numbers, 0, "no report was created");
     }
 }
 
-/// A stranger took over a peer's address, lets everybody in and waits to be told. It cannot answer
-/// the caller's nonce under the key, so the entry must hang up, and try again later, without having
-/// offered its side of a session or called anything.
+/// An impostor took over a peer's address and accepts every caller. It cannot prove knowledge of the
+/// key for the caller's nonce, so the entry must close the connection, and retry later, without
+/// having exposed its side of a session or called anything.
 async fn impostor() {
     let a = Node::open("a", &[]);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -65,8 +61,8 @@
     assert!(a.link.sightings().is_empty());
 }
 
-/// An attacker recorded a handshake and plays it back: on a connection of its own, and again on the
-/// connection where it was good once. Both must be refused, for the nonce is another or used up.
+/// An attacker replays a recorded handshake on a connection of its own, and again on the connection
+/// on which it was valid once. Both must be rejected, because the nonce differs or is used up.
 async fn replay() {
     let a = Node::open("a", &[]);
     let recorded = identity("b", 1);
@@ -76,27 +72,27 @@
     first.enter(&recorded, nonce, &good).await.unwrap();
     assert!(
         first.enter(&recorded, nonce, &good).await.is_err(),
-        "used up"
+        "the nonce is used up"
     );
 
     let second = Caller::connect(a.link.address()).await;
     assert!(
         second.enter(&recorded, nonce, &good).await.is_err(),
-        "no challenge was asked for"
+        "no challenge was requested"
     );
     second.hung_up().await;
     let third = Caller::connect(a.link.address()).await;
     third.challenge().await;
     assert!(
         third.enter(&recorded, nonce, &good).await.is_err(),
-        "another nonce"
+        "the nonce differs"
     );
     third.hung_up().await;
     assert_eq!(a.link.traffic().refused, 2);
 }
 
-/// Waits until the other side hangs up, with or without a last word of the protocol, which must
-/// name nothing of this entry.
+/// Waits until the other side closes the connection, with or without a final protocol message, which
+/// must disclose nothing about the entry.
 async fn hung_up(stream: &mut TcpStream) {
     let mut last = Vec::new();
     let ended = time::timeout(PATIENCE, stream.read_to_end(&mut last)).await;
@@ -105,16 +101,16 @@
     assert!(!text.contains("instance/") && last.len() < 256, "{text}");
 }
 
-/// A scanner sends what is no message, a message that claims to be huge, and more bytes than a
-/// handshake takes. Each connection must be dropped for what it sent, long before any deadline, and
-/// peers be served as before.
+/// A port scanner sends malformed data, a message header with a huge size, and more bytes than a
+/// handshake takes. Each connection must be closed because of its data, long before any timeout, and
+/// peers must be unaffected.
 async fn garbage() {
     let one = identity("a", 1);
     let mut patient = settings(one.clone(), &[]);
     patient.limits.handshake = HOUR;
     let a = Node::bind(Entry::open(one), patient);
     let huge = [0, 0, 0, 0, 0, 0, 0, 0x10];
-    // Announces 4 MB, which is within the largest message, and sends a little of it.
+    // Announces 4 MB, which is below the maximum message size, and sends a small part of it.
     let endless = [&[0, 0, 0, 0, 0, 0, 8, 0][..], &[0; 16_384]].concat();
     for sent in [
         b"GET / HTTP/1.1\r\nhost: a\r\n\r\n".to_vec(),
@@ -133,7 +129,7 @@
     a.reaches(1).await;
 }
 
-/// An entry that takes two strangers at a time, each for as long as `handshake`.
+/// An entry that allows two unauthenticated connections at a time, each for up to `handshake`.
 fn wary(handshake: Duration) -> Node {
     let one = identity("a", 1);
     let mut few = settings(one.clone(), &[]);
@@ -142,8 +138,8 @@
     Node::bind(Entry::open(one), few)
 }
 
-/// Strangers open connections and say nothing. Those beyond the limit must be dropped at once, so
-/// that a flood holds neither memory nor descriptors; here the deadline is too far off to do it.
+/// Clients open connections and send nothing. Those beyond the limit must be closed immediately, so
+/// that a flood holds neither memory nor descriptors; the handshake timeout is too long to do it here.
 async fn too_many_strangers() {
     let a = wary(HOUR);
     let mut idle = Vec::new();
@@ -155,8 +151,8 @@
     assert!(idle[1].try_read(&mut [0]).is_err(), "still open");
 }
 
-/// Strangers take all places and say nothing. They must lose them at the handshake's deadline, and a
-/// peer that kept trying gets in.
+/// Clients occupy all unauthenticated connections and send nothing. They must be closed at the
+/// handshake timeout, so that a peer that keeps retrying can connect.
 async fn idle_strangers() {
     let a = wary(Duration::from_millis(500));
     let mut idle = Vec::new();
@@ -171,7 +167,7 @@
     b.hears(1).await;
 }
 
-/// An entry on which no session ends for want of reports.
+/// An entry that does not close sessions for lack of reports.
 fn deaf_to_silence(name: &str) -> Node {
     let identity = identity(name, 1);
     let mut settings = settings(identity.clone(), &[]);
@@ -179,7 +175,7 @@
     Node::bind(Entry::open(identity), settings)
 }
 
-/// Answers no push, ever.
+/// Never responds to a push.
 struct Stuck;
 
 impl peer::Server for Stuck {
@@ -192,8 +188,8 @@
     }
 }
 
-/// A peer takes pushes and never answers, so its queue fills. The others must have every change all
-/// the same, and the entry must hang up on the stuck peer at the call's deadline.
+/// A peer accepts pushes and never responds, so its queue fills up. The other peers must still receive
+/// every change, and the entry must close the connection to the stuck peer at the call timeout.
 async fn stuck_peer() {
     let a = deaf_to_silence("a");
     let b = Node::open("b", &[&a]);
@@ -210,8 +206,8 @@
     drop(peer);
 }
 
-/// A peer's machine vanishes without a word, so its connection stays half open and accepts all that
-/// is sent. Its missing reports must end the session.
+/// A peer's machine disappears without closing the connection, which stays half open and accepts all
+/// data. The missing reports must end the session.
 async fn half_open() {
     let one = identity("a", 1);
     let mut brief = settings(one.clone(), &[]);
@@ -223,8 +219,8 @@
     drop(peer);
 }
 
-/// A peer with the key, but of a faulty version, sends an index without a name. The session must
-/// end, and no load may be charged to any instance.
+/// A peer with the key but a faulty version sends an index without a name. The session must end, and
+/// no load may be attributed to any instance.
 async fn faulty_peer() {
     let a = deaf_to_silence("a");
     let faulty = Caller::connect(a.link.address()).await;
--- a/crates/peer/tests/all/intake.rs
+++ b/crates/peer/tests/all/intake.rs
@@ -1,11 +1,11 @@
-//! Records that arrive late, twice, out of order or with gaps.
+//! Records that arrive late, duplicated, out of order or with gaps.
 
 use crate::{cases, fake::record, runner};
 use primroseroute_domain::change::Seq;
 use primroseroute_peer::intake::{self, Intake};
 use proptest::prelude::*;
 
-/// The naive twin: look for the next record until there is none.
+/// Reference implementation: search for the next record until there is none.
 fn naive(in_force: u64, seqs: &[u64]) -> Intake {
     if seqs.iter().all(|seq| *seq <= in_force) {
         return Intake::Old;
--- a/crates/peer/tests/all/main.rs
+++ b/crates/peer/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the link between entries.
+//! Tests of the communication between entries.
 
 mod board;
 mod cost;
@@ -12,7 +12,7 @@
 mod proof;
 mod rpc;
 
-/// Names a case: one line a test, run on a paused clock where it is `async`.
+/// Declares tests, one per line; `async` ones run on a paused clock.
 macro_rules! cases {
     ($($(#[$doc:meta])* async $name:ident => $body:expr;)+) => {
         $($(#[$doc])* #[tokio::test(start_paused = true)] async fn $name() { $body.await; })+
@@ -23,7 +23,7 @@
 }
 pub(crate) use cases;
 
-/// Names a case that runs with real sockets, and with room for tasks that are not `Send`.
+/// Declares tests that use real sockets, in a `LocalSet` for tasks that are not `Send`.
 macro_rules! local_cases {
     ($($name:ident => $body:expr;)+) => {
         $(#[tokio::test] async fn $name() {
@@ -33,7 +33,7 @@
 }
 pub(crate) use local_cases;
 
-/// A property runner with a fixed seed: the same cases on every run.
+/// A property test runner with a fixed seed, for the same cases in every run.
 pub(crate) fn runner() -> proptest::test_runner::TestRunner {
     use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
     let config = Config {
--- a/crates/peer/tests/all/membership.rs
+++ b/crates/peer/tests/all/membership.rs
@@ -1,4 +1,4 @@
-//! Standing, footing and the writes of the registration row.
+//! Standing of entries, state of the view and writes of the registration row.
 
 use crate::{cases, fake::entry, runner};
 use primroseroute_domain::change::Seq;
@@ -9,9 +9,9 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// An entry is paused, or cut off, for a day. Its peers see silence and the platform's list, which
-/// lags, says that it runs or nothing at all. It may wake up and send by its old view, so nothing
-/// but the platform's word that it is gone, or an operator's, may end the wait for it.
+/// An entry is suspended or partitioned for a day. Its peers receive no reports, and the platform's
+/// list, which lags, shows it as running or not at all. It may resume and send according to its old
+/// view, so its acknowledgement stays required until the platform or an operator reports it as gone.
 fn silence_is_not_gone() {
     let limits = Limits::default();
     let heard = [
@@ -60,7 +60,7 @@
         .collect()
 }
 
-/// The naive twin, by the table in the design note.
+/// Reference implementation of the table in the design document.
 fn naive(seq: u64, confirmed: Option<u64>, seqs: &[u64]) -> Footing {
     let newest = seqs.iter().copied().max().unwrap_or(0);
     if newest > seq {
@@ -93,8 +93,9 @@
         .unwrap();
 }
 
-/// The store is down and every link is cut. The entry must go on serving, since its callers have no
-/// better one, but its acknowledgement may reach the others an hour later and must not exist.
+/// The store is down and the entry is partitioned from all peers. It must continue to serve, since
+/// its callers have no better entry, but must not acknowledge drains, since the acknowledgement could
+/// reach the others an hour later.
 fn alone() {
     let old = Some(Duration::from_secs(3600));
     let footing = footing(Seq(5), old, &[], &Limits::default());
@@ -102,7 +103,7 @@
     assert!(footing.serves() && !footing.acknowledges() && !footing.controls());
 }
 
-/// Writes of `entries` entries in an hour, with a change each `change` seconds, in steps of 1 s.
+/// Writes of `entries` entries in an hour, with a change every `change` seconds, in steps of 1 s.
 fn writes(entries: u64, change: u64) -> u64 {
     let limits = Limits::default();
     let (mut count, mut last) = (0, None);
@@ -120,7 +121,7 @@
     count * entries
 }
 
-/// The figures of the design note: at rest, at 4,700 changes a day, in a burst.
+/// The figures of the design document: idle, at 4,700 changes per day, and in a burst.
 fn write_counts() {
     let counts = [7, 28].map(|entries| {
         [
--- a/crates/peer/tests/all/memory.rs
+++ b/crates/peer/tests/all/memory.rs
@@ -40,7 +40,7 @@
         self.entries.push(entry);
     }
 
-    /// Entry `at` learns `records` from the store and pushes them.
+    /// Entry `at` learns the records `from` to `to` from the store and pushes them.
     fn learn(&self, at: usize, from: u64, to: u64) {
         for record in records(from, to) {
             self.entries[at].accept(vec![record.clone()]);
@@ -57,8 +57,8 @@
 
 const SEVEN: [&str; 7] = ["a", "b", "c", "d", "e", "f", "g"];
 
-/// The store is down but one entry has a change. The others must have it one push later, without a
-/// poll of their own and before the next exchange.
+/// The store is down but one entry has a change. The others must receive it by a push, without
+/// polling the store and before the next exchange.
 async fn one_poller() {
     let cluster = Cluster::open(&SEVEN);
     time::sleep(Duration::from_millis(10)).await;
@@ -66,15 +66,15 @@
     time::sleep(Duration::from_millis(2)).await;
     cluster.assert_at(1);
     assert_eq!(cluster.network.count().pushes, 6);
-    // Entries that poll the same change a little later know that the others have it.
+    // Entries that poll the same change slightly later know that the others have it.
     time::sleep(Duration::from_secs(2)).await;
     cluster.links[4].broadcast(records(1, 1).into());
     time::sleep(Duration::from_millis(2)).await;
     assert_eq!(cluster.network.count().pushes, 6);
 }
 
-/// A new entry starts while the store is down. It learns seq 7 from B and then hears of seq 5 from
-/// A, which is behind. It must end at 7 and never have gone back; A must be brought to 7 too.
+/// A new entry starts while the store is down. It learns seq 7 from B and then receives a report with
+/// seq 5 from A, which is behind. It must reach 7 and never move backwards; A must reach 7 too.
 async fn stale_start() {
     let mut cluster = Cluster::open(&[]);
     cluster.join(Entry::at(identity("a", 1), 5));
@@ -96,8 +96,8 @@
     );
 }
 
-/// A snapshot is on its way from a slow peer, and a newer view comes from a fast one before it lands.
-/// The snapshot must be ignored when it lands, or accepted changes would revert until the next pull.
+/// A snapshot is in flight from a slow peer, and a newer view arrives from a fast one before it. The
+/// late snapshot must be ignored, or applied changes would be reverted until the next pull.
 async fn late_snapshot() {
     let mut cluster = Cluster::open(&[]);
     let newer = fake::KEPT + 60;
@@ -117,15 +117,15 @@
     assert_eq!(
         cluster.network.count().snapshot_pulls,
         1,
-        "the slow one is still on its way"
+        "the slow snapshot is still in flight"
     );
     time::sleep(Duration::from_millis(200)).await;
     cluster.entries[2].assert_at(newer);
     assert_eq!(cluster.network.count().snapshot_pulls, 2);
 }
 
-/// A push is overtaken or lost, so that a later record arrives alone. Putting it in force would lose
-/// the change between for good; the entry must pull what is missing instead.
+/// A push is overtaken or lost, so that a later record arrives alone. Applying it would lose the
+/// change in between permanently; the entry must pull the missing records instead.
 async fn gap() {
     let cluster = Cluster::open(&["a", "b"]);
     time::sleep(Duration::from_millis(10)).await;
@@ -136,8 +136,9 @@
     assert_eq!(cluster.network.count().record_pulls, 1);
 }
 
-/// Two regions lose each other for an hour, and one goes on with `changes` changes. Once healed, the
-/// other must have them all within seconds: by records where they are still kept, else by snapshot.
+/// Two regions are partitioned for an hour, and one of them applies `changes` changes. Once healed,
+/// the other must receive them all within seconds: as records if they are still retained, otherwise
+/// as a snapshot.
 async fn healed(changes: u64) -> bool {
     let cluster = Cluster::open(&SEVEN);
     let names: Vec<_> = SEVEN.map(entry).into();
@@ -163,8 +164,8 @@
     assert!(healed(fake::KEPT * 2).await);
 }
 
-/// One peer is so slow that each message takes 30 s. The others must have every change at once, what
-/// waits for the slow one stays bounded, and it has everything in the end.
+/// Messages to one peer take 30 s each. The others must receive every change immediately, the queue
+/// for the slow peer must stay bounded, and the slow peer must eventually have all changes.
 async fn slow_peer() {
     let cluster = Cluster::open(&["a", "b", "c"]);
     for name in ["a", "b"] {
@@ -182,8 +183,8 @@
     cluster.entries[2].assert_at(burst);
 }
 
-/// A peer restarts under its name. Reports of the former run must end with the first contact of the
-/// new one, and the new run must be given the view.
+/// A peer restarts under the same name. Reports of the previous incarnation must be discarded at the
+/// first contact of the new one, and the new incarnation must receive the view.
 async fn restart() {
     let mut cluster = Cluster::open(&["a", "b"]);
     cluster.learn(0, 1, 4);
@@ -208,8 +209,8 @@
     assert_eq!(cluster.links[0].pull().await, Err(Error::NothingNewer));
 }
 
-/// One entry tells about slots in another's name. Taken for the other's, the report could lend out
-/// slots that the other itself uses; it must not arrive.
+/// One entry sends a slot report in another's name. Attributed to the other, the report could lend
+/// out slots that the other itself uses; it must not be delivered.
 async fn foreign_slots() {
     let cluster = Cluster::open(&["a", "b", "c"]);
     time::sleep(Duration::from_millis(10)).await;
--- a/crates/peer/tests/all/node.rs
+++ b/crates/peer/tests/all/node.rs
@@ -1,4 +1,4 @@
-//! A small entry with its link over loopback, and a caller that speaks the protocol by hand.
+//! A fake entry with its link over loopback, and a client that uses the protocol directly.
 
 use crate::fake::{Entry, identity, record};
 use capnp::{capability::Rc as ServerRc, message::ReaderOptions};
@@ -18,7 +18,7 @@
 };
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
-/// Far longer than anything here takes; only a fault reaches it.
+/// Far longer than any step takes; reached only on failure.
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
 /// A deadline that no test reaches.
@@ -61,7 +61,7 @@
         Self::bind(Entry::open(identity.clone()), settings(identity, &peers))
     }
 
-    /// Waits until this entry has heard of `count` peers.
+    /// Waits until this entry has reports from `count` peers.
     pub async fn hears(&self, count: usize) {
         until(|| self.link.sightings().len() == count).await;
     }
@@ -78,7 +78,7 @@
     node.link.broadcast([record(seq)].into());
 }
 
-/// Waits until `done`; the order of events decides the verdict and never how long they take.
+/// Waits until `done` is true. The result depends on the order of events, not on their duration.
 pub async fn until(done: impl Fn() -> bool) {
     let wait = async {
         while !done() {
@@ -87,17 +87,17 @@
     };
     time::timeout(PATIENCE, wait)
         .await
-        .expect("the condition never came about");
+        .expect("the condition was not met in time");
 }
 
-/// A connection by hand; `system` ends when the other side hangs up.
+/// A client connection; `system` ends when the other side closes it.
 pub struct Caller {
     pub gate: gate::Client,
     pub system: JoinHandle<Result<(), capnp::Error>>,
 }
 
 impl Caller {
-    /// Must run inside a `LocalSet`.
+    /// Must run within a `LocalSet`.
     pub async fn connect(to: SocketAddr) -> Self {
         let stream = TcpStream::connect(to).await.unwrap();
         let (read, write) = tokio::io::split(stream);
@@ -143,14 +143,14 @@
         peer
     }
 
-    /// Waits until the other side hangs up.
+    /// Waits until the other side closes the connection.
     pub async fn hung_up(self) {
         let ended = time::timeout(PATIENCE, self.system).await;
         let _ = ended.expect("the connection stays open").unwrap();
     }
 }
 
-/// The right proof of `identity` for the callee's nonce, and the nonce that it was made with.
+/// A valid proof of `identity` for the callee's nonce, and the caller's nonce that it covers.
 pub fn proof(identity: &Identity, callee: Nonce) -> (Nonce, [u8; 32]) {
     let own = Nonce([9; 16]);
     let statement = Statement {
@@ -162,7 +162,7 @@
     (own, statement.prove(&key(1)))
 }
 
-/// Lets every caller in, with a proof that is none, and counts the calls to what it offers.
+/// Accepts every caller, with an invalid proof, and counts the calls to its capability.
 pub struct Impostor {
     pub calls: Rc<Cell<u32>>,
 }
@@ -208,7 +208,7 @@
     }
 }
 
-/// Serves `gate` on one connection until the other side hangs up.
+/// Serves `gate` on one connection until the other side closes it.
 pub async fn serve(stream: TcpStream, gate: Impostor) {
     let (read, write) = tokio::io::split(stream);
     let options = ReaderOptions::new();
--- a/crates/peer/tests/all/proof.rs
+++ b/crates/peer/tests/all/proof.rs
@@ -1,4 +1,4 @@
-//! The challenge and response.
+//! Challenge-response authentication.
 
 use crate::{cases, fake::identity};
 use expect_test::expect;
@@ -21,8 +21,8 @@
     ));
 }
 
-/// An attacker holds a recorded proof and tries it for anything but what it was made for: another
-/// nonce, another name, another incarnation, the other direction. None may hold.
+/// An attacker uses a recorded proof for a different statement: another nonce, another name, another
+/// incarnation, the other direction. None may verify.
 fn covers() {
     let key = Key::new(&[7; 32]).unwrap();
     let (a, b) = (identity("a", 1), identity("b", 1));
--- a/crates/peer/tests/all/rpc.rs
+++ b/crates/peer/tests/all/rpc.rs
@@ -1,7 +1,7 @@
-//! The link over TCP: whole sessions on loopback, with real sockets and threads.
+//! The link over TCP: complete sessions on loopback, with real sockets and threads.
 //!
-//! Nothing here asserts a time: each test waits for what must come about, and for what must not it
-//! waits until something later has.
+//! No test asserts a duration: each waits for the expected event, and to check that an event does not
+//! occur, it waits for a later one.
 
 use crate::{
     fake::{Entry, KEPT, entry, identity, records, slots},
@@ -13,8 +13,8 @@
 use std::{net::SocketAddr, time::Duration};
 use tokio::time;
 
-/// Three entries know each other's addresses, two of them twice. Each change must reach all,
-/// whoever learns it, and each must hear the others.
+/// Three entries know each other's addresses, two of them twice. Each change must reach all entries,
+/// whichever learns it, and each entry must receive reports from the others.
 async fn mesh() {
     let a = Node::open("a", &[]);
     let b = Node::open("b", &[&a]);
@@ -36,8 +36,7 @@
     }
 }
 
-/// An entry that starts with nothing while the store is down learns all from a peer, and the pull
-/// that it asked for itself says where it ended.
+/// An entry that starts without a view while the store is down must receive a full view from a peer.
 async fn start_up() {
     let one = identity("a", 1);
     let a = Node::bind(Entry::at(one.clone(), KEPT + 50), settings(one, &[]));
@@ -45,7 +44,7 @@
     assert_eq!(
         b.link.pull().await,
         Err(Error::NothingNewer),
-        "nobody heard yet"
+        "no report received yet"
     );
     b.reaches(KEPT + 50).await;
     assert_eq!(b.entry.state.lock().snapshots, 1);
@@ -53,7 +52,7 @@
 }
 
 /// A record arrives without its predecessor, and later an older one arrives again. The entry must
-/// pull what is missing, in order, and ignore what is old.
+/// pull the missing records, in order, and ignore old ones.
 async fn gap_and_old() {
     let a = Node::open("a", &[]);
     let b = Node::open("b", &[&a]);
@@ -67,9 +66,9 @@
     b.reaches(4).await;
 }
 
-/// An entry restarts, with a fresh incarnation, on the port that it had. Its peer must reconnect,
-/// drop the former reports, and give it the changes; the former run's proof of identity no longer
-/// opens a session.
+/// An entry restarts with a new incarnation on the same port. Its peer must reconnect, discard the
+/// previous reports, and send it the changes; a proof of the previous incarnation must no longer open
+/// a session.
 async fn restart() {
     let a = Node::open("a", &[]);
     let b = Node::open("b", &[&a]);
@@ -102,7 +101,7 @@
 }
 
 /// A drain is acknowledged on either side of a connection whose next exchange is an hour away. The
-/// acknowledgement must cross at once, whichever side opened the connection.
+/// acknowledgement must be sent immediately, whichever side opened the connection.
 async fn acknowledge() {
     let mut nodes: Vec<Node> = Vec::new();
     for name in ["a", "b"] {
@@ -126,8 +125,8 @@
     }
 }
 
-/// Two entries have each other's address, so both dial. The entry with the higher name must give up
-/// its connection once the other has one, or each pair would cost the control budget twice.
+/// Two entries have each other's address, so both connect. The entry with the higher name must close
+/// its connection once the other has one, or each pair would use the control budget twice.
 async fn one_session_a_pair() {
     let open = |name: &str, peers: &[SocketAddr]| {
         let identity = identity(name, 1);
@@ -156,11 +155,13 @@
             }
         }
     };
-    time::timeout(PATIENCE, settle).await.expect("both go on");
+    time::timeout(PATIENCE, settle)
+        .await
+        .expect("both sessions stay open");
 }
 
-/// The link is closed while peers go on. Nothing may reach the entry any more, and its port must be
-/// free for a successor.
+/// The link is closed while its peers stay up. The entry must not be called any more, and its port
+/// must be free for a successor.
 async fn closed() {
     let a = Node::open("a", &[]);
     let b = Node::open("b", &[&a]);
@@ -175,8 +176,8 @@
     a.entry.assert_at(0);
 }
 
-/// Two entries tell each other about slots. Each report arrives whole, to the last bit of its
-/// numbers, and in order: a borrower and a lender that read it differently would both use a slot.
+/// Two entries send each other slot reports. Each must arrive complete, bit-exact and in order: if a
+/// borrower and a lender decoded it differently, both would use the same slot.
 async fn slots_cross() {
     let a = Node::open("a", &[]);
     let b = Node::open("b", &[&a]);
