--- a/crates/peer/src/board.rs
+++ b/crates/peer/src/board.rs
@@ -10,7 +10,7 @@
 
 /// Past incarnations remembered for each peer: far more than the restarts of one machine while a
 /// suspended process of it could still resume.
-const PAST: usize = 16;
+const MAX_PAST_INCARNATIONS: usize = 16;
 
 /// A previous incarnation of a peer tried to open a session.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -18,7 +18,7 @@
 pub struct Superseded(pub id::Entry);
 
 #[derive(Clone, Debug)]
-struct Place {
+struct PeerState {
     current: Uuid,
     past: VecDeque<Uuid>,
     latest: Option<(Report, Duration)>,
@@ -27,7 +27,7 @@
 /// What this entry knows about its peers. Times are since the start of the process.
 #[derive(Clone, Debug, Default)]
 pub struct Board {
-    places: BTreeMap<id::Entry, Place>,
+    peers: BTreeMap<id::Entry, PeerState>,
 }
 
 impl Board {
@@ -39,53 +39,53 @@
     /// # Errors
     /// [`Superseded`] if a later incarnation was admitted before.
     pub fn admit(&mut self, peer: &Identity) -> Result<(), Superseded> {
-        let Some(place) = self.places.get_mut(&peer.entry) else {
-            let place = Place {
+        let Some(state) = self.peers.get_mut(&peer.entry) else {
+            let state = PeerState {
                 current: peer.incarnation,
                 past: VecDeque::new(),
                 latest: None,
             };
-            self.places.insert(peer.entry.clone(), place);
+            self.peers.insert(peer.entry.clone(), state);
             return Ok(());
         };
-        if place.current == peer.incarnation {
+        if state.current == peer.incarnation {
             return Ok(());
         }
-        if place.past.contains(&peer.incarnation) {
+        if state.past.contains(&peer.incarnation) {
             return Err(Superseded(peer.entry.clone()));
         }
-        if place.past.len() == PAST {
-            place.past.pop_front();
+        if state.past.len() == MAX_PAST_INCARNATIONS {
+            state.past.pop_front();
         }
-        place.past.push_back(place.current);
-        place.current = peer.incarnation;
-        place.latest = None;
+        state.past.push_back(state.current);
+        state.current = peer.incarnation;
+        state.latest = None;
         Ok(())
     }
 
     /// Stores `report` if its sender is admitted and no later report of it is stored. Returns
     /// whether it was stored.
     pub fn keep(&mut self, report: Report, now: Duration) -> bool {
-        let Some(place) = self.places.get_mut(&report.from.entry) else {
+        let Some(state) = self.peers.get_mut(&report.from.entry) else {
             return false;
         };
-        let late = place
+        let late = state
             .latest
             .as_ref()
             .is_some_and(|(latest, _)| latest.number >= report.number);
-        if place.current != report.from.incarnation || late {
+        if state.current != report.from.incarnation || late {
             return false;
         }
-        place.latest = Some((report, now));
+        state.latest = Some((report, now));
         true
     }
 
     /// The latest report of each peer, ordered by name.
     pub fn sightings(&self, now: Duration) -> Vec<Sighting> {
         let latest = self
-            .places
+            .peers
             .values()
-            .filter_map(|place| place.latest.as_ref());
+            .filter_map(|state| state.latest.as_ref());
         latest
             .map(|(report, heard)| Sighting {
                 report: report.clone(),
--- a/crates/peer/src/core.rs
+++ b/crates/peer/src/core.rs
@@ -16,9 +16,9 @@
 
 /// Result of handling received records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Pushed {
+pub(crate) enum ReceiveOutcome {
     /// The applied seq afterwards.
-    InForce(Seq),
+    Applied(Seq),
     /// Records are missing after the contained applied seq and must be pulled.
     Gap(Seq),
 }
@@ -59,7 +59,7 @@
     }
 
     /// Stores a peer's report. Returns whether it shows a newer view than the applied one.
-    pub(crate) fn take_report(&self, report: &Report) -> bool {
+    pub(crate) fn receive_report(&self, report: &Report) -> bool {
         let kept = self
             .board
             .lock()
@@ -70,12 +70,12 @@
         kept && report.seq > self.local.seq()
     }
 
-    pub(crate) fn take_records(&self, records: Vec<Record>) -> Pushed {
-        let in_force = self.local.seq();
-        match intake::choose(in_force, records) {
-            Intake::Old => Pushed::InForce(in_force),
-            Intake::Accept(records) => Pushed::InForce(self.local.accept(records)),
-            Intake::Gap => Pushed::Gap(in_force),
+    pub(crate) fn receive_records(&self, records: Vec<Record>) -> ReceiveOutcome {
+        let applied = self.local.seq();
+        match intake::choose(applied, records) {
+            Intake::Old => ReceiveOutcome::Applied(applied),
+            Intake::Accept(records) => ReceiveOutcome::Applied(self.local.accept(records)),
+            Intake::Gap => ReceiveOutcome::Gap(applied),
         }
     }
 
@@ -83,13 +83,13 @@
     ///
     /// A report that names an entry other than the peer is dropped: attributed to that entry, it
     /// could lend out slots that the entry itself uses.
-    pub(crate) fn take_slots(&self, peer: &id::Entry, mut pools: Vec<Slots>) {
+    pub(crate) fn receive_slot_reports(&self, peer: &id::Entry, mut pools: Vec<Slots>) {
         pools.retain(|slots| slots.report.entry == *peer);
         self.local.accept_slots(peer, pools);
     }
 
     /// What this entry has beyond `seq`.
-    pub(crate) fn newer(&self, seq: Seq) -> Newer {
+    pub(crate) fn newer_than(&self, seq: Seq) -> Newer {
         if self.local.seq() <= seq {
             return Newer::Nothing;
         }
@@ -100,10 +100,10 @@
     }
 
     /// Applies the response to a pull and returns the applied seq afterwards.
-    pub(crate) fn take_newer(&self, newer: Newer) -> Seq {
+    pub(crate) fn receive_newer(&self, newer: Newer) -> Seq {
         match newer {
-            Newer::Records(records) => match self.take_records(records) {
-                Pushed::InForce(seq) | Pushed::Gap(seq) => seq,
+            Newer::Records(records) => match self.receive_records(records) {
+                ReceiveOutcome::Applied(seq) | ReceiveOutcome::Gap(seq) => seq,
             },
             Newer::Snapshot(snapshot) if snapshot.seq > self.local.seq() => {
                 self.local.accept_snapshot(snapshot)
--- a/crates/peer/src/delta.rs
+++ b/crates/peer/src/delta.rs
@@ -74,9 +74,9 @@
 impl Sender {
     /// Returns the changes from what was sent before to `report`.
     ///
-    /// `room` limits the cost of the loads: 1 for each, plus the equivalent of the name's bytes if
-    /// the instance is named for the first time. At least one load is sent in any case.
-    pub fn next(&mut self, report: &Report, room: usize) -> Delta {
+    /// `load_budget` limits the cost of the loads: 1 for each, plus the equivalent of the name's bytes
+    /// if the instance is named for the first time. At least one load is sent in any case.
+    pub fn next(&mut self, report: &Report, load_budget: usize) -> Delta {
         let mut delta = Delta {
             number: report.number,
             seq: report.seq,
@@ -84,7 +84,7 @@
             ..Delta::default()
         };
         self.add_drains(report, &mut delta);
-        self.add_loads(report, room, &mut delta);
+        self.add_loads(report, load_budget, &mut delta);
         delta
     }
 
@@ -119,7 +119,7 @@
         }
     }
 
-    fn add_loads(&mut self, report: &Report, room: usize, delta: &mut Delta) {
+    fn add_loads(&mut self, report: &Report, load_budget: usize, delta: &mut Delta) {
         let mut changes = Vec::new();
         for instance in union(&self.loads, &report.loads) {
             let load = report.loads.get(&instance).copied().unwrap_or_default();
@@ -129,15 +129,15 @@
             }
         }
         changes.sort_by(|a, b| (a.0, &a.1).cmp(&(b.0, &b.1)));
-        let mut left = room;
+        let mut remaining = load_budget;
         for (_, instance, load) in changes {
             let named = self.indexes.contains_key(&instance);
             let cost = if named { 1 } else { 1 + name_cost(&instance) };
             // The first is always sent, or a long name could never be sent with a small budget.
-            if cost > left && !delta.loads.is_empty() {
+            if cost > remaining && !delta.loads.is_empty() {
                 break;
             }
-            left = left.saturating_sub(cost);
+            remaining = remaining.saturating_sub(cost);
             let Some(index) = self.index(&instance, delta) else {
                 continue;
             };
@@ -215,9 +215,9 @@
     }
 
     fn name(&self, index: u32) -> Result<id::Instance, Error> {
-        let place = usize::try_from(index).ok();
-        place
-            .and_then(|place| self.names.get(place))
+        let position = usize::try_from(index).ok();
+        position
+            .and_then(|position| self.names.get(position))
             .cloned()
             .ok_or(Error::UnknownIndex(index))
     }
--- a/crates/peer/src/intake.rs
+++ b/crates/peer/src/intake.rs
@@ -13,25 +13,25 @@
     Gap,
 }
 
-/// Selects from `records` those that follow `in_force`, in order and without a gap.
+/// Selects from `records` those that follow `applied`, in order and without a gap.
 ///
-/// Records at or below `in_force` are dropped regardless of the sender. A push can be lost or
+/// Records at or below `applied` are dropped regardless of the sender. A push can be lost or
 /// overtaken by a later one; applying the later one would skip a change permanently, so all records
 /// after a gap are discarded and fetched again by a pull.
-pub fn choose(in_force: Seq, mut records: Vec<Record>) -> Intake {
+pub fn choose(applied: Seq, mut records: Vec<Record>) -> Intake {
     records.sort_by_key(|record| record.seq);
     records.dedup_by_key(|record| record.seq);
-    records.retain(|record| record.seq > in_force);
+    records.retain(|record| record.seq > applied);
     let Some(first) = records.first() else {
         return Intake::Old;
     };
-    if first.seq != in_force.next() {
+    if first.seq != applied.next() {
         return Intake::Gap;
     }
-    let run = records
+    let contiguous = records
         .windows(2)
         .position(|pair| pair[1].seq != pair[0].seq.next())
         .map_or(records.len(), |last| last + 1);
-    records.truncate(run);
+    records.truncate(contiguous);
     Intake::Accept(records)
 }
--- a/crates/peer/src/memory.rs
+++ b/crates/peer/src/memory.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     Address, Error, Link as LinkTrait, Local, Newer, Slots,
-    core::{Core, Pushed},
+    core::{Core, ReceiveOutcome},
     pace,
     report::{Identity, Sighting},
 };
@@ -48,7 +48,7 @@
 #[derive(Debug, Default)]
 struct State {
     nodes: BTreeMap<id::Entry, Weak<Node>>,
-    cuts: BTreeSet<(id::Entry, id::Entry)>,
+    partitions: BTreeSet<(id::Entry, id::Entry)>,
     latency: Duration,
     latencies: BTreeMap<(id::Entry, id::Entry), Duration>,
     queued: BTreeMap<(id::Entry, id::Entry), usize>,
@@ -63,7 +63,7 @@
     state: Arc<Mutex<State>>,
 }
 
-fn pair(a: &id::Entry, b: &id::Entry) -> (id::Entry, id::Entry) {
+fn unordered_pair(a: &id::Entry, b: &id::Entry) -> (id::Entry, id::Entry) {
     if a <= b {
         (a.clone(), b.clone())
     } else {
@@ -84,17 +84,20 @@
 
     /// Sets the one-way latency between two entries.
     pub fn set_latency_between(&self, a: &id::Entry, b: &id::Entry, latency: Duration) {
-        self.state.lock().latencies.insert(pair(a, b), latency);
+        self.state
+            .lock()
+            .latencies
+            .insert(unordered_pair(a, b), latency);
     }
 
     /// Partitions two entries; messages in flight between them are lost.
     pub fn cut(&self, a: &id::Entry, b: &id::Entry) {
-        self.state.lock().cuts.insert(pair(a, b));
+        self.state.lock().partitions.insert(unordered_pair(a, b));
     }
 
     /// Heals the partition between two entries.
     pub fn heal(&self, a: &id::Entry, b: &id::Entry) {
-        self.state.lock().cuts.remove(&pair(a, b));
+        self.state.lock().partitions.remove(&unordered_pair(a, b));
     }
 
     /// Partitions every entry of one group from every entry of the other, such as two regions.
@@ -108,7 +111,7 @@
 
     /// Heals all partitions.
     pub fn heal_all(&self) {
-        self.state.lock().cuts.clear();
+        self.state.lock().partitions.clear();
     }
 
     /// The number of messages so far.
@@ -142,8 +145,8 @@
     }
 
     /// Waits for the latency of a message; `None` if a partition loses it.
-    async fn cross(&self, from: &id::Entry, to: &id::Entry) -> Option<()> {
-        let key = pair(from, to);
+    async fn transmit(&self, from: &id::Entry, to: &id::Entry) -> Option<()> {
+        let key = unordered_pair(from, to);
         let latency = {
             let state = self.state.lock();
             let own = state.latencies.get(&key);
@@ -151,7 +154,7 @@
         };
         time::sleep(latency).await;
         let mut state = self.state.lock();
-        if state.cuts.contains(&key) {
+        if state.partitions.contains(&key) {
             state.count.lost += 1;
             return None;
         }
@@ -220,25 +223,29 @@
         return;
     };
     let report = own.core.own_report();
-    let crossed = own.network.cross(&own.identity.entry, &peer.identity.entry);
-    if crossed.await.is_none() || peer.core.admit(&own.identity).is_err() {
+    let delivered = own
+        .network
+        .transmit(&own.identity.entry, &peer.identity.entry);
+    if delivered.await.is_none() || peer.core.admit(&own.identity).is_err() {
         return;
     }
-    if peer.core.take_report(&report) {
-        tokio::spawn(pull_behind(Arc::downgrade(&peer), Arc::downgrade(&own)));
+    if peer.core.receive_report(&report) {
+        tokio::spawn(pull_if_alive(Arc::downgrade(&peer), Arc::downgrade(&own)));
     }
     let answer = peer.core.own_report();
-    let crossed = own.network.cross(&peer.identity.entry, &own.identity.entry);
-    if crossed.await.is_none() || own.core.admit(&peer.identity).is_err() {
+    let delivered = own
+        .network
+        .transmit(&peer.identity.entry, &own.identity.entry);
+    if delivered.await.is_none() || own.core.admit(&peer.identity).is_err() {
         return;
     }
     own.network.state.lock().count.exchanges += 1;
-    if own.core.take_report(&answer) {
+    if own.core.receive_report(&answer) {
         pull_from(&own, &peer).await;
     }
 }
 
-async fn pull_behind(own: Weak<Node>, peer: Weak<Node>) {
+async fn pull_if_alive(own: Weak<Node>, peer: Weak<Node>) {
     if let Some((own, peer)) = own.upgrade().zip(peer.upgrade()) {
         pull_from(&own, &peer).await;
     }
@@ -248,37 +255,37 @@
     let network = &own.network;
     let after = own.core.seq();
     let (here, there) = (&own.identity.entry, &peer.identity.entry);
-    network.cross(here, there).await?;
-    let newer = peer.core.newer(after);
-    network.cross(there, here).await?;
+    network.transmit(here, there).await?;
+    let newer = peer.core.newer_than(after);
+    network.transmit(there, here).await?;
     match &newer {
         Newer::Nothing => {}
         Newer::Records(_) => network.state.lock().count.record_pulls += 1,
         Newer::Snapshot(_) => network.state.lock().count.snapshot_pulls += 1,
     }
-    Some(own.core.take_newer(newer))
+    Some(own.core.receive_newer(newer))
 }
 
 async fn push(own: Arc<Node>, peer: Arc<Node>, records: Arc<[Record]>) {
     let (here, there) = (&own.identity.entry, &peer.identity.entry);
-    let crossed = own.network.cross(here, there).await;
+    let delivered = own.network.transmit(here, there).await;
     own.network.release(here, there);
-    if crossed.is_none() {
+    if delivered.is_none() {
         return;
     }
     own.network.state.lock().count.pushes += 1;
-    if let Pushed::Gap(_) = peer.core.take_records(records.to_vec()) {
+    if let ReceiveOutcome::Gap(_) = peer.core.receive_records(records.to_vec()) {
         pull_from(&peer, &own).await;
     }
 }
 
 async fn share(own: Arc<Node>, peer: Arc<Node>, pools: Arc<[Slots]>) {
     let (here, there) = (&own.identity.entry, &peer.identity.entry);
-    let crossed = own.network.cross(here, there).await;
+    let delivered = own.network.transmit(here, there).await;
     own.network.release(here, there);
-    if crossed.is_some() {
+    if delivered.is_some() {
         own.network.state.lock().count.shares += 1;
-        peer.core.take_slots(here, pools.to_vec());
+        peer.core.receive_slot_reports(here, pools.to_vec());
     }
 }
 
--- a/crates/peer/src/proof.rs
+++ b/crates/peer/src/proof.rs
@@ -13,10 +13,10 @@
 use uuid::Uuid;
 
 /// Block length of SHA-256 in bytes (FIPS 180-4).
-const BLOCK: usize = 64;
+const BLOCK_BYTES: usize = 64;
 
 /// Length of a SHA-256 digest in bytes (FIPS 180-4).
-const DIGEST: usize = 32;
+const DIGEST_BYTES: usize = 32;
 
 /// Minimum key length in bytes: recorded proofs allow offline guessing of the key, which 128 bits
 /// make infeasible.
@@ -50,10 +50,10 @@
     }
 
     /// HMAC-SHA-256 of the concatenated `parts`.
-    pub fn hmac(&self, parts: &[&[u8]]) -> [u8; DIGEST] {
-        let mut block = [0; BLOCK];
-        if self.0.len() > BLOCK {
-            block[..DIGEST].copy_from_slice(&Sha256::digest(&self.0));
+    pub fn hmac(&self, parts: &[&[u8]]) -> [u8; DIGEST_BYTES] {
+        let mut block = [0; BLOCK_BYTES];
+        if self.0.len() > BLOCK_BYTES {
+            block[..DIGEST_BYTES].copy_from_slice(&Sha256::digest(&self.0));
         } else {
             block[..self.0.len()].copy_from_slice(&self.0);
         }
@@ -118,7 +118,7 @@
 
 impl Statement<'_> {
     /// Computes the proof of this statement under `key`.
-    pub fn prove(&self, key: &Key) -> [u8; DIGEST] {
+    pub fn prove(&self, key: &Key) -> [u8; DIGEST_BYTES] {
         key.hmac(&[
             self.side.label(),
             &self.callee.0,
--- a/crates/peer/src/rpc/codec.rs
+++ b/crates/peer/src/rpc/codec.rs
@@ -13,18 +13,18 @@
 use uuid::Uuid;
 
 /// Encoding of the confirmed age of a view that the store never confirmed.
-const NEVER: u64 = u64::MAX;
+const NEVER_CONFIRMED: u64 = u64::MAX;
 
 /// Maximum bytes of records in one pull response; the rest is fetched by the next pull.
-const PULL_BYTES: usize = 1 << 20;
+const MAX_PULL_BYTES: usize = 1 << 20;
 
-pub(super) fn fault(cause: impl Display) -> Error {
+pub(super) fn rpc_error(cause: impl Display) -> Error {
     Error::failed(cause.to_string())
 }
 
 /// Converts a length to the list length type of the schema.
-fn count(len: usize) -> Result<u32, Error> {
-    u32::try_from(len).map_err(fault)
+fn list_len(len: usize) -> Result<u32, Error> {
+    u32::try_from(len).map_err(rpc_error)
 }
 
 pub(super) fn write_identity(mut to: schema::identity::Builder<'_>, identity: &Identity) {
@@ -34,8 +34,8 @@
 
 pub(super) fn read_identity(from: schema::identity::Reader<'_>) -> Result<Identity, Error> {
     Ok(Identity {
-        entry: from.get_entry()?.to_str()?.parse().map_err(fault)?,
-        incarnation: Uuid::from_slice(from.get_incarnation()?).map_err(fault)?,
+        entry: from.get_entry()?.to_str()?.parse().map_err(rpc_error)?,
+        incarnation: Uuid::from_slice(from.get_incarnation()?).map_err(rpc_error)?,
     })
 }
 
@@ -44,19 +44,19 @@
     to.set_seq(delta.seq.0);
     let age = delta.confirmed.map(|age| age.as_millis());
     let age = age.and_then(|age| u64::try_from(age).ok());
-    to.set_confirmed_age(age.unwrap_or(NEVER));
-    let mut names = to.reborrow().init_names(count(delta.names.len())?);
+    to.set_confirmed_age(age.unwrap_or(NEVER_CONFIRMED));
+    let mut names = to.reborrow().init_names(list_len(delta.names.len())?);
     for (index, name) in (0..).zip(&delta.names) {
         names.set(index, name.as_str());
     }
-    let mut loads = to.reborrow().init_loads(count(delta.loads.len())?);
+    let mut loads = to.reborrow().init_loads(list_len(delta.loads.len())?);
     for (index, change) in (0..).zip(&delta.loads) {
         let mut load = loads.reborrow().get(index);
         load.set_instance(change.index);
         load.set_in_flight(change.load.in_flight);
         load.set_demand(change.load.demand);
     }
-    let mut drains = to.init_drains(count(delta.drains.len())?);
+    let mut drains = to.init_drains(list_len(delta.drains.len())?);
     for (index, change) in (0..).zip(&delta.drains) {
         let mut drain = drains.reborrow().get(index);
         drain.set_instance(change.index);
@@ -75,9 +75,11 @@
         ..Delta::default()
     };
     let age = from.get_confirmed_age();
-    delta.confirmed = (age != NEVER).then(|| Duration::from_millis(age));
+    delta.confirmed = (age != NEVER_CONFIRMED).then(|| Duration::from_millis(age));
     for name in from.get_names()? {
-        delta.names.push(name?.to_str()?.parse().map_err(fault)?);
+        delta
+            .names
+            .push(name?.to_str()?.parse().map_err(rpc_error)?);
     }
     for load in from.get_loads()? {
         delta.loads.push(LoadChange {
@@ -104,7 +106,7 @@
     let mut encoded = Vec::new();
     let mut total = 0;
     for record in records {
-        let json = serde_json::to_vec(record).map_err(fault)?;
+        let json = serde_json::to_vec(record).map_err(rpc_error)?;
         total += json.len();
         if total > bytes && !encoded.is_empty() {
             break;
@@ -125,20 +127,20 @@
 }
 
 fn decode<T: DeserializeOwned>(json: &[u8]) -> Result<T, Error> {
-    serde_json::from_slice(json).map_err(fault)
+    serde_json::from_slice(json).map_err(rpc_error)
 }
 
 pub(super) fn write_newer(mut to: schema::newer::Builder<'_>, newer: &Newer) -> Result<(), Error> {
     match newer {
         Newer::Nothing => to.set_nothing(()),
         Newer::Records(records) => {
-            let encoded = encode_records(records, PULL_BYTES)?;
-            write_records(to.init_records(count(encoded.len())?), &encoded);
+            let encoded = encode_records(records, MAX_PULL_BYTES)?;
+            write_records(to.init_records(list_len(encoded.len())?), &encoded);
         }
         Newer::Snapshot(snapshot) => {
             let mut to = to.init_snapshot();
             to.set_seq(snapshot.seq.0);
-            let mut rows = to.init_rows(count(snapshot.rows.len())?);
+            let mut rows = to.init_rows(list_len(snapshot.rows.len())?);
             for (index, row) in (0..).zip(&snapshot.rows) {
                 let mut to = rows.reborrow().get(index);
                 to.set_key(&*row.key);
--- a/crates/peer/src/rpc/dial.rs
+++ b/crates/peer/src/rpc/dial.rs
@@ -1,7 +1,7 @@
 //! Outbound connections to peers.
 
 use super::{
-    codec::fault,
+    codec::rpc_error,
     gate,
     hub::Hub,
     session::{Direction, Session},
@@ -21,18 +21,18 @@
 };
 
 /// Result of a connection that was closed without an error.
-enum End {
+enum ConnectionEnd {
     /// The address belongs to this entry itself.
-    Own,
+    OwnAddress,
     /// The session with this peer ended.
-    Session(Identity),
+    SessionEnded(Identity),
 }
 
 /// Runs one connection task for each configured address.
-pub(super) async fn run(hub: Rc<Hub>, mut wanted: watch::Receiver<Vec<Address>>) {
+pub(super) async fn run(hub: Rc<Hub>, mut addresses: watch::Receiver<Vec<Address>>) {
     let mut tasks: BTreeMap<Address, AbortHandle> = BTreeMap::new();
     loop {
-        let now = wanted.borrow_and_update().clone();
+        let now = addresses.borrow_and_update().clone();
         tasks.retain(|address, task| {
             let keep = now.contains(address);
             if !keep {
@@ -43,18 +43,18 @@
         for address in now {
             let own = address.entry.as_ref() == Some(&hub.identity.entry);
             if !own && !tasks.contains_key(&address) {
-                let task = spawn_local(keep(Rc::clone(&hub), address.clone()));
+                let task = spawn_local(maintain_session(Rc::clone(&hub), address.clone()));
                 tasks.insert(address, task.abort_handle());
             }
         }
-        if wanted.changed().await.is_err() {
+        if addresses.changed().await.is_err() {
             return;
         }
     }
 }
 
 /// Maintains a session with the entry at `address`, reconnecting with backoff, until aborted.
-async fn keep(hub: Rc<Hub>, address: Address) {
+async fn maintain_session(hub: Rc<Hub>, address: Address) {
     let limits = hub.limits;
     let mut name = address.entry.clone();
     let mut retry = Retry::new(
@@ -67,14 +67,17 @@
         time::sleep(limits.handshake).await;
     }
     loop {
-        if name.as_ref().is_some_and(|name| hub.is_served_by(name)) {
+        if name
+            .as_ref()
+            .is_some_and(|name| hub.has_preferred_inbound(name))
+        {
             retry.reset();
             time::sleep(limits.longest_pause).await;
             continue;
         }
         match connect(&hub, &address).await {
-            Ok(End::Own) => return,
-            Ok(End::Session(peer)) => {
+            Ok(ConnectionEnd::OwnAddress) => return,
+            Ok(ConnectionEnd::SessionEnded(peer)) => {
                 name = Some(peer.entry);
                 retry.reset();
             }
@@ -86,54 +89,54 @@
     }
 }
 
-async fn connect(hub: &Rc<Hub>, address: &Address) -> Result<End, Error> {
+async fn connect(hub: &Rc<Hub>, address: &Address) -> Result<ConnectionEnd, Error> {
     let handshake = hub.limits.handshake;
     let stream = time::timeout(handshake, TcpStream::connect(address.socket));
-    let stream = stream.await.map_err(fault)?.map_err(fault)?;
-    stream.set_nodelay(true).map_err(fault)?;
+    let stream = stream.await.map_err(rpc_error)?.map_err(rpc_error)?;
+    stream.set_nodelay(true).map_err(rpc_error)?;
     let allowance = wire::allowance();
     let limit = Rc::clone(&allowance);
-    let mut system = wire::system(hub, stream, Side::Client, allowance, None);
+    let mut system = wire::new_system(hub, stream, Side::Client, allowance, None);
     let gate: GateClient = system.bootstrap(Side::Server);
-    let entered = tokio::select! {
-        ended = &mut system => Err(ended.err().unwrap_or_else(|| fault("the peer closed the connection"))),
-        entered = time::timeout(handshake, gate::enter(hub, &gate)) => entered.unwrap_or_else(|late| Err(fault(late))),
+    let handshake_result = tokio::select! {
+        ended = &mut system => Err(ended.err().unwrap_or_else(|| rpc_error("the peer closed the connection"))),
+        handshake_result = time::timeout(handshake, gate::enter(hub, &gate)) => handshake_result.unwrap_or_else(|late| Err(rpc_error(late))),
     };
-    let entered = match entered {
-        Ok(entered) => entered,
+    let handshake_result = match handshake_result {
+        Ok(handshake_result) => handshake_result,
         Err(error) => {
-            wire::end(system).await;
+            wire::disconnect(system).await;
             return Err(error);
         }
     };
-    if entered.callee.entry == hub.identity.entry {
-        wire::end(system).await;
-        if entered.callee == hub.identity {
-            return Ok(End::Own);
+    if handshake_result.callee.entry == hub.identity.entry {
+        wire::disconnect(system).await;
+        if handshake_result.callee == hub.identity {
+            return Ok(ConnectionEnd::OwnAddress);
         }
         log::warn!(address:% = address.socket; "another process uses this entry's name");
-        return Err(fault("another process uses this entry's name"));
+        return Err(rpc_error("another process uses this entry's name"));
     }
     limit.set(None);
-    let peer = entered.callee.clone();
-    let opened = hub.open(entered.callee, Direction::Outbound);
-    let ended = match opened {
+    let peer = handshake_result.callee.clone();
+    let open_result = hub.open(handshake_result.callee, Direction::Outbound);
+    let ended = match open_result {
         Ok(session) => {
             let ended = tokio::select! {
                 ended = &mut system => ended,
-                ended = converse(&session, entered.peer) => ended,
+                ended = run_session(&session, handshake_result.peer) => ended,
                 () = session.ended.cancelled() => Ok(()),
             };
             hub.close(&session);
             ended
         }
-        Err(denied) => Err(fault(denied)),
+        Err(denied) => Err(rpc_error(denied)),
     };
-    wire::end(system).await;
-    ended.map(|()| End::Session(peer))
+    wire::disconnect(system).await;
+    ended.map(|()| ConnectionEnd::SessionEnded(peer))
 }
 
-async fn converse(
+async fn run_session(
     session: &Rc<Session>,
     peer: primroseroute_peer_schema::peer_capnp::peer::Client,
 ) -> Result<(), Error> {
@@ -141,7 +144,7 @@
     tokio::select! {
         ended = session.run_exchanges() => ended,
         ended = session.run_pushes() => ended,
-        ended = session.run_shares() => ended,
-        ended = session.run_watch() => ended,
+        ended = session.run_slot_reports() => ended,
+        ended = session.run_report_watchdog() => ended,
     }
 }
--- a/crates/peer/src/rpc/gate.rs
+++ b/crates/peer/src/rpc/gate.rs
@@ -1,7 +1,7 @@
 //! Both sides of the authentication handshake.
 
 use super::{
-    codec::{fault, read_identity, write_identity},
+    codec::{read_identity, rpc_error, write_identity},
     hub::Hub,
     session::{Direction, Session},
     traffic::Allowance,
@@ -29,19 +29,19 @@
     pub(super) nonce: Cell<Option<Nonce>>,
     pub(super) session: Rc<RefCell<Option<Rc<Session>>>>,
     /// Notified when a session is open, or when the caller is rejected and the connection must close.
-    pub(super) settled: Rc<Notify>,
+    pub(super) handshake_done: Rc<Notify>,
 }
 
 impl Gate {
     /// Verifies a caller's proof and opens its session; no session if the caller is this entry.
-    fn admit(
+    fn authenticate(
         &self,
         caller: &Identity,
         nonce: Nonce,
         proof: &[u8],
     ) -> Result<(Nonce, Option<Rc<Session>>), Error> {
-        let refused = || Error::failed(REFUSED.to_owned());
-        let own = self.nonce.take().ok_or_else(refused)?;
+        let rejected = || Error::failed(REFUSED.to_owned());
+        let own = self.nonce.take().ok_or_else(rejected)?;
         let statement = Statement {
             side: Side::Caller,
             callee: own,
@@ -49,7 +49,7 @@
             identity: caller,
         };
         if !statement.holds(&self.hub.key, proof) {
-            return Err(refused());
+            return Err(rejected());
         }
         self.allowance.set(None);
         if caller.entry == self.hub.identity.entry {
@@ -58,12 +58,12 @@
         let session = self
             .hub
             .open(caller.clone(), Direction::Inbound)
-            .map_err(fault)?;
+            .map_err(rpc_error)?;
         *self.session.borrow_mut() = Some(Rc::clone(&session));
         Ok((own, Some(session)))
     }
 
-    fn answer(
+    fn respond(
         &self,
         params: &gate::EnterParams,
         mut results: gate::EnterResults,
@@ -72,7 +72,7 @@
         let caller = read_identity(params.get_caller()?)?;
         let nonce = Nonce::received(params.get_nonce()?);
         let nonce = nonce.ok_or_else(|| Error::failed(REFUSED.to_owned()))?;
-        let (own, session) = self.admit(&caller, nonce, params.get_proof()?)?;
+        let (own, session) = self.authenticate(&caller, nonce, params.get_proof()?)?;
         let statement = Statement {
             side: Side::Callee,
             callee: own,
@@ -83,7 +83,7 @@
         results.set_proof(&statement.prove(&self.hub.key));
         write_identity(results.reborrow().init_callee(), &self.hub.identity);
         if let Some(session) = session {
-            results.set_peer(session.offer());
+            results.set_peer(session.capability());
         }
         Ok(())
     }
@@ -106,18 +106,18 @@
         params: gate::EnterParams,
         results: gate::EnterResults,
     ) -> Result<(), Error> {
-        let answered = self.answer(&params, results);
+        let result = self.respond(&params, results);
         // If an entry connected to itself, the connection stays open so that the caller can read the
         // callee's identity; the caller then closes it.
-        if answered.is_err() || self.session.borrow().is_some() {
-            self.settled.notify_one();
+        if result.is_err() || self.session.borrow().is_some() {
+            self.handshake_done.notify_one();
         }
-        answered
+        result
     }
 }
 
 /// Result of a successful handshake on the caller's side.
-pub(super) struct Entered {
+pub(super) struct HandshakeResult {
     /// The callee's verified identity.
     pub(super) callee: Identity,
     /// The callee's capability; every call fails if the callee is this entry itself.
@@ -125,7 +125,7 @@
 }
 
 /// Performs the caller's side of the handshake.
-pub(super) async fn enter(hub: &Hub, gate: &gate::Client) -> Result<Entered, Error> {
+pub(super) async fn enter(hub: &Hub, gate: &gate::Client) -> Result<HandshakeResult, Error> {
     let challenge = gate.challenge_request().send().promise.await?;
     let callee_nonce = Nonce::received(challenge.get()?.get_nonce()?);
     let callee_nonce = callee_nonce.ok_or_else(|| Error::failed(REFUSED.to_owned()))?;
@@ -140,26 +140,26 @@
     request.get().set_nonce(&nonce.0);
     request.get().set_proof(&statement.prove(&hub.key));
     write_identity(request.get().init_caller(), &hub.identity);
-    let answer = request.send().promise.await?;
-    let answer = answer.get()?;
-    let callee = read_identity(answer.get_callee()?)?;
+    let response = request.send().promise.await?;
+    let response = response.get()?;
+    let callee = read_identity(response.get_callee()?)?;
     let statement = Statement {
         side: Side::Callee,
         identity: &callee,
         ..statement
     };
     // An impostor on a peer's address learns only the caller's proof, which is valid for one nonce.
-    if !statement.holds(&hub.key, answer.get_proof()?) {
+    if !statement.holds(&hub.key, response.get_proof()?) {
         return Err(Error::failed(
             "the callee does not know the shared key".to_owned(),
         ));
     }
     if callee.entry == hub.identity.entry {
-        return Ok(Entered {
+        return Ok(HandshakeResult {
             callee,
-            peer: capnp_rpc::new_client(super::session::Nobody),
+            peer: capnp_rpc::new_client(super::session::UnavailablePeer),
         });
     }
-    let peer = answer.get_peer()?;
-    Ok(Entered { callee, peer })
+    let peer = response.get_peer()?;
+    Ok(HandshakeResult { callee, peer })
 }
--- a/crates/peer/src/rpc/hub.rs
+++ b/crates/peer/src/rpc/hub.rs
@@ -45,7 +45,7 @@
     /// Whether a pull is in progress.
     pub(super) pulling: Cell<bool>,
     /// Number of inbound connections that are not authenticated yet.
-    pub(super) strangers: Cell<usize>,
+    pub(super) unauthenticated: Cell<usize>,
     sessions: RefCell<Vec<Rc<Session>>>,
 }
 
@@ -64,7 +64,7 @@
             core,
             totals,
             pulling: Cell::new(false),
-            strangers: Cell::new(0),
+            unauthenticated: Cell::new(0),
             sessions: RefCell::default(),
         })
     }
@@ -102,7 +102,7 @@
 
     /// Whether the peer has the lower name, which takes precedence, and has opened a session to this
     /// entry, so that no outbound session is needed.
-    pub(super) fn is_served_by(&self, peer: &id::Entry) -> bool {
+    pub(super) fn has_preferred_inbound(&self, peer: &id::Entry) -> bool {
         let sessions = self.sessions.borrow();
         let mut inbound = sessions
             .iter()
@@ -130,13 +130,13 @@
 
     pub(super) fn broadcast(&self, records: &Arc<[Record]>) {
         for session in self.peers() {
-            session.queue(records);
+            session.queue_records(records);
         }
     }
 
     pub(super) fn share(&self, pools: &Arc<[Slots]>) {
         for session in self.peers() {
-            session.queue_slots(pools);
+            session.queue_slot_reports(pools);
         }
     }
 
--- a/crates/peer/src/rpc/listen.rs
+++ b/crates/peer/src/rpc/listen.rs
@@ -21,7 +21,7 @@
 };
 
 /// Delay after a failed accept, typically for lack of file descriptors, which may soon be freed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Accepts connections until dropped. Unauthenticated connections beyond the limit are closed
 /// immediately, so that a flood of connections holds neither memory nor descriptors; peers retry
@@ -32,72 +32,72 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 log::warn!(error:%; "accepting a peer connection failed");
-                time::sleep(ACCEPT_PAUSE).await;
+                time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        if hub.strangers.get() >= hub.limits.unauthenticated {
+        if hub.unauthenticated.get() >= hub.limits.unauthenticated {
             add(&hub.totals.refused, 1);
             continue;
         }
-        hub.strangers.set(hub.strangers.get() + 1);
+        hub.unauthenticated.set(hub.unauthenticated.get() + 1);
         spawn_local(serve(Rc::clone(&hub), stream));
     }
 }
 
 /// Counts a connection as unauthenticated until dropped.
-struct Stranger(Rc<Hub>);
+struct UnauthenticatedGuard(Rc<Hub>);
 
-impl Drop for Stranger {
+impl Drop for UnauthenticatedGuard {
     fn drop(&mut self) {
-        self.0.strangers.set(self.0.strangers.get() - 1);
+        self.0.unauthenticated.set(self.0.unauthenticated.get() - 1);
     }
 }
 
 async fn serve(hub: Rc<Hub>, stream: TcpStream) {
-    let stranger = Stranger(Rc::clone(&hub));
+    let guard = UnauthenticatedGuard(Rc::clone(&hub));
     // Reports and pushes are small and latency-sensitive, so Nagle's algorithm is disabled.
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    let opened = Rc::new(RefCell::new(None));
-    let settled = Rc::new(Notify::new());
+    let session_slot = Rc::new(RefCell::new(None));
+    let handshake_done = Rc::new(Notify::new());
     let allowance = wire::allowance();
     let limit = Rc::clone(&allowance);
     let gate = Gate {
         hub: Rc::clone(&hub),
         allowance: Rc::clone(&allowance),
         nonce: Cell::new(None),
-        session: Rc::clone(&opened),
-        settled: Rc::clone(&settled),
+        session: Rc::clone(&session_slot),
+        handshake_done: Rc::clone(&handshake_done),
     };
     let gate = capnp_rpc::new_client(gate);
-    let mut system = wire::system(&hub, stream, Side::Server, allowance, Some(gate));
+    let mut system = wire::new_system(&hub, stream, Side::Server, allowance, Some(gate));
     tokio::select! {
         _ = &mut system => {}
-        () = settled.notified() => {}
+        () = handshake_done.notified() => {}
         () = time::sleep(hub.limits.handshake) => {}
     }
-    drop(stranger);
-    let session = opened.borrow_mut().take();
+    drop(guard);
+    let session = session_slot.borrow_mut().take();
     if let Some(session) = session {
-        converse(&hub, system, &session).await;
+        run_session(&hub, system, &session).await;
         return;
     }
     if limit.get().is_some() {
         add(&hub.totals.refused, 1);
     }
-    wire::end(system).await;
+    wire::disconnect(system).await;
 }
 
-async fn converse(hub: &Hub, mut system: System, session: &Rc<Session>) {
+async fn run_session(hub: &Hub, mut system: System, session: &Rc<Session>) {
     tokio::select! {
         _ = &mut system => {}
         _ = session.run_pushes() => {}
-        _ = session.run_shares() => {}
-        _ = session.run_watch() => {}
+        _ = session.run_slot_reports() => {}
+        _ = session.run_report_watchdog() => {}
         () = session.ended.cancelled() => {}
     }
     hub.close(session);
-    wire::end(system).await;
+    wire::disconnect(system).await;
 }
--- a/crates/peer/src/rpc/mod.rs
+++ b/crates/peer/src/rpc/mod.rs
@@ -40,7 +40,7 @@
 
 /// Capacity of the command queue to the link's thread; further pushes are dropped, and the peers
 /// pull the records after the next exchange.
-const COMMANDS: usize = 256;
+const COMMAND_QUEUE: usize = 256;
 
 /// Timeouts and limits of the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -103,7 +103,7 @@
 
 enum Command {
     Broadcast(Arc<[Record]>),
-    Share(Arc<[Slots]>),
+    SendSlotReports(Arc<[Slots]>),
     Pull(oneshot::Sender<Result<Seq, Error>>),
 }
 
@@ -113,7 +113,7 @@
     core: Arc<Core>,
     totals: Arc<Totals>,
     commands: mpsc::Sender<Command>,
-    wanted: watch::Sender<Vec<Address>>,
+    peer_addresses: watch::Sender<Vec<Address>>,
     refresh: Arc<Notify>,
     stop: CancellationToken,
     stopped: CancellationToken,
@@ -135,13 +135,13 @@
 }
 
 /// Arguments of the link's thread; all of them are `Send`.
-struct Start {
+struct ThreadArgs {
     settings: Settings,
     listener: std::net::TcpListener,
     core: Arc<Core>,
     totals: Arc<Totals>,
     commands: mpsc::Receiver<Command>,
-    wanted: watch::Receiver<Vec<Address>>,
+    peer_addresses: watch::Receiver<Vec<Address>>,
     refresh: Arc<Notify>,
     stop: CancellationToken,
 }
@@ -156,25 +156,25 @@
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let runtime = Builder::new_current_thread().enable_all().build()?;
-        let (commands, received) = mpsc::channel(COMMANDS);
-        let (wanted, peers) = watch::channel(settings.peers.clone());
+        let (commands, received) = mpsc::channel(COMMAND_QUEUE);
+        let (peer_addresses, peers) = watch::channel(settings.peers.clone());
         let link = Arc::new(Self {
             address,
             core: Arc::new(Core::new(local)),
             totals: Arc::default(),
             commands,
-            wanted,
+            peer_addresses,
             refresh: Arc::default(),
             stop: CancellationToken::new(),
             stopped: CancellationToken::new(),
         });
-        let start = Start {
+        let args = ThreadArgs {
             settings,
             listener,
             core: Arc::clone(&link.core),
             totals: Arc::clone(&link.totals),
             commands: received,
-            wanted: peers,
+            peer_addresses: peers,
             refresh: Arc::clone(&link.refresh),
             stop: link.stop.clone(),
         };
@@ -183,7 +183,7 @@
             .name("peer".to_owned())
             .spawn(move || {
                 let local = LocalSet::new();
-                local.block_on(&runtime, run(start));
+                local.block_on(&runtime, run(args));
                 // Ends all tasks and closes all sockets before the link is reported as stopped.
                 drop(local);
                 drop(runtime);
@@ -203,8 +203,8 @@
     }
 }
 
-async fn run(start: Start) {
-    let listener = match TcpListener::from_std(start.listener) {
+async fn run(args: ThreadArgs) {
+    let listener = match TcpListener::from_std(args.listener) {
         Ok(listener) => listener,
         Err(error) => {
             log::error!(error:%; "registering the peer listener failed");
@@ -216,32 +216,32 @@
         key,
         limits,
         ..
-    } = start.settings;
-    let hub = Hub::new(identity, key, limits, start.core, start.totals);
+    } = args.settings;
+    let hub = Hub::new(identity, key, limits, args.core, args.totals);
     spawn_local(listen::run(Rc::clone(&hub), listener));
-    spawn_local(dial::run(Rc::clone(&hub), start.wanted));
-    let mut commands = start.commands;
+    spawn_local(dial::run(Rc::clone(&hub), args.peer_addresses));
+    let mut commands = args.commands;
     loop {
         tokio::select! {
-            () = start.stop.cancelled() => return,
-            () = start.refresh.notified() => hub.refresh(),
+            () = args.stop.cancelled() => return,
+            () = args.refresh.notified() => hub.refresh(),
             command = commands.recv() => match command {
-                Some(command) => obey(&hub, command),
+                Some(command) => execute(&hub, command),
                 None => return,
             },
         }
     }
 }
 
-fn obey(hub: &Rc<Hub>, command: Command) {
+fn execute(hub: &Rc<Hub>, command: Command) {
     match command {
         Command::Broadcast(records) => hub.broadcast(&records),
-        Command::Share(pools) => hub.share(&pools),
-        Command::Pull(answer) => {
+        Command::SendSlotReports(pools) => hub.share(&pools),
+        Command::Pull(reply) => {
             let hub = Rc::clone(hub);
             spawn_local(async move {
                 // The requester may have stopped waiting; the view has advanced nevertheless.
-                let _ = answer.send(hub.pull().await);
+                let _ = reply.send(hub.pull().await);
             });
         }
     }
@@ -256,7 +256,11 @@
     }
 
     fn share(&self, pools: Arc<[Slots]>) {
-        if self.commands.try_send(Command::Share(pools)).is_err() {
+        if self
+            .commands
+            .try_send(Command::SendSlotReports(pools))
+            .is_err()
+        {
             log::debug!(
                 "slot reports not queued for the link thread; superseded by the next reports"
             );
@@ -272,12 +276,12 @@
     }
 
     fn connect(&self, peers: Vec<Address>) {
-        self.wanted.send_replace(peers);
+        self.peer_addresses.send_replace(peers);
     }
 
     async fn pull(&self) -> Result<Seq, Error> {
-        let (answer, pulled) = oneshot::channel();
-        let sent = self.commands.send(Command::Pull(answer)).await;
+        let (reply, pulled) = oneshot::channel();
+        let sent = self.commands.send(Command::Pull(reply)).await;
         match sent {
             Ok(()) => pulled.await.unwrap_or(Err(Error::Closed)),
             Err(_) => Err(Error::Closed),
--- a/crates/peer/src/rpc/session.rs
+++ b/crates/peer/src/rpc/session.rs
@@ -2,7 +2,7 @@
 
 use super::{
     codec::{
-        encode_records, fault, read_delta, read_newer, read_records, write_delta, write_newer,
+        encode_records, read_delta, read_newer, read_records, rpc_error, write_delta, write_newer,
         write_records,
     },
     hub::Hub,
@@ -11,7 +11,7 @@
 };
 use crate::{
     Newer, Slots,
-    core::Pushed,
+    core::ReceiveOutcome,
     delta::{Receiver, Sender},
     report::Identity,
 };
@@ -33,7 +33,7 @@
 
 /// Capacity of the slot report queue of one peer: at five messages a second, this covers more than
 /// the duration of a call.
-const SHARES: usize = 16;
+const SLOT_REPORT_QUEUE: usize = 16;
 
 /// Which side opened the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,46 +53,46 @@
     sender: RefCell<Sender>,
     receiver: RefCell<Receiver>,
     /// The newest seq that the peer is known to have.
-    known: Cell<Seq>,
-    heard: Cell<Instant>,
+    peer_seq: Cell<Seq>,
+    last_report: Cell<Instant>,
     remote: RefCell<Option<peer::Client>>,
     pushes: mpsc::Sender<Arc<[Record]>>,
-    queue: RefCell<Option<mpsc::Receiver<Arc<[Record]>>>>,
+    push_queue: RefCell<Option<mpsc::Receiver<Arc<[Record]>>>>,
     shares: mpsc::Sender<Arc<[Slots]>>,
     share_queue: RefCell<Option<mpsc::Receiver<Arc<[Slots]>>>>,
-    now: Notify,
+    exchange_now: Notify,
     pub(super) ended: CancellationToken,
 }
 
 /// Runs `call` with a timeout of `deadline`.
-async fn within<T>(
+async fn with_timeout<T>(
     deadline: Duration,
     call: impl Future<Output = Result<T, Error>>,
 ) -> Result<T, Error> {
     match time::timeout(deadline, call).await {
-        Ok(answer) => answer,
-        Err(late) => Err(fault(late)),
+        Ok(response) => response,
+        Err(late) => Err(rpc_error(late)),
     }
 }
 
 impl Session {
     pub(super) fn new(hub: &Rc<Hub>, peer: Identity, direction: Direction) -> Rc<Self> {
         let (pushes, queue) = mpsc::channel(hub.limits.queue);
-        let (shares, share_queue) = mpsc::channel(SHARES);
+        let (shares, share_queue) = mpsc::channel(SLOT_REPORT_QUEUE);
         Rc::new(Self {
             hub: Rc::downgrade(hub),
             receiver: RefCell::new(Receiver::new(peer.clone())),
             peer,
             direction,
             sender: RefCell::default(),
-            known: Cell::default(),
-            heard: Cell::new(Instant::now()),
+            peer_seq: Cell::default(),
+            last_report: Cell::new(Instant::now()),
             remote: RefCell::default(),
             pushes,
-            queue: RefCell::new(Some(queue)),
+            push_queue: RefCell::new(Some(queue)),
             shares,
             share_queue: RefCell::new(Some(share_queue)),
-            now: Notify::new(),
+            exchange_now: Notify::new(),
             ended: CancellationToken::new(),
         })
     }
@@ -100,17 +100,17 @@
     fn hub(&self) -> Result<Rc<Hub>, Error> {
         self.hub
             .upgrade()
-            .ok_or_else(|| fault("the link is closed"))
+            .ok_or_else(|| rpc_error("the link is closed"))
     }
 
     fn remote(&self) -> Result<peer::Client, Error> {
         let remote = self.remote.borrow().clone();
-        remote.ok_or_else(|| fault("the session is not attached"))
+        remote.ok_or_else(|| rpc_error("the session is not attached"))
     }
 
     /// The capability that the peer may call.
-    pub(super) fn offer(self: &Rc<Self>) -> peer::Client {
-        capnp_rpc::new_client(Offer(Rc::clone(self)))
+    pub(super) fn capability(self: &Rc<Self>) -> peer::Client {
+        capnp_rpc::new_client(SessionServer(Rc::clone(self)))
     }
 
     /// Ends the session and releases the peer's capability, which keeps the connection open.
@@ -121,33 +121,33 @@
 
     /// Queues `records` unless the peer has them or its queue is full; a peer that misses records
     /// learns of it in the next exchange and pulls them.
-    pub(super) fn queue(&self, records: &Arc<[Record]>) {
+    pub(super) fn queue_records(&self, records: &Arc<[Record]>) {
         let has = records
             .last()
-            .is_none_or(|last| last.seq <= self.known.get());
+            .is_none_or(|last| last.seq <= self.peer_seq.get());
         if !has && self.pushes.try_send(Arc::clone(records)).is_err() {
             log::debug!(peer:% = self.peer.entry; "push not queued; peer pulls after the next exchange");
         }
     }
 
     /// Queues slot reports, unless the queue of a slow peer is full.
-    pub(super) fn queue_slots(&self, pools: &Arc<[Slots]>) {
+    pub(super) fn queue_slot_reports(&self, pools: &Arc<[Slots]>) {
         if self.shares.try_send(Arc::clone(pools)).is_err() {
             log::debug!(peer:% = self.peer.entry; "slot reports not queued for peer");
         }
     }
 
     /// Sends queued slot reports, in order, until a call fails or the session ends.
-    pub(super) async fn run_shares(self: &Rc<Self>) -> Result<(), Error> {
+    pub(super) async fn run_slot_reports(self: &Rc<Self>) -> Result<(), Error> {
         let queue = self.share_queue.borrow_mut().take();
-        let mut queue = queue.ok_or_else(|| fault("the session already runs"))?;
+        let mut queue = queue.ok_or_else(|| rpc_error("the session already runs"))?;
         while let Some(pools) = queue.recv().await {
             let hub = self.hub()?;
             let mut request = self.remote()?.share_request();
-            let len = u32::try_from(pools.len()).map_err(fault)?;
+            let len = u32::try_from(pools.len()).map_err(rpc_error)?;
             write_slots(request.get().init_pools(len), &pools)?;
             let call = request.send().promise;
-            within(hub.limits.call, async { call.await.map(drop) }).await?;
+            with_timeout(hub.limits.call, async { call.await.map(drop) }).await?;
             add(&hub.totals.shares, 1);
         }
         Ok(())
@@ -156,29 +156,29 @@
     /// Triggers an immediate exchange.
     pub(super) fn refresh(self: &Rc<Self>) {
         match self.direction {
-            Direction::Outbound => self.now.notify_one(),
+            Direction::Outbound => self.exchange_now.notify_one(),
             Direction::Inbound => {
                 let session = Rc::clone(self);
                 spawn_local(async move {
                     let hub = session.hub()?;
                     let call = session.remote()?.refresh_request().send().promise;
-                    within(hub.limits.call, async { call.await.map(drop) }).await
+                    with_timeout(hub.limits.call, async { call.await.map(drop) }).await
                 });
             }
         }
     }
 
-    fn knows(&self, seq: Seq) {
-        self.known.set(self.known.get().max(seq));
+    fn note_peer_seq(&self, seq: Seq) {
+        self.peer_seq.set(self.peer_seq.get().max(seq));
     }
 
     /// Attaches this side of the session to the peer's capability.
     pub(super) async fn attach(self: &Rc<Self>, remote: peer::Client) -> Result<(), Error> {
         let hub = self.hub()?;
         let mut request = remote.attach_request();
-        request.get().set_back(self.offer());
+        request.get().set_back(self.capability());
         let call = request.send().promise;
-        within(hub.limits.call, async { call.await.map(drop) }).await?;
+        with_timeout(hub.limits.call, async { call.await.map(drop) }).await?;
         *self.remote.borrow_mut() = Some(remote);
         Ok(())
     }
@@ -188,10 +188,10 @@
         loop {
             let interval = {
                 let hub = self.hub()?;
-                if hub.is_served_by(&self.peer.entry) {
+                if hub.has_preferred_inbound(&self.peer.entry) {
                     return Ok(());
                 }
-                within(hub.limits.call, self.exchange(&hub)).await?;
+                with_timeout(hub.limits.call, self.exchange(&hub)).await?;
                 // Jitter prevents the exchanges of all pairs from synchronizing.
                 hub.pace()
                     .interval
@@ -199,7 +199,7 @@
             };
             tokio::select! {
                 () = time::sleep(interval) => {}
-                () = self.now.notified() => {}
+                () = self.exchange_now.notified() => {}
             }
         }
     }
@@ -209,44 +209,45 @@
         let report = hub.core.own_report();
         let delta = self.sender.borrow_mut().next(&report, hub.pace().loads);
         write_delta(request.get().init_report(), &delta)?;
-        let answer = request.send().promise.await?;
-        let delta = read_delta(answer.get()?.get_report()?)?;
-        self.take_delta(delta)?;
+        let response = request.send().promise.await?;
+        let delta = read_delta(response.get()?.get_report()?)?;
+        self.receive_delta(delta)?;
         add(&hub.totals.exchanges, 1);
         Ok(())
     }
 
-    fn take_delta(self: &Rc<Self>, delta: crate::delta::Delta) -> Result<(), Error> {
+    fn receive_delta(self: &Rc<Self>, delta: crate::delta::Delta) -> Result<(), Error> {
         let hub = self.hub()?;
         let mut receiver = self.receiver.borrow_mut();
-        let report = receiver.apply(delta).map_err(fault)?;
-        self.knows(report.seq);
-        self.heard.set(Instant::now());
-        if hub.core.take_report(report) {
-            spawn_local(Rc::clone(self).pull_once());
+        let report = receiver.apply(delta).map_err(rpc_error)?;
+        self.note_peer_seq(report.seq);
+        self.last_report.set(Instant::now());
+        if hub.core.receive_report(report) {
+            spawn_local(Rc::clone(self).pull_if_idle());
         }
         Ok(())
     }
 
     /// Sends queued pushes until a call fails or the session ends.
     pub(super) async fn run_pushes(self: &Rc<Self>) -> Result<(), Error> {
-        let queue = self.queue.borrow_mut().take();
-        let mut queue = queue.ok_or_else(|| fault("the session already runs"))?;
+        let queue = self.push_queue.borrow_mut().take();
+        let mut queue = queue.ok_or_else(|| rpc_error("the session already runs"))?;
         while let Some(records) = queue.recv().await {
             let hub = self.hub()?;
             if records
                 .last()
-                .is_none_or(|last| last.seq <= self.known.get())
+                .is_none_or(|last| last.seq <= self.peer_seq.get())
             {
                 continue;
             }
             let encoded = encode_records(&records, usize::MAX)?;
             let mut request = self.remote()?.push_request();
-            let len = u32::try_from(encoded.len()).map_err(fault)?;
+            let len = u32::try_from(encoded.len()).map_err(rpc_error)?;
             write_records(request.get().init_records(len), &encoded);
             let call = request.send().promise;
-            let seq = within(hub.limits.call, async { Ok(call.await?.get()?.get_seq()) }).await?;
-            self.knows(Seq(seq));
+            let seq =
+                with_timeout(hub.limits.call, async { Ok(call.await?.get()?.get_seq()) }).await?;
+            self.note_peer_seq(Seq(seq));
             add(&hub.totals.pushes, 1);
         }
         Ok(())
@@ -256,18 +257,18 @@
     ///
     /// A half-open connection, whose peer disappeared without closing it, accepts data until TCP
     /// times out after many minutes. Missing reports end the session within seconds.
-    pub(super) async fn run_watch(&self) -> Result<(), Error> {
+    pub(super) async fn run_report_watchdog(&self) -> Result<(), Error> {
         loop {
-            let deadline = self.heard.get() + self.hub()?.limits.silent;
+            let deadline = self.last_report.get() + self.hub()?.limits.silent;
             if Instant::now() >= deadline {
-                return Err(fault("no report from the peer within the time limit"));
+                return Err(rpc_error("no report from the peer within the time limit"));
             }
             time::sleep_until(deadline).await;
         }
     }
 
     /// Pulls unless another pull is in progress: with 27 peers ahead, one pull is enough.
-    async fn pull_once(self: Rc<Self>) {
+    async fn pull_if_idle(self: Rc<Self>) {
         let Ok(hub) = self.hub() else {
             return;
         };
@@ -287,20 +288,20 @@
         request.get().set_after(hub.core.seq().0);
         let call = request.send().promise;
         let newer = async { read_newer(call.await?.get()?.get_newer()?) };
-        let newer = within(hub.limits.pull, newer).await?;
+        let newer = with_timeout(hub.limits.pull, newer).await?;
         match &newer {
             Newer::Nothing => {}
             Newer::Records(_) => add(&hub.totals.record_pulls, 1),
             Newer::Snapshot(_) => add(&hub.totals.snapshot_pulls, 1),
         }
-        Ok(hub.core.take_newer(newer))
+        Ok(hub.core.receive_newer(newer))
     }
 }
 
 /// The server side of a session, called by the peer.
-struct Offer(Rc<Session>);
+struct SessionServer(Rc<Session>);
 
-impl peer::Server for Offer {
+impl peer::Server for SessionServer {
     async fn attach(
         self: ServerRc<Self>,
         params: peer::AttachParams,
@@ -320,7 +321,7 @@
         let session = &self.0;
         let hub = session.hub()?;
         let delta = read_delta(params.get()?.get_report()?)?;
-        if let Err(error) = session.take_delta(delta) {
+        if let Err(error) = session.receive_delta(delta) {
             session.end();
             return Err(error);
         }
@@ -338,12 +339,12 @@
         let hub = session.hub()?;
         let records = read_records(params.get()?.get_records()?)?;
         if let Some(last) = records.last() {
-            session.knows(last.seq);
+            session.note_peer_seq(last.seq);
         }
-        let seq = match hub.core.take_records(records) {
-            Pushed::InForce(seq) => seq,
-            Pushed::Gap(seq) => {
-                spawn_local(Rc::clone(session).pull_once());
+        let seq = match hub.core.receive_records(records) {
+            ReceiveOutcome::Applied(seq) => seq,
+            ReceiveOutcome::Gap(seq) => {
+                spawn_local(Rc::clone(session).pull_if_idle());
                 seq
             }
         };
@@ -357,7 +358,7 @@
         mut results: peer::PullResults,
     ) -> Result<(), Error> {
         let hub = self.0.hub()?;
-        let newer = hub.core.newer(Seq(params.get()?.get_after()));
+        let newer = hub.core.newer_than(Seq(params.get()?.get_after()));
         write_newer(results.get().init_newer(), &newer)
     }
 
@@ -368,7 +369,10 @@
     ) -> Result<(), Error> {
         let session = &self.0;
         let pools = read_slots(&session.peer.entry, params.get()?.get_pools()?)?;
-        session.hub()?.core.take_slots(&session.peer.entry, pools);
+        session
+            .hub()?
+            .core
+            .receive_slot_reports(&session.peer.entry, pools);
         Ok(())
     }
 
@@ -377,12 +381,12 @@
         _params: peer::RefreshParams,
         _results: peer::RefreshResults,
     ) -> Result<(), Error> {
-        self.0.now.notify_one();
+        self.0.exchange_now.notify_one();
         Ok(())
     }
 }
 
 /// Placeholder capability if an entry connected to itself and there is no peer to call.
-pub(super) struct Nobody;
+pub(super) struct UnavailablePeer;
 
-impl peer::Server for Nobody {}
+impl peer::Server for UnavailablePeer {}
--- a/crates/peer/src/rpc/slots.rs
+++ b/crates/peer/src/rpc/slots.rs
@@ -1,6 +1,6 @@
 //! Conversion of slot reports between the flow crate's types and the schema types.
 
-use super::codec::fault;
+use super::codec::rpc_error;
 use crate::Slots;
 use capnp::{Error, struct_list};
 use primroseroute_domain::id;
@@ -8,8 +8,8 @@
 use primroseroute_peer_schema::peer_capnp as schema;
 use std::collections::BTreeMap;
 
-fn count(len: usize) -> Result<u32, Error> {
-    u32::try_from(len).map_err(fault)
+fn list_len(len: usize) -> Result<u32, Error> {
+    u32::try_from(len).map_err(rpc_error)
 }
 
 pub(super) fn write_slots(
@@ -27,19 +27,19 @@
     to.set_pool(slots.pool.as_str());
     to.set_incarnation(report.incarnation);
     to.set_number(report.seq);
-    let mut demand = to.reborrow().init_demand(count(report.demand.len())?);
+    let mut demand = to.reborrow().init_demand(list_len(report.demand.len())?);
     for (index, (account, slots)) in (0..).zip(&report.demand) {
         let mut one = demand.reborrow().get(index);
         one.set_account(account.as_str());
         one.set_slots(*slots);
     }
-    let mut lent = to.reborrow().init_lent(count(report.lent.len())?);
+    let mut lent = to.reborrow().init_lent(list_len(report.lent.len())?);
     for (index, (stripe, borrower)) in (0..).zip(&report.lent) {
         let mut one = lent.reborrow().get(index);
         one.set_stripe(*stripe);
         one.set_borrower(borrower.as_str());
     }
-    let mut seen = to.init_seen(count(report.seen.len())?);
+    let mut seen = to.init_seen(list_len(report.seen.len())?);
     for (index, (lender, found)) in (0..).zip(&report.seen) {
         let mut one = seen.reborrow().get(index);
         one.set_lender(lender.as_str());
@@ -93,5 +93,5 @@
 fn name<I: std::str::FromStr<Err = id::Malformed>>(
     text: capnp::text::Reader<'_>,
 ) -> Result<I, Error> {
-    text.to_str()?.parse().map_err(fault)
+    text.to_str()?.parse().map_err(rpc_error)
 }
--- a/crates/peer/src/rpc/traffic.rs
+++ b/crates/peer/src/rpc/traffic.rs
@@ -79,7 +79,7 @@
 /// send it slowly, over and over, and so occupy that much memory. Before the handshake is complete
 /// it may send at most [`UNAUTHENTICATED_BYTES`], far more than a handshake takes.
 #[derive(Debug)]
-pub(super) struct Meter {
+pub(super) struct MeteredStream {
     pub(super) stream: TcpStream,
     pub(super) totals: Arc<Totals>,
     pub(super) allowance: Allowance,
@@ -88,7 +88,7 @@
 /// Maximum bytes read from a connection before it is authenticated: a handshake takes under 1 KB.
 pub(super) const UNAUTHENTICATED_BYTES: usize = 4096;
 
-impl AsyncRead for Meter {
+impl AsyncRead for MeteredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -109,7 +109,7 @@
     }
 }
 
-impl AsyncWrite for Meter {
+impl AsyncWrite for MeteredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/peer/src/rpc/wire.rs
+++ b/crates/peer/src/rpc/wire.rs
@@ -2,7 +2,7 @@
 
 use super::{
     hub::Hub,
-    traffic::{Allowance, Meter, UNAUTHENTICATED_BYTES},
+    traffic::{Allowance, MeteredStream, UNAUTHENTICATED_BYTES},
 };
 use capnp::message::ReaderOptions;
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp::Side, twoparty::VatNetwork};
@@ -13,13 +13,13 @@
 
 /// Maximum message size in bytes: a snapshot of 50,000 rows of 300 bytes, ten times the planned size.
 /// A larger message is a protocol violation and ends the connection.
-const MESSAGE_BYTES: usize = 16 << 20;
+const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
 /// Size of a word, the unit of the Cap'n Proto encoding, in bytes.
-const WORD: usize = 8;
+const WORD_BYTES: usize = 8;
 
 /// Timeout of an orderly disconnect.
-const FAREWELL: Duration = Duration::from_millis(200);
+const DISCONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 pub(super) type System = RpcSystem<Side>;
 
@@ -29,31 +29,31 @@
 }
 
 /// Creates the RPC system on `stream` for our `side`, with `gate` as the bootstrap capability.
-pub(super) fn system(
+pub(super) fn new_system(
     hub: &Hub,
     stream: TcpStream,
     side: Side,
     allowance: Allowance,
     gate: Option<gate::Client>,
 ) -> System {
-    let meter = Meter {
+    let metered = MeteredStream {
         stream,
         totals: Arc::clone(&hub.totals),
         allowance,
     };
-    let (read, write) = split(meter);
+    let (read, write) = split(metered);
     let mut options = ReaderOptions::new();
-    options.traversal_limit_in_words(Some(MESSAGE_BYTES / WORD));
+    options.traversal_limit_in_words(Some(MAX_MESSAGE_BYTES / WORD_BYTES));
     let network = VatNetwork::new(read.compat(), write.compat_write(), side, options);
     RpcSystem::new(Box::new(network), gate.map(|gate| gate.client))
 }
 
 /// Closes a connection; pending calls on it fail.
-pub(super) async fn end(mut system: System) {
-    let farewell = system.get_disconnector();
+pub(super) async fn disconnect(mut system: System) {
+    let disconnector = system.get_disconnector();
     tokio::select! {
-        _ = farewell => {}
+        _ = disconnector => {}
         _ = &mut system => {}
-        () = time::sleep(FAREWELL) => {}
+        () = time::sleep(DISCONNECT_TIMEOUT) => {}
     }
 }
--- a/crates/peer/tests/all/board.rs
+++ b/crates/peer/tests/all/board.rs
@@ -30,8 +30,8 @@
     assert!(board.sightings(Duration::ZERO).is_empty());
     assert!(!board.keep(report(1, 10), Duration::ZERO));
     assert!(board.keep(report(2, 1), Duration::ZERO));
-    let refused = board.admit(&identity("a", 1));
-    assert_eq!(refused, Err(Superseded(entry("a"))));
+    let rejected = board.admit(&identity("a", 1));
+    assert_eq!(rejected, Err(Superseded(entry("a"))));
 }
 
 /// Two reports are reordered and the earlier arrives last. It must not replace the later one, or a
@@ -48,6 +48,6 @@
 }
 
 cases! {
-    restarted_peer_replaces_its_former_self => restart();
+    restarted_peer_replaces_its_previous_incarnation => restart();
     late_report_is_dropped => late();
 }
--- a/crates/peer/tests/all/cost.rs
+++ b/crates/peer/tests/all/cost.rs
@@ -7,7 +7,7 @@
 use crate::{
     cases,
     fake::{Entry, identity, instance},
-    node::{Node, settings, until},
+    node::{Node, settings, wait_until},
 };
 use primroseroute_domain::change::Seq;
 use primroseroute_peer::{
@@ -18,17 +18,17 @@
 use std::time::Duration;
 
 /// Number of measured rounds.
-const ROUNDS: u16 = 10;
+const MEASURED_ROUNDS: u16 = 10;
 
 /// Rounds after which every instance has been named, at every size tested here.
-const NAMING: u16 = 130;
+const NAMING_ROUNDS: u16 = 130;
 
 /// Rounds after which every pending change has been sent, at every size tested here.
-const SETTLING: u16 = 30;
+const SETTLING_ROUNDS: u16 = 30;
 
 /// Required limit of one node's control traffic in bytes per second, which also covers pushes, pulls
 /// and the store.
-const LETTER: u64 = 14_000;
+const REQUIRED_BYTES_PER_SECOND: u64 = 14_000;
 
 /// Bytes that one node sends and receives per second, without TCP and IP headers.
 #[derive(Debug)]
@@ -38,7 +38,7 @@
     /// While every load changes in every round.
     busy: u64,
     /// While nothing changes.
-    rest: u64,
+    idle: u64,
 }
 
 /// A group of nodes; the first has the lowest name and connects to all others.
@@ -58,16 +58,16 @@
                 .map(|node: &Node| node.link.address())
                 .collect();
             let known: &[_] = if index == 0 { &peers } else { &[] };
-            let mut hourly = settings(identity.clone(), known);
-            hourly.limits.silent = Duration::from_secs(7200);
-            hourly.limits.pace = Some(Pace {
+            let mut slow = settings(identity.clone(), known);
+            slow.limits.silent = Duration::from_secs(7200);
+            slow.limits.pace = Some(Pace {
                 interval: Duration::from_secs(3600),
                 ..pace
             });
-            nodes.push(Node::bind(Entry::open(identity), hourly));
+            nodes.push(Node::bind(Entry::open(identity), slow));
         }
         nodes.reverse();
-        nodes[0].hears(entries - 1).await;
+        nodes[0].wait_for_reports(entries - 1).await;
         Self { nodes, pace }
     }
 
@@ -97,7 +97,7 @@
         let peers = u64::try_from(self.nodes.len() - 1).unwrap();
         let before = self.nodes[0].link.traffic().exchanges;
         self.nodes[0].link.acknowledge();
-        until(|| self.nodes[0].link.traffic().exchanges == before + peers).await;
+        wait_until(|| self.nodes[0].link.traffic().exchanges == before + peers).await;
     }
 
     /// Measures the bytes per second over several rounds.
@@ -118,20 +118,20 @@
 async fn measure(entries: usize, instances: usize) -> Cost {
     let bench = Bench::open(entries).await;
     let naming = bench
-        .rate(ROUNDS, |round| bench.load(instances, round))
+        .rate(MEASURED_ROUNDS, |round| bench.load(instances, round))
         .await;
-    for round in 0..NAMING {
+    for round in 0..NAMING_ROUNDS {
         bench.load(instances, round);
         bench.round().await;
     }
     let busy = bench
-        .rate(ROUNDS, |round| bench.load(instances, 1000 + round))
+        .rate(MEASURED_ROUNDS, |round| bench.load(instances, 1000 + round))
         .await;
-    for _ in 0..SETTLING {
+    for _ in 0..SETTLING_ROUNDS {
         bench.round().await;
     }
-    let rest = bench.rate(ROUNDS, |_| {}).await;
-    Cost { naming, busy, rest }
+    let idle = bench.rate(MEASURED_ROUNDS, |_| {}).await;
+    Cost { naming, busy, idle }
 }
 
 /// 28 entries and 1,200 instances, with every load changing in every round, must stay within the
@@ -140,17 +140,17 @@
     let cost = measure(entries, instances).await;
     println!("{entries} entries, {instances} instances: {cost:?}");
     let budget = u64::try_from(BYTES_PER_SECOND).unwrap();
-    assert!(budget < LETTER);
+    assert!(budget < REQUIRED_BYTES_PER_SECOND);
     assert!(cost.naming <= budget, "{cost:?}");
     assert!(cost.busy <= budget, "{cost:?}");
     let peers = u64::try_from(entries - 1).unwrap();
     let empty = u64::try_from(EXCHANGE_BYTES).unwrap() * peers;
     let seconds = pace::choose(entries - 1).interval.as_secs();
-    assert!(cost.rest <= empty / seconds, "{cost:?}");
+    assert!(cost.idle <= empty / seconds, "{cost:?}");
 }
 
 /// The schedule alone, for every number of peers up to far more than planned.
-fn pace_is_capped() {
+fn schedule_is_capped() {
     for peers in 1..=200 {
         let pace = pace::choose(peers);
         let exchange = EXCHANGE_BYTES + 2 * pace.loads * pace::LOAD_BYTES;
@@ -166,7 +166,7 @@
 }
 
 cases! {
-    pace_keeps_the_budget_at_any_size => pace_is_capped();
+    schedule_stays_within_budget_at_any_size => schedule_is_capped();
 }
 
 macro_rules! sizes {
--- a/crates/peer/tests/all/delta.rs
+++ b/crates/peer/tests/all/delta.rs
@@ -34,7 +34,7 @@
 /// The reference implementation sends the full report. With a sufficient budget the receiver must
 /// hold exactly that; with a small one, drains are still complete, and loads are complete after
 /// enough further deltas.
-fn adds_up() {
+fn reproduces_reports() {
     let loads = prop::collection::vec((0_usize..30, 0_u16..4, 0_u16..4), 0..30);
     let drains = prop::collection::vec((0_usize..30, 1_u64..9, 0_u32..3), 0..5);
     let steps = prop::collection::vec((loads, drains, 1_usize..40), 1..8);
@@ -43,18 +43,18 @@
             let mut sender = Sender::default();
             let mut receiver = Receiver::new(identity("a", 1));
             let mut number = 0;
-            for (loads, drains, room) in &steps {
-                let whole = report(number, loads, drains);
-                let delta = sender.next(&whole, *room);
-                prop_assert!(delta.loads.len() <= *room);
+            for (loads, drains, load_budget) in &steps {
+                let full = report(number, loads, drains);
+                let delta = sender.next(&full, *load_budget);
+                prop_assert!(delta.loads.len() <= *load_budget);
                 let got = receiver.apply(delta).unwrap();
-                prop_assert_eq!(&got.drains, &whole.drains);
+                prop_assert_eq!(&got.drains, &full.drains);
                 number += 1;
             }
-            let (loads, drains, room) = steps.last().unwrap();
+            let (loads, drains, load_budget) = steps.last().unwrap();
             for _ in 0..30 {
                 number += 1;
-                let delta = sender.next(&report(number, loads, drains), *room);
+                let delta = sender.next(&report(number, loads, drains), *load_budget);
                 receiver.apply(delta).unwrap();
             }
             let last = report(number + 1, loads, drains);
@@ -68,9 +68,9 @@
 
 fn largest_first() {
     let mut sender = Sender::default();
-    let whole = report(1, &vec![(0, 1, 0), (1, 8, 8), (2, 3, 0)], &vec![]);
+    let full = report(1, &vec![(0, 1, 0), (1, 8, 8), (2, 3, 0)], &vec![]);
     // Naming an instance with 21 bytes costs 4 loads, and its load 1.
-    let delta = sender.next(&whole, 10);
+    let delta = sender.next(&full, 10);
     assert_eq!(delta.names, [instance(1), instance(2)]);
     let delta = sender.next(
         &report(2, &vec![(0, 1, 0), (1, 8, 10), (2, 5, 0)], &vec![]),
@@ -82,7 +82,7 @@
 /// A peer sends an index that it never named, or an unbounded number of names. The delta must be
 /// rejected, so that the session ends, instead of attributing the load to some instance or
 /// exhausting memory.
-fn refused() {
+fn rejected() {
     let mut receiver = Receiver::new(identity("a", 1));
     let load = Load::default();
     let unknown = Delta {
@@ -98,7 +98,7 @@
 }
 
 cases! {
-    deltas_add_up_to_the_report => adds_up();
+    deltas_reproduce_the_report => reproduces_reports();
     largest_changes_go_first => largest_first();
-    what_no_sender_makes_is_refused => refused();
+    invalid_deltas_are_rejected => rejected();
 }
--- a/crates/peer/tests/all/fake.rs
+++ b/crates/peer/tests/all/fake.rs
@@ -15,7 +15,7 @@
 use uuid::Uuid;
 
 /// Number of records that an entry retains for peers that are behind; others need a snapshot.
-pub const KEPT: u64 = 100;
+pub const RETAINED_RECORDS: u64 = 100;
 
 pub fn entry(name: &str) -> id::Entry {
     name.parse().unwrap()
@@ -79,14 +79,14 @@
 pub struct State {
     pub seq: Seq,
     pub rows: BTreeMap<Arc<str>, Arc<str>>,
-    pub kept: Vec<Record>,
-    pub numbers: u64,
+    pub retained: Vec<Record>,
+    pub reports_created: u64,
     pub report: Option<Report>,
     /// Received slot reports, in order of arrival.
     pub slots: Vec<(id::Entry, Slots)>,
     /// Every applied seq, in order.
     pub history: Vec<Seq>,
-    pub heard: Vec<Report>,
+    pub received_reports: Vec<Report>,
     pub snapshots: u32,
 }
 
@@ -133,8 +133,8 @@
 
     fn records_after(&self, seq: Seq) -> Option<Vec<Record>> {
         let state = self.state.lock();
-        let kept = state.kept.iter().filter(|record| record.seq > seq);
-        let found: Vec<_> = kept.cloned().collect();
+        let retained = state.retained.iter().filter(|record| record.seq > seq);
+        let found: Vec<_> = retained.cloned().collect();
         (found.first()?.seq == seq.next()).then_some(found)
     }
 
@@ -167,10 +167,10 @@
             }
             state.seq = record.seq;
             state.history.push(record.seq);
-            state.kept.push(record);
+            state.retained.push(record);
         }
-        let oldest = state.seq.0.saturating_sub(KEPT);
-        state.kept.retain(|record| record.seq.0 > oldest);
+        let oldest = state.seq.0.saturating_sub(RETAINED_RECORDS);
+        state.retained.retain(|record| record.seq.0 > oldest);
         state.seq
     }
 
@@ -183,25 +183,25 @@
             .into_iter()
             .map(|row| (row.key, row.json))
             .collect();
-        state.kept.clear();
+        state.retained.clear();
         state.snapshots += 1;
         state.seq
     }
 
     fn own_report(&self) -> Report {
         let mut state = self.state.lock();
-        state.numbers += 1;
+        state.reports_created += 1;
         let mut report = state
             .report
             .clone()
             .unwrap_or_else(|| Report::new(self.identity.clone()));
-        report.number = state.numbers;
+        report.number = state.reports_created;
         report.seq = state.seq;
         report
     }
 
     fn accept_report(&self, peer: &id::Entry, report: &Report) {
         assert_eq!(*peer, report.from.entry);
-        self.state.lock().heard.push(report.clone());
+        self.state.lock().received_reports.push(report.clone());
     }
 }
--- a/crates/peer/tests/all/hostile.rs
+++ b/crates/peer/tests/all/hostile.rs
@@ -3,7 +3,9 @@
 use crate::{
     fake::{Entry, identity},
     local_cases,
-    node::{Caller, HOUR, Impostor, Node, PATIENCE, key, learn, proof, serve, settings, until},
+    node::{
+        Caller, HOUR, Impostor, Node, STEP_TIMEOUT, key, learn, proof, serve, settings, wait_until,
+    },
 };
 use capnp::{Error as RpcError, capability::Rc as ServerRc};
 use primroseroute_peer::{Address, Link as _, rpc::Limits};
@@ -21,20 +23,24 @@
     let one = identity("a", 1);
     let a = Node::bind(Entry::at(one.clone(), 3), settings(one, &[]));
     let other = identity("b", 1);
-    let mut wrong = settings(other.clone(), &[a.link.address()]);
-    wrong.key = key(2);
-    let b = Node::bind(Entry::at(other, 9), wrong);
+    let mut other_key = settings(other.clone(), &[a.link.address()]);
+    other_key.key = key(2);
+    let b = Node::bind(Entry::at(other, 9), other_key);
     a.link.connect(vec![Address {
         entry: None,
         socket: b.link.address(),
     }]);
-    until(|| a.link.traffic().refused >= 2 && b.link.traffic().refused >= 2).await;
+    wait_until(|| a.link.traffic().refused >= 2 && b.link.traffic().refused >= 2).await;
     a.entry.assert_at(3);
     b.entry.assert_at(9);
     for node in [&a, &b] {
         assert!(node.link.sightings().is_empty());
-        assert!(node.entry.state.lock().heard.is_empty());
-        assert_eq!(node.entry.state.lock().numbers, 0, "no report was created");
+        assert!(node.entry.state.lock().received_reports.is_empty());
+        assert_eq!(
+            node.entry.state.lock().reports_created,
+            0,
+            "no report was created"
+        );
     }
 }
 
@@ -80,22 +86,22 @@
         second.enter(&recorded, nonce, &good).await.is_err(),
         "no challenge was requested"
     );
-    second.hung_up().await;
+    second.wait_closed().await;
     let third = Caller::connect(a.link.address()).await;
     third.challenge().await;
     assert!(
         third.enter(&recorded, nonce, &good).await.is_err(),
         "the nonce differs"
     );
-    third.hung_up().await;
+    third.wait_closed().await;
     assert_eq!(a.link.traffic().refused, 2);
 }
 
 /// Waits until the other side closes the connection, with or without a final protocol message, which
 /// must disclose nothing about the entry.
-async fn hung_up(stream: &mut TcpStream) {
+async fn wait_closed(stream: &mut TcpStream) {
     let mut last = Vec::new();
-    let ended = time::timeout(PATIENCE, stream.read_to_end(&mut last)).await;
+    let ended = time::timeout(STEP_TIMEOUT, stream.read_to_end(&mut last)).await;
     let _ = ended.expect("the connection stays open");
     let text = String::from_utf8_lossy(&last);
     assert!(!text.contains("instance/") && last.len() < 256, "{text}");
@@ -104,11 +110,11 @@
 /// A port scanner sends malformed data, a message header with a huge size, and more bytes than a
 /// handshake takes. Each connection must be closed because of its data, long before any timeout, and
 /// peers must be unaffected.
-async fn garbage() {
+async fn malformed() {
     let one = identity("a", 1);
-    let mut patient = settings(one.clone(), &[]);
-    patient.limits.handshake = HOUR;
-    let a = Node::bind(Entry::open(one), patient);
+    let mut long_timeout = settings(one.clone(), &[]);
+    long_timeout.limits.handshake = HOUR;
+    let a = Node::bind(Entry::open(one), long_timeout);
     let huge = [0, 0, 0, 0, 0, 0, 0, 0x10];
     // Announces 4 MB, which is below the maximum message size, and sends a small part of it.
     let endless = [&[0, 0, 0, 0, 0, 0, 8, 0][..], &[0; 16_384]].concat();
@@ -120,55 +126,55 @@
     ] {
         let mut stream = TcpStream::connect(a.link.address()).await.unwrap();
         let _ = stream.write_all(&sent).await;
-        hung_up(&mut stream).await;
+        wait_closed(&mut stream).await;
     }
-    until(|| a.link.traffic().refused == 4).await;
+    wait_until(|| a.link.traffic().refused == 4).await;
     let b = Node::open("b", &[&a]);
-    a.hears(1).await;
+    a.wait_for_reports(1).await;
     learn(&b, 1);
-    a.reaches(1).await;
+    a.wait_for_seq(1).await;
 }
 
 /// An entry that allows two unauthenticated connections at a time, each for up to `handshake`.
-fn wary(handshake: Duration) -> Node {
+fn with_connection_limit(handshake: Duration) -> Node {
     let one = identity("a", 1);
-    let mut few = settings(one.clone(), &[]);
-    few.limits.unauthenticated = 2;
-    few.limits.handshake = handshake;
-    Node::bind(Entry::open(one), few)
+    let mut limited = settings(one.clone(), &[]);
+    limited.limits.unauthenticated = 2;
+    limited.limits.handshake = handshake;
+    Node::bind(Entry::open(one), limited)
 }
 
 /// Clients open connections and send nothing. Those beyond the limit must be closed immediately, so
 /// that a flood holds neither memory nor descriptors; the handshake timeout is too long to do it here.
-async fn too_many_strangers() {
-    let a = wary(HOUR);
+async fn connections_beyond_limit() {
+    let a = with_connection_limit(HOUR);
     let mut idle = Vec::new();
     for _ in 0..3 {
         idle.push(TcpStream::connect(a.link.address()).await.unwrap());
     }
-    hung_up(&mut idle[2]).await;
+    wait_closed(&mut idle[2]).await;
     assert!(idle[0].try_read(&mut [0]).is_err(), "still open");
     assert!(idle[1].try_read(&mut [0]).is_err(), "still open");
 }
 
 /// Clients occupy all unauthenticated connections and send nothing. They must be closed at the
 /// handshake timeout, so that a peer that keeps retrying can connect.
-async fn idle_strangers() {
-    let a = wary(Duration::from_millis(500));
+async fn idle_connections() {
+    let a = with_connection_limit(Duration::from_millis(500));
     let mut idle = Vec::new();
     for _ in 0..2 {
         idle.push(TcpStream::connect(a.link.address()).await.unwrap());
     }
     let b = Node::open("b", &[&a]);
     for stream in &mut idle {
-        hung_up(stream).await;
+        wait_closed(stream).await;
     }
-    a.hears(1).await;
-    b.hears(1).await;
+    a.wait_for_reports(1).await;
+    b.wait_for_reports(1).await;
 }
 
 /// An entry that does not close sessions for lack of reports.
-fn deaf_to_silence(name: &str) -> Node {
+fn without_report_timeout(name: &str) -> Node {
     let identity = identity(name, 1);
     let mut settings = settings(identity.clone(), &[]);
     settings.limits.silent = HOUR;
@@ -191,18 +197,18 @@
 /// A peer accepts pushes and never responds, so its queue fills up. The other peers must still receive
 /// every change, and the entry must close the connection to the stuck peer at the call timeout.
 async fn stuck_peer() {
-    let a = deaf_to_silence("a");
+    let a = without_report_timeout("a");
     let b = Node::open("b", &[&a]);
-    a.hears(1).await;
-    b.hears(1).await;
+    a.wait_for_reports(1).await;
+    b.wait_for_reports(1).await;
     let stuck = Caller::connect(a.link.address()).await;
     let peer = stuck.join(&identity("c", 1), Stuck).await;
     let burst = 2 * u64::try_from(Limits::default().queue).unwrap();
     for seq in 1..=burst {
         learn(&a, seq);
     }
-    b.reaches(burst).await;
-    stuck.hung_up().await;
+    b.wait_for_seq(burst).await;
+    stuck.wait_closed().await;
     drop(peer);
 }
 
@@ -210,37 +216,37 @@
 /// data. The missing reports must end the session.
 async fn half_open() {
     let one = identity("a", 1);
-    let mut brief = settings(one.clone(), &[]);
-    brief.limits.silent = Duration::from_millis(200);
-    let a = Node::bind(Entry::open(one), brief);
+    let mut short_timeout = settings(one.clone(), &[]);
+    short_timeout.limits.silent = Duration::from_millis(200);
+    let a = Node::bind(Entry::open(one), short_timeout);
     let silent = Caller::connect(a.link.address()).await;
     let peer = silent.join(&identity("b", 1), Stuck).await;
-    silent.hung_up().await;
+    silent.wait_closed().await;
     drop(peer);
 }
 
 /// A peer with the key but a faulty version sends an index without a name. The session must end, and
 /// no load may be attributed to any instance.
 async fn faulty_peer() {
-    let a = deaf_to_silence("a");
+    let a = without_report_timeout("a");
     let faulty = Caller::connect(a.link.address()).await;
     let peer = faulty.join(&identity("b", 1), Stuck).await;
     let mut request = peer.exchange_request();
     let mut loads = request.get().init_report().init_loads(1);
     loads.reborrow().get(0).set_instance(5);
     assert!(request.send().promise.await.is_err());
-    faulty.hung_up().await;
+    faulty.wait_closed().await;
     assert!(a.link.sightings().is_empty());
 }
 
 local_cases! {
-    wrong_key_is_refused_and_learns_nothing => wrong_key();
-    replayed_proof_is_refused => replay();
-    garbage_is_dropped_without_effect => garbage();
-    strangers_are_bounded => too_many_strangers();
-    idle_strangers_lose_their_places => idle_strangers();
-    stuck_peer_delays_no_other => stuck_peer();
-    half_open_peer_is_noticed => half_open();
+    wrong_key_is_rejected_and_learns_nothing => wrong_key();
+    replayed_proof_is_rejected => replay();
+    malformed_data_closes_the_connection => malformed();
+    unauthenticated_connections_are_bounded => connections_beyond_limit();
+    idle_unauthenticated_connections_time_out => idle_connections();
+    stuck_peer_does_not_delay_others => stuck_peer();
+    half_open_session_ends => half_open();
     faulty_report_ends_the_session => faulty_peer();
-    impostor_is_told_nothing => impostor();
+    impostor_learns_nothing => impostor();
 }
--- a/crates/peer/tests/all/membership.rs
+++ b/crates/peer/tests/all/membership.rs
@@ -12,7 +12,7 @@
 /// An entry is suspended or partitioned for a day. Its peers receive no reports, and the platform's
 /// list, which lags, shows it as running or not at all. It may resume and send according to its old
 /// view, so its acknowledgement stays required until the platform or an operator reports it as gone.
-fn silence_is_not_gone() {
+fn unresponsive_is_not_gone() {
     let limits = Limits::default();
     let heard = [
         None,
@@ -61,7 +61,7 @@
 }
 
 /// Reference implementation of the table in the design document.
-fn naive(seq: u64, confirmed: Option<u64>, seqs: &[u64]) -> Footing {
+fn reference(seq: u64, confirmed: Option<u64>, seqs: &[u64]) -> Footing {
     let newest = seqs.iter().copied().max().unwrap_or(0);
     if newest > seq {
         let first = seqs.iter().position(|other| *other == newest).unwrap();
@@ -87,7 +87,7 @@
         .run(&input, |(seq, confirmed, seqs)| {
             let age = confirmed.map(Duration::from_secs);
             let got = footing(Seq(seq), age, &peers(&seqs), &Limits::default());
-            prop_assert_eq!(got, naive(seq, confirmed, &seqs));
+            prop_assert_eq!(got, reference(seq, confirmed, &seqs));
             Ok(())
         })
         .unwrap();
@@ -96,7 +96,7 @@
 /// The store is down and the entry is partitioned from all peers. It must continue to serve, since
 /// its callers have no better entry, but must not acknowledge drains, since the acknowledgement could
 /// reach the others an hour later.
-fn alone() {
+fn isolated() {
     let old = Some(Duration::from_secs(3600));
     let footing = footing(Seq(5), old, &[], &Limits::default());
     assert_eq!(footing, Footing::Alone);
@@ -165,9 +165,9 @@
 }
 
 cases! {
-    silent_entry_is_never_gone => silence_is_not_gone();
-    footing_is_the_naive_one => footing_by_table();
-    alone_serves_and_acknowledges_nothing => alone();
+    unresponsive_entry_is_never_assumed_gone => unresponsive_is_not_gone();
+    footing_matches_the_reference_implementation => footing_by_table();
+    isolated_entry_serves_but_acknowledges_nothing => isolated();
     registration_writes_are_counted => write_counts();
     registration_is_due_at_start_change_and_heartbeat => first_write();
 }
--- a/crates/peer/tests/all/memory.rs
+++ b/crates/peer/tests/all/memory.rs
@@ -59,7 +59,7 @@
 
 /// The store is down but one entry has a change. The others must receive it by a push, without
 /// polling the store and before the next exchange.
-async fn one_poller() {
+async fn single_poller() {
     let cluster = Cluster::open(&SEVEN);
     time::sleep(Duration::from_millis(10)).await;
     cluster.learn(3, 1, 1);
@@ -90,7 +90,7 @@
         cluster.entries[2]
             .state
             .lock()
-            .heard
+            .received_reports
             .iter()
             .any(|report| report.seq == Seq(5))
     );
@@ -100,7 +100,7 @@
 /// late snapshot must be ignored, or applied changes would be reverted until the next pull.
 async fn late_snapshot() {
     let mut cluster = Cluster::open(&[]);
-    let newer = fake::KEPT + 60;
+    let newer = fake::RETAINED_RECORDS + 60;
     cluster.join(Entry::at(identity("a", 1), newer - 10));
     cluster.join(Entry::at(identity("b", 1), newer));
     let (a, b, c) = (entry("a"), entry("b"), entry("c"));
@@ -157,11 +157,11 @@
 }
 
 async fn healed_by_records() {
-    assert!(!healed(fake::KEPT / 2).await);
+    assert!(!healed(fake::RETAINED_RECORDS / 2).await);
 }
 
 async fn healed_by_snapshot() {
-    assert!(healed(fake::KEPT * 2).await);
+    assert!(healed(fake::RETAINED_RECORDS * 2).await);
 }
 
 /// Messages to one peer take 30 s each. The others must receive every change immediately, the queue
@@ -211,7 +211,7 @@
 
 /// One entry sends a slot report in another's name. Attributed to the other, the report could lend
 /// out slots that the other itself uses; it must not be delivered.
-async fn foreign_slots() {
+async fn forged_slot_report() {
     let cluster = Cluster::open(&["a", "b", "c"]);
     time::sleep(Duration::from_millis(10)).await;
     cluster.links[0].share([fake::slots("b", 1), fake::slots("a", 2)].into());
@@ -221,14 +221,14 @@
 }
 
 cases! {
-    async slots_in_anothers_name_are_dropped => foreign_slots();
-    async change_reaches_all_by_one_poller => one_poller();
-    async new_entry_never_goes_back_to_a_stale_peer => stale_start();
+    async slot_reports_in_another_name_are_dropped => forged_slot_report();
+    async change_polled_by_one_entry_reaches_all => single_poller();
+    async new_entry_never_moves_back_to_a_stale_peer => stale_start();
     async late_snapshot_is_ignored => late_snapshot();
     async gap_is_pulled => gap();
     async cut_of_an_hour_heals_by_records => healed_by_records();
     async cut_of_an_hour_heals_by_snapshot => healed_by_snapshot();
     async slow_peer_does_not_delay_others => slow_peer();
-    async restarted_peer_is_heard_anew => restart();
+    async restarted_peer_replaces_its_previous_incarnation => restart();
     async closed_link_is_silent => closed();
 }
--- a/crates/peer/tests/all/node.rs
+++ b/crates/peer/tests/all/node.rs
@@ -19,7 +19,7 @@
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
 /// Far longer than any step takes; reached only on failure.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A deadline that no test reaches.
 pub const HOUR: Duration = Duration::from_secs(3600);
@@ -62,12 +62,12 @@
     }
 
     /// Waits until this entry has reports from `count` peers.
-    pub async fn hears(&self, count: usize) {
-        until(|| self.link.sightings().len() == count).await;
+    pub async fn wait_for_reports(&self, count: usize) {
+        wait_until(|| self.link.sightings().len() == count).await;
     }
 
-    pub async fn reaches(&self, seq: u64) {
-        until(|| self.entry.state.lock().seq.0 >= seq).await;
+    pub async fn wait_for_seq(&self, seq: u64) {
+        wait_until(|| self.entry.state.lock().seq.0 >= seq).await;
         self.entry.assert_at(seq);
     }
 }
@@ -79,13 +79,13 @@
 }
 
 /// Waits until `done` is true. The result depends on the order of events, not on their duration.
-pub async fn until(done: impl Fn() -> bool) {
+pub async fn wait_until(done: impl Fn() -> bool) {
     let wait = async {
         while !done() {
             time::sleep(Duration::from_millis(2)).await;
         }
     };
-    time::timeout(PATIENCE, wait)
+    time::timeout(STEP_TIMEOUT, wait)
         .await
         .expect("the condition was not met in time");
 }
@@ -144,8 +144,8 @@
     }
 
     /// Waits until the other side closes the connection.
-    pub async fn hung_up(self) {
-        let ended = time::timeout(PATIENCE, self.system).await;
+    pub async fn wait_closed(self) {
+        let ended = time::timeout(STEP_TIMEOUT, self.system).await;
         let _ = ended.expect("the connection stays open").unwrap();
     }
 }
@@ -188,16 +188,16 @@
         callee.set_entry("z");
         callee.set_incarnation(&[5; 16]);
         let calls = Rc::clone(&self.calls);
-        results.set_peer(capnp_rpc::new_client(Curious { calls }));
+        results.set_peer(capnp_rpc::new_client(CountingPeer { calls }));
         Ok(())
     }
 }
 
-struct Curious {
+struct CountingPeer {
     calls: Rc<Cell<u32>>,
 }
 
-impl peer::Server for Curious {
+impl peer::Server for CountingPeer {
     async fn attach(
         self: ServerRc<Self>,
         _params: peer::AttachParams,
@@ -215,6 +215,6 @@
     let network = VatNetwork::new(read.compat(), write.compat_write(), Side::Server, options);
     let gate: gate::Client = capnp_rpc::new_client(gate);
     let system = RpcSystem::new(Box::new(network), Some(gate.client));
-    let ended = time::timeout(PATIENCE, system).await;
+    let ended = time::timeout(STEP_TIMEOUT, system).await;
     let _ = ended.expect("the connection stays open");
 }
--- a/crates/peer/tests/all/proof.rs
+++ b/crates/peer/tests/all/proof.rs
@@ -60,8 +60,8 @@
     for other in others {
         assert!(!other.holds(&key, &proof), "{other:?}");
     }
-    let wrong = Key::new(&[8; 32]).unwrap();
-    assert!(!statement.holds(&wrong, &proof));
+    let other_key = Key::new(&[8; 32]).unwrap();
+    assert!(!statement.holds(&other_key, &proof));
     assert!(!statement.holds(&key, &proof[..31]));
 }
 
@@ -71,7 +71,7 @@
 }
 
 cases! {
-    hmac_is_the_standard_one => rfc_4231();
-    proof_covers_all_of_its_statement => covers();
-    short_key_is_refused_and_none_is_shown => short_key();
+    hmac_matches_rfc_4231 => rfc_4231();
+    proof_covers_the_whole_statement => covers();
+    short_key_is_rejected_and_keys_are_not_printed => short_key();
 }
--- a/crates/peer/tests/all/rpc.rs
+++ b/crates/peer/tests/all/rpc.rs
@@ -4,9 +4,9 @@
 //! occur, it waits for a later one.
 
 use crate::{
-    fake::{Entry, KEPT, entry, identity, records, slots},
+    fake::{Entry, RETAINED_RECORDS, entry, identity, records, slots},
     local_cases,
-    node::{Caller, Node, PATIENCE, learn, proof, settings, until},
+    node::{Caller, Node, STEP_TIMEOUT, learn, proof, settings, wait_until},
 };
 use primroseroute_domain::change::Seq;
 use primroseroute_peer::{Address, Error, Link as _, Local as _, pace::Pace};
@@ -26,12 +26,12 @@
     a.link
         .connect(vec![address("a", &a), address("b", &b), address("c", &c)]);
     for node in [&a, &b, &c] {
-        node.hears(2).await;
+        node.wait_for_reports(2).await;
     }
     for (seq, from) in [(1, &a), (2, &b), (3, &c), (4, &a)] {
         learn(from, seq);
         for node in [&a, &b, &c] {
-            node.reaches(seq).await;
+            node.wait_for_seq(seq).await;
         }
     }
 }
@@ -39,14 +39,17 @@
 /// An entry that starts without a view while the store is down must receive a full view from a peer.
 async fn start_up() {
     let one = identity("a", 1);
-    let a = Node::bind(Entry::at(one.clone(), KEPT + 50), settings(one, &[]));
+    let a = Node::bind(
+        Entry::at(one.clone(), RETAINED_RECORDS + 50),
+        settings(one, &[]),
+    );
     let b = Node::open("b", &[&a]);
     assert_eq!(
         b.link.pull().await,
         Err(Error::NothingNewer),
         "no report received yet"
     );
-    b.reaches(KEPT + 50).await;
+    b.wait_for_seq(RETAINED_RECORDS + 50).await;
     assert_eq!(b.entry.state.lock().snapshots, 1);
     assert_eq!(b.link.traffic().snapshot_pulls, 1);
 }
@@ -56,14 +59,14 @@
 async fn gap_and_old() {
     let a = Node::open("a", &[]);
     let b = Node::open("b", &[&a]);
-    a.hears(1).await;
-    b.hears(1).await;
+    a.wait_for_reports(1).await;
+    b.wait_for_reports(1).await;
     a.entry.accept(records(1, 3));
     a.link.broadcast(records(3, 3).into());
-    b.reaches(3).await;
+    b.wait_for_seq(3).await;
     a.link.broadcast(records(1, 2).into());
     learn(&a, 4);
-    b.reaches(4).await;
+    b.wait_for_seq(4).await;
 }
 
 /// An entry restarts with a new incarnation on the same port. Its peer must reconnect, discard the
@@ -72,20 +75,20 @@
 async fn restart() {
     let a = Node::open("a", &[]);
     let b = Node::open("b", &[&a]);
-    a.hears(1).await;
+    a.wait_for_reports(1).await;
     learn(&a, 1);
-    b.reaches(1).await;
+    b.wait_for_seq(1).await;
     let listen = b.link.address();
     b.link.close().await;
-    for seq in 2..=KEPT + 9 {
+    for seq in 2..=RETAINED_RECORDS + 9 {
         learn(&a, seq);
     }
     let two = identity("b", 2);
     let mut again = settings(two.clone(), &[a.link.address()]);
     again.listen = listen;
     let b = Node::bind(Entry::open(two.clone()), again);
-    b.reaches(KEPT + 9).await;
-    until(|| {
+    b.wait_for_seq(RETAINED_RECORDS + 9).await;
+    wait_until(|| {
         a.link
             .sightings()
             .iter()
@@ -95,9 +98,9 @@
     assert_eq!(a.link.sightings().len(), 1);
 
     let caller = Caller::connect(a.link.address()).await;
-    let former = identity("b", 1);
-    let (nonce, good) = proof(&former, caller.challenge().await);
-    assert!(caller.enter(&former, nonce, &good).await.is_err());
+    let previous = identity("b", 1);
+    let (nonce, good) = proof(&previous, caller.challenge().await);
+    assert!(caller.enter(&previous, nonce, &good).await.is_err());
 }
 
 /// A drain is acknowledged on either side of a connection whose next exchange is an hour away. The
@@ -107,21 +110,21 @@
     for name in ["a", "b"] {
         let identity = identity(name, 1);
         let peers: Vec<_> = nodes.iter().map(|node| node.link.address()).collect();
-        let mut hourly = settings(identity.clone(), &peers);
-        hourly.limits.silent = Duration::from_secs(7200);
-        hourly.limits.pace = Some(Pace {
+        let mut slow = settings(identity.clone(), &peers);
+        slow.limits.silent = Duration::from_secs(7200);
+        slow.limits.pace = Some(Pace {
             interval: Duration::from_secs(3600),
             loads: 8,
         });
-        nodes.push(Node::bind(Entry::open(identity), hourly));
+        nodes.push(Node::bind(Entry::open(identity), slow));
     }
     let (a, b) = (&nodes[0], &nodes[1]);
-    a.hears(1).await;
-    b.hears(1).await;
+    a.wait_for_reports(1).await;
+    b.wait_for_reports(1).await;
     for (from, to, seq) in [(a, b, 7), (b, a, 8)] {
         from.entry.accept(records(from.entry.seq().0 + 1, seq));
         from.link.acknowledge();
-        until(|| to.link.sightings()[0].report.seq >= Seq(seq)).await;
+        wait_until(|| to.link.sightings()[0].report.seq >= Seq(seq)).await;
     }
 }
 
@@ -139,23 +142,23 @@
     };
     let a = open("a", &[]);
     let b = open("b", &[a.link.address()]);
-    until(|| b.link.traffic().exchanges > 0).await;
+    wait_until(|| b.link.traffic().exchanges > 0).await;
     a.link.connect(vec![Address {
         entry: None,
         socket: b.link.address(),
     }]);
-    until(|| a.link.traffic().exchanges > 0).await;
+    wait_until(|| a.link.traffic().exchanges > 0).await;
     let exchanges = |node: &Node| node.link.traffic().exchanges;
     let settle = async {
         loop {
             let (own, other) = (exchanges(&b), exchanges(&a));
-            until(|| exchanges(&a) >= other + 50).await;
+            wait_until(|| exchanges(&a) >= other + 50).await;
             if exchanges(&b) == own {
                 break;
             }
         }
     };
-    time::timeout(PATIENCE, settle)
+    time::timeout(STEP_TIMEOUT, settle)
         .await
         .expect("both sessions stay open");
 }
@@ -165,46 +168,46 @@
 async fn closed() {
     let a = Node::open("a", &[]);
     let b = Node::open("b", &[&a]);
-    a.hears(1).await;
-    b.hears(1).await;
+    a.wait_for_reports(1).await;
+    b.wait_for_reports(1).await;
     a.link.close().await;
-    let heard = a.entry.state.lock().heard.len();
+    let report_count = a.entry.state.lock().received_reports.len();
     learn(&b, 1);
     assert_eq!(a.link.pull().await, Err(Error::Closed));
     std::net::TcpListener::bind(a.link.address()).unwrap();
-    assert_eq!(a.entry.state.lock().heard.len(), heard);
+    assert_eq!(a.entry.state.lock().received_reports.len(), report_count);
     a.entry.assert_at(0);
 }
 
 /// Two entries send each other slot reports. Each must arrive complete, bit-exact and in order: if a
 /// borrower and a lender decoded it differently, both would use the same slot.
-async fn slots_cross() {
+async fn slot_reports() {
     let a = Node::open("a", &[]);
     let b = Node::open("b", &[&a]);
-    a.hears(1).await;
-    b.hears(1).await;
+    a.wait_for_reports(1).await;
+    b.wait_for_reports(1).await;
     for number in 1..=5 {
         b.link.share([slots("b", number)].into());
         a.link.share([slots("a", number)].into());
         let arrived = |node: &Node| node.entry.state.lock().slots.len() as u64;
-        until(|| arrived(&a) == number && arrived(&b) == number).await;
+        wait_until(|| arrived(&a) == number && arrived(&b) == number).await;
     }
-    let told = |name: &str| {
+    let expected = |name: &str| {
         (1..=5)
             .map(|n| (entry(name), slots(name, n)))
             .collect::<Vec<_>>()
     };
-    assert_eq!(a.entry.state.lock().slots, told("b"));
-    assert_eq!(b.entry.state.lock().slots, told("a"));
+    assert_eq!(a.entry.state.lock().slots, expected("b"));
+    assert_eq!(b.entry.state.lock().slots, expected("a"));
 }
 
 local_cases! {
-    slots_cross_whole_and_in_order => slots_cross();
-    changes_reach_all_whoever_learns_them => mesh();
+    slot_reports_arrive_complete_and_in_order => slot_reports();
+    changes_reach_all_entries => mesh();
     entry_without_a_view_gets_a_snapshot => start_up();
-    gap_is_pulled_and_old_records_are_ignored => gap_and_old();
-    restarted_peer_replaces_its_former_run => restart();
-    acknowledgement_crosses_at_once => acknowledge();
+    missing_records_are_pulled_and_old_ones_ignored => gap_and_old();
+    restarted_peer_replaces_its_previous_incarnation => restart();
+    acknowledgement_is_sent_immediately => acknowledge();
     pair_settles_on_one_session => one_session_a_pair();
     closed_link_is_silent_and_frees_its_port => closed();
 }
