--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -9,7 +9,7 @@
 use primroseroute_ledger::Ledger;
 use primroseroute_peer::{
     Link,
-    membership::{self, Peer, Registration},
+    membership::{self, PeerView, Registration},
     report::{Drain, Identity, Load, Report, Sighting},
 };
 use primroseroute_route::Gates;
@@ -122,10 +122,10 @@
     }
 
     /// The peers that were heard lately, with the changes that they have in force.
-    fn peers(&self) -> Vec<Peer> {
+    fn peers(&self) -> Vec<PeerView> {
         let mut heard = self.heard.lock();
         heard.retain(|_, heard| heard.at.elapsed() < self.limits.silent_after);
-        let peer = |(entry, heard): (&id::Entry, &Heard)| Peer {
+        let peer = |(entry, heard): (&id::Entry, &Heard)| PeerView {
             entry: entry.clone(),
             seq: heard.seq,
         };
@@ -142,8 +142,8 @@
     }
 
     /// How the view stands, from the store and the peers.
-    pub(crate) fn footing(&self) -> membership::Footing {
-        membership::footing(
+    pub(crate) fn footing(&self) -> membership::ViewState {
+        membership::view_state(
             self.cell.current().seq(),
             self.confirmed(),
             &self.peers(),
@@ -168,7 +168,7 @@
     }
 
     pub(crate) fn is_ready(&self) -> bool {
-        !self.stopping.load(Ordering::Relaxed) && self.footing().serves()
+        !self.stopping.load(Ordering::Relaxed) && self.footing().may_serve()
     }
 
     /// The report for the peers.
@@ -176,7 +176,7 @@
         let number = self.reports.fetch_add(1, Ordering::Relaxed);
         let snapshot = self.cell.current();
         let in_force = self.gates.in_force();
-        let acknowledges = self.footing().acknowledges();
+        let acknowledges = self.footing().may_acknowledge();
         let in_flight = self.gates.loads();
         let mut drains = BTreeMap::new();
         for (name, seq) in self.stopped(&snapshot).iter() {
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -5,7 +5,7 @@
 use primroseroute_ledger::key;
 use primroseroute_peer::{
     Address,
-    membership::{Registration, Written, due},
+    membership::{LastWrite, Registration, write_due},
 };
 use primroseroute_platform::{
     error::Error,
@@ -71,10 +71,10 @@
         }
     }
 
-    async fn register(&self, written: &mut Option<Written>) {
+    async fn register(&self, written: &mut Option<LastWrite>) {
         let now = self.core.uptime();
         let acked = self.core.in_force();
-        if due(*written, acked, now, &self.core.limits).is_none() {
+        if write_due(*written, acked, now, &self.core.limits).is_none() {
             return;
         }
         let row = Registration {
@@ -88,7 +88,7 @@
             heartbeat: self.clock.now(),
         };
         match timeout(CALL, self.write(&row)).await {
-            Ok(Ok(())) => *written = Some(Written { at: now, acked }),
+            Ok(Ok(())) => *written = Some(LastWrite { at: now, acked }),
             Ok(Err(error)) => log::warn!("the registration was not written: {error}"),
             Err(elapsed) => log::warn!("the registration was not written: {elapsed}"),
         }
--- a/crates/peer/src/membership.rs
+++ b/crates/peer/src/membership.rs
@@ -81,7 +81,7 @@
 /// Whether the acknowledgement of a registered entry is required.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum Liveness {
     /// It sends reports.
     Live,
     /// It sends no reports but may still be running, so its acknowledgement is required.
@@ -90,7 +90,7 @@
     Gone,
 }
 
-impl Standing {
+impl Liveness {
     /// Whether a drain must wait for the entry's acknowledgement.
     pub fn must_acknowledge(self) -> bool {
         self != Self::Gone
@@ -98,20 +98,20 @@
 }
 
 /// Derives the standing of an entry from the evidence.
-pub fn standing(evidence: Evidence, limits: &Limits) -> Standing {
+pub fn liveness(evidence: Evidence, limits: &Limits) -> Liveness {
     if evidence.removed || evidence.phase == Some(Phase::Gone) {
-        return Standing::Gone;
+        return Liveness::Gone;
     }
     match evidence.heard {
-        Some(age) if age < limits.silent_after => Standing::Live,
-        _ => Standing::Silent,
+        Some(age) if age < limits.silent_after => Liveness::Live,
+        _ => Liveness::Silent,
     }
 }
 
 /// A live peer's view, from its latest report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Peer {
+pub struct PeerView {
     /// Its name.
     pub entry: id::Entry,
     /// Its applied seq.
@@ -121,7 +121,7 @@
 /// How current an entry's view is known to be.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Footing {
+pub enum ViewState {
     /// No newer change is known, and the store confirmed the view recently.
     Current,
     /// This peer has a newer view, to be pulled.
@@ -134,10 +134,10 @@
     Empty,
 }
 
-impl Footing {
+impl ViewState {
     /// Whether callers' requests may be served. An outdated view is served: refusing requests would
     /// turn every store outage into a service outage.
-    pub fn serves(&self) -> bool {
+    pub fn may_serve(&self) -> bool {
         *self != Self::Empty
     }
 
@@ -146,37 +146,42 @@
     /// An isolated entry cannot know whether the drain that it has applied was revoked and ordered
     /// again with another meaning; a late acknowledgement from it, which reaches the others once
     /// the partition heals, must not release an instance.
-    pub fn acknowledges(&self) -> bool {
+    pub fn may_acknowledge(&self) -> bool {
         matches!(self, Self::Current | Self::Unconfirmed)
     }
 
     /// Whether the entry may act as the controller, which requires the store in any case.
-    pub fn controls(&self) -> bool {
+    pub fn may_control(&self) -> bool {
         *self == Self::Current
     }
 }
 
 /// Determines the state of a view at `seq`, confirmed by the store `confirmed` ago, given the
 /// `live` peers. Pulls go to the peer that is furthest ahead; ties are resolved by the lowest name.
-pub fn footing(seq: Seq, confirmed: Option<Duration>, live: &[Peer], limits: &Limits) -> Footing {
+pub fn view_state(
+    seq: Seq,
+    confirmed: Option<Duration>,
+    live: &[PeerView],
+    limits: &Limits,
+) -> ViewState {
     let ahead = live.iter().filter(|peer| peer.seq > seq);
     let best = ahead.max_by(|a, b| a.seq.cmp(&b.seq).then_with(|| b.entry.cmp(&a.entry)));
     if let Some(peer) = best {
-        return Footing::Behind(peer.entry.clone());
+        return ViewState::Behind(peer.entry.clone());
     }
     let fresh = confirmed.is_some_and(|age| age <= limits.confirmed_within);
     match (fresh, seq, live.is_empty()) {
-        (true, _, _) => Footing::Current,
-        (false, Seq(0), _) => Footing::Empty,
-        (false, _, true) => Footing::Alone,
-        (false, _, false) => Footing::Unconfirmed,
+        (true, _, _) => ViewState::Current,
+        (false, Seq(0), _) => ViewState::Empty,
+        (false, _, true) => ViewState::Alone,
+        (false, _, false) => ViewState::Unconfirmed,
     }
 }
 
 /// Reason for writing the registration row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Cause {
+pub enum WriteReason {
     /// The process started.
     Start,
     /// Changes were applied since the last write.
@@ -188,7 +193,7 @@
 /// The last write of the registration row that the store confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Written {
+pub struct LastWrite {
     /// Time of the write, since the start of the process.
     pub at: Duration,
     /// The seq that the write acknowledged.
@@ -199,13 +204,18 @@
 ///
 /// Changes within [`Limits::batch`] share one write, and each write is also a heartbeat, so a burst
 /// of changes costs one write per batch interval and an idle entry one per heartbeat interval.
-pub fn due(last: Option<Written>, seq: Seq, now: Duration, limits: &Limits) -> Option<Cause> {
+pub fn write_due(
+    last: Option<LastWrite>,
+    seq: Seq,
+    now: Duration,
+    limits: &Limits,
+) -> Option<WriteReason> {
     let Some(last) = last else {
-        return Some(Cause::Start);
+        return Some(WriteReason::Start);
     };
     let since = now.saturating_sub(last.at);
     if seq > last.acked && since >= limits.batch {
-        return Some(Cause::Acked);
+        return Some(WriteReason::Acked);
     }
-    (since >= limits.heartbeat).then_some(Cause::Heartbeat)
+    (since >= limits.heartbeat).then_some(WriteReason::Heartbeat)
 }
--- a/crates/peer/tests/all/membership.rs
+++ b/crates/peer/tests/all/membership.rs
@@ -3,7 +3,8 @@
 use crate::{cases, fake::entry, runner};
 use primroseroute_domain::change::Seq;
 use primroseroute_peer::membership::{
-    Cause, Evidence, Footing, Limits, Peer, Standing, Written, due, footing, standing,
+    Evidence, LastWrite, Limits, Liveness, PeerView, ViewState, WriteReason, liveness, view_state,
+    write_due,
 };
 use primroseroute_platform::fleet::Phase;
 use proptest::prelude::*;
@@ -33,27 +34,27 @@
                 removed: false,
             };
             assert!(
-                standing(evidence, &limits).must_acknowledge(),
+                liveness(evidence, &limits).must_acknowledge(),
                 "{evidence:?}"
             );
             let gone = Evidence {
                 phase: Some(Phase::Gone),
                 ..evidence
             };
-            assert_eq!(standing(gone, &limits), Standing::Gone);
+            assert_eq!(liveness(gone, &limits), Liveness::Gone);
             let removed = Evidence {
                 removed: true,
                 ..evidence
             };
-            assert_eq!(standing(removed, &limits), Standing::Gone);
+            assert_eq!(liveness(removed, &limits), Liveness::Gone);
         }
     }
 }
 
-fn peers(seqs: &[u64]) -> Vec<Peer> {
+fn peers(seqs: &[u64]) -> Vec<PeerView> {
     let named = seqs.iter().enumerate();
     named
-        .map(|(index, seq)| Peer {
+        .map(|(index, seq)| PeerView {
             entry: entry(&format!("entry-{index}")),
             seq: Seq(*seq),
         })
@@ -61,32 +62,32 @@
 }
 
 /// Reference implementation of the table in the design document.
-fn reference(seq: u64, confirmed: Option<u64>, seqs: &[u64]) -> Footing {
+fn reference(seq: u64, confirmed: Option<u64>, seqs: &[u64]) -> ViewState {
     let newest = seqs.iter().copied().max().unwrap_or(0);
     if newest > seq {
         let first = seqs.iter().position(|other| *other == newest).unwrap();
-        return Footing::Behind(entry(&format!("entry-{first}")));
+        return ViewState::Behind(entry(&format!("entry-{first}")));
     }
     if confirmed.is_some_and(|age| age <= 3) {
-        return Footing::Current;
+        return ViewState::Current;
     }
     if seq == 0 {
-        return Footing::Empty;
+        return ViewState::Empty;
     }
     if seqs.is_empty() {
-        Footing::Alone
+        ViewState::Alone
     } else {
-        Footing::Unconfirmed
+        ViewState::Unconfirmed
     }
 }
 
-fn footing_by_table() {
+fn view_state_by_table() {
     let confirmed = prop::option::of(0_u64..6);
     let input = (0_u64..5, confirmed, prop::collection::vec(0_u64..6, 0..5));
     runner()
         .run(&input, |(seq, confirmed, seqs)| {
             let age = confirmed.map(Duration::from_secs);
-            let got = footing(Seq(seq), age, &peers(&seqs), &Limits::default());
+            let got = view_state(Seq(seq), age, &peers(&seqs), &Limits::default());
             prop_assert_eq!(got, reference(seq, confirmed, &seqs));
             Ok(())
         })
@@ -98,9 +99,9 @@
 /// reach the others an hour later.
 fn isolated() {
     let old = Some(Duration::from_secs(3600));
-    let footing = footing(Seq(5), old, &[], &Limits::default());
-    assert_eq!(footing, Footing::Alone);
-    assert!(footing.serves() && !footing.acknowledges() && !footing.controls());
+    let view_state = view_state(Seq(5), old, &[], &Limits::default());
+    assert_eq!(view_state, ViewState::Alone);
+    assert!(view_state.may_serve() && !view_state.may_acknowledge() && !view_state.may_control());
 }
 
 /// Writes of `entries` entries in an hour, with a change every `change` seconds, in steps of 1 s.
@@ -110,9 +111,9 @@
     for second in 0..3600 {
         let now = Duration::from_secs(second);
         let seq = Seq(second / change);
-        if due(last, seq, now, &limits).is_some() {
+        if write_due(last, seq, now, &limits).is_some() {
             count += 1;
-            last = Some(Written {
+            last = Some(LastWrite {
                 at: now,
                 acked: seq,
             });
@@ -150,23 +151,23 @@
 fn first_write() {
     let limits = Limits::default();
     assert_eq!(
-        due(None, Seq(0), Duration::ZERO, &limits),
-        Some(Cause::Start)
+        write_due(None, Seq(0), Duration::ZERO, &limits),
+        Some(WriteReason::Start)
     );
-    let last = Some(Written {
+    let last = Some(LastWrite {
         at: Duration::ZERO,
         acked: Seq(1),
     });
-    let at = |seconds, seq| due(last, Seq(seq), Duration::from_secs(seconds), &limits);
+    let at = |seconds, seq| write_due(last, Seq(seq), Duration::from_secs(seconds), &limits);
     assert_eq!(at(1, 2), None);
-    assert_eq!(at(2, 2), Some(Cause::Acked));
+    assert_eq!(at(2, 2), Some(WriteReason::Acked));
     assert_eq!(at(14, 1), None);
-    assert_eq!(at(15, 1), Some(Cause::Heartbeat));
+    assert_eq!(at(15, 1), Some(WriteReason::Heartbeat));
 }
 
 cases! {
     unresponsive_entry_is_never_assumed_gone => unresponsive_is_not_gone();
-    footing_matches_the_reference_implementation => footing_by_table();
+    view_state_matches_the_reference_implementation => view_state_by_table();
     isolated_entry_serves_but_acknowledges_nothing => isolated();
     registration_writes_are_counted => write_counts();
     registration_is_due_at_start_change_and_heartbeat => first_write();
