--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -10,7 +10,7 @@
 use primroseroute_peer::{
     Link,
     membership::{self, PeerView, Registration},
-    report::{Drain, Identity, Load, Report, Sighting},
+    report::{Drain, Identity, Load, ReceivedReport, Report},
 };
 use primroseroute_route::Gates;
 use primroseroute_view::{Cell, Snapshot};
@@ -104,10 +104,10 @@
         self.confirmed.lock().map(|at| at.elapsed())
     }
 
-    pub(crate) fn sightings(&self) -> Vec<Sighting> {
+    pub(crate) fn sightings(&self) -> Vec<ReceivedReport> {
         self.link
             .get()
-            .map(|link| link.sightings())
+            .map(|link| link.latest_reports())
             .unwrap_or_default()
     }
 
--- a/crates/peer/src/core.rs
+++ b/crates/peer/src/core.rs
@@ -2,9 +2,9 @@
 
 use crate::{
     Local, Newer, Slots,
-    board::{Board, Superseded},
     intake::{self, Intake},
-    report::{Identity, Report, Sighting},
+    peer_table::{PeerTable, Superseded},
+    report::{Identity, ReceivedReport, Report},
 };
 use parking_lot::Mutex;
 use primroseroute_domain::{
@@ -25,11 +25,11 @@
 
 /// The state shared by the sessions of a link.
 ///
-/// Lock order: `board` is never held while `local` is called.
+/// Lock order: `peer_table` is never held while `local` is called.
 #[derive(Debug)]
 pub(crate) struct Core {
     local: Arc<dyn Local>,
-    board: Mutex<Board>,
+    peer_table: Mutex<PeerTable>,
     started: Instant,
 }
 
@@ -37,7 +37,7 @@
     pub(crate) fn new(local: Arc<dyn Local>) -> Self {
         Self {
             local,
-            board: Mutex::new(Board::default()),
+            peer_table: Mutex::new(PeerTable::default()),
             started: Instant::now(),
         }
     }
@@ -51,19 +51,21 @@
     }
 
     pub(crate) fn admit(&self, peer: &Identity) -> Result<(), Superseded> {
-        self.board.lock().admit(peer)
+        self.peer_table.lock().admit(peer)
     }
 
-    pub(crate) fn sightings(&self) -> Vec<Sighting> {
-        self.board.lock().sightings(self.started.elapsed())
+    pub(crate) fn latest_reports(&self) -> Vec<ReceivedReport> {
+        self.peer_table
+            .lock()
+            .latest_reports(self.started.elapsed())
     }
 
     /// Stores a peer's report. Returns whether it shows a newer view than the applied one.
     pub(crate) fn receive_report(&self, report: &Report) -> bool {
         let kept = self
-            .board
+            .peer_table
             .lock()
-            .keep(report.clone(), self.started.elapsed());
+            .store_report(report.clone(), self.started.elapsed());
         if kept {
             self.local.accept_report(&report.from.entry, report);
         }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -18,7 +18,7 @@
 //!   the entry.
 //! * [`memory`] runs many entries in one process under paused time, with partitions and latency.
 //! * [`rpc`] runs over capnp-rpc on TCP, on a dedicated thread.
-//! * [`intake`], [`board`], [`delta`], [`pace`] and [`membership`] are the pure decisions behind
+//! * [`intake`], [`peer_table`], [`delta`], [`pace`] and [`membership`] are the pure decisions behind
 //!   both: no clock, no I/O, no randomness.
 //!
 //! # Views never move backwards
@@ -27,7 +27,6 @@
 //! than the applied seq and turns a gap into a pull. A [`Local`] must itself ignore lower seqs, since
 //! the store poller races with the link.
 
-pub mod board;
 mod core;
 pub mod delta;
 pub mod intake;
@@ -35,6 +34,7 @@
 pub mod membership;
 pub mod memory;
 pub mod pace;
+pub mod peer_table;
 pub mod proof;
 pub mod report;
 pub mod rpc;
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,6 +1,6 @@
 //! The interfaces between an entry and its link.
 
-use crate::report::{Report, Sighting};
+use crate::report::{ReceivedReport, Report};
 use async_trait::async_trait;
 use primroseroute_domain::{
     change::{Record, Seq},
@@ -94,7 +94,7 @@
     fn acknowledge(&self);
 
     /// The latest report of each peer, ordered by name.
-    fn sightings(&self) -> Vec<Sighting>;
+    fn latest_reports(&self) -> Vec<ReceivedReport>;
 
     /// Replaces the set of peers to connect to; sessions with other peers stay open until they end.
     fn connect(&self, peers: Vec<Address>);
--- a/crates/peer/src/memory.rs
+++ b/crates/peer/src/memory.rs
@@ -9,7 +9,7 @@
     Address, Error, Link as LinkTrait, Local, Newer, Slots,
     core::{Core, ReceiveOutcome},
     pace,
-    report::{Identity, Sighting},
+    report::{Identity, ReceivedReport},
 };
 use async_trait::async_trait;
 use parking_lot::Mutex;
@@ -303,9 +303,9 @@
         };
         let known: BTreeMap<_, _> = own
             .core
-            .sightings()
+            .latest_reports()
             .into_iter()
-            .map(|sighting| (sighting.report.from.entry, sighting.report.seq))
+            .map(|received| (received.report.from.entry, received.report.seq))
             .collect();
         for peer in own.network.peers(&own.identity.entry) {
             let name = &peer.identity.entry;
@@ -339,9 +339,9 @@
         }
     }
 
-    fn sightings(&self) -> Vec<Sighting> {
+    fn latest_reports(&self) -> Vec<ReceivedReport> {
         self.node()
-            .map(|own| own.core.sightings())
+            .map(|own| own.core.latest_reports())
             .unwrap_or_default()
     }
 
@@ -350,14 +350,14 @@
     async fn pull(&self) -> Result<Seq, Error> {
         let own = self.node().ok_or(Error::Closed)?;
         let before = own.core.seq();
-        let mut ahead = own.core.sightings();
-        ahead.retain(|sighting| sighting.report.seq > before);
-        ahead.sort_by_key(|sighting| std::cmp::Reverse(sighting.report.seq));
+        let mut ahead = own.core.latest_reports();
+        ahead.retain(|received| received.report.seq > before);
+        ahead.sort_by_key(|received| std::cmp::Reverse(received.report.seq));
         let peers = own.network.peers(&own.identity.entry);
-        for sighting in ahead {
+        for received in ahead {
             let peer = peers
                 .iter()
-                .find(|peer| peer.identity == sighting.report.from);
+                .find(|peer| peer.identity == received.report.from);
             let Some(peer) = peer else {
                 continue;
             };
--- a/crates/peer/src/board.rs
+++ b/crates/peer/src/peer_table.rs
@@ -1,6 +1,6 @@
 //! The latest report of each peer, and which incarnation of a peer is accepted.
 
-use crate::report::{Identity, Report, Sighting};
+use crate::report::{Identity, ReceivedReport, Report};
 use primroseroute_domain::id;
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -26,11 +26,11 @@
 
 /// What this entry knows about its peers. Times are since the start of the process.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct PeerTable {
     peers: BTreeMap<id::Entry, PeerState>,
 }
 
-impl Board {
+impl PeerTable {
     /// Admits an authenticated peer and discards its previous incarnations and their reports.
     ///
     /// A process that was suspended while its machine's name passed to a successor may resume and
@@ -65,7 +65,7 @@
 
     /// Stores `report` if its sender is admitted and no later report of it is stored. Returns
     /// whether it was stored.
-    pub fn keep(&mut self, report: Report, now: Duration) -> bool {
+    pub fn store_report(&mut self, report: Report, now: Duration) -> bool {
         let Some(state) = self.peers.get_mut(&report.from.entry) else {
             return false;
         };
@@ -81,13 +81,13 @@
     }
 
     /// The latest report of each peer, ordered by name.
-    pub fn sightings(&self, now: Duration) -> Vec<Sighting> {
+    pub fn latest_reports(&self, now: Duration) -> Vec<ReceivedReport> {
         let latest = self
             .peers
             .values()
             .filter_map(|state| state.latest.as_ref());
         latest
-            .map(|(report, heard)| Sighting {
+            .map(|(report, heard)| ReceivedReport {
                 report: report.clone(),
                 age: now.saturating_sub(*heard),
             })
--- a/crates/peer/src/report.rs
+++ b/crates/peer/src/report.rs
@@ -76,7 +76,7 @@
 
 /// The latest report of a peer and its age.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sighting {
+pub struct ReceivedReport {
     /// The report.
     pub report: Report,
     /// Time since it was received, by the receiver's clock.
--- a/crates/peer/src/rpc/hub.rs
+++ b/crates/peer/src/rpc/hub.rs
@@ -7,9 +7,9 @@
 };
 use crate::{
     Error, Slots,
-    board::Superseded,
     core::Core,
     pace::{self, Pace},
+    peer_table::Superseded,
     proof::Key,
     report::Identity,
 };
@@ -149,14 +149,14 @@
     /// Pulls from the peers that are ahead, the furthest first, until one advances the view.
     pub(super) async fn pull(&self) -> Result<Seq, Error> {
         let before = self.core.seq();
-        let mut ahead = self.core.sightings();
-        ahead.retain(|sighting| sighting.report.seq > before);
-        ahead.sort_by_key(|sighting| Reverse(sighting.report.seq));
+        let mut ahead = self.core.latest_reports();
+        ahead.retain(|received| received.report.seq > before);
+        ahead.sort_by_key(|received| Reverse(received.report.seq));
         let peers = self.peers();
-        for sighting in ahead {
+        for received in ahead {
             let session = peers
                 .iter()
-                .find(|session| session.peer == sighting.report.from);
+                .find(|session| session.peer == received.report.from);
             let Some(session) = session else {
                 continue;
             };
--- a/crates/peer/src/rpc/mod.rs
+++ b/crates/peer/src/rpc/mod.rs
@@ -21,7 +21,7 @@
     core::Core,
     pace::Pace,
     proof::Key,
-    report::{Identity, Sighting},
+    report::{Identity, ReceivedReport},
 };
 use async_trait::async_trait;
 use hub::Hub;
@@ -271,8 +271,8 @@
         self.refresh.notify_one();
     }
 
-    fn sightings(&self) -> Vec<Sighting> {
-        self.core.sightings()
+    fn latest_reports(&self) -> Vec<ReceivedReport> {
+        self.core.latest_reports()
     }
 
     fn connect(&self, peers: Vec<Address>) {
--- a/crates/peer/tests/all/hostile.rs
+++ b/crates/peer/tests/all/hostile.rs
@@ -34,7 +34,7 @@
     a.entry.assert_at(3);
     b.entry.assert_at(9);
     for node in [&a, &b] {
-        assert!(node.link.sightings().is_empty());
+        assert!(node.link.latest_reports().is_empty());
         assert!(node.entry.state.lock().received_reports.is_empty());
         assert_eq!(
             node.entry.state.lock().reports_created,
@@ -64,7 +64,7 @@
         serve(stream, gate).await;
     }
     assert_eq!(calls.get(), 0);
-    assert!(a.link.sightings().is_empty());
+    assert!(a.link.latest_reports().is_empty());
 }
 
 /// An attacker replays a recorded handshake on a connection of its own, and again on the connection
@@ -236,7 +236,7 @@
     loads.reborrow().get(0).set_instance(5);
     assert!(request.send().promise.await.is_err());
     faulty.wait_closed().await;
-    assert!(a.link.sightings().is_empty());
+    assert!(a.link.latest_reports().is_empty());
 }
 
 local_cases! {
--- a/crates/peer/tests/all/main.rs
+++ b/crates/peer/tests/all/main.rs
@@ -1,6 +1,5 @@
 //! Tests of the communication between entries.
 
-mod board;
 mod cost;
 mod delta;
 mod fake;
@@ -9,6 +8,7 @@
 mod membership;
 mod memory;
 mod node;
+mod peer_table;
 mod proof;
 mod rpc;
 
--- a/crates/peer/tests/all/memory.rs
+++ b/crates/peer/tests/all/memory.rs
@@ -194,7 +194,7 @@
     cluster.join(Entry::open(identity("b", 2)));
     time::sleep(Duration::from_secs(2)).await;
     cluster.assert_at(4);
-    let seen = cluster.links[0].sightings();
+    let seen = cluster.links[0].latest_reports();
     assert_eq!(seen[0].report.from, identity("b", 2));
 }
 
--- a/crates/peer/tests/all/node.rs
+++ b/crates/peer/tests/all/node.rs
@@ -63,7 +63,7 @@
 
     /// Waits until this entry has reports from `count` peers.
     pub async fn wait_for_reports(&self, count: usize) {
-        wait_until(|| self.link.sightings().len() == count).await;
+        wait_until(|| self.link.latest_reports().len() == count).await;
     }
 
     pub async fn wait_for_seq(&self, seq: u64) {
--- a/crates/peer/tests/all/rpc.rs
+++ b/crates/peer/tests/all/rpc.rs
@@ -90,12 +90,12 @@
     b.wait_for_seq(RETAINED_RECORDS + 9).await;
     wait_until(|| {
         a.link
-            .sightings()
+            .latest_reports()
             .iter()
             .any(|seen| seen.report.from == two)
     })
     .await;
-    assert_eq!(a.link.sightings().len(), 1);
+    assert_eq!(a.link.latest_reports().len(), 1);
 
     let caller = Caller::connect(a.link.address()).await;
     let previous = identity("b", 1);
@@ -124,7 +124,7 @@
     for (from, to, seq) in [(a, b, 7), (b, a, 8)] {
         from.entry.accept(records(from.entry.seq().0 + 1, seq));
         from.link.acknowledge();
-        wait_until(|| to.link.sightings()[0].report.seq >= Seq(seq)).await;
+        wait_until(|| to.link.latest_reports()[0].report.seq >= Seq(seq)).await;
     }
 }
 
