--- a/crates/peer/src/core.rs
+++ b/crates/peer/src/core.rs
@@ -2,9 +2,9 @@
 
 use crate::{
     Local, Newer, Slots,
-    intake::{self, Intake},
     peer_table::{PeerTable, Superseded},
     report::{Identity, ReceivedReport, Report},
+    selection::{self, Selection},
 };
 use parking_lot::Mutex;
 use primroseroute_domain::{
@@ -74,10 +74,10 @@
 
     pub(crate) fn receive_records(&self, records: Vec<Record>) -> ReceiveOutcome {
         let applied = self.local.seq();
-        match intake::choose(applied, records) {
-            Intake::Old => ReceiveOutcome::Applied(applied),
-            Intake::Accept(records) => ReceiveOutcome::Applied(self.local.accept(records)),
-            Intake::Gap => ReceiveOutcome::Gap(applied),
+        match selection::select(applied, records) {
+            Selection::Stale => ReceiveOutcome::Applied(applied),
+            Selection::Contiguous(records) => ReceiveOutcome::Applied(self.local.accept(records)),
+            Selection::Gap => ReceiveOutcome::Gap(applied),
         }
     }
 
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -18,18 +18,17 @@
 //!   the entry.
 //! * [`memory`] runs many entries in one process under paused time, with partitions and latency.
 //! * [`rpc`] runs over capnp-rpc on TCP, on a dedicated thread.
-//! * [`intake`], [`peer_table`], [`delta`], [`pace`] and [`membership`] are the pure decisions behind
+//! * [`selection`], [`peer_table`], [`delta`], [`pace`] and [`membership`] are the pure decisions behind
 //!   both: no clock, no I/O, no randomness.
 //!
 //! # Views never move backwards
 //!
-//! Both links pass all received records through [`intake`], which drops those that are not newer
+//! Both links pass all received records through [`selection`], which drops those that are not newer
 //! than the applied seq and turns a gap into a pull. A [`Local`] must itself ignore lower seqs, since
 //! the store poller races with the link.
 
 mod core;
 pub mod delta;
-pub mod intake;
 mod link;
 pub mod membership;
 pub mod memory;
@@ -38,5 +37,6 @@
 pub mod proof;
 pub mod report;
 pub mod rpc;
+pub mod selection;
 
 pub use link::{Address, Error, Link, Local, Newer, Row, Slots, Snapshot};
--- a/crates/peer/src/intake.rs
+++ b/crates/peer/src/selection.rs
@@ -4,11 +4,11 @@
 
 /// Classification of received records.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Intake {
+pub enum Selection {
     /// All are already applied.
-    Old,
+    Stale,
     /// Records that follow the applied seq without a gap.
-    Accept(Vec<Record>),
+    Contiguous(Vec<Record>),
     /// Records between the applied seq and the first newer one are missing.
     Gap,
 }
@@ -18,20 +18,20 @@
 /// Records at or below `applied` are dropped regardless of the sender. A push can be lost or
 /// overtaken by a later one; applying the later one would skip a change permanently, so all records
 /// after a gap are discarded and fetched again by a pull.
-pub fn choose(applied: Seq, mut records: Vec<Record>) -> Intake {
+pub fn select(applied: Seq, mut records: Vec<Record>) -> Selection {
     records.sort_by_key(|record| record.seq);
     records.dedup_by_key(|record| record.seq);
     records.retain(|record| record.seq > applied);
     let Some(first) = records.first() else {
-        return Intake::Old;
+        return Selection::Stale;
     };
     if first.seq != applied.next() {
-        return Intake::Gap;
+        return Selection::Gap;
     }
     let contiguous = records
         .windows(2)
         .position(|pair| pair[1].seq != pair[0].seq.next())
         .map_or(records.len(), |last| last + 1);
     records.truncate(contiguous);
-    Intake::Accept(records)
+    Selection::Contiguous(records)
 }
--- a/crates/peer/tests/all/main.rs
+++ b/crates/peer/tests/all/main.rs
@@ -4,13 +4,13 @@
 mod delta;
 mod fake;
 mod hostile;
-mod intake;
 mod membership;
 mod memory;
 mod node;
 mod peer_table;
 mod proof;
 mod rpc;
+mod selection;
 
 /// Declares tests, one per line; `async` ones run on a paused clock.
 macro_rules! cases {
--- a/crates/peer/tests/all/intake.rs
+++ b/crates/peer/tests/all/selection.rs
@@ -2,13 +2,13 @@
 
 use crate::{cases, fake::record, runner};
 use primroseroute_domain::change::Seq;
-use primroseroute_peer::intake::{self, Intake};
+use primroseroute_peer::selection::{self, Selection};
 use proptest::prelude::*;
 
 /// Reference implementation: search for the next record until there is none.
-fn reference(in_force: u64, seqs: &[u64]) -> Intake {
+fn reference(in_force: u64, seqs: &[u64]) -> Selection {
     if seqs.iter().all(|seq| *seq <= in_force) {
-        return Intake::Old;
+        return Selection::Stale;
     }
     let mut contiguous = Vec::new();
     let mut next = in_force + 1;
@@ -17,9 +17,9 @@
         next += 1;
     }
     if contiguous.is_empty() {
-        Intake::Gap
+        Selection::Gap
     } else {
-        Intake::Accept(contiguous)
+        Selection::Contiguous(contiguous)
     }
 }
 
@@ -29,7 +29,7 @@
         .run(&input, |(in_force, seqs)| {
             let records = seqs.iter().copied().map(record).collect();
             prop_assert_eq!(
-                intake::choose(Seq(in_force), records),
+                selection::select(Seq(in_force), records),
                 reference(in_force, &seqs)
             );
             Ok(())
