--- a/crates/peer/src/delta.rs
+++ b/crates/peer/src/delta.rs
@@ -8,8 +8,8 @@
 //! index. A new session starts with empty state on both sides.
 
 use crate::{
-    pace::LOAD_BYTES,
     report::{Drain, Identity, Load, Report},
+    schedule::LOAD_BYTES,
 };
 use primroseroute_domain::{change::Seq, id};
 use std::{cmp::Reverse, collections::BTreeMap, time::Duration};
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -18,8 +18,8 @@
 //!   the entry.
 //! * [`memory`] runs many entries in one process under paused time, with partitions and latency.
 //! * [`rpc`] runs over capnp-rpc on TCP, on a dedicated thread.
-//! * [`selection`], [`peer_table`], [`delta`], [`pace`] and [`membership`] are the pure decisions behind
-//!   both: no clock, no I/O, no randomness.
+//! * [`selection`], [`peer_table`], [`delta`], [`schedule`] and [`membership`] are the pure decisions
+//!   behind both: no clock, no I/O, no randomness.
 //!
 //! # Views never move backwards
 //!
@@ -32,11 +32,11 @@
 mod link;
 pub mod membership;
 pub mod memory;
-pub mod pace;
 pub mod peer_table;
 pub mod proof;
 pub mod report;
 pub mod rpc;
+pub mod schedule;
 pub mod selection;
 
 pub use link::{Address, Error, Link, Local, Newer, Row, Slots, Snapshot};
--- a/crates/peer/src/memory.rs
+++ b/crates/peer/src/memory.rs
@@ -8,8 +8,8 @@
 use crate::{
     Address, Error, Link as LinkTrait, Local, Newer, Slots,
     core::{Core, ReceiveOutcome},
-    pace,
     report::{Identity, ReceivedReport},
+    schedule,
 };
 use async_trait::async_trait;
 use parking_lot::Mutex;
@@ -207,7 +207,7 @@
             return;
         };
         let peers = own.network.peers(&own.identity.entry);
-        let interval = pace::choose(peers.len()).interval;
+        let interval = schedule::for_peers(peers.len()).interval;
         for peer in peers {
             if own.identity.entry < peer.identity.entry {
                 tokio::spawn(exchange(Arc::downgrade(&own), Arc::downgrade(&peer)));
--- a/crates/peer/src/rpc/hub.rs
+++ b/crates/peer/src/rpc/hub.rs
@@ -8,10 +8,10 @@
 use crate::{
     Error, Slots,
     core::Core,
-    pace::{self, Pace},
     peer_table::Superseded,
     proof::Key,
     report::Identity,
+    schedule::{self, ExchangeSchedule},
 };
 use primroseroute_domain::{
     change::{Record, Seq},
@@ -122,10 +122,10 @@
         peers.into_values().collect()
     }
 
-    pub(super) fn pace(&self) -> Pace {
+    pub(super) fn schedule(&self) -> ExchangeSchedule {
         self.limits
-            .pace
-            .unwrap_or_else(|| pace::choose(self.peers().len()))
+            .schedule
+            .unwrap_or_else(|| schedule::for_peers(self.peers().len()))
     }
 
     pub(super) fn broadcast(&self, records: &Arc<[Record]>) {
--- a/crates/peer/src/rpc/mod.rs
+++ b/crates/peer/src/rpc/mod.rs
@@ -19,9 +19,9 @@
 use crate::{
     Address, Error, Link as LinkTrait, Local, Slots,
     core::Core,
-    pace::Pace,
     proof::Key,
     report::{Identity, ReceivedReport},
+    schedule::ExchangeSchedule,
 };
 use async_trait::async_trait;
 use hub::Hub;
@@ -64,7 +64,7 @@
     /// Maximum number of queued pushes for one peer.
     pub queue: usize,
     /// The exchange schedule; `None` to derive it from the number of peers.
-    pub pace: Option<Pace>,
+    pub schedule: Option<ExchangeSchedule>,
 }
 
 impl Default for Limits {
@@ -81,7 +81,7 @@
             unauthenticated: 32,
             sessions: 64,
             queue: 64,
-            pace: None,
+            schedule: None,
         }
     }
 }
--- a/crates/peer/src/rpc/session.rs
+++ b/crates/peer/src/rpc/session.rs
@@ -193,7 +193,7 @@
                 }
                 with_timeout(hub.limits.call, self.exchange(&hub)).await?;
                 // Jitter prevents the exchanges of all pairs from synchronizing.
-                hub.pace()
+                hub.schedule()
                     .interval
                     .mul_f64(0.9 + rand::random::<f64>() / 5.0)
             };
@@ -207,7 +207,10 @@
     async fn exchange(self: &Rc<Self>, hub: &Hub) -> Result<(), Error> {
         let mut request = self.remote()?.exchange_request();
         let report = hub.core.own_report();
-        let delta = self.sender.borrow_mut().next(&report, hub.pace().loads);
+        let delta = self
+            .sender
+            .borrow_mut()
+            .next(&report, hub.schedule().max_loads);
         write_delta(request.get().init_report(), &delta)?;
         let response = request.send().promise.await?;
         let delta = read_delta(response.get()?.get_report()?)?;
@@ -326,7 +329,10 @@
             return Err(error);
         }
         let report = hub.core.own_report();
-        let delta = session.sender.borrow_mut().next(&report, hub.pace().loads);
+        let delta = session
+            .sender
+            .borrow_mut()
+            .next(&report, hub.schedule().max_loads);
         write_delta(results.get().init_report(), &delta)
     }
 
--- a/crates/peer/tests/all/cost.rs
+++ b/crates/peer/tests/all/cost.rs
@@ -12,8 +12,8 @@
 use primroseroute_domain::change::Seq;
 use primroseroute_peer::{
     Link as _,
-    pace::{self, BYTES_PER_SECOND, EXCHANGE_BYTES, Pace},
     report::{Drain, Load, Report},
+    schedule::{self, EXCHANGE_BYTES, ExchangeSchedule, MAX_BYTES_PER_SECOND},
 };
 use std::time::Duration;
 
@@ -44,12 +44,12 @@
 /// A group of nodes; the first has the lowest name and connects to all others.
 struct Bench {
     nodes: Vec<Node>,
-    pace: Pace,
+    schedule: ExchangeSchedule,
 }
 
 impl Bench {
     async fn open(entries: usize) -> Self {
-        let pace = pace::choose(entries - 1);
+        let schedule = schedule::for_peers(entries - 1);
         let mut nodes = Vec::new();
         for index in (0..entries).rev() {
             let identity = identity(&format!("entry-{index:02}"), 1);
@@ -60,15 +60,15 @@
             let known: &[_] = if index == 0 { &peers } else { &[] };
             let mut slow = settings(identity.clone(), known);
             slow.limits.silent = Duration::from_secs(7200);
-            slow.limits.pace = Some(Pace {
+            slow.limits.schedule = Some(ExchangeSchedule {
                 interval: Duration::from_secs(3600),
-                ..pace
+                ..schedule
             });
             nodes.push(Node::bind(Entry::open(identity), slow));
         }
         nodes.reverse();
         nodes[0].wait_for_reports(entries - 1).await;
-        Self { nodes, pace }
+        Self { nodes, schedule }
     }
 
     /// Sets reports with a load on each instance that differs from the previous round, and three drains.
@@ -111,7 +111,7 @@
             before_round(round);
             self.round().await;
         }
-        (bytes() - before) / u64::from(rounds) / self.pace.interval.as_secs()
+        (bytes() - before) / u64::from(rounds) / self.schedule.interval.as_secs()
     }
 }
 
@@ -139,29 +139,29 @@
 async fn within_budget(entries: usize, instances: usize) {
     let cost = measure(entries, instances).await;
     println!("{entries} entries, {instances} instances: {cost:?}");
-    let budget = u64::try_from(BYTES_PER_SECOND).unwrap();
+    let budget = u64::try_from(MAX_BYTES_PER_SECOND).unwrap();
     assert!(budget < REQUIRED_BYTES_PER_SECOND);
     assert!(cost.naming <= budget, "{cost:?}");
     assert!(cost.busy <= budget, "{cost:?}");
     let peers = u64::try_from(entries - 1).unwrap();
     let empty = u64::try_from(EXCHANGE_BYTES).unwrap() * peers;
-    let seconds = pace::choose(entries - 1).interval.as_secs();
+    let seconds = schedule::for_peers(entries - 1).interval.as_secs();
     assert!(cost.idle <= empty / seconds, "{cost:?}");
 }
 
 /// The schedule alone, for every number of peers up to far more than planned.
 fn schedule_is_capped() {
     for peers in 1..=200 {
-        let pace = pace::choose(peers);
-        let exchange = EXCHANGE_BYTES + 2 * pace.loads * pace::LOAD_BYTES;
-        let seconds = usize::try_from(pace.interval.as_secs()).unwrap();
+        let schedule = schedule::for_peers(peers);
+        let exchange = EXCHANGE_BYTES + 2 * schedule.max_loads * schedule::LOAD_BYTES;
+        let seconds = usize::try_from(schedule.interval.as_secs()).unwrap();
         assert!(
-            peers * exchange <= BYTES_PER_SECOND * seconds,
+            peers * exchange <= MAX_BYTES_PER_SECOND * seconds,
             "{peers} peers"
         );
-        assert!(pace.loads > 8, "{peers} peers");
+        assert!(schedule.max_loads > 8, "{peers} peers");
     }
-    let seconds = [2, 6, 13, 27].map(|peers| pace::choose(peers).interval.as_secs());
+    let seconds = [2, 6, 13, 27].map(|peers| schedule::for_peers(peers).interval.as_secs());
     assert_eq!(seconds, [1, 1, 2, 4]);
 }
 
--- a/crates/peer/tests/all/rpc.rs
+++ b/crates/peer/tests/all/rpc.rs
@@ -9,7 +9,7 @@
     node::{Caller, Node, STEP_TIMEOUT, learn, proof, settings, wait_until},
 };
 use primroseroute_domain::change::Seq;
-use primroseroute_peer::{Address, Error, Link as _, Local as _, pace::Pace};
+use primroseroute_peer::{Address, Error, Link as _, Local as _, schedule::ExchangeSchedule};
 use std::{net::SocketAddr, time::Duration};
 use tokio::time;
 
@@ -112,9 +112,9 @@
         let peers: Vec<_> = nodes.iter().map(|node| node.link.address()).collect();
         let mut slow = settings(identity.clone(), &peers);
         slow.limits.silent = Duration::from_secs(7200);
-        slow.limits.pace = Some(Pace {
+        slow.limits.schedule = Some(ExchangeSchedule {
             interval: Duration::from_secs(3600),
-            loads: 8,
+            max_loads: 8,
         });
         nodes.push(Node::bind(Entry::open(identity), slow));
     }
@@ -134,9 +134,9 @@
     let open = |name: &str, peers: &[SocketAddr]| {
         let identity = identity(name, 1);
         let mut quick = settings(identity.clone(), peers);
-        quick.limits.pace = Some(Pace {
+        quick.limits.schedule = Some(ExchangeSchedule {
             interval: Duration::from_millis(1),
-            loads: 8,
+            max_loads: 8,
         });
         Node::bind(Entry::open(identity), quick)
     };
