--- a/crates/peer/src/delta.rs
+++ b/crates/peer/src/delta.rs
@@ -65,18 +65,18 @@
 
 /// The sending side of a session.
 #[derive(Clone, Debug, Default)]
-pub struct Sender {
+pub struct Encoder {
     indexes: BTreeMap<id::Instance, u32>,
     loads: BTreeMap<id::Instance, Load>,
     drains: BTreeMap<id::Instance, Drain>,
 }
 
-impl Sender {
+impl Encoder {
     /// Returns the changes from what was sent before to `report`.
     ///
     /// `load_budget` limits the cost of the loads: 1 for each, plus the equivalent of the name's bytes
     /// if the instance is named for the first time. At least one load is sent in any case.
-    pub fn next(&mut self, report: &Report, load_budget: usize) -> Delta {
+    pub fn encode(&mut self, report: &Report, load_budget: usize) -> Delta {
         let mut delta = Delta {
             number: report.number,
             seq: report.seq,
@@ -170,13 +170,13 @@
 
 /// The receiving side of a session.
 #[derive(Clone, Debug)]
-pub struct Receiver {
+pub struct Decoder {
     names: Vec<id::Instance>,
     report: Report,
 }
 
-impl Receiver {
-    /// A receiver for the reports of `from`.
+impl Decoder {
+    /// A decoder of the reports of `from`.
     pub fn new(from: Identity) -> Self {
         Self {
             names: Vec::new(),
@@ -187,7 +187,7 @@
     /// Applies `delta` and returns the updated report.
     ///
     /// # Errors
-    /// [`Error`] if the delta is not one that a [`Sender`] produces; the session must be closed.
+    /// [`Error`] if the delta is not one that an [`Encoder`] produces; the session must be closed.
     pub fn apply(&mut self, delta: Delta) -> Result<&Report, Error> {
         if self.names.len() + delta.names.len() > MAX_NAMES {
             return Err(Error::TooManyNames);
--- a/crates/peer/src/rpc/session.rs
+++ b/crates/peer/src/rpc/session.rs
@@ -12,7 +12,7 @@
 use crate::{
     Newer, Slots,
     core::ReceiveOutcome,
-    delta::{Receiver, Sender},
+    delta::{Decoder, Encoder},
     report::Identity,
 };
 use capnp::{Error, capability::Rc as ServerRc};
@@ -50,8 +50,8 @@
     hub: Weak<Hub>,
     pub(super) peer: Identity,
     pub(super) direction: Direction,
-    sender: RefCell<Sender>,
-    receiver: RefCell<Receiver>,
+    encoder: RefCell<Encoder>,
+    decoder: RefCell<Decoder>,
     /// The newest seq that the peer is known to have.
     peer_seq: Cell<Seq>,
     last_report: Cell<Instant>,
@@ -81,10 +81,10 @@
         let (shares, share_queue) = mpsc::channel(SLOT_REPORT_QUEUE);
         Rc::new(Self {
             hub: Rc::downgrade(hub),
-            receiver: RefCell::new(Receiver::new(peer.clone())),
+            decoder: RefCell::new(Decoder::new(peer.clone())),
             peer,
             direction,
-            sender: RefCell::default(),
+            encoder: RefCell::default(),
             peer_seq: Cell::default(),
             last_report: Cell::new(Instant::now()),
             remote: RefCell::default(),
@@ -208,9 +208,9 @@
         let mut request = self.remote()?.exchange_request();
         let report = hub.core.own_report();
         let delta = self
-            .sender
+            .encoder
             .borrow_mut()
-            .next(&report, hub.schedule().max_loads);
+            .encode(&report, hub.schedule().max_loads);
         write_delta(request.get().init_report(), &delta)?;
         let response = request.send().promise.await?;
         let delta = read_delta(response.get()?.get_report()?)?;
@@ -221,8 +221,8 @@
 
     fn receive_delta(self: &Rc<Self>, delta: crate::delta::Delta) -> Result<(), Error> {
         let hub = self.hub()?;
-        let mut receiver = self.receiver.borrow_mut();
-        let report = receiver.apply(delta).map_err(rpc_error)?;
+        let mut decoder = self.decoder.borrow_mut();
+        let report = decoder.apply(delta).map_err(rpc_error)?;
         self.note_peer_seq(report.seq);
         self.last_report.set(Instant::now());
         if hub.core.receive_report(report) {
@@ -330,9 +330,9 @@
         }
         let report = hub.core.own_report();
         let delta = session
-            .sender
+            .encoder
             .borrow_mut()
-            .next(&report, hub.schedule().max_loads);
+            .encode(&report, hub.schedule().max_loads);
         write_delta(results.get().init_report(), &delta)
     }
 
--- a/crates/peer/tests/all/delta.rs
+++ b/crates/peer/tests/all/delta.rs
@@ -7,7 +7,7 @@
 };
 use primroseroute_domain::change::Seq;
 use primroseroute_peer::{
-    delta::{Delta, Error, LoadChange, MAX_NAMES, Receiver, Sender},
+    delta::{Decoder, Delta, Encoder, Error, LoadChange, MAX_NAMES},
     report::{Drain, Load, Report},
 };
 use proptest::prelude::*;
@@ -40,39 +40,39 @@
     let steps = prop::collection::vec((loads, drains, 1_usize..40), 1..8);
     runner()
         .run(&steps, |steps| {
-            let mut sender = Sender::default();
-            let mut receiver = Receiver::new(identity("a", 1));
+            let mut encoder = Encoder::default();
+            let mut decoder = Decoder::new(identity("a", 1));
             let mut number = 0;
             for (loads, drains, load_budget) in &steps {
                 let full = report(number, loads, drains);
-                let delta = sender.next(&full, *load_budget);
+                let delta = encoder.encode(&full, *load_budget);
                 prop_assert!(delta.loads.len() <= *load_budget);
-                let got = receiver.apply(delta).unwrap();
+                let got = decoder.apply(delta).unwrap();
                 prop_assert_eq!(&got.drains, &full.drains);
                 number += 1;
             }
             let (loads, drains, load_budget) = steps.last().unwrap();
             for _ in 0..30 {
                 number += 1;
-                let delta = sender.next(&report(number, loads, drains), *load_budget);
-                receiver.apply(delta).unwrap();
+                let delta = encoder.encode(&report(number, loads, drains), *load_budget);
+                decoder.apply(delta).unwrap();
             }
             let last = report(number + 1, loads, drains);
-            let delta = sender.next(&last, 1);
+            let delta = encoder.encode(&last, 1);
             prop_assert!(delta.loads.is_empty() && delta.drains.is_empty());
-            prop_assert_eq!(receiver.apply(delta).unwrap(), &last);
+            prop_assert_eq!(decoder.apply(delta).unwrap(), &last);
             Ok(())
         })
         .unwrap();
 }
 
 fn largest_first() {
-    let mut sender = Sender::default();
+    let mut encoder = Encoder::default();
     let full = report(1, &vec![(0, 1, 0), (1, 8, 8), (2, 3, 0)], &vec![]);
     // Naming an instance with 21 bytes costs 4 loads, and its load 1.
-    let delta = sender.next(&full, 10);
+    let delta = encoder.encode(&full, 10);
     assert_eq!(delta.names, [instance(1), instance(2)]);
-    let delta = sender.next(
+    let delta = encoder.encode(
         &report(2, &vec![(0, 1, 0), (1, 8, 10), (2, 5, 0)], &vec![]),
         2,
     );
@@ -83,18 +83,18 @@
 /// rejected, so that the session ends, instead of attributing the load to some instance or
 /// exhausting memory.
 fn rejected() {
-    let mut receiver = Receiver::new(identity("a", 1));
+    let mut decoder = Decoder::new(identity("a", 1));
     let load = Load::default();
     let unknown = Delta {
         loads: vec![LoadChange { index: 0, load }],
         ..Delta::default()
     };
-    assert_eq!(receiver.apply(unknown), Err(Error::UnknownIndex(0)));
+    assert_eq!(decoder.apply(unknown), Err(Error::UnknownIndex(0)));
     let endless = Delta {
         names: (0..=MAX_NAMES).map(instance).collect(),
         ..Delta::default()
     };
-    assert_eq!(receiver.apply(endless), Err(Error::TooManyNames));
+    assert_eq!(decoder.apply(endless), Err(Error::TooManyNames));
 }
 
 cases! {
