--- a/crates/peer/src/proof.rs
+++ b/crates/peer/src/proof.rs
@@ -20,7 +20,7 @@
 
 /// Minimum key length in bytes: recorded proofs allow offline guessing of the key, which 128 bits
 /// make infeasible.
-pub const MIN_KEY: usize = 16;
+pub const MIN_KEY_BYTES: usize = 16;
 
 /// The key shared by all entries.
 #[derive(Clone)]
@@ -34,17 +34,17 @@
 
 /// The shared key is too short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the shared key has {0} bytes; at least {MIN_KEY} are needed")]
-pub struct TooShort(pub usize);
+#[error("the shared key has {0} bytes; at least {MIN_KEY_BYTES} are needed")]
+pub struct KeyTooShort(pub usize);
 
 impl Key {
     /// Creates a key from `bytes`.
     ///
     /// # Errors
-    /// [`TooShort`] if there are fewer than [`MIN_KEY`] bytes.
-    pub fn new(bytes: &[u8]) -> Result<Self, TooShort> {
-        if bytes.len() < MIN_KEY {
-            return Err(TooShort(bytes.len()));
+    /// [`KeyTooShort`] if there are fewer than [`MIN_KEY_BYTES`] bytes.
+    pub fn new(bytes: &[u8]) -> Result<Self, KeyTooShort> {
+        if bytes.len() < MIN_KEY_BYTES {
+            return Err(KeyTooShort(bytes.len()));
         }
         Ok(Self(bytes.into()))
     }
@@ -75,12 +75,12 @@
 
 impl Nonce {
     /// Generates a nonce from the system's random source.
-    pub fn fresh() -> Self {
+    pub fn random() -> Self {
         Self(Uuid::new_v4().into_bytes())
     }
 
     /// Parses a received nonce; `None` if its length is wrong.
-    pub fn received(bytes: &[u8]) -> Option<Self> {
+    pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         bytes.try_into().ok().map(Self)
     }
 }
@@ -129,7 +129,7 @@
     }
 
     /// Verifies `proof` against this statement in constant time.
-    pub fn holds(&self, key: &Key, proof: &[u8]) -> bool {
+    pub fn verify(&self, key: &Key, proof: &[u8]) -> bool {
         self.prove(key).ct_eq(proof).into()
     }
 }
--- a/crates/peer/src/rpc/gate.rs
+++ b/crates/peer/src/rpc/gate.rs
@@ -48,7 +48,7 @@
             caller: nonce,
             identity: caller,
         };
-        if !statement.holds(&self.hub.key, proof) {
+        if !statement.verify(&self.hub.key, proof) {
             return Err(rejected());
         }
         self.allowance.set(None);
@@ -70,7 +70,7 @@
     ) -> Result<(), Error> {
         let params = params.get()?;
         let caller = read_identity(params.get_caller()?)?;
-        let nonce = Nonce::received(params.get_nonce()?);
+        let nonce = Nonce::from_bytes(params.get_nonce()?);
         let nonce = nonce.ok_or_else(|| Error::failed(REFUSED.to_owned()))?;
         let (own, session) = self.authenticate(&caller, nonce, params.get_proof()?)?;
         let statement = Statement {
@@ -95,7 +95,7 @@
         _params: gate::ChallengeParams,
         mut results: gate::ChallengeResults,
     ) -> Result<(), Error> {
-        let nonce = Nonce::fresh();
+        let nonce = Nonce::random();
         self.nonce.set(Some(nonce));
         results.get().set_nonce(&nonce.0);
         Ok(())
@@ -127,9 +127,9 @@
 /// Performs the caller's side of the handshake.
 pub(super) async fn enter(hub: &Hub, gate: &gate::Client) -> Result<HandshakeResult, Error> {
     let challenge = gate.challenge_request().send().promise.await?;
-    let callee_nonce = Nonce::received(challenge.get()?.get_nonce()?);
+    let callee_nonce = Nonce::from_bytes(challenge.get()?.get_nonce()?);
     let callee_nonce = callee_nonce.ok_or_else(|| Error::failed(REFUSED.to_owned()))?;
-    let nonce = Nonce::fresh();
+    let nonce = Nonce::random();
     let statement = Statement {
         side: Side::Caller,
         callee: callee_nonce,
@@ -149,7 +149,7 @@
         ..statement
     };
     // An impostor on a peer's address learns only the caller's proof, which is valid for one nonce.
-    if !statement.holds(&hub.key, response.get_proof()?) {
+    if !statement.verify(&hub.key, response.get_proof()?) {
         return Err(Error::failed(
             "the callee does not know the shared key".to_owned(),
         ));
--- a/crates/peer/tests/all/node.rs
+++ b/crates/peer/tests/all/node.rs
@@ -113,7 +113,7 @@
 
     pub async fn challenge(&self) -> Nonce {
         let answer = self.gate.challenge_request().send().promise.await.unwrap();
-        Nonce::received(answer.get().unwrap().get_nonce().unwrap()).unwrap()
+        Nonce::from_bytes(answer.get().unwrap().get_nonce().unwrap()).unwrap()
     }
 
     pub async fn enter(
--- a/crates/peer/tests/all/proof.rs
+++ b/crates/peer/tests/all/proof.rs
@@ -2,7 +2,7 @@
 
 use crate::{cases, fake::identity};
 use expect_test::expect;
-use primroseroute_peer::proof::{Key, Nonce, Side, Statement, TooShort};
+use primroseroute_peer::proof::{Key, KeyTooShort, Nonce, Side, Statement};
 
 fn hex(bytes: &[u8]) -> String {
     bytes
@@ -34,7 +34,7 @@
         identity: &a,
     };
     let proof = statement.prove(&key);
-    assert!(statement.holds(&key, &proof));
+    assert!(statement.verify(&key, &proof));
     let others = [
         Statement {
             side: Side::Callee,
@@ -58,15 +58,15 @@
         },
     ];
     for other in others {
-        assert!(!other.holds(&key, &proof), "{other:?}");
+        assert!(!other.verify(&key, &proof), "{other:?}");
     }
     let other_key = Key::new(&[8; 32]).unwrap();
-    assert!(!statement.holds(&other_key, &proof));
-    assert!(!statement.holds(&key, &proof[..31]));
+    assert!(!statement.verify(&other_key, &proof));
+    assert!(!statement.verify(&key, &proof[..31]));
 }
 
 fn short_key() {
-    assert_eq!(Key::new(&[1; 15]).unwrap_err(), TooShort(15));
+    assert_eq!(Key::new(&[1; 15]).unwrap_err(), KeyTooShort(15));
     assert_eq!(format!("{:?}", Key::new(&[1; 16]).unwrap()), "Key(..)");
 }
 
