--- a/crates/capacity/src/loaded.rs
+++ b/crates/capacity/src/loaded.rs
@@ -9,7 +9,7 @@
 };
 use primroseroute_entry::{Dial, Dialed};
 use primroseroute_peer::{
-    Local, Slots, Snapshot,
+    LocalEntry, SlotReport, Snapshot,
     memory::Network,
     report::{Identity, Load, Report},
 };
@@ -23,7 +23,7 @@
 }
 
 impl Dial for Join {
-    fn dial(self: Box<Self>, identity: Identity, local: Arc<dyn Local>) -> Result<Dialed> {
+    fn dial(self: Box<Self>, identity: Identity, local: Arc<dyn LocalEntry>) -> Result<Dialed> {
         let loaded = Loaded {
             local,
             loads: self.loads,
@@ -37,11 +37,11 @@
 
 #[derive(Debug)]
 struct Loaded {
-    local: Arc<dyn Local>,
+    local: Arc<dyn LocalEntry>,
     loads: BTreeMap<id::Instance, Load>,
 }
 
-impl Local for Loaded {
+impl LocalEntry for Loaded {
     fn seq(&self) -> Seq {
         self.local.seq()
     }
@@ -54,12 +54,12 @@
         self.local.snapshot()
     }
 
-    fn accept(&self, records: Vec<Record>) -> Seq {
-        self.local.accept(records)
+    fn apply_records(&self, records: Vec<Record>) -> Seq {
+        self.local.apply_records(records)
     }
 
-    fn accept_snapshot(&self, snapshot: Snapshot) -> Seq {
-        self.local.accept_snapshot(snapshot)
+    fn apply_snapshot(&self, snapshot: Snapshot) -> Seq {
+        self.local.apply_snapshot(snapshot)
     }
 
     fn own_report(&self) -> Report {
@@ -69,10 +69,10 @@
         }
     }
 
-    fn accept_slots(&self, _peer: &id::Entry, _pools: Vec<Slots>) {}
+    fn receive_slot_reports(&self, _peer: &id::Entry, _pools: Vec<SlotReport>) {}
 
-    fn accept_report(&self, peer: &id::Entry, report: &Report) {
-        self.local.accept_report(peer, report);
+    fn receive_report(&self, peer: &id::Entry, report: &Report) {
+        self.local.receive_report(peer, report);
     }
 }
 
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -15,7 +15,7 @@
 use primroseroute_controller::{Controller, Parts as ControllerParts, Roster};
 use primroseroute_domain::change::Seq;
 use primroseroute_ledger::Ledger;
-use primroseroute_peer::Local;
+use primroseroute_peer::LocalEntry;
 use primroseroute_route::{Front, Gates, Parts as PathParts, Path, backend::Backend};
 use std::{
     net::SocketAddr,
@@ -56,7 +56,10 @@
         let core = Arc::new(Core::new(parts.identity, ledger, gates, parts.membership));
         let dialed = parts
             .dial
-            .dial(core.identity.clone(), Arc::clone(&core) as Arc<dyn Local>)
+            .dial(
+                core.identity.clone(),
+                Arc::clone(&core) as Arc<dyn LocalEntry>,
+            )
             .wrap_err("opening the peer link")?;
         core.link.set(dialed.link).expect("the link is set once");
 
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -123,7 +123,7 @@
             })
             .collect();
         if let Some(link) = self.core.link.get() {
-            link.connect(addresses);
+            link.set_peers(addresses);
         }
         *self.core.registered.lock() = rows
             .into_iter()
--- a/crates/entry/src/local.rs
+++ b/crates/entry/src/local.rs
@@ -14,7 +14,7 @@
 use primroseroute_flow::pool::QueueDepth;
 use primroseroute_ledger::key;
 use primroseroute_peer::{
-    Local as PeerLocal, Row, Slots, Snapshot as Rows, membership::Registration, report::Report,
+    LocalEntry, Row, SlotReport, Snapshot as Rows, membership::Registration, report::Report,
 };
 use primroseroute_telemetry::Meter;
 use primroseroute_view::Snapshot;
@@ -24,7 +24,7 @@
     time::Duration,
 };
 
-impl PeerLocal for Core {
+impl LocalEntry for Core {
     fn seq(&self) -> Seq {
         self.cell.current().seq()
     }
@@ -45,7 +45,7 @@
         }
     }
 
-    fn accept(&self, records: Vec<Record>) -> Seq {
+    fn apply_records(&self, records: Vec<Record>) -> Seq {
         if let Some(last) = records.last() {
             self.relayed.fetch_max(last.seq.0, Ordering::Relaxed);
         }
@@ -55,7 +55,7 @@
         self.cell.current().seq()
     }
 
-    fn accept_snapshot(&self, snapshot: Rows) -> Seq {
+    fn apply_snapshot(&self, snapshot: Rows) -> Seq {
         self.relayed.fetch_max(snapshot.seq.0, Ordering::Relaxed);
         let pairs = snapshot.rows.into_iter().map(|row| (row.key, row.json));
         match Snapshot::from_rows(snapshot.seq, pairs) {
@@ -71,13 +71,13 @@
         self.report()
     }
 
-    fn accept_slots(&self, _peer: &id::Entry, pools: Vec<Slots>) {
-        for Slots { pool, report } in pools {
+    fn receive_slot_reports(&self, _peer: &id::Entry, pools: Vec<SlotReport>) {
+        for SlotReport { pool, report } in pools {
             self.gates.peer(&pool, &report);
         }
     }
 
-    fn accept_report(&self, peer: &id::Entry, report: &Report) {
+    fn receive_report(&self, peer: &id::Entry, report: &Report) {
         self.hear(peer, report);
     }
 }
--- a/crates/entry/src/parts.rs
+++ b/crates/entry/src/parts.rs
@@ -9,7 +9,7 @@
 use primroseroute_fleet::{lifecycle, placement::Weights};
 use primroseroute_flow::limits::Limits;
 use primroseroute_front::Options as FrontOptions;
-use primroseroute_peer::{Link, Local, membership, report::Identity};
+use primroseroute_peer::{Link, LocalEntry, membership, report::Identity};
 use primroseroute_platform::{fleet::Instances, object::Store, table::Table, task::Tasks};
 use primroseroute_route::{Options as PathOptions, backend::Backend};
 use primroseroute_telemetry::Meter;
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     /// Where the link cannot be opened, such as a port that is taken.
-    fn dial(self: Box<Self>, identity: Identity, local: Arc<dyn Local>) -> Result<Dialed>;
+    fn dial(self: Box<Self>, identity: Identity, local: Arc<dyn LocalEntry>) -> Result<Dialed>;
 }
 
 /// Where the entry listens.
--- a/crates/entry/src/share.rs
+++ b/crates/entry/src/share.rs
@@ -3,7 +3,7 @@
 use crate::core::Core;
 use primroseroute_domain::id;
 use primroseroute_flow::report::Report;
-use primroseroute_peer::{Link, Slots};
+use primroseroute_peer::{Link, SlotReport};
 use std::{
     collections::{BTreeMap, BTreeSet},
     sync::Arc,
@@ -41,6 +41,6 @@
     }
     let pools = reports
         .into_iter()
-        .map(|(pool, report)| Slots { pool, report });
-    link.share(pools.collect());
+        .map(|(pool, report)| SlotReport { pool, report });
+    link.send_slot_reports(pools.collect());
 }
--- a/crates/entry/src/spread.rs
+++ b/crates/entry/src/spread.rs
@@ -63,7 +63,7 @@
         link.broadcast(own.into());
     }
     if may_drain {
-        link.acknowledge();
+        link.exchange_now();
     }
 }
 
--- a/crates/peer/src/core.rs
+++ b/crates/peer/src/core.rs
@@ -1,7 +1,7 @@
 //! Message handling common to both links: peer reports, received records and pulls.
 
 use crate::{
-    Local, Newer, Slots,
+    LocalEntry, Newer, SlotReport,
     peer_table::{PeerTable, Superseded},
     report::{Identity, ReceivedReport, Report},
     selection::{self, Selection},
@@ -28,13 +28,13 @@
 /// Lock order: `peer_table` is never held while `local` is called.
 #[derive(Debug)]
 pub(crate) struct Core {
-    local: Arc<dyn Local>,
+    local: Arc<dyn LocalEntry>,
     peer_table: Mutex<PeerTable>,
     started: Instant,
 }
 
 impl Core {
-    pub(crate) fn new(local: Arc<dyn Local>) -> Self {
+    pub(crate) fn new(local: Arc<dyn LocalEntry>) -> Self {
         Self {
             local,
             peer_table: Mutex::new(PeerTable::default()),
@@ -67,7 +67,7 @@
             .lock()
             .store_report(report.clone(), self.started.elapsed());
         if kept {
-            self.local.accept_report(&report.from.entry, report);
+            self.local.receive_report(&report.from.entry, report);
         }
         kept && report.seq > self.local.seq()
     }
@@ -76,7 +76,9 @@
         let applied = self.local.seq();
         match selection::select(applied, records) {
             Selection::Stale => ReceiveOutcome::Applied(applied),
-            Selection::Contiguous(records) => ReceiveOutcome::Applied(self.local.accept(records)),
+            Selection::Contiguous(records) => {
+                ReceiveOutcome::Applied(self.local.apply_records(records))
+            }
             Selection::Gap => ReceiveOutcome::Gap(applied),
         }
     }
@@ -85,9 +87,9 @@
     ///
     /// A report that names an entry other than the peer is dropped: attributed to that entry, it
     /// could lend out slots that the entry itself uses.
-    pub(crate) fn receive_slot_reports(&self, peer: &id::Entry, mut pools: Vec<Slots>) {
+    pub(crate) fn receive_slot_reports(&self, peer: &id::Entry, mut pools: Vec<SlotReport>) {
         pools.retain(|slots| slots.report.entry == *peer);
-        self.local.accept_slots(peer, pools);
+        self.local.receive_slot_reports(peer, pools);
     }
 
     /// What this entry has beyond `seq`.
@@ -108,7 +110,7 @@
                 ReceiveOutcome::Applied(seq) | ReceiveOutcome::Gap(seq) => seq,
             },
             Newer::Snapshot(snapshot) if snapshot.seq > self.local.seq() => {
-                self.local.accept_snapshot(snapshot)
+                self.local.apply_snapshot(snapshot)
             }
             Newer::Nothing | Newer::Snapshot(_) => self.local.seq(),
         }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -9,13 +9,14 @@
 //! with a snapshot if it no longer retains them. A lost push therefore delays a change by at most one
 //! interval and never loses it.
 //!
-//! Each pool's slot allocator reports demand and loans to its peers through [`Link::share`], in one
-//! call for all busy pools of an entry; only changed reports are sent.
+//! Each pool's slot allocator reports demand and loans to its peers through
+//! [`Link::send_slot_reports`], in one call for all busy pools of an entry; only changed reports are
+//! sent.
 //!
 //! # Structure
 //!
-//! * [`Link`] is the interface that the entry calls; [`Local`] is the interface that a link calls in
-//!   the entry.
+//! * [`Link`] is the interface that the entry calls; [`LocalEntry`] is the interface that a link
+//!   calls in the entry.
 //! * [`memory`] runs many entries in one process under paused time, with partitions and latency.
 //! * [`rpc`] runs over capnp-rpc on TCP, on a dedicated thread.
 //! * [`selection`], [`peer_table`], [`delta`], [`schedule`] and [`membership`] are the pure decisions
@@ -24,8 +25,8 @@
 //! # Views never move backwards
 //!
 //! Both links pass all received records through [`selection`], which drops those that are not newer
-//! than the applied seq and turns a gap into a pull. A [`Local`] must itself ignore lower seqs, since
-//! the store poller races with the link.
+//! than the applied seq and turns a gap into a pull. A [`LocalEntry`] must itself ignore lower seqs,
+//! since the store poller races with the link.
 
 mod core;
 pub mod delta;
@@ -39,4 +40,4 @@
 pub mod schedule;
 pub mod selection;
 
-pub use link::{Address, Error, Link, Local, Newer, Row, Slots, Snapshot};
+pub use link::{Address, Error, Link, LocalEntry, Newer, Row, SlotReport, Snapshot};
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -55,7 +55,7 @@
 /// An entry's report on the slots of one pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Slots {
+pub struct SlotReport {
     /// The pool.
     pub pool: id::Pool,
     /// The report of the pool's slot allocator.
@@ -88,16 +88,16 @@
 
     /// Sends reports on the slots of busy pools to all peers. Reports that cannot be queued for a
     /// peer are dropped; the slot allocators recover from a lost report with a later one.
-    fn share(&self, pools: Arc<[Slots]>);
+    fn send_slot_reports(&self, pools: Arc<[SlotReport]>);
 
     /// Exchanges reports with all peers immediately, because a drain was applied or completed.
-    fn acknowledge(&self);
+    fn exchange_now(&self);
 
     /// The latest report of each peer, ordered by name.
     fn latest_reports(&self) -> Vec<ReceivedReport>;
 
     /// Replaces the set of peers to connect to; sessions with other peers stay open until they end.
-    fn connect(&self, peers: Vec<Address>);
+    fn set_peers(&self, peers: Vec<Address>);
 
     /// Pulls from the peer with the newest view, if any is ahead of this entry.
     ///
@@ -107,12 +107,12 @@
     /// [`Error::NothingNewer`] if no reachable peer is ahead.
     async fn pull(&self) -> Result<Seq, Error>;
 
-    /// Closes all sessions; [`Local`] is not called after it returns.
+    /// Closes all sessions; [`LocalEntry`] is not called after it returns.
     async fn close(&self);
 }
 
 /// The entry as its link sees it. Calls are short and never wait for a peer or the store.
-pub trait Local: Send + Sync + fmt::Debug {
+pub trait LocalEntry: Send + Sync + fmt::Debug {
     /// The applied seq.
     fn seq(&self) -> Seq;
 
@@ -124,19 +124,19 @@
 
     /// Applies `records` and returns the applied seq afterwards.
     ///
-    /// The records are consecutive, and the first follows a seq that [`Local::seq`] returned
+    /// The records are consecutive, and the first follows a seq that [`LocalEntry::seq`] returned
     /// earlier. The entry may have advanced since and must ignore records that are not newer.
-    fn accept(&self, records: Vec<Record>) -> Seq;
+    fn apply_records(&self, records: Vec<Record>) -> Seq;
 
     /// Applies a snapshot if it is newer and returns the applied seq afterwards.
-    fn accept_snapshot(&self, snapshot: Snapshot) -> Seq;
+    fn apply_snapshot(&self, snapshot: Snapshot) -> Seq;
 
     /// The entry's own report; its number increases with each call.
     fn own_report(&self) -> Report;
 
     /// Handles a peer's reports on the slots of pools, which may arrive out of order.
-    fn accept_slots(&self, peer: &id::Entry, pools: Vec<Slots>);
+    fn receive_slot_reports(&self, peer: &id::Entry, pools: Vec<SlotReport>);
 
     /// Handles a peer's report, newer than any received from it before.
-    fn accept_report(&self, peer: &id::Entry, report: &Report);
+    fn receive_report(&self, peer: &id::Entry, report: &Report);
 }
--- a/crates/peer/src/memory.rs
+++ b/crates/peer/src/memory.rs
@@ -6,7 +6,7 @@
 //! Messages are counted by kind.
 
 use crate::{
-    Address, Error, Link as LinkTrait, Local, Newer, Slots,
+    Address, Error, Link as LinkTrait, LocalEntry, Newer, SlotReport,
     core::{Core, ReceiveOutcome},
     report::{Identity, ReceivedReport},
     schedule,
@@ -122,8 +122,8 @@
     /// Adds an entry and returns its link; the entry is removed when the link is closed or dropped.
     ///
     /// Must be called within a tokio runtime. Every entry is a peer of every other, so
-    /// [`LinkTrait::connect`] has no effect.
-    pub fn join(&self, identity: Identity, local: Arc<dyn Local>) -> Arc<Link> {
+    /// [`LinkTrait::set_peers`] has no effect.
+    pub fn join(&self, identity: Identity, local: Arc<dyn LocalEntry>) -> Arc<Link> {
         let node = Arc::new(Node {
             identity,
             core: Core::new(local),
@@ -279,7 +279,7 @@
     }
 }
 
-async fn share(own: Arc<Node>, peer: Arc<Node>, pools: Arc<[Slots]>) {
+async fn deliver_slot_reports(own: Arc<Node>, peer: Arc<Node>, pools: Arc<[SlotReport]>) {
     let (here, there) = (&own.identity.entry, &peer.identity.entry);
     let delivered = own.network.transmit(here, there).await;
     own.network.release(here, there);
@@ -316,7 +316,7 @@
         }
     }
 
-    fn share(&self, pools: Arc<[Slots]>) {
+    fn send_slot_reports(&self, pools: Arc<[SlotReport]>) {
         let Some(own) = self.node() else {
             return;
         };
@@ -325,12 +325,16 @@
                 .network
                 .reserve(&own.identity.entry, &peer.identity.entry)
             {
-                tokio::spawn(share(Arc::clone(&own), peer, Arc::clone(&pools)));
+                tokio::spawn(deliver_slot_reports(
+                    Arc::clone(&own),
+                    peer,
+                    Arc::clone(&pools),
+                ));
             }
         }
     }
 
-    fn acknowledge(&self) {
+    fn exchange_now(&self) {
         let Some(own) = self.node() else {
             return;
         };
@@ -345,7 +349,7 @@
             .unwrap_or_default()
     }
 
-    fn connect(&self, _peers: Vec<Address>) {}
+    fn set_peers(&self, _peers: Vec<Address>) {}
 
     async fn pull(&self) -> Result<Seq, Error> {
         let own = self.node().ok_or(Error::Closed)?;
--- a/crates/peer/src/rpc/hub.rs
+++ b/crates/peer/src/rpc/hub.rs
@@ -6,7 +6,7 @@
     traffic::Totals,
 };
 use crate::{
-    Error, Slots,
+    Error, SlotReport,
     core::Core,
     peer_table::Superseded,
     proof::Key,
@@ -134,7 +134,7 @@
         }
     }
 
-    pub(super) fn share(&self, pools: &Arc<[Slots]>) {
+    pub(super) fn send_slot_reports(&self, pools: &Arc<[SlotReport]>) {
         for session in self.peers() {
             session.queue_slot_reports(pools);
         }
--- a/crates/peer/src/rpc/mod.rs
+++ b/crates/peer/src/rpc/mod.rs
@@ -17,7 +17,7 @@
 mod wire;
 
 use crate::{
-    Address, Error, Link as LinkTrait, Local, Slots,
+    Address, Error, Link as LinkTrait, LocalEntry, SlotReport,
     core::Core,
     proof::Key,
     report::{Identity, ReceivedReport},
@@ -103,7 +103,7 @@
 
 enum Command {
     Broadcast(Arc<[Record]>),
-    SendSlotReports(Arc<[Slots]>),
+    SendSlotReports(Arc<[SlotReport]>),
     Pull(oneshot::Sender<Result<Seq, Error>>),
 }
 
@@ -151,7 +151,7 @@
     ///
     /// # Errors
     /// If the address cannot be bound or the thread cannot be started.
-    pub fn bind(settings: Settings, local: Arc<dyn Local>) -> io::Result<Arc<Self>> {
+    pub fn bind(settings: Settings, local: Arc<dyn LocalEntry>) -> io::Result<Arc<Self>> {
         let listener = std::net::TcpListener::bind(settings.listen)?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
@@ -236,7 +236,7 @@
 fn execute(hub: &Rc<Hub>, command: Command) {
     match command {
         Command::Broadcast(records) => hub.broadcast(&records),
-        Command::SendSlotReports(pools) => hub.share(&pools),
+        Command::SendSlotReports(pools) => hub.send_slot_reports(&pools),
         Command::Pull(reply) => {
             let hub = Rc::clone(hub);
             spawn_local(async move {
@@ -255,7 +255,7 @@
         }
     }
 
-    fn share(&self, pools: Arc<[Slots]>) {
+    fn send_slot_reports(&self, pools: Arc<[SlotReport]>) {
         if self
             .commands
             .try_send(Command::SendSlotReports(pools))
@@ -267,7 +267,7 @@
         }
     }
 
-    fn acknowledge(&self) {
+    fn exchange_now(&self) {
         self.refresh.notify_one();
     }
 
@@ -275,7 +275,7 @@
         self.core.latest_reports()
     }
 
-    fn connect(&self, peers: Vec<Address>) {
+    fn set_peers(&self, peers: Vec<Address>) {
         self.peer_addresses.send_replace(peers);
     }
 
--- a/crates/peer/src/rpc/session.rs
+++ b/crates/peer/src/rpc/session.rs
@@ -10,7 +10,7 @@
     traffic::add,
 };
 use crate::{
-    Newer, Slots,
+    Newer, SlotReport,
     core::ReceiveOutcome,
     delta::{Decoder, Encoder},
     report::Identity,
@@ -58,8 +58,8 @@
     remote: RefCell<Option<peer::Client>>,
     pushes: mpsc::Sender<Arc<[Record]>>,
     push_queue: RefCell<Option<mpsc::Receiver<Arc<[Record]>>>>,
-    shares: mpsc::Sender<Arc<[Slots]>>,
-    share_queue: RefCell<Option<mpsc::Receiver<Arc<[Slots]>>>>,
+    slot_reports: mpsc::Sender<Arc<[SlotReport]>>,
+    slot_report_queue: RefCell<Option<mpsc::Receiver<Arc<[SlotReport]>>>>,
     exchange_now: Notify,
     pub(super) ended: CancellationToken,
 }
@@ -78,7 +78,7 @@
 impl Session {
     pub(super) fn new(hub: &Rc<Hub>, peer: Identity, direction: Direction) -> Rc<Self> {
         let (pushes, queue) = mpsc::channel(hub.limits.queue);
-        let (shares, share_queue) = mpsc::channel(SLOT_REPORT_QUEUE);
+        let (slot_reports, slot_report_queue) = mpsc::channel(SLOT_REPORT_QUEUE);
         Rc::new(Self {
             hub: Rc::downgrade(hub),
             decoder: RefCell::new(Decoder::new(peer.clone())),
@@ -90,8 +90,8 @@
             remote: RefCell::default(),
             pushes,
             push_queue: RefCell::new(Some(queue)),
-            shares,
-            share_queue: RefCell::new(Some(share_queue)),
+            slot_reports,
+            slot_report_queue: RefCell::new(Some(slot_report_queue)),
             exchange_now: Notify::new(),
             ended: CancellationToken::new(),
         })
@@ -131,15 +131,15 @@
     }
 
     /// Queues slot reports, unless the queue of a slow peer is full.
-    pub(super) fn queue_slot_reports(&self, pools: &Arc<[Slots]>) {
-        if self.shares.try_send(Arc::clone(pools)).is_err() {
+    pub(super) fn queue_slot_reports(&self, pools: &Arc<[SlotReport]>) {
+        if self.slot_reports.try_send(Arc::clone(pools)).is_err() {
             log::debug!(peer:% = self.peer.entry; "slot reports not queued for peer");
         }
     }
 
     /// Sends queued slot reports, in order, until a call fails or the session ends.
     pub(super) async fn run_slot_reports(self: &Rc<Self>) -> Result<(), Error> {
-        let queue = self.share_queue.borrow_mut().take();
+        let queue = self.slot_report_queue.borrow_mut().take();
         let mut queue = queue.ok_or_else(|| rpc_error("the session already runs"))?;
         while let Some(pools) = queue.recv().await {
             let hub = self.hub()?;
--- a/crates/peer/src/rpc/slots.rs
+++ b/crates/peer/src/rpc/slots.rs
@@ -1,7 +1,7 @@
 //! Conversion of slot reports between the flow crate's types and the schema types.
 
 use super::codec::rpc_error;
-use crate::Slots;
+use crate::SlotReport;
 use capnp::{Error, struct_list};
 use primroseroute_domain::id;
 use primroseroute_flow::report::{Report, Seen};
@@ -14,7 +14,7 @@
 
 pub(super) fn write_slots(
     mut to: struct_list::Builder<'_, schema::slots::Owned>,
-    pools: &[Slots],
+    pools: &[SlotReport],
 ) -> Result<(), Error> {
     for (index, slots) in (0..).zip(pools) {
         write_one(to.reborrow().get(index), slots)?;
@@ -22,7 +22,7 @@
     Ok(())
 }
 
-fn write_one(mut to: schema::slots::Builder<'_>, slots: &Slots) -> Result<(), Error> {
+fn write_one(mut to: schema::slots::Builder<'_>, slots: &SlotReport) -> Result<(), Error> {
     let report = &slots.report;
     to.set_pool(slots.pool.as_str());
     to.set_incarnation(report.incarnation);
@@ -54,11 +54,11 @@
 pub(super) fn read_slots(
     peer: &id::Entry,
     from: struct_list::Reader<'_, schema::slots::Owned>,
-) -> Result<Vec<Slots>, Error> {
+) -> Result<Vec<SlotReport>, Error> {
     from.iter().map(|slots| read_one(peer, slots)).collect()
 }
 
-fn read_one(peer: &id::Entry, from: schema::slots::Reader<'_>) -> Result<Slots, Error> {
+fn read_one(peer: &id::Entry, from: schema::slots::Reader<'_>) -> Result<SlotReport, Error> {
     let mut demand = BTreeMap::new();
     for one in from.get_demand()? {
         demand.insert(name(one.get_account()?)?, one.get_slots());
@@ -84,7 +84,7 @@
         lent,
         seen,
     };
-    Ok(Slots {
+    Ok(SlotReport {
         pool: name(from.get_pool()?)?,
         report,
     })
--- a/crates/peer/tests/all/cost.rs
+++ b/crates/peer/tests/all/cost.rs
@@ -96,7 +96,7 @@
     async fn round(&self) {
         let peers = u64::try_from(self.nodes.len() - 1).unwrap();
         let before = self.nodes[0].link.traffic().exchanges;
-        self.nodes[0].link.acknowledge();
+        self.nodes[0].link.exchange_now();
         wait_until(|| self.nodes[0].link.traffic().exchanges == before + peers).await;
     }
 
--- a/crates/peer/tests/all/fake.rs
+++ b/crates/peer/tests/all/fake.rs
@@ -6,9 +6,9 @@
     id,
     time::Instant,
 };
-use primroseroute_flow::report::{Report as SlotReport, Seen};
+use primroseroute_flow::report::{Report as FlowReport, Seen};
 use primroseroute_peer::{
-    Local, Row, Slots, Snapshot,
+    LocalEntry, Row, SlotReport, Snapshot,
     report::{Identity, Report},
 };
 use std::{collections::BTreeMap, sync::Arc};
@@ -49,10 +49,10 @@
 }
 
 /// A slot report of the entry `name` on a pool: its demand, its loans and the reports it has seen.
-pub fn slots(name: &str, number: u64) -> Slots {
-    Slots {
+pub fn slots(name: &str, number: u64) -> SlotReport {
+    SlotReport {
         pool: "stay".parse().unwrap(),
-        report: SlotReport {
+        report: FlowReport {
             entry: entry(name),
             incarnation: u64::MAX,
             seq: number,
@@ -83,7 +83,7 @@
     pub reports_created: u64,
     pub report: Option<Report>,
     /// Received slot reports, in order of arrival.
-    pub slots: Vec<(id::Entry, Slots)>,
+    pub slots: Vec<(id::Entry, SlotReport)>,
     /// Every applied seq, in order.
     pub history: Vec<Seq>,
     pub received_reports: Vec<Report>,
@@ -107,7 +107,7 @@
     /// An entry that has applied every change up to `seq`.
     pub fn at(identity: Identity, seq: u64) -> Arc<Self> {
         let entry = Self::open(identity);
-        entry.accept(records(1, seq));
+        entry.apply_records(records(1, seq));
         entry
     }
 
@@ -126,7 +126,7 @@
     }
 }
 
-impl Local for Entry {
+impl LocalEntry for Entry {
     fn seq(&self) -> Seq {
         self.state.lock().seq
     }
@@ -150,7 +150,7 @@
         }
     }
 
-    fn accept_slots(&self, peer: &id::Entry, pools: Vec<Slots>) {
+    fn receive_slot_reports(&self, peer: &id::Entry, pools: Vec<SlotReport>) {
         let mut state = self.state.lock();
         state
             .slots
@@ -158,7 +158,7 @@
     }
 
     /// Intentionally without a check: the link alone must prevent the view from moving backwards.
-    fn accept(&self, records: Vec<Record>) -> Seq {
+    fn apply_records(&self, records: Vec<Record>) -> Seq {
         let mut state = self.state.lock();
         for record in records {
             for edit in &record.edits {
@@ -174,7 +174,7 @@
         state.seq
     }
 
-    fn accept_snapshot(&self, snapshot: Snapshot) -> Seq {
+    fn apply_snapshot(&self, snapshot: Snapshot) -> Seq {
         let mut state = self.state.lock();
         state.seq = snapshot.seq;
         state.history.push(snapshot.seq);
@@ -200,7 +200,7 @@
         report
     }
 
-    fn accept_report(&self, peer: &id::Entry, report: &Report) {
+    fn receive_report(&self, peer: &id::Entry, report: &Report) {
         assert_eq!(*peer, report.from.entry);
         self.state.lock().received_reports.push(report.clone());
     }
--- a/crates/peer/tests/all/hostile.rs
+++ b/crates/peer/tests/all/hostile.rs
@@ -26,7 +26,7 @@
     let mut other_key = settings(other.clone(), &[a.link.address()]);
     other_key.key = key(2);
     let b = Node::bind(Entry::at(other, 9), other_key);
-    a.link.connect(vec![Address {
+    a.link.set_peers(vec![Address {
         entry: None,
         socket: b.link.address(),
     }]);
@@ -51,7 +51,7 @@
     let a = Node::open("a", &[]);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let socket = listener.local_addr().unwrap();
-    a.link.connect(vec![Address {
+    a.link.set_peers(vec![Address {
         entry: None,
         socket,
     }]);
--- a/crates/peer/tests/all/memory.rs
+++ b/crates/peer/tests/all/memory.rs
@@ -6,7 +6,7 @@
 };
 use primroseroute_domain::change::Seq;
 use primroseroute_peer::{
-    Error, Link as _, Local as _,
+    Error, Link as _, LocalEntry as _,
     memory::{Link, Network, QUEUE},
 };
 use std::{sync::Arc, time::Duration};
@@ -43,7 +43,7 @@
     /// Entry `at` learns the records `from` to `to` from the store and pushes them.
     fn learn(&self, at: usize, from: u64, to: u64) {
         for record in records(from, to) {
-            self.entries[at].accept(vec![record.clone()]);
+            self.entries[at].apply_records(vec![record.clone()]);
             self.links[at].broadcast([record].into());
         }
     }
@@ -129,7 +129,7 @@
 async fn gap() {
     let cluster = Cluster::open(&["a", "b"]);
     time::sleep(Duration::from_millis(10)).await;
-    cluster.entries[0].accept(records(1, 3));
+    cluster.entries[0].apply_records(records(1, 3));
     cluster.links[0].broadcast(records(3, 3).into());
     time::sleep(Duration::from_millis(20)).await;
     cluster.assert_at(3);
@@ -214,7 +214,7 @@
 async fn forged_slot_report() {
     let cluster = Cluster::open(&["a", "b", "c"]);
     time::sleep(Duration::from_millis(10)).await;
-    cluster.links[0].share([fake::slots("b", 1), fake::slots("a", 2)].into());
+    cluster.links[0].send_slot_reports([fake::slots("b", 1), fake::slots("a", 2)].into());
     time::sleep(Duration::from_millis(10)).await;
     let arrived = &cluster.entries[2].state.lock().slots;
     assert_eq!(*arrived, [(entry("a"), fake::slots("a", 2))]);
--- a/crates/peer/tests/all/node.rs
+++ b/crates/peer/tests/all/node.rs
@@ -4,7 +4,7 @@
 use capnp::{capability::Rc as ServerRc, message::ReaderOptions};
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp::Side, twoparty::VatNetwork};
 use primroseroute_peer::{
-    Address, Link as _, Local as _,
+    Address, Link as _, LocalEntry as _,
     proof::{Key, Nonce, Side as ProofSide, Statement},
     report::Identity,
     rpc::{Limits, Link, Settings},
@@ -74,7 +74,7 @@
 
 /// `node` learns the change `seq` from the store and pushes it.
 pub fn learn(node: &Node, seq: u64) {
-    node.entry.accept(vec![record(seq)]);
+    node.entry.apply_records(vec![record(seq)]);
     node.link.broadcast([record(seq)].into());
 }
 
--- a/crates/peer/tests/all/rpc.rs
+++ b/crates/peer/tests/all/rpc.rs
@@ -9,7 +9,7 @@
     node::{Caller, Node, STEP_TIMEOUT, learn, proof, settings, wait_until},
 };
 use primroseroute_domain::change::Seq;
-use primroseroute_peer::{Address, Error, Link as _, Local as _, schedule::ExchangeSchedule};
+use primroseroute_peer::{Address, Error, Link as _, LocalEntry as _, schedule::ExchangeSchedule};
 use std::{net::SocketAddr, time::Duration};
 use tokio::time;
 
@@ -24,7 +24,7 @@
         socket: node.link.address(),
     };
     a.link
-        .connect(vec![address("a", &a), address("b", &b), address("c", &c)]);
+        .set_peers(vec![address("a", &a), address("b", &b), address("c", &c)]);
     for node in [&a, &b, &c] {
         node.wait_for_reports(2).await;
     }
@@ -61,7 +61,7 @@
     let b = Node::open("b", &[&a]);
     a.wait_for_reports(1).await;
     b.wait_for_reports(1).await;
-    a.entry.accept(records(1, 3));
+    a.entry.apply_records(records(1, 3));
     a.link.broadcast(records(3, 3).into());
     b.wait_for_seq(3).await;
     a.link.broadcast(records(1, 2).into());
@@ -122,8 +122,9 @@
     a.wait_for_reports(1).await;
     b.wait_for_reports(1).await;
     for (from, to, seq) in [(a, b, 7), (b, a, 8)] {
-        from.entry.accept(records(from.entry.seq().0 + 1, seq));
-        from.link.acknowledge();
+        from.entry
+            .apply_records(records(from.entry.seq().0 + 1, seq));
+        from.link.exchange_now();
         wait_until(|| to.link.latest_reports()[0].report.seq >= Seq(seq)).await;
     }
 }
@@ -143,7 +144,7 @@
     let a = open("a", &[]);
     let b = open("b", &[a.link.address()]);
     wait_until(|| b.link.traffic().exchanges > 0).await;
-    a.link.connect(vec![Address {
+    a.link.set_peers(vec![Address {
         entry: None,
         socket: b.link.address(),
     }]);
@@ -187,8 +188,8 @@
     a.wait_for_reports(1).await;
     b.wait_for_reports(1).await;
     for number in 1..=5 {
-        b.link.share([slots("b", number)].into());
-        a.link.share([slots("a", number)].into());
+        b.link.send_slot_reports([slots("b", number)].into());
+        a.link.send_slot_reports([slots("a", number)].into());
         let arrived = |node: &Node| node.entry.state.lock().slots.len() as u64;
         wait_until(|| arrived(&a) == number && arrived(&b) == number).await;
     }
--- a/crates/serve/src/parts.rs
+++ b/crates/serve/src/parts.rs
@@ -7,7 +7,7 @@
 use primroseroute_controller::HttpProbe;
 use primroseroute_domain::time::SystemClock;
 use primroseroute_entry::{Dial, Dialed, Parts};
-use primroseroute_peer::{Address, Local, proof::Key, report::Identity, rpc};
+use primroseroute_peer::{Address, LocalEntry, proof::Key, report::Identity, rpc};
 use primroseroute_platform::http::Client;
 use primroseroute_route::backend::Pool;
 use primroseroute_settings::secret::Secrets;
@@ -24,7 +24,7 @@
 }
 
 impl Dial for Rpc {
-    fn dial(self: Box<Self>, identity: Identity, local: Arc<dyn Local>) -> Result<Dialed> {
+    fn dial(self: Box<Self>, identity: Identity, local: Arc<dyn LocalEntry>) -> Result<Dialed> {
         let settings = rpc::Settings {
             identity,
             listen: self.listen,
--- a/crates/testbed/src/parts.rs
+++ b/crates/testbed/src/parts.rs
@@ -7,7 +7,7 @@
 use primroseroute_controller::{HttpProbe, Timers as ControllerTimers, jobs::Settings};
 use primroseroute_domain::{id, time::SystemClock};
 use primroseroute_entry::{Dial, Dialed, Listen, Parts, Timers};
-use primroseroute_peer::{Local, memory::Network, report::Identity};
+use primroseroute_peer::{LocalEntry, memory::Network, report::Identity};
 use primroseroute_route::backend::Pool;
 use primroseroute_standin::{backend::HEALTH_PATH, platform::Platform};
 use primroseroute_telemetry::Meter;
@@ -19,7 +19,7 @@
 struct Join(Network);
 
 impl Dial for Join {
-    fn dial(self: Box<Self>, identity: Identity, local: Arc<dyn Local>) -> Result<Dialed> {
+    fn dial(self: Box<Self>, identity: Identity, local: Arc<dyn LocalEntry>) -> Result<Dialed> {
         Ok(Dialed {
             link: self.0.join(identity, local),
             address: ANY_PORT,
