--- a/benches/request_path/change.rs
+++ b/benches/request_path/change.rs
@@ -38,7 +38,7 @@
     let up = drain(&bed, "stay-1", WATCH, || {}).await?;
     let names: Vec<_> = bed.site.entries.keys().cloned().collect();
     let network = &bed.site.network;
-    network.part(&names[..1], &names[1..]);
+    network.partition_groups(&names[..1], &names[1..]);
     let cut = drain(&bed, "stay-2", WATCH, || {}).await?;
     network.heal_all();
     let faults = bed.site.platform.faults();
--- a/crates/capacity/src/count.rs
+++ b/crates/capacity/src/count.rs
@@ -28,7 +28,7 @@
 }
 
 impl Count {
-    pub(crate) fn of(tally: &Tally, messages: memory::Count) -> Self {
+    pub(crate) fn of(tally: &Tally, messages: memory::MessageCounts) -> Self {
         let (read, scan) = (tally.of(Kind::Read), tally.of(Kind::Scan));
         let commit = tally.of(Kind::Commit);
         Self {
--- a/crates/capacity/src/stage.rs
+++ b/crates/capacity/src/stage.rs
@@ -122,7 +122,10 @@
 
     /// The counts so far.
     pub fn count(&self) -> Count {
-        Count::of(&self.site.platform.tally(), self.site.network.count())
+        Count::of(
+            &self.site.platform.tally(),
+            self.site.network.message_counts(),
+        )
     }
 
     /// What is counted while `during` passes.
@@ -210,7 +213,7 @@
     pub fn cut(&self, far: &[id::Entry]) {
         let near = self.site.entries.keys().filter(|name| !far.contains(name));
         let near: Vec<id::Entry> = near.cloned().collect();
-        self.site.network.part(&near, far);
+        self.site.network.partition_groups(&near, far);
         self.refuse(far, Some(Outage::Refuse));
     }
 
--- a/crates/peer/src/memory.rs
+++ b/crates/peer/src/memory.rs
@@ -26,17 +26,17 @@
 
 /// Maximum number of messages in flight from one entry to another; further pushes are dropped, and
 /// the peer pulls the records after the next exchange.
-pub const QUEUE: usize = 64;
+pub const MAX_QUEUED_MESSAGES: usize = 64;
 
 /// Messages delivered, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Count {
+pub struct MessageCounts {
     /// Exchanges of reports, each a call and a response.
     pub exchanges: u64,
     /// Pushes.
     pub pushes: u64,
     /// Delivered messages with slot reports.
-    pub shares: u64,
+    pub slot_messages: u64,
     /// Pulls that returned records.
     pub record_pulls: u64,
     /// Pulls that returned a snapshot.
@@ -52,7 +52,7 @@
     latency: Duration,
     latencies: BTreeMap<(id::Entry, id::Entry), Duration>,
     queued: BTreeMap<(id::Entry, id::Entry), usize>,
-    count: Count,
+    message_counts: MessageCounts,
 }
 
 /// The in-memory network between entries.
@@ -91,7 +91,7 @@
     }
 
     /// Partitions two entries; messages in flight between them are lost.
-    pub fn cut(&self, a: &id::Entry, b: &id::Entry) {
+    pub fn partition(&self, a: &id::Entry, b: &id::Entry) {
         self.state.lock().partitions.insert(unordered_pair(a, b));
     }
 
@@ -101,10 +101,10 @@
     }
 
     /// Partitions every entry of one group from every entry of the other, such as two regions.
-    pub fn part(&self, one: &[id::Entry], other: &[id::Entry]) {
+    pub fn partition_groups(&self, one: &[id::Entry], other: &[id::Entry]) {
         for a in one {
             for b in other {
-                self.cut(a, b);
+                self.partition(a, b);
             }
         }
     }
@@ -115,8 +115,8 @@
     }
 
     /// The number of messages so far.
-    pub fn count(&self) -> Count {
-        self.state.lock().count
+    pub fn message_counts(&self) -> MessageCounts {
+        self.state.lock().message_counts
     }
 
     /// Adds an entry and returns its link; the entry is removed when the link is closed or dropped.
@@ -155,7 +155,7 @@
         time::sleep(latency).await;
         let mut state = self.state.lock();
         if state.partitions.contains(&key) {
-            state.count.lost += 1;
+            state.message_counts.lost += 1;
             return None;
         }
         Some(())
@@ -164,11 +164,11 @@
     fn reserve(&self, from: &id::Entry, to: &id::Entry) -> bool {
         let mut state = self.state.lock();
         let queued = state.queued.entry((from.clone(), to.clone())).or_default();
-        if *queued < QUEUE {
+        if *queued < MAX_QUEUED_MESSAGES {
             *queued += 1;
             return true;
         }
-        state.count.lost += 1;
+        state.message_counts.lost += 1;
         false
     }
 
@@ -239,7 +239,7 @@
     if delivered.await.is_none() || own.core.admit(&peer.identity).is_err() {
         return;
     }
-    own.network.state.lock().count.exchanges += 1;
+    own.network.state.lock().message_counts.exchanges += 1;
     if own.core.receive_report(&answer) {
         pull_from(&own, &peer).await;
     }
@@ -260,8 +260,8 @@
     network.transmit(there, here).await?;
     match &newer {
         Newer::Nothing => {}
-        Newer::Records(_) => network.state.lock().count.record_pulls += 1,
-        Newer::Snapshot(_) => network.state.lock().count.snapshot_pulls += 1,
+        Newer::Records(_) => network.state.lock().message_counts.record_pulls += 1,
+        Newer::Snapshot(_) => network.state.lock().message_counts.snapshot_pulls += 1,
     }
     Some(own.core.receive_newer(newer))
 }
@@ -273,7 +273,7 @@
     if delivered.is_none() {
         return;
     }
-    own.network.state.lock().count.pushes += 1;
+    own.network.state.lock().message_counts.pushes += 1;
     if let ReceiveOutcome::Gap(_) = peer.core.receive_records(records.to_vec()) {
         pull_from(&peer, &own).await;
     }
@@ -284,7 +284,7 @@
     let delivered = own.network.transmit(here, there).await;
     own.network.release(here, there);
     if delivered.is_some() {
-        own.network.state.lock().count.shares += 1;
+        own.network.state.lock().message_counts.slot_messages += 1;
         peer.core.receive_slot_reports(here, pools.to_vec());
     }
 }
--- a/crates/peer/tests/all/memory.rs
+++ b/crates/peer/tests/all/memory.rs
@@ -7,7 +7,7 @@
 use primroseroute_domain::change::Seq;
 use primroseroute_peer::{
     Error, Link as _, LocalEntry as _,
-    memory::{Link, Network, QUEUE},
+    memory::{Link, MAX_QUEUED_MESSAGES, Network},
 };
 use std::{sync::Arc, time::Duration};
 use tokio::time;
@@ -65,12 +65,12 @@
     cluster.learn(3, 1, 1);
     time::sleep(Duration::from_millis(2)).await;
     cluster.assert_at(1);
-    assert_eq!(cluster.network.count().pushes, 6);
+    assert_eq!(cluster.network.message_counts().pushes, 6);
     // Entries that poll the same change slightly later know that the others have it.
     time::sleep(Duration::from_secs(2)).await;
     cluster.links[4].broadcast(records(1, 1).into());
     time::sleep(Duration::from_millis(2)).await;
-    assert_eq!(cluster.network.count().pushes, 6);
+    assert_eq!(cluster.network.message_counts().pushes, 6);
 }
 
 /// A new entry starts while the store is down. It learns seq 7 from B and then receives a report with
@@ -79,7 +79,7 @@
     let mut cluster = Cluster::open(&[]);
     cluster.join(Entry::at(identity("a", 1), 5));
     cluster.join(Entry::at(identity("b", 1), 7));
-    cluster.network.cut(&entry("a"), &entry("b"));
+    cluster.network.partition(&entry("a"), &entry("b"));
     cluster
         .network
         .set_latency_between(&entry("a"), &entry("c"), Duration::from_millis(400));
@@ -104,8 +104,8 @@
     cluster.join(Entry::at(identity("a", 1), newer - 10));
     cluster.join(Entry::at(identity("b", 1), newer));
     let (a, b, c) = (entry("a"), entry("b"), entry("c"));
-    cluster.network.cut(&a, &b);
-    cluster.network.cut(&b, &c);
+    cluster.network.partition(&a, &b);
+    cluster.network.partition(&b, &c);
     cluster
         .network
         .set_latency_between(&a, &c, Duration::from_millis(400));
@@ -115,13 +115,13 @@
     time::sleep(Duration::from_millis(500)).await;
     cluster.entries[2].assert_at(newer);
     assert_eq!(
-        cluster.network.count().snapshot_pulls,
+        cluster.network.message_counts().snapshot_pulls,
         1,
         "the slow snapshot is still in flight"
     );
     time::sleep(Duration::from_millis(200)).await;
     cluster.entries[2].assert_at(newer);
-    assert_eq!(cluster.network.count().snapshot_pulls, 2);
+    assert_eq!(cluster.network.message_counts().snapshot_pulls, 2);
 }
 
 /// A push is overtaken or lost, so that a later record arrives alone. Applying it would lose the
@@ -133,7 +133,7 @@
     cluster.links[0].broadcast(records(3, 3).into());
     time::sleep(Duration::from_millis(20)).await;
     cluster.assert_at(3);
-    assert_eq!(cluster.network.count().record_pulls, 1);
+    assert_eq!(cluster.network.message_counts().record_pulls, 1);
 }
 
 /// Two regions are partitioned for an hour, and one of them applies `changes` changes. Once healed,
@@ -143,7 +143,7 @@
     let cluster = Cluster::open(&SEVEN);
     let names: Vec<_> = SEVEN.map(entry).into();
     time::sleep(Duration::from_secs(2)).await;
-    cluster.network.part(&names[..4], &names[4..]);
+    cluster.network.partition_groups(&names[..4], &names[4..]);
     for seq in 1..=changes {
         cluster.learn(0, seq, seq);
         time::sleep(Duration::from_secs(3600) / u32::try_from(changes).unwrap()).await;
@@ -173,12 +173,15 @@
             .network
             .set_latency_between(&entry(name), &entry("c"), Duration::from_secs(30));
     }
-    let burst = 2 * QUEUE as u64;
+    let burst = 2 * MAX_QUEUED_MESSAGES as u64;
     cluster.learn(0, 1, burst);
     time::sleep(Duration::from_millis(20)).await;
     cluster.entries[1].assert_at(burst);
-    let dropped = cluster.network.count().lost;
-    assert!(dropped >= burst - QUEUE as u64, "dropped {dropped}");
+    let dropped = cluster.network.message_counts().lost;
+    assert!(
+        dropped >= burst - MAX_QUEUED_MESSAGES as u64,
+        "dropped {dropped}"
+    );
     time::sleep(Duration::from_secs(240)).await;
     cluster.entries[2].assert_at(burst);
 }
--- a/tests/all/acknowledge.rs
+++ b/tests/all/acknowledge.rs
@@ -79,7 +79,7 @@
     let seq = site.place_workers().await?;
     site.in_force(seq).await?;
     let [late, first] = ["late".parse()?, "entry-0".parse()?];
-    site.network.cut(&late, &first);
+    site.network.partition(&late, &first);
     site.start("late").await?;
     let key = primroseroute_ledger::key::entry(&late);
     while site.ledger().table().read(&key).await?.is_none()
--- a/tests/all/ctl/wait.rs
+++ b/tests/all/ctl/wait.rs
@@ -27,7 +27,7 @@
 async fn not_yet() -> Result<()> {
     let desk = Desk::open().await?;
     let [cut, other] = ["entry-1".parse()?, "entry-0".parse()?];
-    desk.site.network.cut(&cut, &other);
+    desk.site.network.partition(&cut, &other);
     let client = desk.site.platform.client("entry-1");
     client.faults().set_outage(Some(Outage::Refuse));
     let yaml = stay(6)?;
@@ -66,7 +66,7 @@
     let seq = site.place_workers().await?;
     site.in_force(seq).await?;
     let [late, first] = ["late".parse()?, "entry-0".parse()?];
-    site.network.cut(&late, &first);
+    site.network.partition(&late, &first);
     site.start("late").await?;
     let ledger = site.ledger();
     let row = key::entry(&late);
--- a/tests/all/fleet.rs
+++ b/tests/all/fleet.rs
@@ -224,7 +224,7 @@
         .faults()
         .set_outage(Some(platform::fault::Outage::Refuse));
     site.network
-        .part(&[cut], &["entry-0".parse()?, "entry-1".parse()?]);
+        .partition_groups(&[cut], &["entry-0".parse()?, "entry-1".parse()?]);
 
     let id: id::Instance = "stay-0".parse()?;
     site.platform.fleet().set_phase(&id, Phase::Leaving);
--- a/tests/all/regions.rs
+++ b/tests/all/regions.rs
@@ -34,7 +34,7 @@
 }
 
 fn cut(site: &Site) -> Result<()> {
-    site.network.part(&names(NEAR)?, &names(FAR)?);
+    site.network.partition_groups(&names(NEAR)?, &names(FAR)?);
     for name in FAR {
         let faults = site.platform.client(name);
         faults.faults().set_outage(Some(Outage::Refuse));
--- a/tests/all/views.rs
+++ b/tests/all/views.rs
@@ -190,7 +190,7 @@
     let stale = "entry-1".parse()?;
     let fresh = "entry-0".parse()?;
     let late = "late".parse()?;
-    site.network.cut(&stale, &fresh);
+    site.network.partition(&stale, &fresh);
     site.platform
         .client("entry-1")
         .faults()
@@ -198,7 +198,7 @@
     let old = site.entry("entry-1").entry.in_force();
     let accepted = site.entry("entry-0").admin.apply(&apply(7)).await?.version;
 
-    site.network.cut(&late, &fresh);
+    site.network.partition(&late, &fresh);
     site.platform
         .client("late")
         .faults()
