--- a/crates/peer/src/rpc/dial.rs
+++ b/crates/peer/src/rpc/dial.rs
@@ -58,13 +58,13 @@
     let limits = hub.limits;
     let mut name = address.entry.clone();
     let mut retry = Retry::new(
-        limits.first_pause,
-        limits.longest_pause,
+        limits.initial_retry_delay,
+        limits.max_retry_delay,
         rand::random::<u64>(),
     );
     // The entry with the lower name connects first; the other only if that connection fails.
     if name.as_ref().is_some_and(|name| *name < hub.identity.entry) {
-        time::sleep(limits.handshake).await;
+        time::sleep(limits.handshake_timeout).await;
     }
     loop {
         if name
@@ -72,7 +72,7 @@
             .is_some_and(|name| hub.has_preferred_inbound(name))
         {
             retry.reset();
-            time::sleep(limits.longest_pause).await;
+            time::sleep(limits.max_retry_delay).await;
             continue;
         }
         match connect(&hub, &address).await {
@@ -90,8 +90,8 @@
 }
 
 async fn connect(hub: &Rc<Hub>, address: &Address) -> Result<ConnectionEnd, Error> {
-    let handshake = hub.limits.handshake;
-    let stream = time::timeout(handshake, TcpStream::connect(address.socket));
+    let handshake_timeout = hub.limits.handshake_timeout;
+    let stream = time::timeout(handshake_timeout, TcpStream::connect(address.socket));
     let stream = stream.await.map_err(rpc_error)?.map_err(rpc_error)?;
     stream.set_nodelay(true).map_err(rpc_error)?;
     let allowance = wire::allowance();
@@ -100,7 +100,7 @@
     let gate: GateClient = system.bootstrap(Side::Server);
     let handshake_result = tokio::select! {
         ended = &mut system => Err(ended.err().unwrap_or_else(|| rpc_error("the peer closed the connection"))),
-        handshake_result = time::timeout(handshake, gate::enter(hub, &gate)) => handshake_result.unwrap_or_else(|late| Err(rpc_error(late))),
+        handshake_result = time::timeout(handshake_timeout, gate::enter(hub, &gate)) => handshake_result.unwrap_or_else(|late| Err(rpc_error(late))),
     };
     let handshake_result = match handshake_result {
         Ok(handshake_result) => handshake_result,
--- a/crates/peer/src/rpc/hub.rs
+++ b/crates/peer/src/rpc/hub.rs
@@ -86,7 +86,7 @@
             session.end();
         }
         sessions.retain(|session| !replaced(session));
-        if sessions.len() >= self.limits.sessions {
+        if sessions.len() >= self.limits.max_sessions {
             return Err(Denied::Full);
         }
         let session = Session::new(self, peer, direction);
--- a/crates/peer/src/rpc/listen.rs
+++ b/crates/peer/src/rpc/listen.rs
@@ -36,8 +36,8 @@
                 continue;
             }
         };
-        if hub.unauthenticated.get() >= hub.limits.unauthenticated {
-            add(&hub.totals.refused, 1);
+        if hub.unauthenticated.get() >= hub.limits.max_unauthenticated {
+            add(&hub.totals.rejected_connections, 1);
             continue;
         }
         hub.unauthenticated.set(hub.unauthenticated.get() + 1);
@@ -76,7 +76,7 @@
     tokio::select! {
         _ = &mut system => {}
         () = handshake_done.notified() => {}
-        () = time::sleep(hub.limits.handshake) => {}
+        () = time::sleep(hub.limits.handshake_timeout) => {}
     }
     drop(guard);
     let session = session_slot.borrow_mut().take();
@@ -85,7 +85,7 @@
         return;
     }
     if limit.get().is_some() {
-        add(&hub.totals.refused, 1);
+        add(&hub.totals.rejected_connections, 1);
     }
     wire::disconnect(system).await;
 }
--- a/crates/peer/src/rpc/mod.rs
+++ b/crates/peer/src/rpc/mod.rs
@@ -46,23 +46,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Timeout of connecting, and of the handshake.
-    pub handshake: Duration,
+    pub handshake_timeout: Duration,
     /// Timeout of a call; if a peer exceeds it, the connection is closed and reopened.
-    pub call: Duration,
+    pub call_timeout: Duration,
     /// Timeout of a pull, whose response may be a snapshot.
-    pub pull: Duration,
+    pub pull_timeout: Duration,
     /// Time without a report after which a session is closed.
-    pub silent: Duration,
+    pub unresponsive_after: Duration,
     /// Initial delay between two attempts to connect to a peer.
-    pub first_pause: Duration,
+    pub initial_retry_delay: Duration,
     /// Maximum delay between two attempts to connect to a peer.
-    pub longest_pause: Duration,
+    pub max_retry_delay: Duration,
     /// Maximum number of concurrent unauthenticated inbound connections.
-    pub unauthenticated: usize,
+    pub max_unauthenticated: usize,
     /// Maximum number of concurrent sessions.
-    pub sessions: usize,
+    pub max_sessions: usize,
     /// Maximum number of queued pushes for one peer.
-    pub queue: usize,
+    pub max_queued_pushes: usize,
     /// The exchange schedule; `None` to derive it from the number of peers.
     pub schedule: Option<ExchangeSchedule>,
 }
@@ -72,15 +72,15 @@
     /// entries plus a call timeout; 64 sessions allow two for each of 27 peers plus a reserve.
     fn default() -> Self {
         Self {
-            handshake: Duration::from_secs(2),
-            call: Duration::from_secs(2),
-            pull: Duration::from_secs(10),
-            silent: Duration::from_secs(13),
-            first_pause: Duration::from_millis(100),
-            longest_pause: Duration::from_secs(5),
-            unauthenticated: 32,
-            sessions: 64,
-            queue: 64,
+            handshake_timeout: Duration::from_secs(2),
+            call_timeout: Duration::from_secs(2),
+            pull_timeout: Duration::from_secs(10),
+            unresponsive_after: Duration::from_secs(13),
+            initial_retry_delay: Duration::from_millis(100),
+            max_retry_delay: Duration::from_secs(5),
+            max_unauthenticated: 32,
+            max_sessions: 64,
+            max_queued_pushes: 64,
             schedule: None,
         }
     }
--- a/crates/peer/src/rpc/session.rs
+++ b/crates/peer/src/rpc/session.rs
@@ -77,7 +77,7 @@
 
 impl Session {
     pub(super) fn new(hub: &Rc<Hub>, peer: Identity, direction: Direction) -> Rc<Self> {
-        let (pushes, queue) = mpsc::channel(hub.limits.queue);
+        let (pushes, queue) = mpsc::channel(hub.limits.max_queued_pushes);
         let (slot_reports, slot_report_queue) = mpsc::channel(SLOT_REPORT_QUEUE);
         Rc::new(Self {
             hub: Rc::downgrade(hub),
@@ -147,8 +147,8 @@
             let len = u32::try_from(pools.len()).map_err(rpc_error)?;
             write_slots(request.get().init_pools(len), &pools)?;
             let call = request.send().promise;
-            with_timeout(hub.limits.call, async { call.await.map(drop) }).await?;
-            add(&hub.totals.shares, 1);
+            with_timeout(hub.limits.call_timeout, async { call.await.map(drop) }).await?;
+            add(&hub.totals.slot_messages, 1);
         }
         Ok(())
     }
@@ -162,7 +162,7 @@
                 spawn_local(async move {
                     let hub = session.hub()?;
                     let call = session.remote()?.refresh_request().send().promise;
-                    with_timeout(hub.limits.call, async { call.await.map(drop) }).await
+                    with_timeout(hub.limits.call_timeout, async { call.await.map(drop) }).await
                 });
             }
         }
@@ -178,7 +178,7 @@
         let mut request = remote.attach_request();
         request.get().set_back(self.capability());
         let call = request.send().promise;
-        with_timeout(hub.limits.call, async { call.await.map(drop) }).await?;
+        with_timeout(hub.limits.call_timeout, async { call.await.map(drop) }).await?;
         *self.remote.borrow_mut() = Some(remote);
         Ok(())
     }
@@ -191,7 +191,7 @@
                 if hub.has_preferred_inbound(&self.peer.entry) {
                     return Ok(());
                 }
-                with_timeout(hub.limits.call, self.exchange(&hub)).await?;
+                with_timeout(hub.limits.call_timeout, self.exchange(&hub)).await?;
                 // Jitter prevents the exchanges of all pairs from synchronizing.
                 hub.schedule()
                     .interval
@@ -248,8 +248,10 @@
             let len = u32::try_from(encoded.len()).map_err(rpc_error)?;
             write_records(request.get().init_records(len), &encoded);
             let call = request.send().promise;
-            let seq =
-                with_timeout(hub.limits.call, async { Ok(call.await?.get()?.get_seq()) }).await?;
+            let seq = with_timeout(hub.limits.call_timeout, async {
+                Ok(call.await?.get()?.get_seq())
+            })
+            .await?;
             self.note_peer_seq(Seq(seq));
             add(&hub.totals.pushes, 1);
         }
@@ -262,7 +264,7 @@
     /// times out after many minutes. Missing reports end the session within seconds.
     pub(super) async fn run_report_watchdog(&self) -> Result<(), Error> {
         loop {
-            let deadline = self.last_report.get() + self.hub()?.limits.silent;
+            let deadline = self.last_report.get() + self.hub()?.limits.unresponsive_after;
             if Instant::now() >= deadline {
                 return Err(rpc_error("no report from the peer within the time limit"));
             }
@@ -291,7 +293,7 @@
         request.get().set_after(hub.core.seq().0);
         let call = request.send().promise;
         let newer = async { read_newer(call.await?.get()?.get_newer()?) };
-        let newer = with_timeout(hub.limits.pull, newer).await?;
+        let newer = with_timeout(hub.limits.pull_timeout, newer).await?;
         match &newer {
             Newer::Nothing => {}
             Newer::Records(_) => add(&hub.totals.record_pulls, 1),
--- a/crates/peer/src/rpc/traffic.rs
+++ b/crates/peer/src/rpc/traffic.rs
@@ -28,13 +28,13 @@
     /// Pushes that peers acknowledged.
     pub pushes: u64,
     /// Messages with slot reports that peers acknowledged.
-    pub shares: u64,
+    pub slot_messages: u64,
     /// Pulls that returned records.
     pub record_pulls: u64,
     /// Pulls that returned a snapshot.
     pub snapshot_pulls: u64,
     /// Connections that were closed before they were authenticated.
-    pub refused: u64,
+    pub rejected_connections: u64,
 }
 
 #[derive(Debug, Default)]
@@ -43,10 +43,10 @@
     pub(super) received: AtomicU64,
     pub(super) exchanges: AtomicU64,
     pub(super) pushes: AtomicU64,
-    pub(super) shares: AtomicU64,
+    pub(super) slot_messages: AtomicU64,
     pub(super) record_pulls: AtomicU64,
     pub(super) snapshot_pulls: AtomicU64,
-    pub(super) refused: AtomicU64,
+    pub(super) rejected_connections: AtomicU64,
 }
 
 pub(super) fn add(total: &AtomicU64, count: usize) {
@@ -62,10 +62,10 @@
             received: read(&self.received),
             exchanges: read(&self.exchanges),
             pushes: read(&self.pushes),
-            shares: read(&self.shares),
+            slot_messages: read(&self.slot_messages),
             record_pulls: read(&self.record_pulls),
             snapshot_pulls: read(&self.snapshot_pulls),
-            refused: read(&self.refused),
+            rejected_connections: read(&self.rejected_connections),
         }
     }
 }
--- a/crates/peer/tests/all/cost.rs
+++ b/crates/peer/tests/all/cost.rs
@@ -59,7 +59,7 @@
                 .collect();
             let known: &[_] = if index == 0 { &peers } else { &[] };
             let mut slow = settings(identity.clone(), known);
-            slow.limits.silent = Duration::from_secs(7200);
+            slow.limits.unresponsive_after = Duration::from_secs(7200);
             slow.limits.schedule = Some(ExchangeSchedule {
                 interval: Duration::from_secs(3600),
                 ..schedule
--- a/crates/peer/tests/all/hostile.rs
+++ b/crates/peer/tests/all/hostile.rs
@@ -30,7 +30,10 @@
         entry: None,
         socket: b.link.address(),
     }]);
-    wait_until(|| a.link.traffic().refused >= 2 && b.link.traffic().refused >= 2).await;
+    wait_until(|| {
+        a.link.traffic().rejected_connections >= 2 && b.link.traffic().rejected_connections >= 2
+    })
+    .await;
     a.entry.assert_at(3);
     b.entry.assert_at(9);
     for node in [&a, &b] {
@@ -94,7 +97,7 @@
         "the nonce differs"
     );
     third.wait_closed().await;
-    assert_eq!(a.link.traffic().refused, 2);
+    assert_eq!(a.link.traffic().rejected_connections, 2);
 }
 
 /// Waits until the other side closes the connection, with or without a final protocol message, which
@@ -113,7 +116,7 @@
 async fn malformed() {
     let one = identity("a", 1);
     let mut long_timeout = settings(one.clone(), &[]);
-    long_timeout.limits.handshake = HOUR;
+    long_timeout.limits.handshake_timeout = HOUR;
     let a = Node::bind(Entry::open(one), long_timeout);
     let huge = [0, 0, 0, 0, 0, 0, 0, 0x10];
     // Announces 4 MB, which is below the maximum message size, and sends a small part of it.
@@ -128,7 +131,7 @@
         let _ = stream.write_all(&sent).await;
         wait_closed(&mut stream).await;
     }
-    wait_until(|| a.link.traffic().refused == 4).await;
+    wait_until(|| a.link.traffic().rejected_connections == 4).await;
     let b = Node::open("b", &[&a]);
     a.wait_for_reports(1).await;
     learn(&b, 1);
@@ -139,8 +142,8 @@
 fn with_connection_limit(handshake: Duration) -> Node {
     let one = identity("a", 1);
     let mut limited = settings(one.clone(), &[]);
-    limited.limits.unauthenticated = 2;
-    limited.limits.handshake = handshake;
+    limited.limits.max_unauthenticated = 2;
+    limited.limits.handshake_timeout = handshake;
     Node::bind(Entry::open(one), limited)
 }
 
@@ -177,7 +180,7 @@
 fn without_report_timeout(name: &str) -> Node {
     let identity = identity(name, 1);
     let mut settings = settings(identity.clone(), &[]);
-    settings.limits.silent = HOUR;
+    settings.limits.unresponsive_after = HOUR;
     Node::bind(Entry::open(identity), settings)
 }
 
@@ -203,7 +206,7 @@
     b.wait_for_reports(1).await;
     let stuck = Caller::connect(a.link.address()).await;
     let peer = stuck.join(&identity("c", 1), Stuck).await;
-    let burst = 2 * u64::try_from(Limits::default().queue).unwrap();
+    let burst = 2 * u64::try_from(Limits::default().max_queued_pushes).unwrap();
     for seq in 1..=burst {
         learn(&a, seq);
     }
@@ -217,7 +220,7 @@
 async fn half_open() {
     let one = identity("a", 1);
     let mut short_timeout = settings(one.clone(), &[]);
-    short_timeout.limits.silent = Duration::from_millis(200);
+    short_timeout.limits.unresponsive_after = Duration::from_millis(200);
     let a = Node::bind(Entry::open(one), short_timeout);
     let silent = Caller::connect(a.link.address()).await;
     let peer = silent.join(&identity("b", 1), Stuck).await;
--- a/crates/peer/tests/all/rpc.rs
+++ b/crates/peer/tests/all/rpc.rs
@@ -111,7 +111,7 @@
         let identity = identity(name, 1);
         let peers: Vec<_> = nodes.iter().map(|node| node.link.address()).collect();
         let mut slow = settings(identity.clone(), &peers);
-        slow.limits.silent = Duration::from_secs(7200);
+        slow.limits.unresponsive_after = Duration::from_secs(7200);
         slow.limits.schedule = Some(ExchangeSchedule {
             interval: Duration::from_secs(3600),
             max_loads: 8,
