--- a/crates/peer/src/core.rs
+++ b/crates/peer/src/core.rs
@@ -61,7 +61,7 @@
     }
 
     /// Stores a peer's report. Returns whether it shows a newer view than the applied one.
-    pub(crate) fn receive_report(&self, report: &Report) -> bool {
+    pub(crate) fn handle_report(&self, report: &Report) -> bool {
         let kept = self
             .peer_table
             .lock()
@@ -72,7 +72,7 @@
         kept && report.seq > self.local.seq()
     }
 
-    pub(crate) fn receive_records(&self, records: Vec<Record>) -> ReceiveOutcome {
+    pub(crate) fn handle_records(&self, records: Vec<Record>) -> ReceiveOutcome {
         let applied = self.local.seq();
         match selection::select(applied, records) {
             Selection::Stale => ReceiveOutcome::Applied(applied),
@@ -87,7 +87,7 @@
     ///
     /// A report that names an entry other than the peer is dropped: attributed to that entry, it
     /// could lend out slots that the entry itself uses.
-    pub(crate) fn receive_slot_reports(&self, peer: &id::Entry, mut pools: Vec<SlotReport>) {
+    pub(crate) fn handle_slot_reports(&self, peer: &id::Entry, mut pools: Vec<SlotReport>) {
         pools.retain(|slots| slots.report.entry == *peer);
         self.local.receive_slot_reports(peer, pools);
     }
@@ -104,9 +104,9 @@
     }
 
     /// Applies the response to a pull and returns the applied seq afterwards.
-    pub(crate) fn receive_newer(&self, newer: Newer) -> Seq {
+    pub(crate) fn handle_newer(&self, newer: Newer) -> Seq {
         match newer {
-            Newer::Records(records) => match self.receive_records(records) {
+            Newer::Records(records) => match self.handle_records(records) {
                 ReceiveOutcome::Applied(seq) | ReceiveOutcome::Gap(seq) => seq,
             },
             Newer::Snapshot(snapshot) if snapshot.seq > self.local.seq() => {
--- a/crates/peer/src/memory.rs
+++ b/crates/peer/src/memory.rs
@@ -229,7 +229,7 @@
     if delivered.await.is_none() || peer.core.admit(&own.identity).is_err() {
         return;
     }
-    if peer.core.receive_report(&report) {
+    if peer.core.handle_report(&report) {
         tokio::spawn(pull_if_alive(Arc::downgrade(&peer), Arc::downgrade(&own)));
     }
     let answer = peer.core.own_report();
@@ -240,7 +240,7 @@
         return;
     }
     own.network.state.lock().message_counts.exchanges += 1;
-    if own.core.receive_report(&answer) {
+    if own.core.handle_report(&answer) {
         pull_from(&own, &peer).await;
     }
 }
@@ -263,7 +263,7 @@
         Newer::Records(_) => network.state.lock().message_counts.record_pulls += 1,
         Newer::Snapshot(_) => network.state.lock().message_counts.snapshot_pulls += 1,
     }
-    Some(own.core.receive_newer(newer))
+    Some(own.core.handle_newer(newer))
 }
 
 async fn push(own: Arc<Node>, peer: Arc<Node>, records: Arc<[Record]>) {
@@ -274,7 +274,7 @@
         return;
     }
     own.network.state.lock().message_counts.pushes += 1;
-    if let ReceiveOutcome::Gap(_) = peer.core.receive_records(records.to_vec()) {
+    if let ReceiveOutcome::Gap(_) = peer.core.handle_records(records.to_vec()) {
         pull_from(&peer, &own).await;
     }
 }
@@ -285,7 +285,7 @@
     own.network.release(here, there);
     if delivered.is_some() {
         own.network.state.lock().message_counts.slot_messages += 1;
-        peer.core.receive_slot_reports(here, pools.to_vec());
+        peer.core.handle_slot_reports(here, pools.to_vec());
     }
 }
 
--- a/crates/peer/src/peer_table.rs
+++ b/crates/peer/src/peer_table.rs
@@ -87,9 +87,9 @@
             .values()
             .filter_map(|state| state.latest.as_ref());
         latest
-            .map(|(report, heard)| ReceivedReport {
+            .map(|(report, received_at)| ReceivedReport {
                 report: report.clone(),
-                age: now.saturating_sub(*heard),
+                age: now.saturating_sub(*received_at),
             })
             .collect()
     }
--- a/crates/peer/src/rpc/codec.rs
+++ b/crates/peer/src/rpc/codec.rs
@@ -60,9 +60,9 @@
     for (index, change) in (0..).zip(&delta.drains) {
         let mut drain = drains.reborrow().get(index);
         drain.set_instance(change.index);
-        if let Some(in_force) = change.drain {
-            drain.set_seq(in_force.seq.0);
-            drain.set_in_flight(in_force.in_flight);
+        if let Some(applied) = change.drain {
+            drain.set_seq(applied.seq.0);
+            drain.set_in_flight(applied.in_flight);
         }
     }
     Ok(())
--- a/crates/peer/src/rpc/session.rs
+++ b/crates/peer/src/rpc/session.rs
@@ -225,7 +225,7 @@
         let report = decoder.apply(delta).map_err(rpc_error)?;
         self.note_peer_seq(report.seq);
         self.last_report.set(Instant::now());
-        if hub.core.receive_report(report) {
+        if hub.core.handle_report(report) {
             spawn_local(Rc::clone(self).pull_if_idle());
         }
         Ok(())
@@ -299,7 +299,7 @@
             Newer::Records(_) => add(&hub.totals.record_pulls, 1),
             Newer::Snapshot(_) => add(&hub.totals.snapshot_pulls, 1),
         }
-        Ok(hub.core.receive_newer(newer))
+        Ok(hub.core.handle_newer(newer))
     }
 }
 
@@ -349,7 +349,7 @@
         if let Some(last) = records.last() {
             session.note_peer_seq(last.seq);
         }
-        let seq = match hub.core.receive_records(records) {
+        let seq = match hub.core.handle_records(records) {
             ReceiveOutcome::Applied(seq) => seq,
             ReceiveOutcome::Gap(seq) => {
                 spawn_local(Rc::clone(session).pull_if_idle());
@@ -380,7 +380,7 @@
         session
             .hub()?
             .core
-            .receive_slot_reports(&session.peer.entry, pools);
+            .handle_slot_reports(&session.peer.entry, pools);
         Ok(())
     }
 
--- a/crates/peer/tests/all/hostile.rs
+++ b/crates/peer/tests/all/hostile.rs
@@ -222,9 +222,9 @@
     let mut short_timeout = settings(one.clone(), &[]);
     short_timeout.limits.unresponsive_after = Duration::from_millis(200);
     let a = Node::bind(Entry::open(one), short_timeout);
-    let silent = Caller::connect(a.link.address()).await;
-    let peer = silent.join(&identity("b", 1), Stuck).await;
-    silent.wait_closed().await;
+    let unresponsive = Caller::connect(a.link.address()).await;
+    let peer = unresponsive.join(&identity("b", 1), Stuck).await;
+    unresponsive.wait_closed().await;
     drop(peer);
 }
 
--- a/crates/peer/tests/all/memory.rs
+++ b/crates/peer/tests/all/memory.rs
@@ -233,5 +233,5 @@
     async cut_of_an_hour_heals_by_snapshot => healed_by_snapshot();
     async slow_peer_does_not_delay_others => slow_peer();
     async restarted_peer_replaces_its_previous_incarnation => restart();
-    async closed_link_is_silent => closed();
+    async closed_link_makes_no_calls => closed();
 }
--- a/crates/peer/tests/all/rpc.rs
+++ b/crates/peer/tests/all/rpc.rs
@@ -210,5 +210,5 @@
     restarted_peer_replaces_its_previous_incarnation => restart();
     acknowledgement_is_sent_immediately => acknowledge();
     pair_settles_on_one_session => one_session_a_pair();
-    closed_link_is_silent_and_frees_its_port => closed();
+    closed_link_makes_no_calls_and_frees_its_port => closed();
 }
--- a/crates/peer/tests/all/selection.rs
+++ b/crates/peer/tests/all/selection.rs
@@ -6,12 +6,12 @@
 use proptest::prelude::*;
 
 /// Reference implementation: search for the next record until there is none.
-fn reference(in_force: u64, seqs: &[u64]) -> Selection {
-    if seqs.iter().all(|seq| *seq <= in_force) {
+fn reference(applied: u64, seqs: &[u64]) -> Selection {
+    if seqs.iter().all(|seq| *seq <= applied) {
         return Selection::Stale;
     }
     let mut contiguous = Vec::new();
-    let mut next = in_force + 1;
+    let mut next = applied + 1;
     while seqs.contains(&next) {
         contiguous.push(record(next));
         next += 1;
@@ -26,11 +26,11 @@
 fn same_as_reference() {
     let input = (0_u64..12, prop::collection::vec(1_u64..20, 0..12));
     runner()
-        .run(&input, |(in_force, seqs)| {
+        .run(&input, |(applied, seqs)| {
             let records = seqs.iter().copied().map(record).collect();
             prop_assert_eq!(
-                selection::select(Seq(in_force), records),
-                reference(in_force, &seqs)
+                selection::select(Seq(applied), records),
+                reference(applied, &seqs)
             );
             Ok(())
         })
