--- a/crates/entry/src/components.rs
+++ b/crates/entry/src/components.rs
@@ -9,7 +9,7 @@
 use primroseroute_fleet::{lifecycle, placement::Weights};
 use primroseroute_flow::limits::Limits;
 use primroseroute_front::Options as ServerOptions;
-use primroseroute_peer::{Link, Local, membership, report::Identity};
+use primroseroute_peer::{Link, LocalEntry, membership, report::Identity};
 use primroseroute_platform::{fleet::Instances, object::Store, table::Table, task::Tasks};
 use primroseroute_route::{Options as RequestOptions, backend::Backend};
 use primroseroute_telemetry::Meter;
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     /// If the link cannot be opened, for instance because the port is in use.
-    fn dial(self: Box<Self>, identity: Identity, local: Arc<dyn Local>) -> Result<Dialed>;
+    fn dial(self: Box<Self>, identity: Identity, local: Arc<dyn LocalEntry>) -> Result<Dialed>;
 }
 
 /// Addresses on which the entry listens.
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -9,8 +9,8 @@
 use primroseroute_ledger::Ledger;
 use primroseroute_peer::{
     Link,
-    membership::{self, Peer, Registration},
-    report::{Drain, Identity, Load, Report, Sighting},
+    membership::{self, PeerView, Registration},
+    report::{Drain, Identity, Load, ReceivedReport, Report},
 };
 use primroseroute_route::Dispatchers;
 use primroseroute_view::{Snapshot, SnapshotCell};
@@ -104,10 +104,10 @@
         self.confirmed.lock().map(|at| at.elapsed())
     }
 
-    pub(crate) fn sightings(&self) -> Vec<Sighting> {
+    pub(crate) fn latest_reports(&self) -> Vec<ReceivedReport> {
         self.link
             .get()
-            .map(|link| link.sightings())
+            .map(|link| link.latest_reports())
             .unwrap_or_default()
     }
 
@@ -122,10 +122,10 @@
     }
 
     /// The responsive peers, with the newest change that each has applied.
-    fn peers(&self) -> Vec<Peer> {
+    fn peers(&self) -> Vec<PeerView> {
         let mut reports = self.peer_reports.lock();
         reports.retain(|_, report| report.at.elapsed() < self.limits.silent_after);
-        let peer = |(entry, report): (&id::Entry, &PeerReport)| Peer {
+        let peer = |(entry, report): (&id::Entry, &PeerReport)| PeerView {
             entry: entry.clone(),
             seq: report.seq,
         };
@@ -142,8 +142,8 @@
     }
 
     /// How current the view is, judged by the store and the peers.
-    pub(crate) fn footing(&self) -> membership::Footing {
-        membership::footing(
+    pub(crate) fn view_state(&self) -> membership::ViewState {
+        membership::view_state(
             self.cell.current().seq(),
             self.confirmed(),
             &self.peers(),
@@ -168,7 +168,7 @@
     }
 
     pub(crate) fn is_ready(&self) -> bool {
-        !self.stopping.load(Ordering::Relaxed) && self.footing().serves()
+        !self.stopping.load(Ordering::Relaxed) && self.view_state().may_serve()
     }
 
     /// The report for the peers.
@@ -176,7 +176,7 @@
         let number = self.next_report.fetch_add(1, Ordering::Relaxed);
         let snapshot = self.cell.current();
         let applied_seq = self.dispatchers.applied_seq();
-        let acknowledges = self.footing().acknowledges();
+        let acknowledges = self.view_state().may_acknowledge();
         let in_flight = self.dispatchers.loads();
         let mut drains = BTreeMap::new();
         for (name, seq) in self.non_serving(&snapshot).iter() {
@@ -213,8 +213,8 @@
 
     /// The status of every registered entry.
     pub(crate) fn entries(&self) -> Vec<EntryStatus> {
-        let sightings = self.sightings();
-        let seen = |name: &id::Entry| sightings.iter().find(|s| s.report.from.entry == *name);
+        let latest_reports = self.latest_reports();
+        let seen = |name: &id::Entry| latest_reports.iter().find(|s| s.report.from.entry == *name);
         let registered = self.registered.lock().clone();
         let mut entries: Vec<EntryStatus> = registered
             .iter()
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -15,7 +15,7 @@
 use primroseroute_controller::{Components as ControllerComponents, Controller, Roster};
 use primroseroute_domain::change::Seq;
 use primroseroute_ledger::Ledger;
-use primroseroute_peer::Local;
+use primroseroute_peer::LocalEntry;
 use primroseroute_route::{
     CallerServer, Components as HandlerComponents, Dispatchers, RequestHandler, backend::Backend,
 };
@@ -64,7 +64,10 @@
         ));
         let opened = components
             .dial
-            .dial(core.identity.clone(), Arc::clone(&core) as Arc<dyn Local>)
+            .dial(
+                core.identity.clone(),
+                Arc::clone(&core) as Arc<dyn LocalEntry>,
+            )
             .wrap_err("opening the peer link")?;
         core.link
             .set(opened.link)
--- a/crates/entry/src/store_poll.rs
+++ b/crates/entry/src/store_poll.rs
@@ -5,7 +5,7 @@
 use primroseroute_ledger::key;
 use primroseroute_peer::{
     Address,
-    membership::{Registration, Written, due},
+    membership::{LastWrite, Registration, write_due},
 };
 use primroseroute_platform::{
     error::Error,
@@ -71,10 +71,10 @@
         }
     }
 
-    async fn register(&self, last_written: &mut Option<Written>) {
+    async fn register(&self, last_written: &mut Option<LastWrite>) {
         let now = self.core.uptime();
         let acked = self.core.applied_seq();
-        if due(*last_written, acked, now, &self.core.limits).is_none() {
+        if write_due(*last_written, acked, now, &self.core.limits).is_none() {
             return;
         }
         let row = Registration {
@@ -88,7 +88,7 @@
             heartbeat: self.clock.now(),
         };
         match timeout(STORE_TIMEOUT, self.write(&row)).await {
-            Ok(Ok(())) => *last_written = Some(Written { at: now, acked }),
+            Ok(Ok(())) => *last_written = Some(LastWrite { at: now, acked }),
             Ok(Err(error)) => log::warn!("writing the registration failed: {error}"),
             Err(elapsed) => log::warn!("writing the registration failed: {elapsed}"),
         }
@@ -123,7 +123,7 @@
             })
             .collect();
         if let Some(link) = self.core.link.get() {
-            link.connect(addresses);
+            link.set_peers(addresses);
         }
         *self.core.registered.lock() = rows
             .into_iter()
--- a/crates/peer/src/core.rs
+++ b/crates/peer/src/core.rs
@@ -1,10 +1,10 @@
-//! What both links do with what arrives: the board, the intake and the answers to pulls.
+//! Message handling common to both links: peer reports, received records and pulls.
 
 use crate::{
-    Local, Newer, Slots,
-    board::{Board, Superseded},
-    intake::{self, Intake},
-    report::{Identity, Report, Sighting},
+    LocalEntry, Newer, SlotReport,
+    peer_table::{PeerTable, Superseded},
+    report::{Identity, ReceivedReport, Report},
+    selection::{self, Selection},
 };
 use parking_lot::Mutex;
 use primroseroute_domain::{
@@ -14,30 +14,30 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// What became of pushed records.
+/// Result of handling received records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Pushed {
-    /// The seq in force afterwards.
-    InForce(Seq),
-    /// Records are missing in between: pull.
+pub(crate) enum ReceiveOutcome {
+    /// The applied seq afterwards.
+    Applied(Seq),
+    /// Records are missing after the contained applied seq and must be pulled.
     Gap(Seq),
 }
 
-/// The state that a link's sessions share.
+/// The state shared by the sessions of a link.
 ///
-/// Lock order: `board` is never held while `local` is called.
+/// Lock order: `peer_table` is never held while `local` is called.
 #[derive(Debug)]
 pub(crate) struct Core {
-    local: Arc<dyn Local>,
-    board: Mutex<Board>,
+    local: Arc<dyn LocalEntry>,
+    peer_table: Mutex<PeerTable>,
     started: Instant,
 }
 
 impl Core {
-    pub(crate) fn new(local: Arc<dyn Local>) -> Self {
+    pub(crate) fn new(local: Arc<dyn LocalEntry>) -> Self {
         Self {
             local,
-            board: Mutex::new(Board::default()),
+            peer_table: Mutex::new(PeerTable::default()),
             started: Instant::now(),
         }
     }
@@ -51,45 +51,49 @@
     }
 
     pub(crate) fn admit(&self, peer: &Identity) -> Result<(), Superseded> {
-        self.board.lock().admit(peer)
+        self.peer_table.lock().admit(peer)
     }
 
-    pub(crate) fn sightings(&self) -> Vec<Sighting> {
-        self.board.lock().sightings(self.started.elapsed())
+    pub(crate) fn latest_reports(&self) -> Vec<ReceivedReport> {
+        self.peer_table
+            .lock()
+            .latest_reports(self.started.elapsed())
     }
 
-    /// Keeps a peer's report; says whether it shows a newer view than the one in force.
-    pub(crate) fn take_report(&self, report: &Report) -> bool {
+    /// Stores a peer's report. Returns whether it shows a newer view than the applied one.
+    pub(crate) fn handle_report(&self, report: &Report) -> bool {
         let kept = self
-            .board
+            .peer_table
             .lock()
-            .keep(report.clone(), self.started.elapsed());
+            .store_report(report.clone(), self.started.elapsed());
         if kept {
-            self.local.accept_report(&report.from.entry, report);
+            self.local.receive_report(&report.from.entry, report);
         }
         kept && report.seq > self.local.seq()
     }
 
-    pub(crate) fn take_records(&self, records: Vec<Record>) -> Pushed {
-        let in_force = self.local.seq();
-        match intake::choose(in_force, records) {
-            Intake::Old => Pushed::InForce(in_force),
-            Intake::Accept(records) => Pushed::InForce(self.local.accept(records)),
-            Intake::Gap => Pushed::Gap(in_force),
+    pub(crate) fn handle_records(&self, records: Vec<Record>) -> ReceiveOutcome {
+        let applied = self.local.seq();
+        match selection::select(applied, records) {
+            Selection::Stale => ReceiveOutcome::Applied(applied),
+            Selection::Contiguous(records) => {
+                ReceiveOutcome::Applied(self.local.apply_records(records))
+            }
+            Selection::Gap => ReceiveOutcome::Gap(applied),
         }
     }
 
-    /// Passes on what a peer tells of its own slots.
+    /// Forwards a peer's reports on its own slots.
     ///
-    /// A report that names another entry than the peer is dropped: taken for that entry's, it could
-    /// lend out slots that the entry itself uses.
-    pub(crate) fn take_slots(&self, peer: &id::Entry, mut pools: Vec<Slots>) {
+    /// A report that names an entry other than the peer is dropped: attributed to that entry, it
+    /// could lend out slots that the entry itself uses.
+    pub(crate) fn handle_slot_reports(&self, peer: &id::Entry, mut pools: Vec<SlotReport>) {
         pools.retain(|slots| slots.report.entry == *peer);
-        self.local.accept_slots(peer, pools);
+        self.local.receive_slot_reports(peer, pools);
     }
 
-    /// What this entry has after `seq`.
-    pub(crate) fn newer(&self, seq: Seq) -> Newer {
+    /// What this entry has beyond `seq`.
+    pub(crate) fn newer_than(&self, seq: Seq) -> Newer {
         if self.local.seq() <= seq {
             return Newer::Nothing;
         }
@@ -99,14 +103,14 @@
         }
     }
 
-    /// Puts the answer to a pull in force and returns the seq in force afterwards.
-    pub(crate) fn take_newer(&self, newer: Newer) -> Seq {
+    /// Applies the response to a pull and returns the applied seq afterwards.
+    pub(crate) fn handle_newer(&self, newer: Newer) -> Seq {
         match newer {
-            Newer::Records(records) => match self.take_records(records) {
-                Pushed::InForce(seq) | Pushed::Gap(seq) => seq,
+            Newer::Records(records) => match self.handle_records(records) {
+                ReceiveOutcome::Applied(seq) | ReceiveOutcome::Gap(seq) => seq,
             },
             Newer::Snapshot(snapshot) if snapshot.seq > self.local.seq() => {
-                self.local.accept_snapshot(snapshot)
+                self.local.apply_snapshot(snapshot)
             }
             Newer::Nothing | Newer::Snapshot(_) => self.local.seq(),
         }
--- a/crates/peer/src/memory.rs
+++ b/crates/peer/src/memory.rs
@@ -1,14 +1,15 @@
-//! A link in memory, for many entries in one process under paused time.
+//! An in-memory link, for many entries in one process under paused time.
 //!
-//! A [`Network`] joins any number of entries. It delivers through tokio's clock with a settable
-//! latency, and a test cuts and heals it between any two entries. Everything that arrives takes the
-//! same way as over sockets: the board, the intake, pulls. Messages are counted by kind.
+//! A [`Network`] connects any number of entries. It delivers messages by tokio's clock with a
+//! configurable latency, and a test can partition and heal it between any two entries. Received
+//! messages are handled by the same code as over sockets: peer reports, record selection, pulls.
+//! Messages are counted by kind.
 
 use crate::{
-    Address, Error, Link as LinkTrait, Local, Newer, Slots,
-    core::{Core, Pushed},
-    pace,
-    report::{Identity, Sighting},
+    Address, Error, Link as LinkTrait, LocalEntry, Newer, SlotReport,
+    core::{Core, ReceiveOutcome},
+    report::{Identity, ReceivedReport},
+    schedule,
 };
 use async_trait::async_trait;
 use parking_lot::Mutex;
@@ -23,45 +24,46 @@
 };
 use tokio::{task::AbortHandle, time};
 
-/// Most pushes on their way from one entry to another; further ones are left to the next exchange.
-pub const QUEUE: usize = 64;
+/// Maximum number of messages in flight from one entry to another; further pushes are dropped, and
+/// the peer pulls the records after the next exchange.
+pub const MAX_QUEUED_MESSAGES: usize = 64;
 
 /// Messages delivered, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Count {
-    /// Exchanges of reports, each a call and an answer.
+pub struct MessageCounts {
+    /// Exchanges of reports, each a call and a response.
     pub exchanges: u64,
     /// Pushes.
     pub pushes: u64,
-    /// Messages about slots that arrived.
-    pub shares: u64,
-    /// Pulls that brought records.
+    /// Delivered messages with slot reports.
+    pub slot_messages: u64,
+    /// Pulls that returned records.
     pub record_pulls: u64,
-    /// Pulls that brought a snapshot.
+    /// Pulls that returned a snapshot.
     pub snapshot_pulls: u64,
-    /// Messages lost in a cut or dropped from a full queue.
+    /// Messages lost in a partition or rejected by a full queue.
     pub lost: u64,
 }
 
 #[derive(Debug, Default)]
 struct State {
     nodes: BTreeMap<id::Entry, Weak<Node>>,
-    cuts: BTreeSet<(id::Entry, id::Entry)>,
+    partitions: BTreeSet<(id::Entry, id::Entry)>,
     latency: Duration,
     latencies: BTreeMap<(id::Entry, id::Entry), Duration>,
     queued: BTreeMap<(id::Entry, id::Entry), usize>,
-    count: Count,
+    message_counts: MessageCounts,
 }
 
-/// The network that joins entries in memory.
+/// The in-memory network between entries.
 ///
-/// Lock order: `state` is taken last and never held over a call into an entry.
+/// Lock order: `state` is taken last and never held during a call into an entry.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
     state: Arc<Mutex<State>>,
 }
 
-fn pair(a: &id::Entry, b: &id::Entry) -> (id::Entry, id::Entry) {
+fn unordered_pair(a: &id::Entry, b: &id::Entry) -> (id::Entry, id::Entry) {
     if a <= b {
         (a.clone(), b.clone())
     } else {
@@ -70,55 +72,58 @@
 }
 
 impl Network {
-    /// A network without entries, cuts or latency.
+    /// Creates a network without entries, partitions or latency.
     pub fn open() -> Self {
         Self::default()
     }
 
-    /// Sets the one-way latency between all entries that have none of their own.
+    /// Sets the one-way latency between all pairs of entries without a latency of their own.
     pub fn set_latency(&self, latency: Duration) {
         self.state.lock().latency = latency;
     }
 
     /// Sets the one-way latency between two entries.
     pub fn set_latency_between(&self, a: &id::Entry, b: &id::Entry, latency: Duration) {
-        self.state.lock().latencies.insert(pair(a, b), latency);
+        self.state
+            .lock()
+            .latencies
+            .insert(unordered_pair(a, b), latency);
     }
 
-    /// Cuts the link between two entries; what is on its way is lost.
-    pub fn cut(&self, a: &id::Entry, b: &id::Entry) {
-        self.state.lock().cuts.insert(pair(a, b));
+    /// Partitions two entries; messages in flight between them are lost.
+    pub fn partition(&self, a: &id::Entry, b: &id::Entry) {
+        self.state.lock().partitions.insert(unordered_pair(a, b));
     }
 
-    /// Heals the link between two entries.
+    /// Heals the partition between two entries.
     pub fn heal(&self, a: &id::Entry, b: &id::Entry) {
-        self.state.lock().cuts.remove(&pair(a, b));
+        self.state.lock().partitions.remove(&unordered_pair(a, b));
     }
 
-    /// Cuts every link between one side and the other, such as two regions.
-    pub fn part(&self, one: &[id::Entry], other: &[id::Entry]) {
+    /// Partitions every entry of one group from every entry of the other, such as two regions.
+    pub fn partition_groups(&self, one: &[id::Entry], other: &[id::Entry]) {
         for a in one {
             for b in other {
-                self.cut(a, b);
+                self.partition(a, b);
             }
         }
     }
 
-    /// Heals every cut.
+    /// Heals all partitions.
     pub fn heal_all(&self) {
-        self.state.lock().cuts.clear();
+        self.state.lock().partitions.clear();
     }
 
-    /// The messages so far.
-    pub fn count(&self) -> Count {
-        self.state.lock().count
+    /// The number of messages so far.
+    pub fn message_counts(&self) -> MessageCounts {
+        self.state.lock().message_counts
     }
 
-    /// Joins an entry and returns its link; the entry leaves when the link is closed or dropped.
+    /// Adds an entry and returns its link; the entry is removed when the link is closed or dropped.
     ///
-    /// Must be called inside a tokio runtime. Every joined entry is a peer of every other, so
-    /// [`LinkTrait::connect`] has no effect.
-    pub fn join(&self, identity: Identity, local: Arc<dyn Local>) -> Arc<Link> {
+    /// Must be called within a tokio runtime. Every entry is a peer of every other, so
+    /// [`LinkTrait::set_peers`] has no effect.
+    pub fn join(&self, identity: Identity, local: Arc<dyn LocalEntry>) -> Arc<Link> {
         let node = Arc::new(Node {
             identity,
             core: Core::new(local),
@@ -139,9 +144,9 @@
         others.filter_map(|(_, node)| node.upgrade()).collect()
     }
 
-    /// Waits for a message to cross; none where a cut loses it.
-    async fn cross(&self, from: &id::Entry, to: &id::Entry) -> Option<()> {
-        let key = pair(from, to);
+    /// Waits for the latency of a message; `None` if a partition loses it.
+    async fn transmit(&self, from: &id::Entry, to: &id::Entry) -> Option<()> {
+        let key = unordered_pair(from, to);
         let latency = {
             let state = self.state.lock();
             let own = state.latencies.get(&key);
@@ -149,8 +154,8 @@
         };
         time::sleep(latency).await;
         let mut state = self.state.lock();
-        if state.cuts.contains(&key) {
-            state.count.lost += 1;
+        if state.partitions.contains(&key) {
+            state.message_counts.lost += 1;
             return None;
         }
         Some(())
@@ -159,11 +164,11 @@
     fn reserve(&self, from: &id::Entry, to: &id::Entry) -> bool {
         let mut state = self.state.lock();
         let queued = state.queued.entry((from.clone(), to.clone())).or_default();
-        if *queued < QUEUE {
+        if *queued < MAX_QUEUED_MESSAGES {
             *queued += 1;
             return true;
         }
-        state.count.lost += 1;
+        state.message_counts.lost += 1;
         false
     }
 
@@ -182,7 +187,7 @@
     network: Network,
 }
 
-/// The link of one entry in memory.
+/// The in-memory link of one entry.
 #[derive(Debug)]
 pub struct Link {
     node: Mutex<Option<Arc<Node>>>,
@@ -195,14 +200,14 @@
     }
 }
 
-/// Exchanges reports at the pace; the entry with the lower name calls.
+/// Exchanges reports at the scheduled interval; the entry with the lower name initiates.
 async fn run(node: Weak<Node>) {
     loop {
         let Some(own) = node.upgrade() else {
             return;
         };
         let peers = own.network.peers(&own.identity.entry);
-        let interval = pace::choose(peers.len()).interval;
+        let interval = schedule::for_peers(peers.len()).interval;
         for peer in peers {
             if own.identity.entry < peer.identity.entry {
                 tokio::spawn(exchange(Arc::downgrade(&own), Arc::downgrade(&peer)));
@@ -218,25 +223,29 @@
         return;
     };
     let report = own.core.own_report();
-    let crossed = own.network.cross(&own.identity.entry, &peer.identity.entry);
-    if crossed.await.is_none() || peer.core.admit(&own.identity).is_err() {
+    let delivered = own
+        .network
+        .transmit(&own.identity.entry, &peer.identity.entry);
+    if delivered.await.is_none() || peer.core.admit(&own.identity).is_err() {
         return;
     }
-    if peer.core.take_report(&report) {
-        tokio::spawn(pull_behind(Arc::downgrade(&peer), Arc::downgrade(&own)));
+    if peer.core.handle_report(&report) {
+        tokio::spawn(pull_if_alive(Arc::downgrade(&peer), Arc::downgrade(&own)));
     }
     let answer = peer.core.own_report();
-    let crossed = own.network.cross(&peer.identity.entry, &own.identity.entry);
-    if crossed.await.is_none() || own.core.admit(&peer.identity).is_err() {
+    let delivered = own
+        .network
+        .transmit(&peer.identity.entry, &own.identity.entry);
+    if delivered.await.is_none() || own.core.admit(&peer.identity).is_err() {
         return;
     }
-    own.network.state.lock().count.exchanges += 1;
-    if own.core.take_report(&answer) {
+    own.network.state.lock().message_counts.exchanges += 1;
+    if own.core.handle_report(&answer) {
         pull_from(&own, &peer).await;
     }
 }
 
-async fn pull_behind(own: Weak<Node>, peer: Weak<Node>) {
+async fn pull_if_alive(own: Weak<Node>, peer: Weak<Node>) {
     if let Some((own, peer)) = own.upgrade().zip(peer.upgrade()) {
         pull_from(&own, &peer).await;
     }
@@ -246,37 +255,37 @@
     let network = &own.network;
     let after = own.core.seq();
     let (here, there) = (&own.identity.entry, &peer.identity.entry);
-    network.cross(here, there).await?;
-    let newer = peer.core.newer(after);
-    network.cross(there, here).await?;
+    network.transmit(here, there).await?;
+    let newer = peer.core.newer_than(after);
+    network.transmit(there, here).await?;
     match &newer {
         Newer::Nothing => {}
-        Newer::Records(_) => network.state.lock().count.record_pulls += 1,
-        Newer::Snapshot(_) => network.state.lock().count.snapshot_pulls += 1,
+        Newer::Records(_) => network.state.lock().message_counts.record_pulls += 1,
+        Newer::Snapshot(_) => network.state.lock().message_counts.snapshot_pulls += 1,
     }
-    Some(own.core.take_newer(newer))
+    Some(own.core.handle_newer(newer))
 }
 
 async fn push(own: Arc<Node>, peer: Arc<Node>, records: Arc<[Record]>) {
     let (here, there) = (&own.identity.entry, &peer.identity.entry);
-    let crossed = own.network.cross(here, there).await;
+    let delivered = own.network.transmit(here, there).await;
     own.network.release(here, there);
-    if crossed.is_none() {
+    if delivered.is_none() {
         return;
     }
-    own.network.state.lock().count.pushes += 1;
-    if let Pushed::Gap(_) = peer.core.take_records(records.to_vec()) {
+    own.network.state.lock().message_counts.pushes += 1;
+    if let ReceiveOutcome::Gap(_) = peer.core.handle_records(records.to_vec()) {
         pull_from(&peer, &own).await;
     }
 }
 
-async fn share(own: Arc<Node>, peer: Arc<Node>, pools: Arc<[Slots]>) {
+async fn deliver_slot_reports(own: Arc<Node>, peer: Arc<Node>, pools: Arc<[SlotReport]>) {
     let (here, there) = (&own.identity.entry, &peer.identity.entry);
-    let crossed = own.network.cross(here, there).await;
+    let delivered = own.network.transmit(here, there).await;
     own.network.release(here, there);
-    if crossed.is_some() {
-        own.network.state.lock().count.shares += 1;
-        peer.core.take_slots(here, pools.to_vec());
+    if delivered.is_some() {
+        own.network.state.lock().message_counts.slot_messages += 1;
+        peer.core.handle_slot_reports(here, pools.to_vec());
     }
 }
 
@@ -294,9 +303,9 @@
         };
         let known: BTreeMap<_, _> = own
             .core
-            .sightings()
+            .latest_reports()
             .into_iter()
-            .map(|sighting| (sighting.report.from.entry, sighting.report.seq))
+            .map(|received| (received.report.from.entry, received.report.seq))
             .collect();
         for peer in own.network.peers(&own.identity.entry) {
             let name = &peer.identity.entry;
@@ -307,7 +316,7 @@
         }
     }
 
-    fn share(&self, pools: Arc<[Slots]>) {
+    fn send_slot_reports(&self, pools: Arc<[SlotReport]>) {
         let Some(own) = self.node() else {
             return;
         };
@@ -316,12 +325,16 @@
                 .network
                 .reserve(&own.identity.entry, &peer.identity.entry)
             {
-                tokio::spawn(share(Arc::clone(&own), peer, Arc::clone(&pools)));
+                tokio::spawn(deliver_slot_reports(
+                    Arc::clone(&own),
+                    peer,
+                    Arc::clone(&pools),
+                ));
             }
         }
     }
 
-    fn acknowledge(&self) {
+    fn exchange_now(&self) {
         let Some(own) = self.node() else {
             return;
         };
@@ -330,25 +343,25 @@
         }
     }
 
-    fn sightings(&self) -> Vec<Sighting> {
+    fn latest_reports(&self) -> Vec<ReceivedReport> {
         self.node()
-            .map(|own| own.core.sightings())
+            .map(|own| own.core.latest_reports())
             .unwrap_or_default()
     }
 
-    fn connect(&self, _peers: Vec<Address>) {}
+    fn set_peers(&self, _peers: Vec<Address>) {}
 
     async fn pull(&self) -> Result<Seq, Error> {
         let own = self.node().ok_or(Error::Closed)?;
         let before = own.core.seq();
-        let mut ahead = own.core.sightings();
-        ahead.retain(|sighting| sighting.report.seq > before);
-        ahead.sort_by_key(|sighting| std::cmp::Reverse(sighting.report.seq));
+        let mut ahead = own.core.latest_reports();
+        ahead.retain(|received| received.report.seq > before);
+        ahead.sort_by_key(|received| std::cmp::Reverse(received.report.seq));
         let peers = own.network.peers(&own.identity.entry);
-        for sighting in ahead {
+        for received in ahead {
             let peer = peers
                 .iter()
-                .find(|peer| peer.identity == sighting.report.from);
+                .find(|peer| peer.identity == received.report.from);
             let Some(peer) = peer else {
                 continue;
             };
--- a/crates/peer/src/rpc/gate.rs
+++ b/crates/peer/src/rpc/gate.rs
@@ -1,7 +1,7 @@
-//! The handshake, on both sides.
+//! Both sides of the authentication handshake.
 
 use super::{
-    codec::{fault, read_identity, write_identity},
+    codec::{read_identity, rpc_error, write_identity},
     hub::Hub,
     session::{Direction, Session},
     traffic::Allowance,
@@ -18,38 +18,38 @@
 };
 use tokio::sync::Notify;
 
-/// What is answered to all that fails before a caller is authenticated: nothing that helps it.
+/// Error text for all failures before a caller is authenticated; discloses no cause.
 const REFUSED: &str = "refused";
 
 /// The callee's side of one connection.
 pub(super) struct Gate {
     pub(super) hub: Rc<Hub>,
     pub(super) allowance: Allowance,
-    /// The nonce given out and not yet used: each is good for one try.
+    /// The issued nonce that is not used yet; each is valid for one attempt.
     pub(super) nonce: Cell<Option<Nonce>>,
     pub(super) session: Rc<RefCell<Option<Rc<Session>>>>,
-    /// Set off once a session is open, or the caller is refused and the connection to be dropped.
-    pub(super) settled: Rc<Notify>,
+    /// Notified when a session is open, or when the caller is rejected and the connection must close.
+    pub(super) handshake_done: Rc<Notify>,
 }
 
 impl Gate {
-    /// Checks a caller's proof and opens its session; none for a call from this entry itself.
-    fn admit(
+    /// Verifies a caller's proof and opens its session; no session if the caller is this entry.
+    fn authenticate(
         &self,
         caller: &Identity,
         nonce: Nonce,
         proof: &[u8],
     ) -> Result<(Nonce, Option<Rc<Session>>), Error> {
-        let refused = || Error::failed(REFUSED.to_owned());
-        let own = self.nonce.take().ok_or_else(refused)?;
+        let rejected = || Error::failed(REFUSED.to_owned());
+        let own = self.nonce.take().ok_or_else(rejected)?;
         let statement = Statement {
             side: Side::Caller,
             callee: own,
             caller: nonce,
             identity: caller,
         };
-        if !statement.holds(&self.hub.key, proof) {
-            return Err(refused());
+        if !statement.verify(&self.hub.key, proof) {
+            return Err(rejected());
         }
         self.allowance.set(None);
         if caller.entry == self.hub.identity.entry {
@@ -58,21 +58,21 @@
         let session = self
             .hub
             .open(caller.clone(), Direction::Inbound)
-            .map_err(fault)?;
+            .map_err(rpc_error)?;
         *self.session.borrow_mut() = Some(Rc::clone(&session));
         Ok((own, Some(session)))
     }
 
-    fn answer(
+    fn respond(
         &self,
         params: &gate::EnterParams,
         mut results: gate::EnterResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
         let caller = read_identity(params.get_caller()?)?;
-        let nonce = Nonce::received(params.get_nonce()?);
+        let nonce = Nonce::from_bytes(params.get_nonce()?);
         let nonce = nonce.ok_or_else(|| Error::failed(REFUSED.to_owned()))?;
-        let (own, session) = self.admit(&caller, nonce, params.get_proof()?)?;
+        let (own, session) = self.authenticate(&caller, nonce, params.get_proof()?)?;
         let statement = Statement {
             side: Side::Callee,
             callee: own,
@@ -83,7 +83,7 @@
         results.set_proof(&statement.prove(&self.hub.key));
         write_identity(results.reborrow().init_callee(), &self.hub.identity);
         if let Some(session) = session {
-            results.set_peer(session.offer());
+            results.set_peer(session.capability());
         }
         Ok(())
     }
@@ -95,7 +95,7 @@
         _params: gate::ChallengeParams,
         mut results: gate::ChallengeResults,
     ) -> Result<(), Error> {
-        let nonce = Nonce::fresh();
+        let nonce = Nonce::random();
         self.nonce.set(Some(nonce));
         results.get().set_nonce(&nonce.0);
         Ok(())
@@ -106,29 +106,30 @@
         params: gate::EnterParams,
         results: gate::EnterResults,
     ) -> Result<(), Error> {
-        let answered = self.answer(&params, results);
-        // An entry that called itself is left to read who answered, and hangs up.
-        if answered.is_err() || self.session.borrow().is_some() {
-            self.settled.notify_one();
+        let result = self.respond(&params, results);
+        // If an entry connected to itself, the connection stays open so that the caller can read the
+        // callee's identity; the caller then closes it.
+        if result.is_err() || self.session.borrow().is_some() {
+            self.handshake_done.notify_one();
         }
-        answered
+        result
     }
 }
 
-/// What the caller holds after a handshake.
-pub(super) struct Entered {
-    /// Who the callee proved to be.
+/// Result of a successful handshake on the caller's side.
+pub(super) struct HandshakeResult {
+    /// The callee's verified identity.
     pub(super) callee: Identity,
-    /// What it offers; fails on every call where the callee is this entry itself.
+    /// The callee's capability; every call fails if the callee is this entry itself.
     pub(super) peer: peer::Client,
 }
 
-/// The caller's side.
-pub(super) async fn enter(hub: &Hub, gate: &gate::Client) -> Result<Entered, Error> {
+/// Performs the caller's side of the handshake.
+pub(super) async fn enter(hub: &Hub, gate: &gate::Client) -> Result<HandshakeResult, Error> {
     let challenge = gate.challenge_request().send().promise.await?;
-    let callee_nonce = Nonce::received(challenge.get()?.get_nonce()?);
+    let callee_nonce = Nonce::from_bytes(challenge.get()?.get_nonce()?);
     let callee_nonce = callee_nonce.ok_or_else(|| Error::failed(REFUSED.to_owned()))?;
-    let nonce = Nonce::fresh();
+    let nonce = Nonce::random();
     let statement = Statement {
         side: Side::Caller,
         callee: callee_nonce,
@@ -139,26 +140,26 @@
     request.get().set_nonce(&nonce.0);
     request.get().set_proof(&statement.prove(&hub.key));
     write_identity(request.get().init_caller(), &hub.identity);
-    let answer = request.send().promise.await?;
-    let answer = answer.get()?;
-    let callee = read_identity(answer.get_callee()?)?;
+    let response = request.send().promise.await?;
+    let response = response.get()?;
+    let callee = read_identity(response.get_callee()?)?;
     let statement = Statement {
         side: Side::Callee,
         identity: &callee,
         ..statement
     };
-    // An impostor on a peer's address gets the caller's proof, good for its one nonce, and no more.
-    if !statement.holds(&hub.key, answer.get_proof()?) {
+    // An impostor on a peer's address learns only the caller's proof, which is valid for one nonce.
+    if !statement.verify(&hub.key, response.get_proof()?) {
         return Err(Error::failed(
             "the callee does not know the shared key".to_owned(),
         ));
     }
     if callee.entry == hub.identity.entry {
-        return Ok(Entered {
+        return Ok(HandshakeResult {
             callee,
-            peer: capnp_rpc::new_client(super::session::Nobody),
+            peer: capnp_rpc::new_client(super::session::UnavailablePeer),
         });
     }
-    let peer = answer.get_peer()?;
-    Ok(Entered { callee, peer })
+    let peer = response.get_peer()?;
+    Ok(HandshakeResult { callee, peer })
 }
--- a/crates/peer/src/rpc/hub.rs
+++ b/crates/peer/src/rpc/hub.rs
@@ -1,4 +1,4 @@
-//! What the sessions of a link share, on the link's thread.
+//! State shared by the sessions of a link, on the link's thread.
 
 use super::{
     Limits,
@@ -6,12 +6,12 @@
     traffic::Totals,
 };
 use crate::{
-    Error, Slots,
-    board::Superseded,
+    Error, SlotReport,
     core::Core,
-    pace::{self, Pace},
+    peer_table::Superseded,
     proof::Key,
     report::Identity,
+    schedule::{self, ExchangeSchedule},
 };
 use primroseroute_domain::{
     change::{Record, Seq},
@@ -25,13 +25,13 @@
     sync::Arc,
 };
 
-/// Why an authenticated peer gets no session.
+/// Why an authenticated peer is denied a session.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Denied {
-    /// It is a former run of its entry.
+    /// It is a previous incarnation of its entry.
     #[error(transparent)]
     Superseded(#[from] Superseded),
-    /// There are as many sessions as allowed.
+    /// The maximum number of sessions is open.
     #[error("too many sessions")]
     Full,
 }
@@ -42,10 +42,10 @@
     pub(super) limits: Limits,
     pub(super) core: Arc<Core>,
     pub(super) totals: Arc<Totals>,
-    /// Whether a pull is under way.
+    /// Whether a pull is in progress.
     pub(super) pulling: Cell<bool>,
-    /// Connections that are not authenticated yet.
-    pub(super) strangers: Cell<usize>,
+    /// Number of inbound connections that are not authenticated yet.
+    pub(super) unauthenticated: Cell<usize>,
     sessions: RefCell<Vec<Rc<Session>>>,
 }
 
@@ -64,13 +64,13 @@
             core,
             totals,
             pulling: Cell::new(false),
-            strangers: Cell::new(0),
+            unauthenticated: Cell::new(0),
             sessions: RefCell::default(),
         })
     }
 
-    /// Opens a session and ends those that it replaces: of a former run, or of the same direction,
-    /// whose connection must be dead if the peer made another.
+    /// Opens a session and ends those that it replaces: sessions of a previous incarnation, and those
+    /// of the same direction, whose connection must be dead if the peer opened another.
     pub(super) fn open(
         self: &Rc<Self>,
         peer: Identity,
@@ -86,7 +86,7 @@
             session.end();
         }
         sessions.retain(|session| !replaced(session));
-        if sessions.len() >= self.limits.sessions {
+        if sessions.len() >= self.limits.max_sessions {
             return Err(Denied::Full);
         }
         let session = Session::new(self, peer, direction);
@@ -100,9 +100,9 @@
         sessions.retain(|other| !Rc::ptr_eq(other, session));
     }
 
-    /// Whether the peer, which has the lower name and so the say, has a session of its own to this
-    /// entry: then no other is needed.
-    pub(super) fn is_served_by(&self, peer: &id::Entry) -> bool {
+    /// Whether the peer has the lower name, which takes precedence, and has opened a session to this
+    /// entry, so that no outbound session is needed.
+    pub(super) fn has_preferred_inbound(&self, peer: &id::Entry) -> bool {
         let sessions = self.sessions.borrow();
         let mut inbound = sessions
             .iter()
@@ -122,21 +122,21 @@
         peers.into_values().collect()
     }
 
-    pub(super) fn pace(&self) -> Pace {
+    pub(super) fn schedule(&self) -> ExchangeSchedule {
         self.limits
-            .pace
-            .unwrap_or_else(|| pace::choose(self.peers().len()))
+            .schedule
+            .unwrap_or_else(|| schedule::for_peers(self.peers().len()))
     }
 
     pub(super) fn broadcast(&self, records: &Arc<[Record]>) {
         for session in self.peers() {
-            session.queue(records);
+            session.queue_records(records);
         }
     }
 
-    pub(super) fn share(&self, pools: &Arc<[Slots]>) {
+    pub(super) fn send_slot_reports(&self, pools: &Arc<[SlotReport]>) {
         for session in self.peers() {
-            session.queue_slots(pools);
+            session.queue_slot_reports(pools);
         }
     }
 
@@ -146,17 +146,17 @@
         }
     }
 
-    /// Pulls from the peers that are ahead, the furthest first, until one moves the view.
+    /// Pulls from the peers that are ahead, the furthest first, until one advances the view.
     pub(super) async fn pull(&self) -> Result<Seq, Error> {
         let before = self.core.seq();
-        let mut ahead = self.core.sightings();
-        ahead.retain(|sighting| sighting.report.seq > before);
-        ahead.sort_by_key(|sighting| Reverse(sighting.report.seq));
+        let mut ahead = self.core.latest_reports();
+        ahead.retain(|received| received.report.seq > before);
+        ahead.sort_by_key(|received| Reverse(received.report.seq));
         let peers = self.peers();
-        for sighting in ahead {
+        for received in ahead {
             let session = peers
                 .iter()
-                .find(|session| session.peer == sighting.report.from);
+                .find(|session| session.peer == received.report.from);
             let Some(session) = session else {
                 continue;
             };
@@ -166,7 +166,7 @@
                 Err(error) => log::debug!(peer:% = session.peer.entry, error:%; "pull failed"),
             }
         }
-        // A push or another pull may have come first.
+        // A push or another pull may have advanced the view in the meantime.
         let now = self.core.seq();
         if now > before {
             Ok(now)
--- a/crates/peer/src/rpc/mod.rs
+++ b/crates/peer/src/rpc/mod.rs
@@ -1,10 +1,10 @@
 //! The link over capnp-rpc on TCP.
 //!
-//! capnp-rpc's objects are not `Send`, so the link runs on a thread of its own with a
-//! current-thread runtime and a `LocalSet`; the handle reaches it through typed channels. Each pair
-//! of entries keeps one connection, opened by the entry with the lower name, over which both call
+//! capnp-rpc's objects are not `Send`, so the link runs on a dedicated thread with a current-thread
+//! runtime and a `LocalSet`; the handle communicates with it through typed channels. Each pair of
+//! entries maintains one connection, opened by the entry with the lower name, over which both call
 //! each other. Each connection has its own task and bounded queue, so a slow peer delays no other,
-//! and a panic over what one peer sent ends only its connection.
+//! and a panic caused by one peer's messages ends only its connection.
 
 mod codec;
 mod dial;
@@ -17,11 +17,11 @@
 mod wire;
 
 use crate::{
-    Address, Error, Link as LinkTrait, Local, Slots,
+    Address, Error, Link as LinkTrait, LocalEntry, SlotReport,
     core::Core,
-    pace::Pace,
     proof::Key,
-    report::{Identity, Sighting},
+    report::{Identity, ReceivedReport},
+    schedule::ExchangeSchedule,
 };
 use async_trait::async_trait;
 use hub::Hub;
@@ -38,81 +38,82 @@
 
 pub use traffic::Traffic;
 
-/// Requests of the entry that wait for the link's thread; further pushes are left to an exchange.
-const COMMANDS: usize = 256;
+/// Capacity of the command queue to the link's thread; further pushes are dropped, and the peers
+/// pull the records after the next exchange.
+const COMMAND_QUEUE: usize = 256;
 
-/// Times and bounds of the link.
+/// Timeouts and limits of the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Deadline of connecting, and of the handshake.
-    pub handshake: Duration,
-    /// Deadline of a call; a peer that misses it is connected anew.
-    pub call: Duration,
-    /// Deadline of a pull, which may carry a snapshot.
-    pub pull: Duration,
-    /// Time without a report after which a session ends.
-    pub silent: Duration,
-    /// First pause between two tries to reach a peer.
-    pub first_pause: Duration,
-    /// Longest pause between two tries to reach a peer.
-    pub longest_pause: Duration,
-    /// Connections without authentication at the same time.
-    pub unauthenticated: usize,
-    /// Sessions at the same time.
-    pub sessions: usize,
-    /// Pushes that wait for one peer.
-    pub queue: usize,
-    /// The pace of exchanges; none for the pace that fits the number of peers.
-    pub pace: Option<Pace>,
+    /// Timeout of connecting, and of the handshake.
+    pub handshake_timeout: Duration,
+    /// Timeout of a call; if a peer exceeds it, the connection is closed and reopened.
+    pub call_timeout: Duration,
+    /// Timeout of a pull, whose response may be a snapshot.
+    pub pull_timeout: Duration,
+    /// Time without a report after which a session is closed.
+    pub unresponsive_after: Duration,
+    /// Initial delay between two attempts to connect to a peer.
+    pub initial_retry_delay: Duration,
+    /// Maximum delay between two attempts to connect to a peer.
+    pub max_retry_delay: Duration,
+    /// Maximum number of concurrent unauthenticated inbound connections.
+    pub max_unauthenticated: usize,
+    /// Maximum number of concurrent sessions.
+    pub max_sessions: usize,
+    /// Maximum number of queued pushes for one peer.
+    pub max_queued_pushes: usize,
+    /// The exchange schedule; `None` to derive it from the number of peers.
+    pub schedule: Option<ExchangeSchedule>,
 }
 
 impl Default for Limits {
-    /// 2 s are far over a round trip between regions; 13 s are three exchange intervals at 28
-    /// entries and a deadline; 64 sessions are two for each of 27 peers and some to spare.
+    /// 2 s is far above the round-trip time between regions; 13 s is three exchange intervals at 28
+    /// entries plus a call timeout; 64 sessions allow two for each of 27 peers plus a reserve.
     fn default() -> Self {
         Self {
-            handshake: Duration::from_secs(2),
-            call: Duration::from_secs(2),
-            pull: Duration::from_secs(10),
-            silent: Duration::from_secs(13),
-            first_pause: Duration::from_millis(100),
-            longest_pause: Duration::from_secs(5),
-            unauthenticated: 32,
-            sessions: 64,
-            queue: 64,
-            pace: None,
+            handshake_timeout: Duration::from_secs(2),
+            call_timeout: Duration::from_secs(2),
+            pull_timeout: Duration::from_secs(10),
+            unresponsive_after: Duration::from_secs(13),
+            initial_retry_delay: Duration::from_millis(100),
+            max_retry_delay: Duration::from_secs(5),
+            max_unauthenticated: 32,
+            max_sessions: 64,
+            max_queued_pushes: 64,
+            schedule: None,
         }
     }
 }
 
-/// What a link is bound with.
+/// Settings of a link.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This run of this entry.
+    /// This entry's name and incarnation.
     pub identity: Identity,
-    /// Where to listen for peers.
+    /// The address on which to listen for peers.
     pub listen: SocketAddr,
-    /// The key that all entries share.
+    /// The key shared by all entries.
     pub key: Key,
-    /// Peers to connect to at first; this entry's own address among them is harmless.
+    /// Initial peers to connect to; may include this entry's own address.
     pub peers: Vec<Address>,
-    /// Times and bounds.
+    /// Timeouts and limits.
     pub limits: Limits,
 }
 
 enum Command {
     Broadcast(Arc<[Record]>),
-    Share(Arc<[Slots]>),
+    SendSlotReports(Arc<[SlotReport]>),
     Pull(oneshot::Sender<Result<Seq, Error>>),
 }
 
-/// The running link; closing or dropping it ends its thread.
+/// A running link; closing or dropping it stops its thread.
 pub struct Link {
     address: SocketAddr,
     core: Arc<Core>,
     totals: Arc<Totals>,
     commands: mpsc::Sender<Command>,
-    wanted: watch::Sender<Vec<Address>>,
+    peer_addresses: watch::Sender<Vec<Address>>,
     refresh: Arc<Notify>,
     stop: CancellationToken,
     stopped: CancellationToken,
@@ -133,47 +134,47 @@
     }
 }
 
-/// What the thread is started with; all of it may cross to the thread.
-struct Start {
+/// Arguments of the link's thread; all of them are `Send`.
+struct ThreadArgs {
     settings: Settings,
     listener: std::net::TcpListener,
     core: Arc<Core>,
     totals: Arc<Totals>,
     commands: mpsc::Receiver<Command>,
-    wanted: watch::Receiver<Vec<Address>>,
+    peer_addresses: watch::Receiver<Vec<Address>>,
     refresh: Arc<Notify>,
     stop: CancellationToken,
 }
 
 impl Link {
-    /// Listens for peers and starts to connect to them.
+    /// Listens for peers and starts connecting to them.
     ///
     /// # Errors
-    /// Where the address cannot be bound or the thread not started.
-    pub fn bind(settings: Settings, local: Arc<dyn Local>) -> io::Result<Arc<Self>> {
+    /// If the address cannot be bound or the thread cannot be started.
+    pub fn bind(settings: Settings, local: Arc<dyn LocalEntry>) -> io::Result<Arc<Self>> {
         let listener = std::net::TcpListener::bind(settings.listen)?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let runtime = Builder::new_current_thread().enable_all().build()?;
-        let (commands, received) = mpsc::channel(COMMANDS);
-        let (wanted, peers) = watch::channel(settings.peers.clone());
+        let (commands, received) = mpsc::channel(COMMAND_QUEUE);
+        let (peer_addresses, peers) = watch::channel(settings.peers.clone());
         let link = Arc::new(Self {
             address,
             core: Arc::new(Core::new(local)),
             totals: Arc::default(),
             commands,
-            wanted,
+            peer_addresses,
             refresh: Arc::default(),
             stop: CancellationToken::new(),
             stopped: CancellationToken::new(),
         });
-        let start = Start {
+        let args = ThreadArgs {
             settings,
             listener,
             core: Arc::clone(&link.core),
             totals: Arc::clone(&link.totals),
             commands: received,
-            wanted: peers,
+            peer_addresses: peers,
             refresh: Arc::clone(&link.refresh),
             stop: link.stop.clone(),
         };
@@ -182,8 +183,8 @@
             .name("peer".to_owned())
             .spawn(move || {
                 let local = LocalSet::new();
-                local.block_on(&runtime, run(start));
-                // Ends every task and closes every socket before the link counts as stopped.
+                local.block_on(&runtime, run(args));
+                // Ends all tasks and closes all sockets before the link is reported as stopped.
                 drop(local);
                 drop(runtime);
                 drop(stopped);
@@ -191,7 +192,7 @@
         Ok(link)
     }
 
-    /// Where the link listens; its port is known only now where the settings left it open.
+    /// The address on which the link listens, with the port assigned if the settings gave port 0.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -202,11 +203,11 @@
     }
 }
 
-async fn run(start: Start) {
-    let listener = match TcpListener::from_std(start.listener) {
+async fn run(args: ThreadArgs) {
+    let listener = match TcpListener::from_std(args.listener) {
         Ok(listener) => listener,
         Err(error) => {
-            log::error!(error:%; "peer port cannot be listened on");
+            log::error!(error:%; "registering the peer listener failed");
             return;
         }
     };
@@ -215,32 +216,32 @@
         key,
         limits,
         ..
-    } = start.settings;
-    let hub = Hub::new(identity, key, limits, start.core, start.totals);
+    } = args.settings;
+    let hub = Hub::new(identity, key, limits, args.core, args.totals);
     spawn_local(listen::run(Rc::clone(&hub), listener));
-    spawn_local(dial::run(Rc::clone(&hub), start.wanted));
-    let mut commands = start.commands;
+    spawn_local(dial::run(Rc::clone(&hub), args.peer_addresses));
+    let mut commands = args.commands;
     loop {
         tokio::select! {
-            () = start.stop.cancelled() => return,
-            () = start.refresh.notified() => hub.refresh(),
+            () = args.stop.cancelled() => return,
+            () = args.refresh.notified() => hub.refresh(),
             command = commands.recv() => match command {
-                Some(command) => obey(&hub, command),
+                Some(command) => execute(&hub, command),
                 None => return,
             },
         }
     }
 }
 
-fn obey(hub: &Rc<Hub>, command: Command) {
+fn execute(hub: &Rc<Hub>, command: Command) {
     match command {
         Command::Broadcast(records) => hub.broadcast(&records),
-        Command::Share(pools) => hub.share(&pools),
-        Command::Pull(answer) => {
+        Command::SendSlotReports(pools) => hub.send_slot_reports(&pools),
+        Command::Pull(reply) => {
             let hub = Rc::clone(hub);
             spawn_local(async move {
-                // The asker may have gone; the view has moved all the same.
-                let _ = answer.send(hub.pull().await);
+                // The requester may have stopped waiting; the view has advanced nevertheless.
+                let _ = reply.send(hub.pull().await);
             });
         }
     }
@@ -250,31 +251,37 @@
 impl LinkTrait for Link {
     fn broadcast(&self, records: Arc<[Record]>) {
         if self.commands.try_send(Command::Broadcast(records)).is_err() {
-            log::debug!("push left to the next exchange");
+            log::debug!("push not queued for the link thread; peers pull after the next exchange");
         }
     }
 
-    fn share(&self, pools: Arc<[Slots]>) {
-        if self.commands.try_send(Command::Share(pools)).is_err() {
-            log::debug!("what is told about slots is left to the next report");
+    fn send_slot_reports(&self, pools: Arc<[SlotReport]>) {
+        if self
+            .commands
+            .try_send(Command::SendSlotReports(pools))
+            .is_err()
+        {
+            log::debug!(
+                "slot reports not queued for the link thread; superseded by the next reports"
+            );
         }
     }
 
-    fn acknowledge(&self) {
+    fn exchange_now(&self) {
         self.refresh.notify_one();
     }
 
-    fn sightings(&self) -> Vec<Sighting> {
-        self.core.sightings()
+    fn latest_reports(&self) -> Vec<ReceivedReport> {
+        self.core.latest_reports()
     }
 
-    fn connect(&self, peers: Vec<Address>) {
-        self.wanted.send_replace(peers);
+    fn set_peers(&self, peers: Vec<Address>) {
+        self.peer_addresses.send_replace(peers);
     }
 
     async fn pull(&self) -> Result<Seq, Error> {
-        let (answer, pulled) = oneshot::channel();
-        let sent = self.commands.send(Command::Pull(answer)).await;
+        let (reply, pulled) = oneshot::channel();
+        let sent = self.commands.send(Command::Pull(reply)).await;
         match sent {
             Ok(()) => pulled.await.unwrap_or(Err(Error::Closed)),
             Err(_) => Err(Error::Closed),
--- a/crates/peer/src/rpc/session.rs
+++ b/crates/peer/src/rpc/session.rs
@@ -2,7 +2,7 @@
 
 use super::{
     codec::{
-        encode_records, fault, read_delta, read_newer, read_records, write_delta, write_newer,
+        encode_records, read_delta, read_newer, read_records, rpc_error, write_delta, write_newer,
         write_records,
     },
     hub::Hub,
@@ -10,9 +10,9 @@
     traffic::add,
 };
 use crate::{
-    Newer, Slots,
-    core::Pushed,
-    delta::{Receiver, Sender},
+    Newer, SlotReport,
+    core::ReceiveOutcome,
+    delta::{Decoder, Encoder},
     report::Identity,
 };
 use capnp::{Error, capability::Rc as ServerRc};
@@ -31,66 +31,68 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Messages about slots that wait for one peer: at five a second that is more than a call takes.
-const SHARES: usize = 16;
+/// Capacity of the slot report queue of one peer: at five messages a second, this covers more than
+/// the duration of a call.
+const SLOT_REPORT_QUEUE: usize = 16;
 
 /// Which side opened the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Direction {
-    /// The peer; it calls for exchanges.
+    /// The peer, which initiates the exchanges.
     Inbound,
-    /// This entry; it calls for exchanges.
+    /// This entry, which initiates the exchanges.
     Outbound,
 }
 
-/// The state of a session. Dropping the connection ends it; `ended` drops the connection.
+/// The state of a session. It ends when its connection is dropped; cancelling `ended` drops the
+/// connection.
 pub(super) struct Session {
     hub: Weak<Hub>,
     pub(super) peer: Identity,
     pub(super) direction: Direction,
-    sender: RefCell<Sender>,
-    receiver: RefCell<Receiver>,
+    encoder: RefCell<Encoder>,
+    decoder: RefCell<Decoder>,
     /// The newest seq that the peer is known to have.
-    known: Cell<Seq>,
-    heard: Cell<Instant>,
+    peer_seq: Cell<Seq>,
+    last_report: Cell<Instant>,
     remote: RefCell<Option<peer::Client>>,
     pushes: mpsc::Sender<Arc<[Record]>>,
-    queue: RefCell<Option<mpsc::Receiver<Arc<[Record]>>>>,
-    shares: mpsc::Sender<Arc<[Slots]>>,
-    share_queue: RefCell<Option<mpsc::Receiver<Arc<[Slots]>>>>,
-    now: Notify,
+    push_queue: RefCell<Option<mpsc::Receiver<Arc<[Record]>>>>,
+    slot_reports: mpsc::Sender<Arc<[SlotReport]>>,
+    slot_report_queue: RefCell<Option<mpsc::Receiver<Arc<[SlotReport]>>>>,
+    exchange_now: Notify,
     pub(super) ended: CancellationToken,
 }
 
-/// Waits for `call` no longer than `deadline`.
-async fn within<T>(
+/// Runs `call` with a timeout of `deadline`.
+async fn with_timeout<T>(
     deadline: Duration,
     call: impl Future<Output = Result<T, Error>>,
 ) -> Result<T, Error> {
     match time::timeout(deadline, call).await {
-        Ok(answer) => answer,
-        Err(late) => Err(fault(late)),
+        Ok(response) => response,
+        Err(late) => Err(rpc_error(late)),
     }
 }
 
 impl Session {
     pub(super) fn new(hub: &Rc<Hub>, peer: Identity, direction: Direction) -> Rc<Self> {
-        let (pushes, queue) = mpsc::channel(hub.limits.queue);
-        let (shares, share_queue) = mpsc::channel(SHARES);
+        let (pushes, queue) = mpsc::channel(hub.limits.max_queued_pushes);
+        let (slot_reports, slot_report_queue) = mpsc::channel(SLOT_REPORT_QUEUE);
         Rc::new(Self {
             hub: Rc::downgrade(hub),
-            receiver: RefCell::new(Receiver::new(peer.clone())),
+            decoder: RefCell::new(Decoder::new(peer.clone())),
             peer,
             direction,
-            sender: RefCell::default(),
-            known: Cell::default(),
-            heard: Cell::new(Instant::now()),
+            encoder: RefCell::default(),
+            peer_seq: Cell::default(),
+            last_report: Cell::new(Instant::now()),
             remote: RefCell::default(),
             pushes,
-            queue: RefCell::new(Some(queue)),
-            shares,
-            share_queue: RefCell::new(Some(share_queue)),
-            now: Notify::new(),
+            push_queue: RefCell::new(Some(queue)),
+            slot_reports,
+            slot_report_queue: RefCell::new(Some(slot_report_queue)),
+            exchange_now: Notify::new(),
             ended: CancellationToken::new(),
         })
     }
@@ -98,106 +100,106 @@
     fn hub(&self) -> Result<Rc<Hub>, Error> {
         self.hub
             .upgrade()
-            .ok_or_else(|| fault("the link is closed"))
+            .ok_or_else(|| rpc_error("the link is closed"))
     }
 
     fn remote(&self) -> Result<peer::Client, Error> {
         let remote = self.remote.borrow().clone();
-        remote.ok_or_else(|| fault("the session is not attached"))
+        remote.ok_or_else(|| rpc_error("the session is not attached"))
     }
 
-    /// What the peer may call.
-    pub(super) fn offer(self: &Rc<Self>) -> peer::Client {
-        capnp_rpc::new_client(Offer(Rc::clone(self)))
+    /// The capability that the peer may call.
+    pub(super) fn capability(self: &Rc<Self>) -> peer::Client {
+        capnp_rpc::new_client(SessionServer(Rc::clone(self)))
     }
 
-    /// Lets go of the peer's capability, which holds the connection.
+    /// Ends the session and releases the peer's capability, which keeps the connection open.
     pub(super) fn end(&self) {
         self.ended.cancel();
         self.remote.borrow_mut().take();
     }
 
-    /// Queues `records` unless the peer has them or its queue is full; the next exchange shows a
-    /// peer that missed some, and it pulls.
-    pub(super) fn queue(&self, records: &Arc<[Record]>) {
+    /// Queues `records` unless the peer has them or its queue is full; a peer that misses records
+    /// learns of it in the next exchange and pulls them.
+    pub(super) fn queue_records(&self, records: &Arc<[Record]>) {
         let has = records
             .last()
-            .is_none_or(|last| last.seq <= self.known.get());
+            .is_none_or(|last| last.seq <= self.peer_seq.get());
         if !has && self.pushes.try_send(Arc::clone(records)).is_err() {
-            log::debug!(peer:% = self.peer.entry; "push left to the next exchange");
+            log::debug!(peer:% = self.peer.entry; "push not queued; peer pulls after the next exchange");
         }
     }
 
-    /// Queues what is told about slots, unless the peer is too slow to take it.
-    pub(super) fn queue_slots(&self, pools: &Arc<[Slots]>) {
-        if self.shares.try_send(Arc::clone(pools)).is_err() {
-            log::debug!(peer:% = self.peer.entry; "what is told about slots is left out");
+    /// Queues slot reports, unless the queue of a slow peer is full.
+    pub(super) fn queue_slot_reports(&self, pools: &Arc<[SlotReport]>) {
+        if self.slot_reports.try_send(Arc::clone(pools)).is_err() {
+            log::debug!(peer:% = self.peer.entry; "slot reports not queued for peer");
         }
     }
 
-    /// Sends what is told about slots, in order, until a call fails or the session ends.
-    pub(super) async fn run_shares(self: &Rc<Self>) -> Result<(), Error> {
-        let queue = self.share_queue.borrow_mut().take();
-        let mut queue = queue.ok_or_else(|| fault("the session already runs"))?;
+    /// Sends queued slot reports, in order, until a call fails or the session ends.
+    pub(super) async fn run_slot_reports(self: &Rc<Self>) -> Result<(), Error> {
+        let queue = self.slot_report_queue.borrow_mut().take();
+        let mut queue = queue.ok_or_else(|| rpc_error("the session already runs"))?;
         while let Some(pools) = queue.recv().await {
             let hub = self.hub()?;
             let mut request = self.remote()?.share_request();
-            let len = u32::try_from(pools.len()).map_err(fault)?;
+            let len = u32::try_from(pools.len()).map_err(rpc_error)?;
             write_slots(request.get().init_pools(len), &pools)?;
             let call = request.send().promise;
-            within(hub.limits.call, async { call.await.map(drop) }).await?;
-            add(&hub.totals.shares, 1);
+            with_timeout(hub.limits.call_timeout, async { call.await.map(drop) }).await?;
+            add(&hub.totals.slot_messages, 1);
         }
         Ok(())
     }
 
-    /// Brings the next exchange forward.
+    /// Triggers an immediate exchange.
     pub(super) fn refresh(self: &Rc<Self>) {
         match self.direction {
-            Direction::Outbound => self.now.notify_one(),
+            Direction::Outbound => self.exchange_now.notify_one(),
             Direction::Inbound => {
                 let session = Rc::clone(self);
                 spawn_local(async move {
                     let hub = session.hub()?;
                     let call = session.remote()?.refresh_request().send().promise;
-                    within(hub.limits.call, async { call.await.map(drop) }).await
+                    with_timeout(hub.limits.call_timeout, async { call.await.map(drop) }).await
                 });
             }
         }
     }
 
-    fn knows(&self, seq: Seq) {
-        self.known.set(self.known.get().max(seq));
+    fn note_peer_seq(&self, seq: Seq) {
+        self.peer_seq.set(self.peer_seq.get().max(seq));
     }
 
-    /// Opens the caller's side on the peer's offer.
+    /// Attaches this side of the session to the peer's capability.
     pub(super) async fn attach(self: &Rc<Self>, remote: peer::Client) -> Result<(), Error> {
         let hub = self.hub()?;
         let mut request = remote.attach_request();
-        request.get().set_back(self.offer());
+        request.get().set_back(self.capability());
         let call = request.send().promise;
-        within(hub.limits.call, async { call.await.map(drop) }).await?;
+        with_timeout(hub.limits.call_timeout, async { call.await.map(drop) }).await?;
         *self.remote.borrow_mut() = Some(remote);
         Ok(())
     }
 
-    /// Exchanges reports at the pace until a call fails or the session ends.
+    /// Exchanges reports at the scheduled interval until a call fails or the session ends.
     pub(super) async fn run_exchanges(self: &Rc<Self>) -> Result<(), Error> {
         loop {
             let interval = {
                 let hub = self.hub()?;
-                if hub.is_served_by(&self.peer.entry) {
+                if hub.has_preferred_inbound(&self.peer.entry) {
                     return Ok(());
                 }
-                within(hub.limits.call, self.exchange(&hub)).await?;
-                // Jitter keeps the exchanges of all pairs from falling into step.
-                hub.pace()
+                with_timeout(hub.limits.call_timeout, self.exchange(&hub)).await?;
+                // Jitter prevents the exchanges of all pairs from synchronizing.
+                hub.schedule()
                     .interval
                     .mul_f64(0.9 + rand::random::<f64>() / 5.0)
             };
             tokio::select! {
                 () = time::sleep(interval) => {}
-                () = self.now.notified() => {}
+                () = self.exchange_now.notified() => {}
             }
         }
     }
@@ -205,67 +207,73 @@
     async fn exchange(self: &Rc<Self>, hub: &Hub) -> Result<(), Error> {
         let mut request = self.remote()?.exchange_request();
         let report = hub.core.own_report();
-        let delta = self.sender.borrow_mut().next(&report, hub.pace().loads);
+        let delta = self
+            .encoder
+            .borrow_mut()
+            .encode(&report, hub.schedule().max_loads);
         write_delta(request.get().init_report(), &delta)?;
-        let answer = request.send().promise.await?;
-        let delta = read_delta(answer.get()?.get_report()?)?;
-        self.take_delta(delta)?;
+        let response = request.send().promise.await?;
+        let delta = read_delta(response.get()?.get_report()?)?;
+        self.receive_delta(delta)?;
         add(&hub.totals.exchanges, 1);
         Ok(())
     }
 
-    fn take_delta(self: &Rc<Self>, delta: crate::delta::Delta) -> Result<(), Error> {
+    fn receive_delta(self: &Rc<Self>, delta: crate::delta::Delta) -> Result<(), Error> {
         let hub = self.hub()?;
-        let mut receiver = self.receiver.borrow_mut();
-        let report = receiver.apply(delta).map_err(fault)?;
-        self.knows(report.seq);
-        self.heard.set(Instant::now());
-        if hub.core.take_report(report) {
-            spawn_local(Rc::clone(self).pull_once());
+        let mut decoder = self.decoder.borrow_mut();
+        let report = decoder.apply(delta).map_err(rpc_error)?;
+        self.note_peer_seq(report.seq);
+        self.last_report.set(Instant::now());
+        if hub.core.handle_report(report) {
+            spawn_local(Rc::clone(self).pull_if_idle());
         }
         Ok(())
     }
 
-    /// Pushes what is queued until a call fails or the session ends.
+    /// Sends queued pushes until a call fails or the session ends.
     pub(super) async fn run_pushes(self: &Rc<Self>) -> Result<(), Error> {
-        let queue = self.queue.borrow_mut().take();
-        let mut queue = queue.ok_or_else(|| fault("the session already runs"))?;
+        let queue = self.push_queue.borrow_mut().take();
+        let mut queue = queue.ok_or_else(|| rpc_error("the session already runs"))?;
         while let Some(records) = queue.recv().await {
             let hub = self.hub()?;
             if records
                 .last()
-                .is_none_or(|last| last.seq <= self.known.get())
+                .is_none_or(|last| last.seq <= self.peer_seq.get())
             {
                 continue;
             }
             let encoded = encode_records(&records, usize::MAX)?;
             let mut request = self.remote()?.push_request();
-            let len = u32::try_from(encoded.len()).map_err(fault)?;
+            let len = u32::try_from(encoded.len()).map_err(rpc_error)?;
             write_records(request.get().init_records(len), &encoded);
             let call = request.send().promise;
-            let seq = within(hub.limits.call, async { Ok(call.await?.get()?.get_seq()) }).await?;
-            self.knows(Seq(seq));
+            let seq = with_timeout(hub.limits.call_timeout, async {
+                Ok(call.await?.get()?.get_seq())
+            })
+            .await?;
+            self.note_peer_seq(Seq(seq));
             add(&hub.totals.pushes, 1);
         }
         Ok(())
     }
 
-    /// Returns once the peer has been silent for too long.
+    /// Returns once the peer has sent no report for too long.
     ///
-    /// A half-open connection, whose peer vanished without a word, accepts what is sent until TCP
-    /// gives up after many minutes. Missing reports end it within seconds.
-    pub(super) async fn run_watch(&self) -> Result<(), Error> {
+    /// A half-open connection, whose peer disappeared without closing it, accepts data until TCP
+    /// times out after many minutes. Missing reports end the session within seconds.
+    pub(super) async fn run_report_watchdog(&self) -> Result<(), Error> {
         loop {
-            let deadline = self.heard.get() + self.hub()?.limits.silent;
+            let deadline = self.last_report.get() + self.hub()?.limits.unresponsive_after;
             if Instant::now() >= deadline {
-                return Err(fault("the peer sends no reports"));
+                return Err(rpc_error("no report from the peer within the time limit"));
             }
             time::sleep_until(deadline).await;
         }
     }
 
-    /// Pulls unless another pull is under way: one answer to 27 peers that are ahead is enough.
-    async fn pull_once(self: Rc<Self>) {
+    /// Pulls unless another pull is in progress: with 27 peers ahead, one pull is enough.
+    async fn pull_if_idle(self: Rc<Self>) {
         let Ok(hub) = self.hub() else {
             return;
         };
@@ -279,26 +287,26 @@
         }
     }
 
-    /// Pulls what the peer has beyond the seq in force.
+    /// Pulls what the peer has beyond the applied seq.
     pub(super) async fn pull(&self, hub: &Hub) -> Result<Seq, Error> {
         let mut request = self.remote()?.pull_request();
         request.get().set_after(hub.core.seq().0);
         let call = request.send().promise;
         let newer = async { read_newer(call.await?.get()?.get_newer()?) };
-        let newer = within(hub.limits.pull, newer).await?;
+        let newer = with_timeout(hub.limits.pull_timeout, newer).await?;
         match &newer {
             Newer::Nothing => {}
             Newer::Records(_) => add(&hub.totals.record_pulls, 1),
             Newer::Snapshot(_) => add(&hub.totals.snapshot_pulls, 1),
         }
-        Ok(hub.core.take_newer(newer))
+        Ok(hub.core.handle_newer(newer))
     }
 }
 
-/// The session as the peer may call it.
-struct Offer(Rc<Session>);
+/// The server side of a session, called by the peer.
+struct SessionServer(Rc<Session>);
 
-impl peer::Server for Offer {
+impl peer::Server for SessionServer {
     async fn attach(
         self: ServerRc<Self>,
         params: peer::AttachParams,
@@ -318,12 +326,15 @@
         let session = &self.0;
         let hub = session.hub()?;
         let delta = read_delta(params.get()?.get_report()?)?;
-        if let Err(error) = session.take_delta(delta) {
+        if let Err(error) = session.receive_delta(delta) {
             session.end();
             return Err(error);
         }
         let report = hub.core.own_report();
-        let delta = session.sender.borrow_mut().next(&report, hub.pace().loads);
+        let delta = session
+            .encoder
+            .borrow_mut()
+            .encode(&report, hub.schedule().max_loads);
         write_delta(results.get().init_report(), &delta)
     }
 
@@ -336,12 +347,12 @@
         let hub = session.hub()?;
         let records = read_records(params.get()?.get_records()?)?;
         if let Some(last) = records.last() {
-            session.knows(last.seq);
+            session.note_peer_seq(last.seq);
         }
-        let seq = match hub.core.take_records(records) {
-            Pushed::InForce(seq) => seq,
-            Pushed::Gap(seq) => {
-                spawn_local(Rc::clone(session).pull_once());
+        let seq = match hub.core.handle_records(records) {
+            ReceiveOutcome::Applied(seq) => seq,
+            ReceiveOutcome::Gap(seq) => {
+                spawn_local(Rc::clone(session).pull_if_idle());
                 seq
             }
         };
@@ -355,7 +366,7 @@
         mut results: peer::PullResults,
     ) -> Result<(), Error> {
         let hub = self.0.hub()?;
-        let newer = hub.core.newer(Seq(params.get()?.get_after()));
+        let newer = hub.core.newer_than(Seq(params.get()?.get_after()));
         write_newer(results.get().init_newer(), &newer)
     }
 
@@ -366,7 +377,10 @@
     ) -> Result<(), Error> {
         let session = &self.0;
         let pools = read_slots(&session.peer.entry, params.get()?.get_pools()?)?;
-        session.hub()?.core.take_slots(&session.peer.entry, pools);
+        session
+            .hub()?
+            .core
+            .handle_slot_reports(&session.peer.entry, pools);
         Ok(())
     }
 
@@ -375,12 +389,12 @@
         _params: peer::RefreshParams,
         _results: peer::RefreshResults,
     ) -> Result<(), Error> {
-        self.0.now.notify_one();
+        self.0.exchange_now.notify_one();
         Ok(())
     }
 }
 
-/// Stands where an entry reached itself and there is no peer to call.
-pub(super) struct Nobody;
+/// Placeholder capability if an entry connected to itself and there is no peer to call.
+pub(super) struct UnavailablePeer;
 
-impl peer::Server for Nobody {}
+impl peer::Server for UnavailablePeer {}
--- a/crates/peer/tests/all/cost.rs
+++ b/crates/peer/tests/all/cost.rs
@@ -1,54 +1,55 @@
-//! What reports cost a node: bytes and messages, counted, at several sizes.
+//! Traffic that reports cause on a node, in bytes and messages, at several sizes.
 //!
-//! One node exchanges with all of its peers, round by round, on links whose own timers are an hour
-//! away. A round stands for one interval of the pace; every load changes in every round, which is
-//! the worst case. Counts depend on no clock.
+//! One node exchanges reports with all of its peers, round by round, on links whose own timers are
+//! set to an hour. A round represents one exchange interval; every load changes in every round, which
+//! is the worst case. Counts do not depend on any clock.
 
 use crate::{
     cases,
     fake::{Entry, identity, instance},
-    node::{Node, settings, until},
+    node::{Node, settings, wait_until},
 };
 use primroseroute_domain::change::Seq;
 use primroseroute_peer::{
     Link as _,
-    pace::{self, BYTES_PER_SECOND, EXCHANGE_BYTES, Pace},
     report::{Drain, Load, Report},
+    schedule::{self, EXCHANGE_BYTES, ExchangeSchedule, MAX_BYTES_PER_SECOND},
 };
 use std::time::Duration;
 
-/// Rounds that are counted.
-const ROUNDS: u16 = 10;
+/// Number of measured rounds.
+const MEASURED_ROUNDS: u16 = 10;
 
-/// Rounds after which every instance has been named at every size here.
-const NAMING: u16 = 130;
+/// Rounds after which every instance has been named, at every size tested here.
+const NAMING_ROUNDS: u16 = 130;
 
-/// Rounds after which every last change has been sent at every size here.
-const SETTLING: u16 = 30;
+/// Rounds after which every pending change has been sent, at every size tested here.
+const SETTLING_ROUNDS: u16 = 30;
 
-/// Control of one node, by the users' letter; the rest is for pushes, pulls and the store.
-const LETTER: u64 = 14_000;
+/// Required limit of one node's control traffic in bytes per second, which also covers pushes, pulls
+/// and the store.
+const REQUIRED_BYTES_PER_SECOND: u64 = 14_000;
 
-/// Bytes of the protocol that one node sends and receives in a second.
+/// Bytes that one node sends and receives per second, without TCP and IP headers.
 #[derive(Debug)]
 struct Cost {
     /// While the instances are named for the first time.
     naming: u64,
-    /// While every load changes all the time.
+    /// While every load changes in every round.
     busy: u64,
     /// While nothing changes.
-    rest: u64,
+    idle: u64,
 }
 
-/// The node with the lowest name, which dials all others.
+/// A group of nodes; the first has the lowest name and connects to all others.
 struct Bench {
     nodes: Vec<Node>,
-    pace: Pace,
+    schedule: ExchangeSchedule,
 }
 
 impl Bench {
     async fn open(entries: usize) -> Self {
-        let pace = pace::choose(entries - 1);
+        let schedule = schedule::for_peers(entries - 1);
         let mut nodes = Vec::new();
         for index in (0..entries).rev() {
             let identity = identity(&format!("entry-{index:02}"), 1);
@@ -57,20 +58,20 @@
                 .map(|node: &Node| node.link.address())
                 .collect();
             let known: &[_] = if index == 0 { &peers } else { &[] };
-            let mut hourly = settings(identity.clone(), known);
-            hourly.limits.silent = Duration::from_secs(7200);
-            hourly.limits.pace = Some(Pace {
+            let mut slow = settings(identity.clone(), known);
+            slow.limits.unresponsive_after = Duration::from_secs(7200);
+            slow.limits.schedule = Some(ExchangeSchedule {
                 interval: Duration::from_secs(3600),
-                ..pace
+                ..schedule
             });
-            nodes.push(Node::bind(Entry::open(identity), hourly));
+            nodes.push(Node::bind(Entry::open(identity), slow));
         }
         nodes.reverse();
-        nodes[0].hears(entries - 1).await;
-        Self { nodes, pace }
+        nodes[0].wait_for_reports(entries - 1).await;
+        Self { nodes, schedule }
     }
 
-    /// Sets reports with a load on each instance, other than the round before, and three drains.
+    /// Sets reports with a load on each instance that differs from the previous round, and three drains.
     fn load(&self, instances: usize, round: u16) {
         for node in &self.nodes {
             let mut report = Report::new(node.entry.identity.clone());
@@ -95,11 +96,11 @@
     async fn round(&self) {
         let peers = u64::try_from(self.nodes.len() - 1).unwrap();
         let before = self.nodes[0].link.traffic().exchanges;
-        self.nodes[0].link.acknowledge();
-        until(|| self.nodes[0].link.traffic().exchanges == before + peers).await;
+        self.nodes[0].link.exchange_now();
+        wait_until(|| self.nodes[0].link.traffic().exchanges == before + peers).await;
     }
 
-    /// Bytes a second over some rounds.
+    /// Measures the bytes per second over several rounds.
     async fn rate(&self, rounds: u16, before_round: impl Fn(u16)) -> u64 {
         let bytes = || {
             let traffic = self.nodes[0].link.traffic();
@@ -110,62 +111,62 @@
             before_round(round);
             self.round().await;
         }
-        (bytes() - before) / u64::from(rounds) / self.pace.interval.as_secs()
+        (bytes() - before) / u64::from(rounds) / self.schedule.interval.as_secs()
     }
 }
 
 async fn measure(entries: usize, instances: usize) -> Cost {
     let bench = Bench::open(entries).await;
     let naming = bench
-        .rate(ROUNDS, |round| bench.load(instances, round))
+        .rate(MEASURED_ROUNDS, |round| bench.load(instances, round))
         .await;
-    for round in 0..NAMING {
+    for round in 0..NAMING_ROUNDS {
         bench.load(instances, round);
         bench.round().await;
     }
     let busy = bench
-        .rate(ROUNDS, |round| bench.load(instances, 1000 + round))
+        .rate(MEASURED_ROUNDS, |round| bench.load(instances, 1000 + round))
         .await;
-    for _ in 0..SETTLING {
+    for _ in 0..SETTLING_ROUNDS {
         bench.round().await;
     }
-    let rest = bench.rate(ROUNDS, |_| {}).await;
-    Cost { naming, busy, rest }
+    let idle = bench.rate(MEASURED_ROUNDS, |_| {}).await;
+    Cost { naming, busy, idle }
 }
 
-/// 28 entries and 1,200 instances, every load changing all the time, must stay in the letter's
-/// budget, and so must every smaller size: the cap is by design and not by luck.
+/// 28 entries and 1,200 instances, with every load changing in every round, must stay within the
+/// required budget, and so must every smaller size.
 async fn within_budget(entries: usize, instances: usize) {
     let cost = measure(entries, instances).await;
     println!("{entries} entries, {instances} instances: {cost:?}");
-    let budget = u64::try_from(BYTES_PER_SECOND).unwrap();
-    assert!(budget < LETTER);
+    let budget = u64::try_from(MAX_BYTES_PER_SECOND).unwrap();
+    assert!(budget < REQUIRED_BYTES_PER_SECOND);
     assert!(cost.naming <= budget, "{cost:?}");
     assert!(cost.busy <= budget, "{cost:?}");
     let peers = u64::try_from(entries - 1).unwrap();
     let empty = u64::try_from(EXCHANGE_BYTES).unwrap() * peers;
-    let seconds = pace::choose(entries - 1).interval.as_secs();
-    assert!(cost.rest <= empty / seconds, "{cost:?}");
+    let seconds = schedule::for_peers(entries - 1).interval.as_secs();
+    assert!(cost.idle <= empty / seconds, "{cost:?}");
 }
 
-/// The pace alone, at every number of peers up to far more than are planned.
-fn pace_is_capped() {
+/// The schedule alone, for every number of peers up to far more than planned.
+fn schedule_is_capped() {
     for peers in 1..=200 {
-        let pace = pace::choose(peers);
-        let exchange = EXCHANGE_BYTES + 2 * pace.loads * pace::LOAD_BYTES;
-        let seconds = usize::try_from(pace.interval.as_secs()).unwrap();
+        let schedule = schedule::for_peers(peers);
+        let exchange = EXCHANGE_BYTES + 2 * schedule.max_loads * schedule::LOAD_BYTES;
+        let seconds = usize::try_from(schedule.interval.as_secs()).unwrap();
         assert!(
-            peers * exchange <= BYTES_PER_SECOND * seconds,
+            peers * exchange <= MAX_BYTES_PER_SECOND * seconds,
             "{peers} peers"
         );
-        assert!(pace.loads > 8, "{peers} peers");
+        assert!(schedule.max_loads > 8, "{peers} peers");
     }
-    let seconds = [2, 6, 13, 27].map(|peers| pace::choose(peers).interval.as_secs());
+    let seconds = [2, 6, 13, 27].map(|peers| schedule::for_peers(peers).interval.as_secs());
     assert_eq!(seconds, [1, 1, 2, 4]);
 }
 
 cases! {
-    pace_keeps_the_budget_at_any_size => pace_is_capped();
+    schedule_stays_within_budget_at_any_size => schedule_is_capped();
 }
 
 macro_rules! sizes {
--- a/crates/peer/tests/all/fake.rs
+++ b/crates/peer/tests/all/fake.rs
@@ -1,4 +1,4 @@
-//! A small entry: a view that moves forward over records, and what came to it.
+//! A fake entry: a view that advances by records, and the messages it received.
 
 use parking_lot::Mutex;
 use primroseroute_domain::{
@@ -6,16 +6,16 @@
     id,
     time::Instant,
 };
-use primroseroute_flow::report::{Report as SlotReport, Seen};
+use primroseroute_flow::report::{Report as FlowReport, Seen};
 use primroseroute_peer::{
-    Local, Row, Slots, Snapshot,
+    LocalEntry, Row, SlotReport, Snapshot,
     report::{Identity, Report},
 };
 use std::{collections::BTreeMap, sync::Arc};
 use uuid::Uuid;
 
-/// Records that an entry keeps for peers that are behind; older ones take a snapshot.
-pub const KEPT: u64 = 100;
+/// Number of records that an entry retains for peers that are behind; others need a snapshot.
+pub const RETAINED_RECORDS: u64 = 100;
 
 pub fn entry(name: &str) -> id::Entry {
     name.parse().unwrap()
@@ -25,7 +25,7 @@
     format!("bole-hall-worker-{number:04}").parse().unwrap()
 }
 
-/// An incarnation that is the same in every run.
+/// An identity with a deterministic incarnation.
 pub fn identity(name: &str, incarnation: u128) -> Identity {
     Identity {
         entry: entry(name),
@@ -48,11 +48,11 @@
     }
 }
 
-/// What the entry `name` tells about a pool: its demand, loans and what it has seen.
-pub fn slots(name: &str, number: u64) -> Slots {
-    Slots {
+/// A slot report of the entry `name` on a pool: its demand, its loans and the reports it has seen.
+pub fn slots(name: &str, number: u64) -> SlotReport {
+    SlotReport {
         pool: "stay".parse().unwrap(),
-        report: SlotReport {
+        report: FlowReport {
             entry: entry(name),
             incarnation: u64::MAX,
             seq: number,
@@ -79,14 +79,14 @@
 pub struct State {
     pub seq: Seq,
     pub rows: BTreeMap<Arc<str>, Arc<str>>,
-    pub kept: Vec<Record>,
-    pub numbers: u64,
+    pub retained: Vec<Record>,
+    pub reports_created: u64,
     pub report: Option<Report>,
-    /// What peers told about slots, in the order in which it came.
-    pub slots: Vec<(id::Entry, Slots)>,
-    /// Every seq that came into force, in order.
+    /// Received slot reports, in order of arrival.
+    pub slots: Vec<(id::Entry, SlotReport)>,
+    /// Every applied seq, in order.
     pub history: Vec<Seq>,
-    pub heard: Vec<Report>,
+    pub received_reports: Vec<Report>,
     pub snapshots: u32,
 }
 
@@ -104,20 +104,20 @@
         })
     }
 
-    /// An entry with every change up to `seq` in force.
+    /// An entry that has applied every change up to `seq`.
     pub fn at(identity: Identity, seq: u64) -> Arc<Self> {
         let entry = Self::open(identity);
-        entry.accept(records(1, seq));
+        entry.apply_records(records(1, seq));
         entry
     }
 
-    /// What every entry must have in force after the changes up to `seq`: the naive replay.
+    /// Reference implementation: the rows that every entry must have after the changes up to `seq`.
     pub fn rows_at(seq: u64) -> BTreeMap<Arc<str>, Arc<str>> {
         let edits = records(1, seq).into_iter().flat_map(|record| record.edits);
         edits.map(|edit| (edit.key, edit.after.unwrap())).collect()
     }
 
-    /// Asserts that `seq` is in force, whole, and that no lower seq ever followed a higher one.
+    /// Asserts that `seq` is applied completely, and that no lower seq ever followed a higher one.
     pub fn assert_at(&self, seq: u64) {
         let state = self.state.lock();
         assert_eq!(state.seq, Seq(seq), "{:?}", self.identity.entry);
@@ -126,15 +126,15 @@
     }
 }
 
-impl Local for Entry {
+impl LocalEntry for Entry {
     fn seq(&self) -> Seq {
         self.state.lock().seq
     }
 
     fn records_after(&self, seq: Seq) -> Option<Vec<Record>> {
         let state = self.state.lock();
-        let kept = state.kept.iter().filter(|record| record.seq > seq);
-        let found: Vec<_> = kept.cloned().collect();
+        let retained = state.retained.iter().filter(|record| record.seq > seq);
+        let found: Vec<_> = retained.cloned().collect();
         (found.first()?.seq == seq.next()).then_some(found)
     }
 
@@ -150,15 +150,15 @@
         }
     }
 
-    fn accept_slots(&self, peer: &id::Entry, pools: Vec<Slots>) {
+    fn receive_slot_reports(&self, peer: &id::Entry, pools: Vec<SlotReport>) {
         let mut state = self.state.lock();
         state
             .slots
             .extend(pools.into_iter().map(|slots| (peer.clone(), slots)));
     }
 
-    /// Without a guard of its own, on purpose: the link alone must keep the view from going back.
-    fn accept(&self, records: Vec<Record>) -> Seq {
+    /// Intentionally without a check: the link alone must prevent the view from moving backwards.
+    fn apply_records(&self, records: Vec<Record>) -> Seq {
         let mut state = self.state.lock();
         for record in records {
             for edit in &record.edits {
@@ -167,14 +167,14 @@
             }
             state.seq = record.seq;
             state.history.push(record.seq);
-            state.kept.push(record);
+            state.retained.push(record);
         }
-        let oldest = state.seq.0.saturating_sub(KEPT);
-        state.kept.retain(|record| record.seq.0 > oldest);
+        let oldest = state.seq.0.saturating_sub(RETAINED_RECORDS);
+        state.retained.retain(|record| record.seq.0 > oldest);
         state.seq
     }
 
-    fn accept_snapshot(&self, snapshot: Snapshot) -> Seq {
+    fn apply_snapshot(&self, snapshot: Snapshot) -> Seq {
         let mut state = self.state.lock();
         state.seq = snapshot.seq;
         state.history.push(snapshot.seq);
@@ -183,25 +183,25 @@
             .into_iter()
             .map(|row| (row.key, row.json))
             .collect();
-        state.kept.clear();
+        state.retained.clear();
         state.snapshots += 1;
         state.seq
     }
 
     fn own_report(&self) -> Report {
         let mut state = self.state.lock();
-        state.numbers += 1;
+        state.reports_created += 1;
         let mut report = state
             .report
             .clone()
             .unwrap_or_else(|| Report::new(self.identity.clone()));
-        report.number = state.numbers;
+        report.number = state.reports_created;
         report.seq = state.seq;
         report
     }
 
-    fn accept_report(&self, peer: &id::Entry, report: &Report) {
+    fn receive_report(&self, peer: &id::Entry, report: &Report) {
         assert_eq!(*peer, report.from.entry);
-        self.state.lock().heard.push(report.clone());
+        self.state.lock().received_reports.push(report.clone());
     }
 }
--- a/crates/peer/tests/all/node.rs
+++ b/crates/peer/tests/all/node.rs
@@ -1,10 +1,10 @@
-//! A small entry with its link over loopback, and a caller that speaks the protocol by hand.
+//! A fake entry with its link over loopback, and a client that uses the protocol directly.
 
 use crate::fake::{Entry, identity, record};
 use capnp::{capability::Rc as ServerRc, message::ReaderOptions};
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp::Side, twoparty::VatNetwork};
 use primroseroute_peer::{
-    Address, Link as _, Local as _,
+    Address, Link as _, LocalEntry as _,
     proof::{Key, Nonce, Side as ProofSide, Statement},
     report::Identity,
     rpc::{Limits, Link, Settings},
@@ -18,8 +18,8 @@
 };
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
-/// Far longer than anything here takes; only a fault reaches it.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// Far longer than any step takes; reached only on failure.
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A deadline that no test reaches.
 pub const HOUR: Duration = Duration::from_secs(3600);
@@ -61,43 +61,43 @@
         Self::bind(Entry::open(identity.clone()), settings(identity, &peers))
     }
 
-    /// Waits until this entry has heard of `count` peers.
-    pub async fn hears(&self, count: usize) {
-        until(|| self.link.sightings().len() == count).await;
+    /// Waits until this entry has reports from `count` peers.
+    pub async fn wait_for_reports(&self, count: usize) {
+        wait_until(|| self.link.latest_reports().len() == count).await;
     }
 
-    pub async fn reaches(&self, seq: u64) {
-        until(|| self.entry.state.lock().seq.0 >= seq).await;
+    pub async fn wait_for_seq(&self, seq: u64) {
+        wait_until(|| self.entry.state.lock().seq.0 >= seq).await;
         self.entry.assert_at(seq);
     }
 }
 
 /// `node` learns the change `seq` from the store and pushes it.
 pub fn learn(node: &Node, seq: u64) {
-    node.entry.accept(vec![record(seq)]);
+    node.entry.apply_records(vec![record(seq)]);
     node.link.broadcast([record(seq)].into());
 }
 
-/// Waits until `done`; the order of events decides the verdict and never how long they take.
-pub async fn until(done: impl Fn() -> bool) {
+/// Waits until `done` is true. The result depends on the order of events, not on their duration.
+pub async fn wait_until(done: impl Fn() -> bool) {
     let wait = async {
         while !done() {
             time::sleep(Duration::from_millis(2)).await;
         }
     };
-    time::timeout(PATIENCE, wait)
+    time::timeout(STEP_TIMEOUT, wait)
         .await
-        .expect("the condition never came about");
+        .expect("the condition was not met in time");
 }
 
-/// A connection by hand; `system` ends when the other side hangs up.
+/// A client connection; `system` ends when the other side closes it.
 pub struct Caller {
     pub gate: gate::Client,
     pub system: JoinHandle<Result<(), capnp::Error>>,
 }
 
 impl Caller {
-    /// Must run inside a `LocalSet`.
+    /// Must run within a `LocalSet`.
     pub async fn connect(to: SocketAddr) -> Self {
         let stream = TcpStream::connect(to).await.unwrap();
         let (read, write) = tokio::io::split(stream);
@@ -113,7 +113,7 @@
 
     pub async fn challenge(&self) -> Nonce {
         let answer = self.gate.challenge_request().send().promise.await.unwrap();
-        Nonce::received(answer.get().unwrap().get_nonce().unwrap()).unwrap()
+        Nonce::from_bytes(answer.get().unwrap().get_nonce().unwrap()).unwrap()
     }
 
     pub async fn enter(
@@ -143,14 +143,14 @@
         peer
     }
 
-    /// Waits until the other side hangs up.
-    pub async fn hung_up(self) {
-        let ended = time::timeout(PATIENCE, self.system).await;
+    /// Waits until the other side closes the connection.
+    pub async fn wait_closed(self) {
+        let ended = time::timeout(STEP_TIMEOUT, self.system).await;
         let _ = ended.expect("the connection stays open").unwrap();
     }
 }
 
-/// The right proof of `identity` for the callee's nonce, and the nonce that it was made with.
+/// A valid proof of `identity` for the callee's nonce, and the caller's nonce that it covers.
 pub fn proof(identity: &Identity, callee: Nonce) -> (Nonce, [u8; 32]) {
     let own = Nonce([9; 16]);
     let statement = Statement {
@@ -162,7 +162,7 @@
     (own, statement.prove(&key(1)))
 }
 
-/// Lets every caller in, with a proof that is none, and counts the calls to what it offers.
+/// Accepts every caller, with an invalid proof, and counts the calls to its capability.
 pub struct Impostor {
     pub calls: Rc<Cell<u32>>,
 }
@@ -188,16 +188,16 @@
         callee.set_entry("z");
         callee.set_incarnation(&[5; 16]);
         let calls = Rc::clone(&self.calls);
-        results.set_peer(capnp_rpc::new_client(Curious { calls }));
+        results.set_peer(capnp_rpc::new_client(CountingPeer { calls }));
         Ok(())
     }
 }
 
-struct Curious {
+struct CountingPeer {
     calls: Rc<Cell<u32>>,
 }
 
-impl peer::Server for Curious {
+impl peer::Server for CountingPeer {
     async fn attach(
         self: ServerRc<Self>,
         _params: peer::AttachParams,
@@ -208,13 +208,13 @@
     }
 }
 
-/// Serves `gate` on one connection until the other side hangs up.
+/// Serves `gate` on one connection until the other side closes it.
 pub async fn serve(stream: TcpStream, gate: Impostor) {
     let (read, write) = tokio::io::split(stream);
     let options = ReaderOptions::new();
     let network = VatNetwork::new(read.compat(), write.compat_write(), Side::Server, options);
     let gate: gate::Client = capnp_rpc::new_client(gate);
     let system = RpcSystem::new(Box::new(network), Some(gate.client));
-    let ended = time::timeout(PATIENCE, system).await;
+    let ended = time::timeout(STEP_TIMEOUT, system).await;
     let _ = ended.expect("the connection stays open");
 }
--- a/crates/peer/tests/all/proof.rs
+++ b/crates/peer/tests/all/proof.rs
@@ -1,8 +1,8 @@
-//! The challenge and response.
+//! Challenge-response authentication.
 
 use crate::{cases, fake::identity};
 use expect_test::expect;
-use primroseroute_peer::proof::{Key, Nonce, Side, Statement, TooShort};
+use primroseroute_peer::proof::{Key, KeyTooShort, Nonce, Side, Statement};
 
 fn hex(bytes: &[u8]) -> String {
     bytes
@@ -21,8 +21,8 @@
     ));
 }
 
-/// An attacker holds a recorded proof and tries it for anything but what it was made for: another
-/// nonce, another name, another incarnation, the other direction. None may hold.
+/// An attacker uses a recorded proof for a different statement: another nonce, another name, another
+/// incarnation, the other direction. None may verify.
 fn covers() {
     let key = Key::new(&[7; 32]).unwrap();
     let (a, b) = (identity("a", 1), identity("b", 1));
@@ -34,7 +34,7 @@
         identity: &a,
     };
     let proof = statement.prove(&key);
-    assert!(statement.holds(&key, &proof));
+    assert!(statement.verify(&key, &proof));
     let others = [
         Statement {
             side: Side::Callee,
@@ -58,20 +58,20 @@
         },
     ];
     for other in others {
-        assert!(!other.holds(&key, &proof), "{other:?}");
+        assert!(!other.verify(&key, &proof), "{other:?}");
     }
-    let wrong = Key::new(&[8; 32]).unwrap();
-    assert!(!statement.holds(&wrong, &proof));
-    assert!(!statement.holds(&key, &proof[..31]));
+    let other_key = Key::new(&[8; 32]).unwrap();
+    assert!(!statement.verify(&other_key, &proof));
+    assert!(!statement.verify(&key, &proof[..31]));
 }
 
 fn short_key() {
-    assert_eq!(Key::new(&[1; 15]).unwrap_err(), TooShort(15));
+    assert_eq!(Key::new(&[1; 15]).unwrap_err(), KeyTooShort(15));
     assert_eq!(format!("{:?}", Key::new(&[1; 16]).unwrap()), "Key(..)");
 }
 
 cases! {
-    hmac_is_the_standard_one => rfc_4231();
-    proof_covers_all_of_its_statement => covers();
-    short_key_is_refused_and_none_is_shown => short_key();
+    hmac_matches_rfc_4231 => rfc_4231();
+    proof_covers_the_whole_statement => covers();
+    short_key_is_rejected_and_keys_are_not_printed => short_key();
 }
