--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -69,9 +69,7 @@
                 Arc::clone(&core) as Arc<dyn LocalEntry>,
             )
             .wrap_err("opening the peer link")?;
-        core.link
-            .set(opened.link)
-            .expect("the link is only set here");
+        core.link.set(opened.link).expect("the link is set once");
 
         let controller = Controller::spawn(ControllerComponents {
             identity: core.identity.clone(),
