--- a/crates/telemetry/src/site.rs
+++ b/crates/telemetry/src/site.rs
@@ -91,7 +91,7 @@
             starts: counter("starts", "Starts of runs, by what came of them"),
             ends: counter("ends", "Ends of runs, by how"),
             lost: counter("runs_lost", "Runs that were lost without an end, by cause"),
-            takeovers: counter("takeovers", "Pools that this entry duration over"),
+            takeovers: counter("takeovers", "Pools that this entry took over"),
             pools_owned: gauge("pools_owned", "Pools that this entry owns"),
             queued_jobs: gauge("queued_jobs", "Jobs of which no task has started, by queue"),
             commit_seconds: durations(
