--- a/tests/all/acknowledge.rs
+++ b/tests/all/acknowledge.rs
@@ -1,4 +1,4 @@
-//! Checks of workers, and whose acknowledgement a departure waits for.
+//! Health checks of workers, and which entries must acknowledge the removal of an instance.
 
 use crate::cases;
 use eyre::Result;
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Far more than a departure takes; only a fault gets there.
-const DEPARTURE: Duration = Duration::from_secs(30);
+/// Timeout of a departure, far longer than one takes; only a fault reaches it.
+const DEPARTURE_TIMEOUT: Duration = Duration::from_secs(30);
 
 cases! {
     healthy_worker_passes_its_check => healthy_worker();
@@ -18,8 +18,8 @@
     entry_that_the_platform_lists_as_gone_holds_up_no_departure => gone_entry();
 }
 
-/// The worker answers its check well and closes the connection, as it was asked to. The check must
-/// not take the close for the end without an answer, or arrivals never serve.
+/// The worker passes its health check and closes the connection, as requested. The probe must not
+/// treat the close as a missing response, or new instances would never serve.
 async fn healthy_worker() -> Result<()> {
     let address = "127.0.0.1:0".parse()?;
     let worker = backend::Backend::bind(address, backend::Options::default()).await?;
@@ -30,12 +30,12 @@
     Ok(())
 }
 
-/// An entry is killed and the platform's list says so. It can send nothing any more, so an instance
-/// that leaves must not wait for its acknowledgement.
+/// An entry is killed and the platform lists it as gone. It can no longer send requests, so the
+/// removal of an instance must not wait for its acknowledgement.
 async fn gone_entry() -> Result<()> {
     let mut site = Site::open(Layout::small(), platform::Options::default()).await?;
     site.converge().await?;
-    // Until `entry-0` has read that the other one is registered, it would not wait for it at all.
+    // Until `entry-0` has read the registration of `entry-1`, it would not wait for it in any case.
     while site.entry("entry-0").admin.status().await?.entries.len() < 2 {
         sleep(Duration::from_millis(20)).await;
     }
@@ -51,7 +51,7 @@
     });
     let departing: id::Instance = "stay-0".parse()?;
     fleet.set_phase(&departing, Phase::Leaving);
-    let left = async {
+    let removed = async {
         loop {
             let instances = site.any().admin.instances().await?;
             let row = instances
@@ -63,12 +63,13 @@
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(DEPARTURE, left).await?
+    timeout(DEPARTURE_TIMEOUT, removed).await?
 }
 
 /// `entry-0` holds the controller's lease and reads the registrations once a minute. `late`
-/// registers, loads the view, and is cut off from store and peers. It still sends to the instance
-/// that leaves, so the instance must stay in `draining` until `late` is heard or gone.
+/// registers, loads the view, and is then partitioned from store and peers. It still sends to the
+/// leaving instance, which must stay in `draining` until `late` acknowledges or is known to be
+/// gone.
 async fn just_registered() -> Result<()> {
     let mut site = Site::open(Layout::small(), platform::Options::default()).await?;
     site.start_with("entry-0", |mut parts| {
@@ -101,7 +102,7 @@
         let state = row.map(|found| found.row.value.state);
         assert!(
             matches!(state, Some(State::Serving | State::Draining)),
-            "{state:?} while `late` still sends to it",
+            "{state:?} while `late` may still send to it",
         );
         sleep(Duration::from_millis(20)).await;
     }
--- a/tests/all/check.rs
+++ b/tests/all/check.rs
@@ -1,4 +1,4 @@
-//! `primroseroute check`: every fault of a settings file at once, and no other output.
+//! `primroseroute check` reports all faults of a settings file at once and prints nothing else.
 
 use expect_test::expect;
 use eyre::Result;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn sound_platform_settings_pass_silently() -> Result<()> {
+fn valid_platform_settings_pass_silently() -> Result<()> {
     let output = check("--platform", PLATFORM)?;
     assert_eq!(output.status.code(), Some(0));
     assert!(output.stdout.is_empty() && output.stderr.is_empty());
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn one_file_is_named() -> Result<()> {
+fn missing_file_argument_is_rejected() -> Result<()> {
     let output = Command::new(env!("CARGO_BIN_EXE_primroseroute"))
         .arg("check")
         .output()?;
--- a/tests/all/ctl/history.rs
+++ b/tests/all/ctl/history.rs
@@ -1,6 +1,6 @@
-//! `account history` over a long trail.
+//! `account history` over an audit trail of several pages.
 
-use super::Desk;
+use super::Fixture;
 use crate::cases;
 use eyre::Result;
 use primroseroute_domain::time::Instant;
@@ -9,19 +9,19 @@
 use uuid::Uuid;
 
 cases! {
-    history_reads_on_and_shows_one_account_alone => long_trail();
+    history_reads_all_pages_and_shows_one_account_only => long_trail();
 }
 
-/// More changes than one page of the trail.
+/// More changes than one page of the audit trail holds.
 const OTHERS: u128 = 1005;
 
-/// An account changes, then others change more than a page of the trail holds, then it changes
-/// again. Its history must show both of its changes, and none of an account whose name begins as
-/// its own does.
+/// An account changes, then other accounts change more often than one page of the trail holds, then
+/// it changes again. Its history must show both of its changes, and none of an account whose name
+/// starts with its own.
 async fn long_trail() -> Result<()> {
-    let desk = Desk::open().await?;
-    desk.site.platform.faults().set_rates(None);
-    let ledger = desk.site.ledger();
+    let fixture = Fixture::open().await?;
+    fixture.site.platform.faults().set_rates(None);
+    let ledger = fixture.site.ledger();
     for number in 0..OTHERS {
         let head = ledger.head().await?;
         let id = Uuid::from_u128(number);
@@ -29,16 +29,16 @@
         let name = if number == 0 { "stay-too" } else { "other" };
         let row = template(name, 1, 1);
         draft.put(key::account(&row.account), None, &row);
-        // The controller may commit first; the next head is tried then.
-        let _raced = ledger.commit(&draft).await;
+        // The controller may commit first; the next iteration then retries on the new head.
+        let _conflict = ledger.commit(&draft).await;
     }
     let order = primroseroute_api::Apply {
         template: template("stay", 9, 2),
         if_version: None,
         reason: "the last".into(),
     };
-    desk.site.any().admin.apply(&order).await?;
-    let history = desk.json(&["account", "history", "stay"]).await?;
+    fixture.site.any().admin.apply(&order).await?;
+    let history = fixture.json(&["account", "history", "stay"]).await?;
     let reasons: Vec<_> = history
         .as_array()
         .into_iter()
--- a/tests/all/ctl/wait.rs
+++ b/tests/all/ctl/wait.rs
@@ -1,6 +1,6 @@
-//! `--wait` and the status: "in force at every registered entry" is said only where it is so.
+//! `--wait` and the status report "in force at every registered entry" only where that is known.
 
-use super::{Desk, ctl, file, stay, text};
+use super::{Fixture, ctl, path_text, stay_template, temp_file};
 use crate::cases;
 use async_trait::async_trait;
 use eyre::Result;
@@ -16,46 +16,42 @@
 use tokio::time::sleep;
 
 cases! {
-    wait_that_runs_out_is_not_yet => not_yet();
-    wait_knows_an_entry_that_has_just_registered => just_registered();
-    wait_without_the_registrations_is_not_yet => unread_registrations();
-    status_in_an_outage_says_that_it_may_lack_an_entry => status_in_outage();
+    wait_that_times_out_is_not_yet => not_yet();
+    wait_includes_an_entry_that_has_just_registered => just_registered();
+    wait_with_unreadable_registrations_is_not_yet => unread_registrations();
+    status_in_an_outage_is_marked_incomplete => status_in_outage();
 }
 
-/// One entry is cut off from store and peers. The change is accepted, and the operator is told
-/// that it is not in force everywhere, since the silent entry may still serve by its old view.
+/// One entry is partitioned from store and peers. The change is accepted, but `--wait` must report
+/// that it is not in force everywhere, since the unresponsive entry may still serve its old view.
 async fn not_yet() -> Result<()> {
-    let desk = Desk::open().await?;
-    let [cut, other] = ["entry-1".parse()?, "entry-0".parse()?];
-    desk.site.network.cut(&cut, &other);
-    let client = desk.site.platform.client("entry-1");
+    let fixture = Fixture::open().await?;
+    let [partitioned, other] = ["entry-1".parse()?, "entry-0".parse()?];
+    fixture.site.network.cut(&partitioned, &other);
+    let client = fixture.site.platform.client("entry-1");
     client.faults().set_outage(Some(Outage::Refuse));
-    let yaml = stay(6)?;
-    let words = [
+    let yaml = stay_template(6)?;
+    let args = [
         "account",
         "apply",
-        &text(&yaml),
+        &path_text(&yaml),
         "--wait",
         "--wait-limit",
         "1",
     ];
-    let done = desk.ctl(&words).await?;
-    assert_eq!(done.code, exit::NOT_YET, "{}", done.printed);
-    assert!(
-        done.printed.contains("not yet in force"),
-        "{}",
-        done.printed
-    );
+    let done = fixture.ctl(&args).await?;
+    assert_eq!(done.code, exit::NOT_YET, "{}", done.stdout);
+    assert!(done.stdout.contains("not yet in force"), "{}", done.stdout);
     assert_eq!(
-        desk.json(&["account", "get", "stay"]).await?["value"]["share"],
+        fixture.json(&["account", "get", "stay"]).await?["value"]["share"],
         6
     );
     Ok(())
 }
 
-/// `entry-0` reads the registrations once a minute. `late` registers, loads the view, and is cut off
-/// from store and peers, so it goes on with the old one. "In force at every registered entry" would
-/// be untrue.
+/// `entry-0` reads the registrations once a minute. `late` registers, loads the view, and is then
+/// partitioned from store and peers, so it keeps the old view. "In force at every registered entry"
+/// would be false.
 async fn just_registered() -> Result<()> {
     let mut site = Site::open(Layout::small(), platform::Options::default()).await?;
     site.start_with("entry-0", |mut parts| {
@@ -77,23 +73,23 @@
         .client("late")
         .faults()
         .set_outage(Some(Outage::Refuse));
-    let yaml = stay(6)?;
-    let words = [
+    let yaml = stay_template(6)?;
+    let args = [
         "account",
         "apply",
-        &text(&yaml),
+        &path_text(&yaml),
         "--wait",
         "--wait-limit",
         "1",
     ];
     let entry = site.entry("entry-0").entry.admin();
-    let done = ctl(entry, file(OPERATOR_TOKEN)?.path(), &words).await?;
+    let done = ctl(entry, temp_file(OPERATOR_TOKEN)?.path(), &args).await?;
     assert!(site.entry("late").entry.in_force() <= seq);
-    assert_eq!(done.code, exit::NOT_YET, "{}", done.printed);
+    assert_eq!(done.code, exit::NOT_YET, "{}", done.stdout);
     Ok(())
 }
 
-/// A table that does not give the registrations.
+/// A table on which scans of the registrations fail.
 #[derive(Debug)]
 struct Withheld(Arc<dyn Table>);
 
@@ -115,8 +111,8 @@
     }
 }
 
-/// The store takes the change and does not give the registrations. All entries that are known have
-/// it in force, but another one could have registered, so the operator is not told "everywhere".
+/// The store accepts the change, but reading the registrations fails. All known entries have
+/// applied the change; another entry may have registered, so `--wait` must not report "everywhere".
 async fn unread_registrations() -> Result<()> {
     let mut site = Site::open(Layout::small(), platform::Options::default()).await?;
     site.start_with("entry-0", |parts| Parts {
@@ -126,30 +122,34 @@
     .await?;
     let seq = site.place_workers().await?;
     site.in_force(seq).await?;
-    let yaml = stay(6)?;
-    let words = [
+    let yaml = stay_template(6)?;
+    let args = [
         "account",
         "apply",
-        &text(&yaml),
+        &path_text(&yaml),
         "--wait",
         "--wait-limit",
         "1",
     ];
     let entry = site.entry("entry-0").entry.admin();
-    let done = ctl(entry, file(OPERATOR_TOKEN)?.path(), &words).await?;
-    assert_eq!(done.code, exit::NOT_YET, "{}", done.printed);
+    let done = ctl(entry, temp_file(OPERATOR_TOKEN)?.path(), &args).await?;
+    assert_eq!(done.code, exit::NOT_YET, "{}", done.stdout);
     Ok(())
 }
 
 async fn status_in_outage() -> Result<()> {
-    let desk = Desk::open().await?;
-    assert_eq!(desk.json(&["status"]).await?["complete"], true);
-    desk.site.platform.faults().set_outage(Some(Outage::Refuse));
-    let status = desk.json(&["status"]).await?;
+    let fixture = Fixture::open().await?;
+    assert_eq!(fixture.json(&["status"]).await?["complete"], true);
+    fixture
+        .site
+        .platform
+        .faults()
+        .set_outage(Some(Outage::Refuse));
+    let status = fixture.json(&["status"]).await?;
     assert_eq!(status["complete"], false);
     let entries = status["entries"].as_array().expect("a list");
     assert!(entries.iter().any(|entry| entry["name"] == "entry-0"));
-    let shown = desk.ctl(&["status"]).await?.printed;
+    let shown = fixture.ctl(&["status"]).await?.stdout;
     assert!(shown.contains("may be missing"), "{shown}");
     Ok(())
 }
--- a/tests/all/demo.rs
+++ b/tests/all/demo.rs
@@ -1,4 +1,4 @@
-//! A short demo, whole: its invariants hold, and what it counts did happen.
+//! A short run of the whole demo: no invariant is violated, and its counts are consistent.
 
 use crate::cases;
 use eyre::Result;
@@ -10,21 +10,22 @@
 }
 
 #[derive(Debug)]
-struct Silent;
+struct NoProgress;
 
-impl Progress for Silent {
+impl Progress for NoProgress {
     fn show(&self, _done: Duration, _step: &str) {}
 }
 
-/// Callers of five accounts send while the whole schedule runs in a few seconds: a worker that
-/// fails, an instance that leaves, one that arrives, one that moves, a wave, an entry stopped, one
-/// killed, the store down. Whatever the machine's speed, nothing may run twice, be lost or be untrue.
+/// Callers of five accounts send while the whole schedule runs in a few seconds: a worker fails, an
+/// instance leaves, one arrives, one moves, a wave runs, an entry is stopped, one is killed, the
+/// store is unavailable. At any machine speed, no request may run twice, get lost or get a false
+/// outcome.
 async fn short() -> Result<()> {
     let options = Options {
         load: Duration::from_secs(6),
         ..Options::default()
     };
-    let report = primroseroute_demo::run(&options, &Silent).await?;
+    let report = primroseroute_demo::run(&options, &NoProgress).await?;
     assert_eq!(report.breaches, [], "{report:?}");
     let requests = report.requests;
     assert!(requests.holds > 0, "{requests:?}");
@@ -39,7 +40,7 @@
     assert_eq!(report.views.never, 0, "{report:?}");
     assert!(report.fleet.changes > 0, "{report:?}");
     assert!(report.fleet.buffer_slot_hours > 0.0, "{report:?}");
-    // The wave is waited for, and no arrival or order is held up by an entry that was killed.
+    // The run waits for the wave, and a killed entry delays no arrival or order.
     let fleet = report.fleet;
     assert_eq!((fleet.waves, fleet.waves_done), (1, 1), "{fleet:?}");
     assert!(fleet.maintained > 0 && fleet.rollout_ms > 0, "{fleet:?}");
--- a/tests/all/docs.rs
+++ b/tests/all/docs.rs
@@ -1,4 +1,4 @@
-//! The book: every page is in its index.
+//! Checks of the documentation: complete indexes and valid links.
 
 use eyre::{Result, WrapErr};
 use std::{
@@ -7,7 +7,7 @@
     path::{Path, PathBuf},
 };
 
-/// Pages under `docs/` and the crates of the table must not be forgotten when one is added.
+/// Guards against a page under `docs/` or a crate that is added without being listed in its index.
 #[test]
 fn every_page_is_in_the_index() -> Result<()> {
     let docs = root().join("docs");
@@ -40,7 +40,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Every Markdown file under `folder`.
+/// All Markdown files under `folder`, recursively.
 fn pages(folder: &Path) -> Result<Vec<PathBuf>> {
     let mut found = Vec::new();
     for child in fs::read_dir(folder)? {
@@ -55,7 +55,7 @@
     Ok(found)
 }
 
-/// Targets of the links of `page`, with their anchors.
+/// Link targets in `page`, including their anchors.
 fn links(page: &Path) -> Result<Vec<String>> {
     let text = fs::read_to_string(page).wrap_err_with(|| page.display().to_string())?;
     let links = text.split("](").skip(1);
@@ -63,20 +63,20 @@
     Ok(links.map(|(link, _rest)| link.to_owned()).collect())
 }
 
-/// The file that a link names, without its anchor.
+/// The file part of a link, without its anchor.
 fn target(link: &str) -> &str {
     link.split('#').next().unwrap_or(link)
 }
 
-/// The heading's anchor, as a page's viewer makes it.
+/// The anchor that a Markdown viewer generates for a heading.
 fn anchor(heading: &str) -> String {
     let kept = |c: &char| c.is_alphanumeric() || matches!(c, ' ' | '-');
     let text: String = heading.to_lowercase().chars().filter(kept).collect();
     text.replace(' ', "-")
 }
 
-/// What is wrong with one link of `page`; none where it leads to a file and a heading.
-fn fault(page: &Path, link: &str) -> Result<Option<String>> {
+/// The fault of a link in `page`, or `None` if its file and heading exist.
+fn link_fault(page: &Path, link: &str) -> Result<Option<String>> {
     if link.starts_with("http") {
         return Ok(None);
     }
@@ -108,7 +108,7 @@
     let mut faults = Vec::new();
     for page in &pages {
         for link in links(page)? {
-            faults.extend(fault(page, &link)?);
+            faults.extend(link_fault(page, &link)?);
         }
     }
     assert_eq!(faults, Vec::<String>::new());
--- a/tests/all/thin.rs
+++ b/tests/all/end_to_end.rs
@@ -1,6 +1,6 @@
-//! The whole path, thin: a template, two entries, a request, a drain.
+//! End-to-end smoke tests: a template, two entries, a request, a drain.
 
-use crate::{LIMIT, cases};
+use crate::{TIMEOUT, cases};
 use eyre::Result;
 use http::Method;
 use primroseroute_api::Order;
@@ -9,7 +9,7 @@
 
 cases! {
     request_goes_through_either_entry => request_through_either();
-    drained_worker_gets_nothing_new => drained_worker();
+    drained_worker_gets_no_new_requests => drained_worker();
     pool_with_a_long_name_is_served => long_name();
 }
 
@@ -21,7 +21,7 @@
         let to = site.entry(name).callers;
         let headers = [("x-request-id", name), ("x-echo", "yes")];
         let answer = caller
-            .send(to, Method::POST, "/stay/beds", &headers, "bed 7", LIMIT)
+            .send(to, Method::POST, "/stay/beds", &headers, "bed 7", TIMEOUT)
             .await;
         assert_eq!(answer.said, Said::Completed, "{answer:?}");
         assert_eq!(answer.headers["x-request-id"], name);
@@ -35,8 +35,8 @@
     Ok(())
 }
 
-/// The caller sees every request answered. An operator drains one worker at one entry; once both
-/// entries have the change in force, neither sends the worker anything, whoever is asked.
+/// All of the caller's requests complete. An operator drains one worker through one entry; once
+/// both entries have applied the change, neither sends the worker anything.
 async fn drained_worker() -> Result<()> {
     let mut site = Site::open(Layout::small(), platform::Options::default()).await?;
     site.converge().await?;
@@ -54,7 +54,7 @@
     for number in 0..60 {
         let to = site.entry(["entry-0", "entry-1"][number % 2]).callers;
         let answer = caller
-            .send(to, Method::GET, "/stay/beds", &[], "", LIMIT)
+            .send(to, Method::GET, "/stay/beds", &[], "", TIMEOUT)
             .await;
         assert_eq!(answer.said, Said::Completed, "{answer:?}");
     }
@@ -65,10 +65,10 @@
     Ok(())
 }
 
-/// A pool's name seeds its gate's choices. With a sum that overflowed, the task that puts views in
-/// force ended in a panic, and the entry kept its old configuration for good.
+/// A pool's name seeds the random choices of its dispatcher. When that sum overflowed, the task
+/// that applies views panicked, and the entry kept its old configuration forever.
 async fn long_name() -> Result<()> {
-    let name = "z".repeat(id::MAX_LEN - "-0".len()); // Its workers add a number.
+    let name = "z".repeat(id::MAX_LEN - "-0".len()); // Worker names append a number.
     let layout = Layout {
         pools: vec![(name.clone(), 2)],
         ..Layout::small()
@@ -78,7 +78,7 @@
     let caller = Caller::open(caller_token(&name));
     let to = site.any().callers;
     let path = format!("/{name}/beds");
-    let answer = caller.send(to, Method::GET, &path, &[], "", LIMIT).await;
+    let answer = caller.send(to, Method::GET, &path, &[], "", TIMEOUT).await;
     assert_eq!(answer.said, Said::Completed, "{answer:?}");
     Ok(())
 }
--- a/tests/all/fleet.rs
+++ b/tests/all/fleet.rs
@@ -1,6 +1,6 @@
-//! The fleet as the controller drives it: arrivals, departures, takeovers, failing workers.
+//! The fleet under the controller: arrivals, departures, takeovers and failing workers.
 
-use crate::{LIMIT, cases, reads_complete, stay};
+use crate::{TIMEOUT, assert_reads_complete, cases, site_with_workers};
 use eyre::Result;
 use http::Method;
 use primroseroute_api::Order;
@@ -25,16 +25,16 @@
 cases! {
     arriving_instance_fills_a_deficit => arrival();
     arriving_instance_that_fails_stays_out => bad_arrival();
-    leaving_instance_is_emptied_and_removed => departure();
-    controller_that_dies_is_succeeded => takeover();
-    controller_that_stops_hands_over_at_once => hand_over();
-    registered_entry_that_was_never_heard_is_waited_for => never_heard();
+    leaving_instance_is_drained_and_removed => departure();
+    killed_controller_is_taken_over => takeover();
+    stopped_controller_hands_over_immediately => hand_over();
+    removal_waits_for_a_registered_entry_without_contact => entry_without_contact();
     worker_that_fails_its_checks_is_quarantined => quarantine();
-    silent_entry_stops_a_removal_and_not_serving => silent_entry();
+    unresponsive_entry_blocks_a_removal_but_not_serving => unresponsive_entry();
 }
 
-/// A further worker that the platform lists as live, in a rack of its own.
-async fn arrive(site: &mut Site, name: &str, mode: Mode) -> Result<id::Instance> {
+/// Starts another worker that the platform lists as live, in a rack of its own.
+async fn add_worker(site: &mut Site, name: &str, mode: Mode) -> Result<id::Instance> {
     let options = Options {
         name: name.into(),
         mode,
@@ -54,32 +54,32 @@
     Ok(id)
 }
 
-/// Waits until the row of `id` in the table, if any, is as wanted.
-async fn until_row(
+/// Waits until `wanted` holds for the row of `id` in the table, if there is one.
+async fn wait_for_row(
     site: &Site,
     id: &id::Instance,
     wanted: impl Fn(Option<&Row>) -> bool,
 ) -> Result<()> {
     let key = format!("instance/{id}").into();
-    let give_up = tokio::time::Instant::now() + LIMIT;
+    let deadline = tokio::time::Instant::now() + TIMEOUT;
     loop {
         let row = site.ledger().read::<Row>(&key).await?.map(|row| row.value);
         if wanted(row.as_ref()) {
             return Ok(());
         }
-        eyre::ensure!(tokio::time::Instant::now() < give_up, "{id} stays {row:?}");
+        eyre::ensure!(tokio::time::Instant::now() < deadline, "{id} stays {row:?}");
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
 }
 
-fn is(state: State) -> impl Fn(Option<&Row>) -> bool {
+fn has_state(state: State) -> impl Fn(Option<&Row>) -> bool {
     move |row| row.is_some_and(|row| row.state == state)
 }
 
-/// The template comes to promise more than the pool has. The platform hands over an instance; it is
-/// checked, placed where the deficit is, and serves.
+/// A new template guarantees more instances than the pool has. The platform provides an instance;
+/// it is health-checked, placed into the pool with the deficit, and serves.
 async fn arrival() -> Result<()> {
-    let mut site = stay(2).await?;
+    let mut site = site_with_workers(2).await?;
     let mut template = site.templates().remove(0);
     template.pools[0].budget.promised = 3;
     let order = primroseroute_api::Apply {
@@ -88,21 +88,24 @@
         reason: "more".into(),
     };
     site.any().admin.apply(&order).await?;
-    let id = arrive(&mut site, "new", Mode::Ok).await?;
-    until_row(&site, &id, is(State::Serving)).await?;
+    let id = add_worker(&mut site, "new", Mode::Ok).await?;
+    wait_for_row(&site, &id, has_state(State::Serving)).await?;
     let seq = site.ledger().head().await?.seq;
     site.in_force(seq).await?;
 
     let worker = Arc::clone(site.worker("new"));
-    reads_complete(site.any().callers, 60).await;
-    assert!(worker.count().executions > 0, "it serves and gets nothing");
+    assert_reads_complete(site.any().callers, 60).await;
+    assert!(
+        worker.count().executions > 0,
+        "the new instance serves but gets no requests"
+    );
     Ok(())
 }
 
-/// An instance arrives that fails every check. It must not get a single caller's request, however
-/// great the pool's need.
+/// An instance arrives that fails every health check. It must not get any caller's request, however
+/// large the pool's deficit.
 async fn bad_arrival() -> Result<()> {
-    let mut site = stay(1).await?;
+    let mut site = site_with_workers(1).await?;
     let mut template = site.templates().remove(0);
     template.pools[0].budget.promised = 3;
     let order = primroseroute_api::Apply {
@@ -111,12 +114,12 @@
         reason: "more".into(),
     };
     site.any().admin.apply(&order).await?;
-    let id = arrive(&mut site, "bad", Mode::FailAll).await?;
-    until_row(&site, &id, is(State::Quarantined)).await?;
+    let id = add_worker(&mut site, "bad", Mode::FailAll).await?;
+    wait_for_row(&site, &id, has_state(State::Quarantined)).await?;
     let caller = Caller::open(caller_token("stay"));
     for _ in 0..20 {
         let answer = caller
-            .send(site.any().callers, Method::GET, "/stay/a", &[], "", LIMIT)
+            .send(site.any().callers, Method::GET, "/stay/a", &[], "", TIMEOUT)
             .await;
         assert_eq!(answer.headers["x-backend"], "stay-0", "{answer:?}");
     }
@@ -138,20 +141,20 @@
     Ok(())
 }
 
-/// The platform says that an instance will leave. It drains, every entry acknowledges, it goes, and
-/// its row goes last.
+/// The platform announces that an instance will leave. It is drained, every entry acknowledges, the
+/// instance terminates, and its row is removed last.
 async fn departure() -> Result<()> {
-    let site = stay(3).await?;
+    let site = site_with_workers(3).await?;
     let id: id::Instance = "stay-0".parse()?;
     site.platform.fleet().set_phase(&id, Phase::Leaving);
-    until_row(&site, &id, is(State::Leaving)).await?;
+    wait_for_row(&site, &id, has_state(State::Leaving)).await?;
     site.platform.fleet().set_phase(&id, Phase::Gone);
-    until_row(&site, &id, |row| row.is_none()).await?;
-    reads_complete(site.any().callers, 20).await;
+    wait_for_row(&site, &id, |row| row.is_none()).await?;
+    assert_reads_complete(site.any().callers, 20).await;
     Ok(())
 }
 
-async fn holder(site: &Site) -> Result<id::Entry> {
+async fn lease_holder(site: &Site) -> Result<id::Entry> {
     loop {
         for running in site.entries.values() {
             if let Some(name) = running.admin.status().await?.controller
@@ -164,75 +167,75 @@
     }
 }
 
-/// The entry that holds the lease is killed. The other takes over once the lease has lapsed, and
-/// goes on with a departure that the first had begun. The dead entry's registration stands in the
-/// way of the removal, until the platform's list or an operator says that it is gone; the drain
-/// itself goes on.
+/// The entry that holds the lease is killed. The other takes over once the lease has expired, and
+/// continues a departure that the first had begun. The dead entry's registration blocks the removal
+/// until the platform's list or an operator reports it gone; the drain itself proceeds.
 async fn takeover() -> Result<()> {
-    let mut site = stay(3).await?;
-    let first = holder(&site).await?;
+    let mut site = site_with_workers(3).await?;
+    let first = lease_holder(&site).await?;
     site.take(first.as_str()).entry.abort().await;
     let id: id::Instance = "stay-0".parse()?;
     site.platform.fleet().set_phase(&id, Phase::Leaving);
-    until_row(&site, &id, is(State::Draining)).await?;
-    assert_ne!(holder(&site).await?, first);
+    wait_for_row(&site, &id, has_state(State::Draining)).await?;
+    assert_ne!(lease_holder(&site).await?, first);
     Ok(())
 }
 
 async fn hand_over() -> Result<()> {
-    let mut site = stay(3).await?;
-    let first = holder(&site).await?;
+    let mut site = site_with_workers(3).await?;
+    let first = lease_holder(&site).await?;
     site.take(first.as_str()).entry.stop().await;
     let lease = site
         .ledger()
         .table()
         .read(&"lease/controller".into())
         .await?;
-    let given_up = lease.is_none_or(|row| {
+    let released = lease.is_none_or(|row| {
         !row.value
             .windows(first.as_str().len())
             .any(|part| part == first.as_str().as_bytes())
     });
-    assert!(given_up, "the stopped entry still holds the lease");
+    assert!(released, "the stopped entry still holds the lease");
     let id: id::Instance = "stay-0".parse()?;
     site.platform.fleet().set_phase(&id, Phase::Leaving);
-    until_row(&site, &id, is(State::Leaving)).await?;
+    wait_for_row(&site, &id, has_state(State::Leaving)).await?;
     Ok(())
 }
 
-/// A serving worker begins to fail. Its checks find it, it is quarantined, and callers go on.
+/// A serving worker starts to fail its health checks and is quarantined; once they pass, it serves
+/// again.
 async fn quarantine() -> Result<()> {
-    let site = stay(3).await?;
+    let site = site_with_workers(3).await?;
     site.worker("stay-0").set_mode(Mode::FailAll);
-    until_row(&site, &"stay-0".parse()?, is(State::Quarantined)).await?;
+    wait_for_row(&site, &"stay-0".parse()?, has_state(State::Quarantined)).await?;
     site.worker("stay-0").set_mode(Mode::Ok);
-    until_row(&site, &"stay-0".parse()?, is(State::Serving)).await?;
+    wait_for_row(&site, &"stay-0".parse()?, has_state(State::Serving)).await?;
     Ok(())
 }
 
-/// An entry is cut off from its peers and the store: it may still be sending by its old view. The
-/// instance that leaves must not be given up before that entry is known to be gone, and callers
-/// are served all the while, by that entry too.
-async fn silent_entry() -> Result<()> {
-    let mut site = stay(3).await?;
+/// An entry is partitioned from its peers and the store, so it may still send by its old view. The
+/// leaving instance must not be released before that entry is known to be gone, and callers are
+/// served throughout, by that entry too.
+async fn unresponsive_entry() -> Result<()> {
+    let mut site = site_with_workers(3).await?;
     site.start("cut").await?;
     let seq = site.ledger().head().await?.seq;
     site.in_force(seq).await?;
-    let cut: id::Entry = "cut".parse()?;
+    let partitioned: id::Entry = "cut".parse()?;
     site.platform
         .client("cut")
         .faults()
         .set_outage(Some(platform::fault::Outage::Refuse));
     site.network
-        .part(&[cut], &["entry-0".parse()?, "entry-1".parse()?]);
+        .part(&[partitioned], &["entry-0".parse()?, "entry-1".parse()?]);
 
     let id: id::Instance = "stay-0".parse()?;
     site.platform.fleet().set_phase(&id, Phase::Leaving);
-    until_row(&site, &id, is(State::Draining)).await?;
-    reads_complete(site.entry("cut").callers, 30).await;
-    until_row(&site, &id, is(State::Draining)).await?;
+    wait_for_row(&site, &id, has_state(State::Draining)).await?;
+    assert_reads_complete(site.entry("cut").callers, 30).await;
+    wait_for_row(&site, &id, has_state(State::Draining)).await?;
 
-    // The operator vouches for it: it is stopped and its registration removed.
+    // The operator confirms that the entry has stopped by removing its registration.
     site.take("cut").entry.abort().await;
     let order = Order {
         if_version: None,
@@ -240,14 +243,14 @@
         force: false,
     };
     site.any().admin.remove(&"cut".parse()?, &order).await?;
-    until_row(&site, &id, is(State::Leaving)).await
+    wait_for_row(&site, &id, has_state(State::Leaving)).await
 }
 
-/// An entry has registered and was killed, or cut off, before any peer heard of it: it may be
-/// serving by the view that it read. A leaving instance is not given up before it is known to be
-/// gone.
-async fn never_heard() -> Result<()> {
-    let site = stay(3).await?;
+/// An entry registered and was killed or partitioned before any peer had contact with it, so it may
+/// be serving by the view that it read. A leaving instance is not released before that entry is
+/// known to be gone.
+async fn entry_without_contact() -> Result<()> {
+    let site = site_with_workers(3).await?;
     let row = Registration {
         name: "ghost".parse()?,
         incarnation: uuid::Uuid::from_u128(1),
@@ -267,17 +270,17 @@
 
     let id: id::Instance = "stay-0".parse()?;
     site.platform.fleet().set_phase(&id, Phase::Leaving);
-    until_row(&site, &id, is(State::Draining)).await?;
-    // Every entry that runs acknowledges within an exchange or two; the ghost never does.
+    wait_for_row(&site, &id, has_state(State::Draining)).await?;
+    // Every running entry acknowledges within one or two exchanges; `ghost` never does.
     let drained = site.ledger().head().await?.seq;
     site.in_force(drained).await?;
     tokio::time::sleep(std::time::Duration::from_millis(2500)).await;
-    until_row(&site, &id, is(State::Draining)).await?;
+    wait_for_row(&site, &id, has_state(State::Draining)).await?;
     let order = Order {
         if_version: None,
         reason: "it is gone".into(),
         force: false,
     };
     site.any().admin.remove(&"ghost".parse()?, &order).await?;
-    until_row(&site, &id, is(State::Leaving)).await
+    wait_for_row(&site, &id, has_state(State::Leaving)).await
 }
--- a/tests/all/input/callers.rs
+++ b/tests/all/input/callers.rs
@@ -1,7 +1,9 @@
-//! Callers' requests.
+//! Invalid requests of callers.
 
-use super::{BODY, HEAD, Port, exchange, garbage, site, unharmed};
-use crate::{LIMIT, cases};
+use super::{
+    MAX_BODY_BYTES, MAX_HEAD_BYTES, Port, assert_service_unaffected, exchange, garbage, site,
+};
+use crate::{TIMEOUT, cases};
 use eyre::Result;
 use http::Method;
 use primroseroute_testbed::{Caller, Said, caller_token};
@@ -9,22 +11,22 @@
 cases! {
     bad_requests_get_their_codes => bad_requests();
     oversized_body_gets_413 => oversized_body();
-    oversized_headers_get_431 => oversized_head(0, HEAD);
-    oversized_path_gets_431 => oversized_head(HEAD, 0);
+    oversized_headers_get_431 => oversized_head(0, MAX_HEAD_BYTES);
+    oversized_path_gets_431 => oversized_head(MAX_HEAD_BYTES, 0);
     head_far_over_the_limit_gets_a_bare_431 => far_oversized_head();
     slow_head_is_closed => slow_head();
-    request_name_that_is_no_text_is_replaced => odd_request_name();
+    invalid_request_id_is_replaced => invalid_request_id();
     garbage_gets_a_bare_400 => garbage(Port::Callers);
 }
 
-/// Code, status, token, path and headers of a request that must be refused.
-type Bad<'a> = (u16, u16, &'a str, &'a str, &'a [(&'a str, &'a str)]);
+/// Expected code and status, then token, path and headers of a request that must be rejected.
+type InvalidRequest<'a> = (u16, u16, &'a str, &'a str, &'a [(&'a str, &'a str)]);
 
 async fn bad_requests() -> Result<()> {
     let site = site().await?;
     let long = "k".repeat(256);
     let stay = caller_token("stay");
-    let bad: [Bad<'_>; 15] = [
+    let bad: [InvalidRequest<'_>; 15] = [
         (102, 401, "wrong", "/stay/beds", &[]),
         (102, 401, "", "/stay/beds", &[]),
         (103, 403, &caller_token("tour"), "/stay/beds", &[]),
@@ -75,14 +77,14 @@
         let caller = Caller::open(token);
         let to = site.any().callers;
         let answer = caller
-            .send(to, Method::POST, path, headers, "bed", LIMIT)
+            .send(to, Method::POST, path, headers, "bed", TIMEOUT)
             .await;
         let case = format!("{path} {headers:?}: {answer:?}");
         assert_eq!(answer.said, Said::NotRun, "{case}");
         assert_eq!(answer.code, Some(code), "{case}");
         assert_eq!(answer.status.map(|s| s.as_u16()), Some(status), "{case}");
     }
-    // A missing token and another scheme.
+    // A missing token and unsupported authentication schemes.
     for header in [
         "",
         "authorization: Basic c3RheQ==\r\n",
@@ -94,47 +96,48 @@
         assert!(answer.starts_with("HTTP/1.1 401"), "{answer}");
         assert!(answer.contains("\"code\":102"), "{answer}");
     }
-    unharmed(&site).await;
+    assert_service_unaffected(&site).await;
     Ok(())
 }
 
-/// The limit holds for a body that says its length and for one in chunks, claimed or not.
+/// The limit applies to bodies with a content length and to chunked ones, with and without an
+/// idempotency key.
 async fn oversized_body() -> Result<()> {
     let site = site().await?;
     let caller = Caller::open(caller_token("stay"));
     for headers in [&[][..], &[("idempotency-key", "large")]] {
-        let body = vec![b'x'; BODY + 1];
+        let body = vec![b'x'; MAX_BODY_BYTES + 1];
         let to = site.any().callers;
         let answer = caller
-            .send(to, Method::POST, "/stay/beds", headers, body, LIMIT)
+            .send(to, Method::POST, "/stay/beds", headers, body, TIMEOUT)
             .await;
         assert_eq!(answer.code, Some(106), "{answer:?}");
         assert_eq!(answer.status.map(|s| s.as_u16()), Some(413));
     }
     for key in ["", "idempotency-key: chunks\r\n"] {
-        for over in [1, 10 * BODY] {
-            let answer = exchange(site.any().callers, &chunked(key, over)).await?;
+        for excess_bytes in [1, 10 * MAX_BODY_BYTES] {
+            let answer = exchange(site.any().callers, &chunked(key, excess_bytes)).await?;
             assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
             assert!(answer.contains("\"code\":106"), "{answer}");
         }
     }
-    unharmed(&site).await;
+    assert_service_unaffected(&site).await;
     Ok(())
 }
 
-/// A request whose body is `over` bytes too long and does not say so.
-fn chunked(header: &str, over: usize) -> Vec<u8> {
+/// A chunked request whose body exceeds the limit by `over` bytes.
+fn chunked(header: &str, excess_bytes: usize) -> Vec<u8> {
     let token = caller_token("stay");
-    let (most, more) = ("x".repeat(BODY), "x".repeat(over));
+    let (allowed, excess) = ("x".repeat(MAX_BODY_BYTES), "x".repeat(excess_bytes));
     format!(
         "POST /stay/beds HTTP/1.1\r\nhost: a\r\nauthorization: Bearer {token}\r\n{header}\
          connection: close\r\ntransfer-encoding: chunked\r\n\r\n\
-         {BODY:x}\r\n{most}\r\n{over:x}\r\n{more}\r\n0\r\n\r\n"
+         {MAX_BODY_BYTES:x}\r\n{allowed}\r\n{excess_bytes:x}\r\n{excess}\r\n0\r\n\r\n"
     )
     .into_bytes()
 }
 
-/// A head that is read but over the limit, by its headers or by its path.
+/// The header section exceeds the limit through its headers or its path, but is still read whole.
 async fn oversized_head(path: usize, cookie: usize) -> Result<()> {
     let site = site().await?;
     let (path, cookie) = ("p".repeat(path), "c".repeat(cookie));
@@ -144,34 +147,34 @@
         assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
         assert!(answer.contains("\"code\":107"), "{answer}");
     }
-    unharmed(&site).await;
+    assert_service_unaffected(&site).await;
     Ok(())
 }
 
-/// The HTTP library reads no more than twice the limit and answers by itself, without a body.
+/// The HTTP library reads at most twice the limit and then responds by itself, without a body.
 async fn far_oversized_head() -> Result<()> {
     let site = site().await?;
-    let cookie = "c".repeat(3 * HEAD);
+    let cookie = "c".repeat(3 * MAX_HEAD_BYTES);
     let head = format!("GET /stay/beds HTTP/1.1\r\nhost: a\r\ncookie: {cookie}\r\n\r\n");
     let answer = exchange(site.any().callers, head.as_bytes()).await?;
     assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
-    unharmed(&site).await;
+    assert_service_unaffected(&site).await;
     Ok(())
 }
 
-/// A caller opens a connection and sends half a head. Without a limit on the head's time it would
-/// hold the connection, one of a bounded number, for as long as it likes.
+/// A caller opens a connection and sends only part of the header section. Without a header timeout
+/// it would occupy one of a bounded number of connections indefinitely.
 async fn slow_head() -> Result<()> {
     let site = site().await?;
     let answer = exchange(site.any().callers, b"GET /stay/beds HTTP/1.1\r\nhost:").await?;
     assert!(!answer.starts_with("HTTP/1.1 200"), "{answer}");
-    unharmed(&site).await;
+    assert_service_unaffected(&site).await;
     Ok(())
 }
 
-/// gotham takes the request's name for UTF-8 and panics where it is not, so the caller's
-/// connection would close without an answer.
-async fn odd_request_name() -> Result<()> {
+/// gotham assumes that the request id is valid UTF-8 and panics otherwise, so the caller's
+/// connection would close without a response.
+async fn invalid_request_id() -> Result<()> {
     let site = site().await?;
     for name in [&b"\xff\xfe"[..], b"two words", &[b'n'; 129]] {
         let token = caller_token("stay");
@@ -183,6 +186,6 @@
         assert!(answer.starts_with("HTTP/1.1 404"), "{answer}");
         assert!(answer.contains("\"code\":104"), "{answer}");
     }
-    unharmed(&site).await;
+    assert_service_unaffected(&site).await;
     Ok(())
 }
--- a/tests/all/input/operators.rs
+++ b/tests/all/input/operators.rs
@@ -1,6 +1,6 @@
-//! Operators' orders and templates.
+//! Invalid requests and templates of operators.
 
-use super::{Port, exchange, garbage, site, unharmed};
+use super::{Port, assert_service_unaffected, exchange, garbage, site};
 use crate::cases;
 use eyre::Result;
 use primroseroute_api::Apply;
@@ -8,19 +8,19 @@
 use primroseroute_testbed::{Admin, OPERATOR_TOKEN, Site, caller_token, template};
 
 cases! {
-    invalid_templates_are_refused_with_their_faults => invalid_templates();
-    malformed_template_bodies_are_refused => malformed_template_bodies();
-    wrong_operator_tokens_are_refused => wrong_operator();
-    odd_admin_paths_get_problem_details => odd_admin_paths();
+    invalid_templates_are_rejected_with_their_faults => invalid_templates();
+    malformed_template_bodies_are_rejected => malformed_template_bodies();
+    wrong_operator_tokens_are_rejected => wrong_operator();
+    invalid_admin_requests_get_problem_details => invalid_admin_requests();
     garbage_gets_a_bare_400 => garbage(Port::Admin);
 }
 
-/// Changes a valid template into a faulty one.
-type Spoil = fn(&mut Template);
+/// Makes a valid template invalid.
+type Corruption = fn(&mut Template);
 
 async fn invalid_templates() -> Result<()> {
     let site = site().await?;
-    let spoils: [(&str, Spoil); 11] = [
+    let corruptions: [(&str, Corruption); 11] = [
         ("share", |t| t.share = 0),
         ("share", |t| t.share = 10_001),
         ("tokens[0]", |t| t.tokens[0].0 = "short".into()),
@@ -55,24 +55,24 @@
     ];
     let admin = &site.any().admin;
     let before = admin.accounts().await?;
-    for (place, spoil) in spoils {
+    for (field, corrupt) in corruptions {
         let mut template = template("stay", 1, 2);
-        spoil(&mut template);
+        corrupt(&mut template);
         let order = Apply {
             template,
             if_version: None,
             reason: "test".into(),
         };
-        let refused = admin.apply(&order).await.expect_err(place);
+        let refused = admin.apply(&order).await.expect_err(field);
         assert_eq!(refused.code().map(Code::number), Some(501), "{refused}");
-        assert!(refused.to_string().contains(place), "{place}: {refused}");
+        assert!(refused.to_string().contains(field), "{field}: {refused}");
     }
     assert_eq!(admin.accounts().await?, before);
-    unharmed(&site).await;
+    assert_service_unaffected(&site).await;
     Ok(())
 }
 
-/// What the types cannot hold is refused before any check: it never was a template.
+/// A body that does not deserialize into a template is rejected before the template is validated.
 async fn malformed_template_bodies() -> Result<()> {
     let site = site().await?;
     let with = |share: &str, more: &str| {
@@ -103,11 +103,11 @@
     let other = with("1", "");
     let answer = order(&site, OPERATOR_TOKEN, "PUT /v1/accounts/tour", &other).await?;
     assert!(answer.contains("\"code\":101"), "{answer}");
-    unharmed(&site).await;
+    assert_service_unaffected(&site).await;
     Ok(())
 }
 
-/// Sends one request to the admin address and reads the answer.
+/// Sends one request to the admin address and reads the response.
 async fn order(site: &Site, token: &str, line: &str, body: &str) -> Result<String> {
     let length = body.len();
     let request = format!(
@@ -134,14 +134,14 @@
     }
     let stay = site.any().admin.account(&"stay".parse()?).await?;
     assert_eq!(stay.value.share, 1);
-    unharmed(&site).await;
+    assert_service_unaffected(&site).await;
     Ok(())
 }
 
-/// gotham's router answers these by itself, with an empty body.
-async fn odd_admin_paths() -> Result<()> {
+/// gotham's router would answer these requests itself, with an empty body.
+async fn invalid_admin_requests() -> Result<()> {
     let site = site().await?;
-    let odd = [
+    let requests = [
         ("GET /v1/nowhere", "404", "\"code\":503"),
         ("DELETE /v1/status", "405", "\"code\":101"),
         ("GET /v1/audit?limit=many", "400", "\"code\":101"),
@@ -149,7 +149,7 @@
         ("GET /v1/accounts/Not-A-Name", "404", "\"code\":503"),
         ("GET /v1/accounts/nobody", "404", "\"code\":503"),
     ];
-    for (line, status, code) in odd {
+    for (line, status, code) in requests {
         let answer = order(&site, OPERATOR_TOKEN, line, "").await?;
         assert!(
             answer.starts_with(&format!("HTTP/1.1 {status}")),
@@ -163,6 +163,6 @@
     }
     let answer = order(&site, OPERATOR_TOKEN, "DELETE /v1/status", "").await?;
     assert!(answer.to_lowercase().contains("allow: get"), "{answer}");
-    unharmed(&site).await;
+    assert_service_unaffected(&site).await;
     Ok(())
 }
--- a/tests/all/input/secrets.rs
+++ b/tests/all/input/secrets.rs
@@ -1,7 +1,7 @@
-//! What is logged of secrets: nothing.
+//! Secrets are never logged.
 
 use super::site;
-use crate::{LIMIT, cases};
+use crate::{TIMEOUT, cases};
 use eyre::Result;
 use http::Method;
 use parking_lot::Mutex;
@@ -12,7 +12,7 @@
     secrets_are_never_logged => nothing_logged();
 }
 
-/// Every line that anything in this test program logs.
+/// Collects every line logged within this test program.
 #[derive(Clone, Default)]
 struct Lines(Arc<Mutex<Vec<String>>>);
 
@@ -28,7 +28,7 @@
     fn flush(&self) {}
 }
 
-/// Tokens, keys and bodies of good, refused and failed requests, at the most talkative level.
+/// Checks tokens, keys and bodies of successful, rejected and failed requests at trace level.
 async fn nothing_logged() -> Result<()> {
     let lines = Lines::default();
     log::set_boxed_logger(Box::new(lines.clone()))?;
@@ -47,7 +47,7 @@
         let headers = [("idempotency-key", key)];
         let caller = Caller::open(token);
         caller
-            .send(to, Method::POST, path, &headers, body, LIMIT)
+            .send(to, Method::POST, path, &headers, body, TIMEOUT)
             .await;
     }
     for worker in site.workers.values() {
@@ -55,14 +55,14 @@
     }
     let caller = Caller::open(stay);
     caller
-        .send(to, Method::POST, "/stay/a", &[], body, LIMIT)
+        .send(to, Method::POST, "/stay/a", &[], body, TIMEOUT)
         .await;
     let admin = Admin::open(site.any().entry.admin(), wrong);
     admin.status().await.expect_err("a wrong token");
     site.any().admin.status().await?;
 
     let lines = lines.0.lock();
-    assert!(!lines.is_empty(), "nothing was logged at all");
+    assert!(!lines.is_empty(), "nothing was logged");
     let leak = lines
         .iter()
         .find(|line| secrets.iter().any(|secret| line.contains(secret)));
--- a/tests/all/inspect.rs
+++ b/tests/all/inspect.rs
@@ -1,9 +1,9 @@
-//! `primrosectl site`: what it says where the platform can't be asked.
+//! `primrosectl site` where the platform is unreachable or the input is invalid.
 
 use eyre::Result;
 use std::process::{Command, Output};
 
-/// Settings of a platform at a port that nothing listens on.
+/// Settings with a platform address on which nothing listens.
 const SETTINGS: &str = r#"{
   "Node": "entry-1", "Zone": "z-1",
   "Listen": {"Front": "127.0.0.1:1", "Ready": "127.0.0.1:1"},
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn platform_that_cannot_be_reached_is_named() -> Result<()> {
+fn unreachable_platform_is_reported_with_its_address() -> Result<()> {
     for command in ["pools", "waves"] {
         let output = site(SETTINGS, &[command])?;
         assert!(!output.status.success());
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn malformed_id_is_refused_before_any_call() -> Result<()> {
+fn malformed_id_is_rejected_before_any_call() -> Result<()> {
     let output = site(SETTINGS, &["job", "12"])?;
     assert!(!output.status.success());
     assert!(error(&output).contains("16 hexadecimal digits"));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn faults_of_the_settings_are_told() -> Result<()> {
+fn faults_of_the_settings_are_reported() -> Result<()> {
     let output = site(&SETTINGS.replace("\"Front\"", "\"Back\""), &["pools"])?;
     assert!(!output.status.success());
     assert!(error(&output).contains("Listen.Front is missing"));
--- a/tests/all/jobs.rs
+++ b/tests/all/jobs.rs
@@ -1,6 +1,6 @@
-//! Background jobs from the operator's command line to the platform's tasks and back.
+//! Background jobs end to end, from the operator's command line to the platform's tasks.
 
-use crate::{LIMIT, cases};
+use crate::{TIMEOUT, cases};
 use clap::Parser;
 use eyre::Result;
 use primroseroute_api::{Cancel, Order, Spec, Submit};
@@ -21,10 +21,10 @@
 cases! {
     submitted_jobs_run_once_and_are_done => done();
     command_line_submits_lists_shows_and_cancels => command_line();
-    orders_that_cannot_be_are_refused_with_their_number => refusals();
-    jobs_outlive_the_controller => outlive();
+    invalid_orders_are_rejected_with_their_code => rejections();
+    jobs_survive_a_controller_failure => controller_failure();
     failing_job_is_parked_and_released => parked();
-    cancellation_by_kind_takes_them_all_in_one_change => by_kind();
+    cancellation_by_kind_cancels_all_in_one_change => by_kind();
 }
 
 fn spec(name: &str, kind: &str) -> Result<Spec> {
@@ -69,21 +69,21 @@
     Ok(())
 }
 
-/// Waits until `count` jobs are in the state of this name.
-async fn until(site: &Site, state: &str, count: usize) -> Result<()> {
-    let give_up = Instant::now() + LIMIT;
+/// Waits until exactly `count` jobs are in the state named `state`.
+async fn wait_for_jobs(site: &Site, state: &str, count: usize) -> Result<()> {
+    let deadline = Instant::now() + TIMEOUT;
     loop {
         let jobs = site.any().admin.jobs(None, None, Some(state)).await?;
         if jobs.len() == count {
             return Ok(());
         }
         let all = site.any().admin.jobs(None, None, None).await?;
-        eyre::ensure!(Instant::now() < give_up, "{count} {state}: {all:#?}");
+        eyre::ensure!(Instant::now() < deadline, "{count} {state}: {all:#?}");
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-fn assert_single(site: &Site) {
+fn assert_no_overlap(site: &Site) {
     let overlaps = site.platform.tasks().overlaps();
     assert!(overlaps.is_empty(), "{overlaps:#?}");
 }
@@ -91,10 +91,10 @@
 async fn done() -> Result<()> {
     let site = site(200).await?;
     submit(&site, specs(20)?).await?;
-    until(&site, "done", 20).await?;
-    assert_single(&site);
+    wait_for_jobs(&site, "done", 20).await?;
+    assert_no_overlap(&site);
     assert_eq!(site.platform.tasks().runs().len(), 20);
-    // An order that is sent again, as after a lost answer, runs nothing again.
+    // A submission that is repeated, as after a lost response, must not run any job again.
     submit(&site, specs(20)?).await?;
     sleep(Duration::from_millis(500)).await;
     assert_eq!(site.platform.tasks().runs().len(), 20);
@@ -102,12 +102,12 @@
         .any()
         .admin
         .audit(Seq(0), 1000, Some("operator:test"), Some("job/"));
-    assert_eq!(page.await?.records.len(), 1, "one change for one order");
+    assert_eq!(page.await?.records.len(), 1, "one change per submission");
     Ok(())
 }
 
-/// Runs `primrosectl` against the site; its exit code and its JSON.
-async fn ctl(site: &Site, words: &[&str]) -> Result<(u8, Value)> {
+/// Runs `primrosectl` against the site and returns its exit code and JSON output.
+async fn ctl(site: &Site, args: &[&str]) -> Result<(u8, Value)> {
     let mut token = NamedTempFile::new()?;
     token.write_all(OPERATOR_TOKEN.as_bytes())?;
     let entry = site.any().entry.admin().to_string();
@@ -121,10 +121,10 @@
         "--token-file",
         &token,
     ];
-    let cli = Cli::try_parse_from(target.iter().chain(words))?;
-    let mut printed = Vec::new();
-    let code = run(cli, &mut printed).await?;
-    Ok((code, serde_json::from_slice(&printed)?))
+    let cli = Cli::try_parse_from(target.iter().chain(args))?;
+    let mut stdout = Vec::new();
+    let code = run(cli, &mut stdout).await?;
+    Ok((code, serde_json::from_slice(&stdout)?))
 }
 
 async fn command_line() -> Result<()> {
@@ -137,29 +137,29 @@
     let (code, _) = ctl(&site, &["job", "submit", &path]).await?;
     assert_eq!(code, exit::DONE);
     let one = ["--account", "stay", "--pool", "stay", "--kind", "other"];
-    let words = [&["job", "submit", "--name", "c"], one.as_slice()].concat();
-    let (code, _) = ctl(&site, &words).await?;
+    let args = [&["job", "submit", "--name", "c"], one.as_slice()].concat();
+    let (code, _) = ctl(&site, &args).await?;
     assert_eq!(code, exit::DONE);
-    until(&site, "running", 3).await?;
+    wait_for_jobs(&site, "running", 3).await?;
     let (_, listed) = ctl(&site, &["job", "list", "--kind", "k"]).await?;
     assert_eq!(listed.as_array().map(Vec::len), Some(2));
     let (_, shown) = ctl(&site, &["job", "show", "c"]).await?;
     assert_eq!(shown["value"]["declared"]["cores"], 1.0);
     let (code, done) = ctl(&site, &["job", "cancel", "a", "c"]).await?;
     assert_eq!((code, &done["cancelled"]), (exit::DONE, &2.into()));
-    until(&site, "cancelled", 2).await?;
+    wait_for_jobs(&site, "cancelled", 2).await?;
     let (code, problem) = ctl(&site, &["job", "release", "b"]).await?;
     assert_eq!(code, exit::REFUSED);
     assert_eq!(problem["code"], Code::JobStateForbids.number());
-    assert_single(&site);
+    assert_no_overlap(&site);
     Ok(())
 }
 
 fn code<T: std::fmt::Debug>(result: Result<T, Error>) -> Option<Code> {
-    result.expect_err("it is refused").code()
+    result.expect_err("the request is rejected").code()
 }
 
-async fn refusals() -> Result<()> {
+async fn rejections() -> Result<()> {
     let site = site(60_000).await?;
     let admin = site.any().admin.clone();
     let order = |jobs| Submit {
@@ -227,17 +227,17 @@
     Ok(())
 }
 
-/// The entry that holds the lease is killed while jobs run. They must be neither lost nor started
-/// again by its successor.
-async fn outlive() -> Result<()> {
+/// The entry that holds the lease is killed while jobs run. The next lease holder must neither lose
+/// nor restart them.
+async fn controller_failure() -> Result<()> {
     let mut site = site(4000).await?;
     submit(&site, specs(6)?).await?;
-    until(&site, "running", 3).await?;
+    wait_for_jobs(&site, "running", 3).await?;
     let holder = site.any().admin.status().await?.controller;
-    let holder = holder.ok_or_else(|| eyre::eyre!("nobody holds the lease"))?;
+    let holder = holder.ok_or_else(|| eyre::eyre!("no entry holds the lease"))?;
     site.take(holder.as_str()).entry.abort().await;
-    until(&site, "done", 6).await?;
-    assert_single(&site);
+    wait_for_jobs(&site, "done", 6).await?;
+    assert_no_overlap(&site);
     assert_eq!(site.platform.tasks().runs().len(), 6);
     Ok(())
 }
@@ -248,8 +248,8 @@
     let tasks = site.platform.tasks();
     tasks.script_job(name.clone(), script(100, Ending::Failed));
     submit(&site, specs(4)?).await?;
-    until(&site, "parked", 1).await?;
-    until(&site, "done", 3).await?;
+    wait_for_jobs(&site, "parked", 1).await?;
+    wait_for_jobs(&site, "done", 3).await?;
     let found = site.any().admin.job(&name).await?.value;
     assert!(found.failures <= 6, "{found:?}");
     assert!(matches!(found.state, State::Parked(_)), "{found:?}");
@@ -260,8 +260,8 @@
         force: false,
     };
     site.any().admin.release_job(&name, &order).await?;
-    until(&site, "done", 4).await?;
-    assert_single(&site);
+    wait_for_jobs(&site, "done", 4).await?;
+    assert_no_overlap(&site);
     Ok(())
 }
 
@@ -269,15 +269,15 @@
     let site = site(60_000).await?;
     submit(&site, specs(40)?).await?;
     submit(&site, vec![spec("other", "l")?]).await?;
-    until(&site, "running", 4).await?;
+    wait_for_jobs(&site, "running", 4).await?;
     let order = Cancel {
         kind: Some(Kind("k".into())),
         ..Cancel::default()
     };
     let done = site.any().admin.cancel(&order).await?;
     assert_eq!((done.cancelled, done.left), (40, 0));
-    until(&site, "cancelled", 40).await?;
-    until(&site, "running", 1).await?;
-    assert_single(&site);
+    wait_for_jobs(&site, "cancelled", 40).await?;
+    wait_for_jobs(&site, "running", 1).await?;
+    assert_no_overlap(&site);
     Ok(())
 }
--- a/tests/all/lines.rs
+++ b/tests/all/lines.rs
@@ -1,5 +1,4 @@
-//! Every log line of the job path is listed in `docs/OPERATIONS.md` with its fields, and none that
-//! doesn't exist.
+//! `docs/OPERATIONS.md` lists exactly the log lines of the job path, each with its fields.
 
 use eyre::{Result, eyre};
 use std::{
@@ -8,7 +7,7 @@
     path::{Path, PathBuf},
 };
 
-/// Sources whose lines an operator of the job path sees.
+/// Sources of the log lines that an operator of the job path sees.
 const SOURCES: [&str; 7] = [
     "crates/backoff/src",
     "crates/owner/src",
@@ -19,44 +18,48 @@
     "platform/src",
 ];
 
-/// Fields by text.
-type Lines = BTreeMap<String, BTreeSet<String>>;
+/// Field names by log text.
+type LogLines = BTreeMap<String, BTreeSet<String>>;
 
 #[test]
 fn every_line_is_listed_with_its_fields() -> Result<()> {
-    let mut written = Lines::new();
+    let mut logged = LogLines::new();
     for source in SOURCES {
         collect(
             &Path::new(env!("CARGO_MANIFEST_DIR")).join(source),
-            &mut written,
+            &mut logged,
         )?;
     }
     assert!(
-        written.len() > 40,
-        "only {} lines were found",
-        written.len()
+        logged.len() > 40,
+        "only {} log lines were found",
+        logged.len()
     );
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/OPERATIONS.md");
-    let listed = listed(&fs::read_to_string(page)?);
-    for (text, fields) in &written {
+    let listed_lines = listed_lines(&fs::read_to_string(page)?);
+    for (text, fields) in &logged {
         assert_eq!(
-            listed.get(text),
+            listed_lines.get(text),
             Some(fields),
-            "{text:?} is listed otherwise"
+            "{text:?} is not listed with these fields"
         );
     }
-    for text in listed.keys() {
-        assert!(written.contains_key(text), "{text:?} is written nowhere");
+    for text in listed_lines.keys() {
+        assert!(
+            logged.contains_key(text),
+            "{text:?} is listed but not logged anywhere"
+        );
     }
     Ok(())
 }
 
-/// The table of lines: texts in the first column, each in backquotes, fields in the second.
-fn listed(page: &str) -> Lines {
+/// Parses the table of log lines: texts in the first column, each in backquotes, fields in the
+/// second.
+fn listed_lines(page: &str) -> LogLines {
     let section = page.split("## Every line").nth(1).unwrap_or_default();
     let section = section.split("\n## ").next().unwrap_or_default();
     let rows = section.lines().filter(|line| line.starts_with("| `"));
-    let mut lines = Lines::new();
+    let mut lines = LogLines::new();
     for row in rows {
         let mut cells = row.split('|').skip(1);
         let texts = cells.next().unwrap_or_default();
@@ -73,7 +76,7 @@
     lines
 }
 
-fn collect(path: &Path, lines: &mut Lines) -> Result<()> {
+fn collect(path: &Path, lines: &mut LogLines) -> Result<()> {
     if path.is_dir() {
         let mut inside: Vec<PathBuf> = fs::read_dir(path)?
             .map(|entry| entry.map(|entry| entry.path()))
@@ -84,18 +87,18 @@
     let source = fs::read_to_string(path)?;
     for macro_name in ["info!(", "warn!(", "error!("] {
         for (at, _found) in source.match_indices(macro_name) {
-            let call = arguments(&source[at + macro_name.len()..])
-                .ok_or_else(|| eyre!("{}: an open call", path.display()))?;
+            let call = macro_arguments(&source[at + macro_name.len()..])
+                .ok_or_else(|| eyre!("{}: unterminated call", path.display()))?;
             let (text, fields) =
-                parsed(call).ok_or_else(|| eyre!("{}: no text in {call:?}", path.display()))?;
+                parse_call(call).ok_or_else(|| eyre!("{}: no text in {call:?}", path.display()))?;
             lines.entry(text).or_default().extend(fields);
         }
     }
     Ok(())
 }
 
-/// What stands before the parenthesis that closes the call.
-fn arguments(rest: &str) -> Option<&str> {
+/// The macro arguments, up to the closing parenthesis of the call.
+fn macro_arguments(rest: &str) -> Option<&str> {
     let mut depth = 1;
     let mut quoted = false;
     let mut escaped = false;
@@ -117,8 +120,8 @@
     None
 }
 
-/// The text of a call, which is its last string, and the names of its fields.
-fn parsed(call: &str) -> Option<(String, BTreeSet<String>)> {
+/// The log text of a call, which is its last string, and the names of its fields.
+fn parse_call(call: &str) -> Option<(String, BTreeSet<String>)> {
     let end = call.rfind('"')?;
     let begin = call[..end].rfind('"')?;
     let mut depth = 0;
--- a/tests/all/main.rs
+++ b/tests/all/main.rs
@@ -1,30 +1,30 @@
-//! Whole entries over sockets, in front of stand-ins: what callers and operators see.
+//! End-to-end tests of entries over sockets, in front of a simulated platform and backend servers.
 
 mod acknowledge;
 mod check;
 mod ctl;
 mod demo;
 mod docs;
+mod end_to_end;
 mod fleet;
+mod idempotency;
 mod input;
 mod inspect;
 mod jobs;
-mod lend;
 mod lines;
-mod once;
+mod planned_stop;
 mod process;
 mod regions;
 mod report;
-mod stop;
-mod thin;
-mod told;
-mod truth;
+mod responses;
+mod slot_lending;
+mod telemetry;
 mod views;
 mod wave;
 
 use primroseroute_testbed::{Caller, Layout, Said, Site, caller_token, platform};
 
-/// Names each case; a case that returns an error fails.
+/// Defines one multi-threaded tokio test per case; a case that returns an error fails.
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident => $body:expr;)*) => {$(
         $(#[$doc])*
@@ -36,11 +36,12 @@
 }
 pub(crate) use cases;
 
-/// Longest wait of a caller for an answer that must come; only a hung test gets there.
-pub(crate) const LIMIT: std::time::Duration = std::time::Duration::from_secs(30);
+/// Timeout of a request whose response must arrive; only a hung test reaches it.
+pub(crate) const TIMEOUT: std::time::Duration = std::time::Duration::from_secs(30);
 
-/// A site with two entries before one pool, `stay`, of `workers` workers, all in force.
-pub(crate) async fn stay(workers: usize) -> eyre::Result<Site> {
+/// Starts a site of two entries and one pool, `stay`, of `workers` workers; every entry has applied
+/// the configuration.
+pub(crate) async fn site_with_workers(workers: usize) -> eyre::Result<Site> {
     let layout = Layout {
         pools: vec![("stay".to_owned(), workers)],
         ..Layout::small()
@@ -50,12 +51,12 @@
     Ok(site)
 }
 
-/// Sends `count` reads to `stay` through the entry at `to`; each must complete.
-pub(crate) async fn reads_complete(to: std::net::SocketAddr, count: usize) {
+/// Sends `count` reads to `stay` through the entry at `to` and asserts that each completes.
+pub(crate) async fn assert_reads_complete(to: std::net::SocketAddr, count: usize) {
     let caller = Caller::open(caller_token("stay"));
     for _ in 0..count {
         let answer = caller
-            .send(to, http::Method::GET, "/stay/a", &[], "", LIMIT)
+            .send(to, http::Method::GET, "/stay/a", &[], "", TIMEOUT)
             .await;
         assert_eq!(answer.said, Said::Completed, "{answer:?}");
     }
--- a/tests/all/stop.rs
+++ b/tests/all/planned_stop.rs
@@ -1,6 +1,6 @@
-//! I7: a planned stop cuts no request in flight.
+//! I7: a planned stop interrupts no request in flight.
 
-use crate::{LIMIT, cases};
+use crate::{TIMEOUT, cases};
 use eyre::Result;
 use http::Method;
 use primroseroute_api::Order;
@@ -22,9 +22,9 @@
 };
 
 cases! {
-    entry_stops_under_load_without_a_cut => entry_stops();
-    request_that_crosses_the_close_is_answered => request_crosses_the_close();
-    worker_drains_under_load_without_a_cut => worker_drains();
+    entry_stops_under_load_without_interrupting_requests => entry_stops();
+    request_sent_during_the_close_is_answered => request_during_close();
+    worker_drains_under_load_without_interrupting_requests => worker_drains();
     stopped_entry_is_no_longer_waited_for => stopped_entry_leaves();
 }
 
@@ -40,19 +40,19 @@
     Ok(site)
 }
 
-/// Callers that send one request after another until they are told to end.
-struct Load {
+/// Callers that each send one request after another until the load is finished.
+struct CallerLoad {
     end: Arc<AtomicBool>,
     callers: JoinSet<Vec<Answer>>,
 }
 
-impl Load {
+impl CallerLoad {
     fn start(to: SocketAddr) -> Self {
         let end = Arc::new(AtomicBool::new(false));
         let mut callers = JoinSet::new();
         for number in 0..CALLERS {
             let end = Arc::clone(&end);
-            callers.spawn(async move { call(to, number, &end).await });
+            callers.spawn(async move { send_until_finished(to, number, &end).await });
         }
         Self { end, callers }
     }
@@ -67,7 +67,7 @@
     }
 }
 
-async fn call(to: SocketAddr, number: usize, end: &AtomicBool) -> Vec<Answer> {
+async fn send_until_finished(to: SocketAddr, number: usize, end: &AtomicBool) -> Vec<Answer> {
     let caller = Caller::open(caller_token("stay"));
     let mut answers = Vec::new();
     while !end.load(Ordering::SeqCst) {
@@ -75,16 +75,16 @@
         let headers = [("idempotency-key", key.as_str())];
         answers.push(
             caller
-                .send(to, Method::POST, "/stay/holds", &headers, "bed", LIMIT)
+                .send(to, Method::POST, "/stay/holds", &headers, "bed", TIMEOUT)
                 .await,
         );
     }
     answers
 }
 
-/// The balancer goes on sending for a while after the stop order, and looks away before the grace
-/// time is over. Until then the entry must serve as if nothing had happened: each request is
-/// answered whole, and none is refused.
+/// The load balancer keeps sending for a while after the stop order, and stops doing so before the
+/// grace period ends. Until then the entry must serve normally: each request gets a complete
+/// response, and none is rejected.
 async fn entry_stops() -> Result<()> {
     let mut site = site().await?;
     site.start_with("stopping", |parts| {
@@ -98,7 +98,7 @@
     let seq = site.ledger().head().await?.seq;
     site.in_force(seq).await?;
     let stopping = site.take("stopping");
-    let load = Load::start(stopping.callers);
+    let load = CallerLoad::start(stopping.callers);
     tokio::time::sleep(Duration::from_millis(100)).await;
     let stopped = tokio::spawn(stopping.entry.stop());
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -110,15 +110,15 @@
     Ok(())
 }
 
-/// A caller holds an idle connection when the listener closes, and sends a request on it that the
-/// close and the request cross. It must be answered whole; a cut would leave the caller without
-/// knowing whether it ran.
-async fn request_crosses_the_close() -> Result<()> {
+/// A caller has an idle connection when the listener closes, and sends a request on it before it
+/// sees the close. The request must get a complete response; a closed connection would leave the
+/// caller without knowing whether it ran.
+async fn request_during_close() -> Result<()> {
     let mut site = site().await?;
     site.start_with("stopping", |parts| {
-        // Long, so that a slow machine cannot run into it; the stop ends once all are closed.
+        // Long enough for a slow machine; the stop ends once all connections are closed.
         let front = Options {
-            linger: LIMIT,
+            linger: TIMEOUT,
             ..parts.front
         };
         Parts { front, ..parts }
@@ -132,7 +132,7 @@
         "GET /stay/beds HTTP/1.1\r\nhost: entry\r\nauthorization: Bearer {}\r\n\r\n",
         caller_token("stay"),
     );
-    // The first exchange makes sure that the connection has been accepted.
+    // The first exchange ensures that the connection has been accepted.
     connection.write_all(request.as_bytes()).await?;
     let mut buffer = vec![0; 4096];
     assert!(connection.read(&mut buffer).await? > 0);
@@ -142,7 +142,7 @@
     while TcpStream::connect(address).await.is_ok() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    // Long enough for a stop that does not wait to have closed the connection.
+    // Long enough for a stop that does not wait for connections to have closed this one.
     tokio::time::sleep(Duration::from_millis(50)).await;
     connection.write_all(request.as_bytes()).await?;
     let mut answer = Vec::new();
@@ -153,11 +153,11 @@
     Ok(())
 }
 
-/// An operator drains a worker under load. What it has in flight is answered, and once the drain
-/// is in force everywhere and its last request has ended, it gets nothing more.
+/// An operator drains a worker under load. Its requests in flight complete, and once all entries
+/// have applied the drain and its last request has ended, it gets no further requests.
 async fn worker_drains() -> Result<()> {
     let site = site().await?;
-    let load = Load::start(site.entry("entry-0").callers);
+    let load = CallerLoad::start(site.entry("entry-0").callers);
     tokio::time::sleep(Duration::from_millis(100)).await;
     let order = Order {
         if_version: None,
@@ -171,20 +171,20 @@
         .await?;
     site.in_force(accepted.version).await?;
     let drained = Arc::clone(site.worker("stay-0"));
-    primroseroute_testbed::until("it is empty", || drained.count().running == 0).await?;
+    primroseroute_testbed::until("the worker is idle", || drained.count().running == 0).await?;
     let before = drained.count().executions;
     tokio::time::sleep(Duration::from_millis(200)).await;
     let answers = load.finish().await;
     assert!(
         answers.iter().all(|answer| answer.said == Said::Completed),
-        "a request was cut"
+        "a request was interrupted"
     );
     assert_eq!(drained.count().executions, before);
     Ok(())
 }
 
-/// An entry that stopped as planned has taken its registration back, so `--wait` and drains do not
-/// wait for it.
+/// An entry that stops as planned removes its registration, so that `--wait` and drains do not wait
+/// for it.
 async fn stopped_entry_leaves() -> Result<()> {
     let mut site = site().await?;
     site.take("entry-0").entry.stop().await;
--- a/tests/all/process.rs
+++ b/tests/all/process.rs
@@ -1,6 +1,6 @@
-//! Entries as processes of their own, over TCP to each other: stopped, killed and frozen.
+//! Entries as separate processes connected over TCP: stopped, killed and suspended.
 
-use crate::LIMIT;
+use crate::TIMEOUT;
 use eyre::{OptionExt, Result, ensure};
 use http::Method;
 use primroseroute_api::{Apply, Order};
@@ -17,7 +17,7 @@
 };
 use tokio::time::{Instant, sleep};
 
-/// Names each case; a case that returns an error fails.
+/// Defines one multi-threaded tokio test per case; a case that returns an error fails.
 macro_rules! cases {
     ($($name:ident => $body:expr;)*) => {$(
         #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -29,11 +29,11 @@
 
 cases! {
     processes_serve_drain_and_stop_with_success => serve_drain_stop();
-    killed_process_is_succeeded => killed();
-    frozen_process_wakes_up_to_a_newer_view => frozen();
+    killed_process_is_taken_over => killed();
+    suspended_process_applies_a_newer_view_on_resume => suspended();
 }
 
-/// An entry's process; it is killed when it is dropped.
+/// The process of an entry, killed on drop.
 struct Process {
     child: Child,
     callers: SocketAddr,
@@ -42,14 +42,14 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended already, which is as good.
-        let _ended = self.child.kill();
+        // The process may have exited already; the error is ignored.
+        let _killed = self.child.kill();
         let _status = self.child.wait();
     }
 }
 
 impl Process {
-    /// Starts the entry `name` and waits until it listens.
+    /// Starts the entry `name` and waits until it serves callers.
     fn start(name: &str, platform: &str) -> Result<Self> {
         let folder = tempfile::tempdir()?;
         let file = folder.path().join("settings.yaml");
@@ -60,19 +60,27 @@
             .env("TEST_PEER_KEY", "a key that all entries of the test share")
             .stderr(Stdio::piped())
             .spawn()?;
-        let stderr = child.stderr.take().ok_or_eyre("its log is piped")?;
+        let stderr = child.stderr.take().ok_or_eyre("stderr is not piped")?;
         let mut lines = BufReader::new(stderr).lines();
         let serves = loop {
-            let line = lines.next().ok_or_eyre("it ended before it served")??;
+            let line = lines
+                .next()
+                .ok_or_eyre("the entry exited before it served callers")??;
             if let Some((_, rest)) = line.split_once("serves callers on ") {
                 break rest.to_owned();
             }
         };
-        // The pipe is read to its end, or a full one would stop the entry at its next line.
+        // Keeps reading: a full pipe would block the entry at its next log line.
         std::thread::spawn(move || lines.for_each(drop));
         let mut words = serves.split([' ', '"']);
-        let callers = words.next().ok_or_eyre("no callers' address")?.parse()?;
-        let admin: SocketAddr = words.nth(3).ok_or_eyre("no admin address")?.parse()?;
+        let callers = words
+            .next()
+            .ok_or_eyre("no callers' address in the log line")?
+            .parse()?;
+        let admin: SocketAddr = words
+            .nth(3)
+            .ok_or_eyre("no admin address in the log line")?
+            .parse()?;
         Ok(Self {
             child,
             callers,
@@ -81,17 +89,18 @@
     }
 
     fn signal(&self, signal: Signal) -> Result<()> {
-        let pid = Pid::from_raw(i32::try_from(self.child.id())?).ok_or_eyre("it has a pid")?;
+        let pid =
+            Pid::from_raw(i32::try_from(self.child.id())?).ok_or_eyre("invalid process id")?;
         Ok(kill_process(pid, signal)?)
     }
 
-    async fn ended(&mut self) -> Result<ExitStatus> {
-        let give_up = Instant::now() + LIMIT;
+    async fn wait_for_exit(&mut self) -> Result<ExitStatus> {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status);
             }
-            ensure!(Instant::now() < give_up, "it does not end");
+            ensure!(Instant::now() < deadline, "the process does not exit");
             sleep(Duration::from_millis(20)).await;
         }
     }
@@ -108,14 +117,14 @@
     )
 }
 
-/// The surroundings: a platform behind HTTP, and workers.
-struct World {
+/// A platform stand-in behind HTTP, and workers.
+struct Fixture {
     server: primroseroute_testbed::server::Server,
     workers: Vec<backend::Backend>,
 }
 
-impl World {
-    /// Three workers that the platform lists as live.
+impl Fixture {
+    /// Starts a platform that lists three workers as live.
     async fn open() -> Result<Self> {
         let platform = platform::Platform::open(1, platform::Options::default());
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
@@ -145,7 +154,7 @@
         Process::start(name, &self.server.url())
     }
 
-    /// Two entries that have everything in force, with all three workers serving.
+    /// Starts two entries and waits until both see all three workers serving.
     async fn two_entries(&self) -> Result<(Process, Process)> {
         let (a, b) = (self.start("entry-a")?, self.start("entry-b")?);
         let template = template("stay", 1, 3);
@@ -156,7 +165,7 @@
         };
         a.admin.apply(&order).await?;
         for entry in [&a, &b] {
-            serving(entry, 3).await?;
+            wait_until_serving(entry, 3).await?;
         }
         Ok((a, b))
     }
@@ -169,15 +178,15 @@
     }
 }
 
-/// Waits until `entry` sees `count` instances serving.
-async fn serving(entry: &Process, count: u32) -> Result<()> {
-    let give_up = Instant::now() + LIMIT;
+/// Waits until `entry` reports `count` serving instances.
+async fn wait_until_serving(entry: &Process, count: u32) -> Result<()> {
+    let deadline = Instant::now() + TIMEOUT;
     loop {
         let status = entry.admin.status().await?;
         if status.instances.get("serving") == Some(&count) {
             return Ok(());
         }
-        ensure!(Instant::now() < give_up, "{status:?}");
+        ensure!(Instant::now() < deadline, "{status:?}");
         sleep(Duration::from_millis(50)).await;
     }
 }
@@ -185,18 +194,18 @@
 async fn get(entry: &Process) -> Said {
     let caller = Caller::open(caller_token("stay"));
     caller
-        .send(entry.callers, Method::GET, "/stay/beds", &[], "", LIMIT)
+        .send(entry.callers, Method::GET, "/stay/beds", &[], "", TIMEOUT)
         .await
         .said
 }
 
 async fn serve_drain_stop() -> Result<()> {
-    let world = World::open().await?;
-    let (mut a, b) = world.two_entries().await?;
+    let fixture = Fixture::open().await?;
+    let (mut a, b) = fixture.two_entries().await?;
     for entry in [&a, &b] {
         assert_eq!(get(entry).await, Said::Completed);
     }
-    assert_eq!(world.executions(), 2);
+    assert_eq!(fixture.executions(), 2);
 
     let order = Order {
         if_version: None,
@@ -205,28 +214,28 @@
     };
     b.admin.drain(&"w-0".parse()?, &order).await?;
     for entry in [&a, &b] {
-        serving(entry, 2).await?;
+        wait_until_serving(entry, 2).await?;
     }
-    let before = world.workers[0].count().executions;
+    let before = fixture.workers[0].count().executions;
     for _ in 0..20 {
         assert_eq!(get(&a).await, Said::Completed);
         assert_eq!(get(&b).await, Said::Completed);
     }
-    assert_eq!(world.workers[0].count().executions, before);
+    assert_eq!(fixture.workers[0].count().executions, before);
 
     a.signal(Signal::TERM)?;
-    assert!(a.ended().await?.success());
+    assert!(a.wait_for_exit().await?.success());
     assert_eq!(get(&b).await, Said::Completed);
     Ok(())
 }
 
-/// One entry's process is killed. Callers at the other are served on, and changes are accepted
-/// there and put in force, whichever of the two held the controller's lease.
+/// One entry's process is killed. Callers of the other are still served, and changes are accepted
+/// and applied there, whichever of the two held the controller's lease.
 async fn killed() -> Result<()> {
-    let world = World::open().await?;
-    let (mut a, b) = world.two_entries().await?;
+    let fixture = Fixture::open().await?;
+    let (mut a, b) = fixture.two_entries().await?;
     a.signal(Signal::KILL)?;
-    a.ended().await?;
+    a.wait_for_exit().await?;
     assert_eq!(get(&b).await, Said::Completed);
     let order = Order {
         if_version: None,
@@ -234,16 +243,16 @@
         force: true,
     };
     b.admin.drain(&"w-0".parse()?, &order).await?;
-    serving(&b, 2).await?;
+    wait_until_serving(&b, 2).await?;
     b.admin.release(&"w-0".parse()?, &order).await?;
-    serving(&b, 3).await
+    wait_until_serving(&b, 3).await
 }
 
-/// One entry's process is frozen while a worker is drained, and wakes up with its old view. It may
-/// send by it for a moment; then it must have the drain in force and send the worker nothing.
-async fn frozen() -> Result<()> {
-    let world = World::open().await?;
-    let (a, b) = world.two_entries().await?;
+/// One entry's process is suspended while a worker is drained, and resumes with its old view. It
+/// may send by that view briefly; then it must apply the drain and send the worker nothing.
+async fn suspended() -> Result<()> {
+    let fixture = Fixture::open().await?;
+    let (a, b) = fixture.two_entries().await?;
     a.signal(Signal::STOP)?;
     let order = Order {
         if_version: None,
@@ -251,13 +260,13 @@
         force: true,
     };
     b.admin.drain(&"w-0".parse()?, &order).await?;
-    serving(&b, 2).await?;
+    wait_until_serving(&b, 2).await?;
     a.signal(Signal::CONT)?;
-    serving(&a, 2).await?;
-    let before = world.workers[0].count().executions;
+    wait_until_serving(&a, 2).await?;
+    let before = fixture.workers[0].count().executions;
     for _ in 0..20 {
         assert_eq!(get(&a).await, Said::Completed);
     }
-    assert_eq!(world.workers[0].count().executions, before);
+    assert_eq!(fixture.workers[0].count().executions, before);
     Ok(())
 }
--- a/tests/all/regions.rs
+++ b/tests/all/regions.rs
@@ -1,6 +1,6 @@
-//! Two regions that lose each other, with the store on one side.
+//! A network partition between two regions, with the store on one side.
 
-use crate::{LIMIT, cases};
+use crate::{TIMEOUT, cases};
 use eyre::{Result, ensure};
 use http::Method;
 use primroseroute_api::Apply;
@@ -16,16 +16,16 @@
 use tokio::time::{Instant, sleep};
 
 cases! {
-    regions_that_lose_each_other_converge_and_nothing_reverts => cut_and_heal();
+    partitioned_regions_converge_and_nothing_reverts => partition_and_heal();
 }
 
 const NEAR: [&str; 2] = ["entry-0", "entry-1"];
 const FAR: [&str; 2] = ["entry-2", "entry-3"];
 
-/// Changes that are accepted during the cut.
+/// Changes that are accepted during the partition.
 const CHANGES: u32 = 5;
 
-/// Reads and keyed requests of each entry in each part of the test.
+/// Rounds of reads and keyed requests at each entry, in each phase of the test.
 const REQUESTS: u32 = 2;
 
 fn names(names: [&str; 2]) -> Result<[id::Entry; 2]> {
@@ -33,7 +33,7 @@
     Ok([a.parse()?, b.parse()?])
 }
 
-fn cut(site: &Site) -> Result<()> {
+fn partition(site: &Site) -> Result<()> {
     site.network.part(&names(NEAR)?, &names(FAR)?);
     for name in FAR {
         let faults = site.platform.client(name);
@@ -53,7 +53,7 @@
     Apply {
         template: template("stay", share, 2),
         if_version: None,
-        reason: "during the cut".into(),
+        reason: "during the partition".into(),
     }
 }
 
@@ -61,16 +61,16 @@
     let caller = Caller::open(caller_token("stay"));
     let to = site.entry(entry).callers;
     caller
-        .send(to, Method::GET, "/stay/beds", &[], "", LIMIT)
+        .send(to, Method::GET, "/stay/beds", &[], "", TIMEOUT)
         .await
 }
 
-async fn hold(site: &Site, entry: &str, key: &str) -> Answer {
+async fn send_hold(site: &Site, entry: &str, key: &str) -> Answer {
     let caller = Caller::open(caller_token("stay"));
     let to = site.entry(entry).callers;
     let headers = [("idempotency-key", key)];
     caller
-        .send(to, Method::POST, "/stay/holds", &headers, "bed 1", LIMIT)
+        .send(to, Method::POST, "/stay/holds", &headers, "bed 1", TIMEOUT)
         .await
 }
 
@@ -79,18 +79,18 @@
     workers.map(|worker| worker.executions(key)).sum()
 }
 
-/// What each entry has had in force; it may only grow.
+/// The last sequence number that each entry had applied; it must never decrease.
 #[derive(Debug, Default)]
-struct Watch(BTreeMap<id::Entry, Seq>);
+struct AppliedSeqs(BTreeMap<id::Entry, Seq>);
 
-impl Watch {
-    fn look(&mut self, site: &Site) -> Result<()> {
+impl AppliedSeqs {
+    fn check(&mut self, site: &Site) -> Result<()> {
         for (name, running) in &site.entries {
             let now = running.entry.in_force();
             let before = self.0.insert(name.clone(), now);
             ensure!(
                 before <= Some(now),
-                "{name} went back from {before:?} to {now}"
+                "{name} reverted from {before:?} to {now}"
             );
         }
         Ok(())
@@ -109,53 +109,61 @@
         .state)
 }
 
-/// Waits until the leaving worker's state `fits`.
-async fn until_state(site: &Site, watch: &mut Watch, fits: impl Fn(State) -> bool) -> Result<()> {
-    let give_up = Instant::now() + LIMIT;
+/// Waits until the state of the leaving worker `stay-0` satisfies `fits`.
+async fn wait_for_state(
+    site: &Site,
+    applied: &mut AppliedSeqs,
+    fits: impl Fn(State) -> bool,
+) -> Result<()> {
+    let deadline = Instant::now() + TIMEOUT;
     while !fits(state(site, "stay-0").await?) {
-        watch.look(site)?;
-        ensure!(Instant::now() < give_up, "stay-0 stays as it is");
+        applied.check(site)?;
+        ensure!(
+            Instant::now() < deadline,
+            "the state of stay-0 does not change as expected"
+        );
         sleep(Duration::from_millis(5)).await;
     }
     Ok(())
 }
 
-async fn requests_during_the_cut(site: &Site, number: u32) {
+async fn requests_during_partition(site: &Site, number: u32) {
     for entry in NEAR.into_iter().chain(FAR) {
         let answer = read(site, entry).await;
         assert_eq!(answer.said, Said::Completed, "{entry}: {answer:?}");
     }
     for entry in NEAR {
         let key = format!("cut-{entry}-{number}");
-        let answer = hold(site, entry, &key).await;
+        let answer = send_hold(site, entry, &key).await;
         assert_eq!(answer.said, Said::Completed, "{entry}: {answer:?}");
         assert_eq!(executions(site, &key), 1, "{entry}");
     }
     let keys = FAR.map(|entry| format!("cut-{entry}-{number}"));
     let [a, b] = FAR;
-    let refused = tokio::join!(hold(site, a, &keys[0]), hold(site, b, &keys[1]));
+    let refused = tokio::join!(send_hold(site, a, &keys[0]), send_hold(site, b, &keys[1]));
     for (key, answer) in keys.iter().zip([refused.0, refused.1]) {
         assert_eq!(answer.said, Said::NotRun, "{key}: {answer:?}");
         assert_eq!(executions(site, key), 0, "{key}");
     }
 }
 
-/// The regions lose each other; only the near one reaches the store. Callers' reads are served on
-/// both sides. Keyed requests run near; far they are refused as "not run" and run nowhere, since no
-/// claim can be written. Changes are accepted near and refused far. A worker that leaves is drained
-/// but not given up, as the far entries may still send to it. Once healed, every entry has the
-/// last change, the worker goes, and what was refused runs once.
-async fn cut_and_heal() -> Result<()> {
+/// The regions are partitioned; only the near one reaches the store. Callers' reads are served on
+/// both sides. Keyed requests run in the near region; in the far one they are rejected as "not run"
+/// and run nowhere, since no claim can be written. Changes are accepted near and rejected far. A
+/// leaving worker is drained but not released, as the far entries may still send to it. Once
+/// healed, every entry applies the last change, the worker is released, and the rejected requests
+/// run once when repeated.
+async fn partition_and_heal() -> Result<()> {
     let layout = Layout {
         entries: 4,
         ..Layout::small()
     };
     let mut site = Site::open(layout, platform::Options::default()).await?;
     site.converge().await?;
-    let mut watch = Watch::default();
-    watch.look(&site)?;
+    let mut applied = AppliedSeqs::default();
+    applied.check(&site)?;
 
-    cut(&site)?;
+    partition(&site)?;
     let old = site.entry("entry-2").entry.in_force();
     let mut last = Seq(0);
     for change in 0..CHANGES {
@@ -165,26 +173,26 @@
             .apply(&apply(10 + change))
             .await?
             .version;
-        watch.look(&site)?;
+        applied.check(&site)?;
     }
     let refused = site.entry("entry-2").admin.apply(&apply(99)).await;
     ensure!(
         refused.is_err(),
-        "the far side accepted a change: {refused:?}"
+        "the far region accepted a change: {refused:?}"
     );
     site.platform
         .fleet()
         .set_phase(&"stay-0".parse()?, Phase::Leaving);
-    until_state(&site, &mut watch, |state| state == State::Draining).await?;
+    wait_for_state(&site, &mut applied, |state| state == State::Draining).await?;
     for number in 0..REQUESTS {
-        requests_during_the_cut(&site, number).await;
-        watch.look(&site)?;
+        requests_during_partition(&site, number).await;
+        applied.check(&site)?;
     }
     for entry in FAR {
         assert_eq!(
             site.entry(entry).entry.in_force(),
             old,
-            "{entry} learned of a change"
+            "{entry} applied a change during the partition"
         );
     }
     assert_eq!(
@@ -195,20 +203,20 @@
 
     heal(&site);
     site.in_force(last).await?;
-    watch.look(&site)?;
+    applied.check(&site)?;
     for entry in NEAR.into_iter().chain(FAR) {
         let stored = site.entry(entry).admin.account(&"stay".parse()?).await?;
         assert_eq!(stored.value.share, 9 + CHANGES, "{entry}");
     }
-    until_state(&site, &mut watch, |state| state != State::Draining).await?;
+    wait_for_state(&site, &mut applied, |state| state != State::Draining).await?;
     for number in 0..REQUESTS {
         for entry in FAR {
             let key = format!("cut-{entry}-{number}");
-            let answer = hold(&site, entry, &key).await;
+            let answer = send_hold(&site, entry, &key).await;
             assert_eq!(answer.said, Said::Completed, "{entry}: {answer:?}");
             assert_eq!(executions(&site, &key), 1, "{entry}");
         }
-        watch.look(&site)?;
+        applied.check(&site)?;
     }
     let head = site.ledger().head().await?.seq;
     site.in_force(head).await?;
--- a/tests/all/report.rs
+++ b/tests/all/report.rs
@@ -1,4 +1,4 @@
-//! Reports over whole sites: from a wave's trail, and across the archive.
+//! Reports of a running site: on a wave, and across the table and the archive of the audit trail.
 
 use crate::cases;
 use clap::Parser;
@@ -23,13 +23,13 @@
 
 cases! {
     report_of_a_wave_is_the_same_from_the_table_and_the_archive => wave();
-    period_that_ends_before_it_starts_is_a_failure_of_the_operator => backwards();
+    period_that_ends_before_it_starts_is_rejected => reversed_period();
 }
 
 const REBOOT: Duration = Duration::from_millis(150);
 
-/// Records of one archived object; few, so that a short trail fills several.
-const KEEP: Keep = Keep {
+/// Small archive objects, so that a short trail fills several.
+const RETENTION: Keep = Keep {
     newest: 3,
     batch: 5,
 };
@@ -49,20 +49,20 @@
     Ok(site)
 }
 
-async fn report(site: &Site, folder: &Path, words: &[&str]) -> Result<(u8, String)> {
+async fn report(site: &Site, folder: &Path, args: &[&str]) -> Result<(u8, String)> {
     let token = folder.join("token");
     fs::write(&token, OPERATOR_TOKEN)?;
     let entry = site.any().entry.admin().to_string();
     let token = token.to_string_lossy();
     let target = ["primrosectl", "--entry", &entry, "--token-file", &token];
-    let words = target.iter().chain(&["report"]).chain(words);
-    let cli = Cli::try_parse_from(words)?;
+    let args = target.iter().chain(&["report"]).chain(args);
+    let cli = Cli::try_parse_from(args)?;
     let mut printed = Vec::new();
     let code = run(cli, &mut printed).await?;
     Ok((code, String::from_utf8(printed)?))
 }
 
-/// Rolls a wave out over `stay`.
+/// Starts a wave over the pool `stay` and waits until it is done.
 async fn roll_out(site: &Site) -> Result<()> {
     let order = Order {
         id: "w".parse()?,
@@ -79,34 +79,41 @@
     };
     let admin = &site.any().admin;
     admin.start_wave(&start).await?;
-    let give_up = tokio::time::Instant::now() + crate::LIMIT;
+    let deadline = tokio::time::Instant::now() + crate::TIMEOUT;
     loop {
         let waves = admin.waves().await?;
         if waves.iter().all(|wave| wave.row.value.state == State::Done) {
             return Ok(());
         }
-        ensure!(tokio::time::Instant::now() < give_up, "it stays {waves:?}");
+        ensure!(
+            tokio::time::Instant::now() < deadline,
+            "the wave is not done: {waves:?}"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// From the record that began the wave to the one that ended it.
-fn covered(records: &[Record]) -> Duration {
+/// The time between the first and the last record of the wave.
+fn wave_duration(records: &[Record]) -> Duration {
     let of_wave = |record: &&Record| record.edits.iter().any(|edit| &*edit.key == "wave/w");
     let mut records = records.iter().filter(of_wave);
-    let first = records.next().expect("it began");
-    records.next_back().expect("it ended").at.since(first.at)
+    let first = records.next().expect("the wave has a first record");
+    records
+        .next_back()
+        .expect("the wave has a last record")
+        .at
+        .since(first.at)
 }
 
-/// The end of the period, as the command line takes it: now, to the millisecond above.
+/// The current time as a command line argument, rounded up to the next millisecond.
 fn now() -> Result<String> {
     let millis = i64::try_from(SystemClock.now().0)? + 1;
     let at = jiff::Timestamp::from_millisecond(millis)?;
     Ok(at.to_string())
 }
 
-/// The report is read while all records are in the table, and again when all but a few have gone
-/// to the archive. Every figure must be the same, and those that are known must be right.
+/// The report is generated while all records are in the table, and again after all but a few have
+/// been archived. All figures must be the same, and those known from elsewhere must match.
 async fn wave() -> Result<()> {
     let site = site().await?;
     let folder = TempDir::new()?;
@@ -114,8 +121,8 @@
     let to = now()?;
     let plot = folder.path().join("plot.svg");
     let plot_name = plot.to_string_lossy();
-    let words = ["--to", &to, "--output", "json", "--plot", &plot_name];
-    let (code, first) = report(&site, folder.path(), &words).await?;
+    let args = ["--to", &to, "--output", "json", "--plot", &plot_name];
+    let (code, first) = report(&site, folder.path(), &args).await?;
     assert_eq!(code, exit::DONE);
     let found: Report = serde_json::from_str(&first).wrap_err(first.clone())?;
     let [wave] = &*found.waves else {
@@ -131,12 +138,12 @@
     let rest = found.pools[&"rest".parse()?];
     assert_eq!((found.total().moves, rest.rollout_seconds), (0, 0.0));
     let records = site.ledger().records_after(Seq(0), 1_000).await?;
-    let covered = covered(&records).as_secs_f64();
+    let wave_duration = wave_duration(&records).as_secs_f64();
     assert!(
-        (stay.rollout_seconds - covered).abs() < 1e-9,
-        "{stay:?}, {covered}"
+        (stay.rollout_seconds - wave_duration).abs() < 1e-9,
+        "{stay:?}, {wave_duration}"
     );
-    // Both pools hold one more than they promise from the same change on.
+    // Both pools exceed their guarantee by one instance from the same change on.
     assert!(stay.cost.buffer_slot_hours > 0.0, "{stay:?}");
     assert!((stay.cost.buffer_slot_hours - rest.cost.buffer_slot_hours).abs() < 1e-9);
     let drawn = fs::read_to_string(&plot)?;
@@ -147,7 +154,7 @@
         &site.ledger(),
         &site.platform.client("onlooker"),
         guard(),
-        KEEP,
+        RETENTION,
     )
     .await?
         > 0
@@ -164,7 +171,7 @@
             .await?
             .is_none()
     );
-    let (code, second) = report(&site, folder.path(), &words).await?;
+    let (code, second) = report(&site, folder.path(), &args).await?;
     assert_eq!((code, second), (exit::DONE, first));
 
     let (code, table) = report(&site, folder.path(), &["--to", &to]).await?;
@@ -175,17 +182,17 @@
     Ok(())
 }
 
-async fn backwards() -> Result<()> {
+async fn reversed_period() -> Result<()> {
     let site = site().await?;
     let folder = TempDir::new()?;
-    let words = [
+    let args = [
         "--from",
         "2026-12-02T10:00:00Z",
         "--to",
         "2026-12-02T09:00:00Z",
     ];
-    let refused = report(&site, folder.path(), &words).await;
-    let error = refused.expect_err("it has no time in it");
+    let refused = report(&site, folder.path(), &args).await;
+    let error = refused.expect_err("the period is empty");
     assert!(error.to_string().contains("not after its start"), "{error}");
     Ok(())
 }
--- a/tests/all/truth.rs
+++ b/tests/all/responses.rs
@@ -1,7 +1,7 @@
-//! I3 and I4: a caller gets the whole answer to its own request or a clear error, and "not run" is
-//! said only where it is proven.
+//! I3 and I4: a caller gets the complete response to its own request or a clear error, and "not
+//! run" is reported only where it is proven.
 
-use crate::{LIMIT, cases, stay};
+use crate::{TIMEOUT, cases, site_with_workers};
 use async_trait::async_trait;
 use eyre::Result;
 use http::{HeaderValue, Method, Request, Response};
@@ -11,22 +11,22 @@
 use std::{net::SocketAddr, sync::Arc};
 use tokio::time::Instant;
 
-/// Large enough to stream: the entry holds 64 KiB before it sends the head on.
+/// Large enough to be streamed: the entry buffers 64 KiB before it forwards the header section.
 const LARGE: &str = "300000";
 
 cases! {
-    late_answer_is_nobody_elses => late_answer();
-    death_inside_a_small_answer_is_unknown => small_death(Mode::Truncated);
-    death_before_the_last_chunk_is_unknown => small_death(Mode::TruncatedChunks);
-    garbage_is_unknown => small_death(Mode::Garbage);
-    death_inside_a_large_answer_breaks_the_callers_connection => large_death();
-    reset_after_send_is_unknown_and_not_sent_again => reset_without_key();
-    reset_of_a_read_is_tried_elsewhere => reset_of_a_read();
-    refused_connection_is_tried_elsewhere => refused_connection();
-    nobody_to_connect_to_is_not_run => nobody_listens();
-    answer_that_names_another_request_is_refused => mixed_up_answer();
-    large_answer_arrives_whole => large_answer();
-    large_request_arrives_whole => large_request();
+    late_response_reaches_no_other_caller => late_response();
+    crash_within_a_small_response_is_unknown => truncated_small_response(Mode::Truncated);
+    crash_before_the_last_chunk_is_unknown => truncated_small_response(Mode::TruncatedChunks);
+    malformed_response_is_unknown => truncated_small_response(Mode::Garbage);
+    crash_within_a_large_response_breaks_the_callers_connection => truncated_large_response();
+    reset_after_send_is_unknown_and_not_retried => reset_without_key();
+    reset_of_a_read_is_retried_elsewhere => reset_of_a_read();
+    refused_connection_is_retried_elsewhere => refused_connection();
+    no_listening_worker_is_not_run => no_listening_worker();
+    response_to_another_request_is_rejected => mismatched_response();
+    large_response_arrives_complete => large_response();
+    large_request_arrives_complete => large_request();
 }
 
 async fn send(site: &Site, method: Method, headers: &[(&str, &str)], body: &'static str) -> Answer {
@@ -38,7 +38,7 @@
             "/stay/beds",
             headers,
             body,
-            LIMIT,
+            TIMEOUT,
         )
         .await
 }
@@ -50,11 +50,11 @@
         .sum()
 }
 
-/// The first caller's time is up and it is told "unknown". The worker answers it later, on the
+/// The first caller's request times out and it is told "unknown". The worker responds later, on the
 /// connection of the first request. The second caller's request goes to the same worker and must
-/// get its own answer: the first connection must have been closed with the timeout.
-async fn late_answer() -> Result<()> {
-    let site = stay(1).await?;
+/// get its own response: the first connection must have been closed on timeout.
+async fn late_response() -> Result<()> {
+    let site = site_with_workers(1).await?;
     site.worker("stay-0")
         .set_mode(Mode::Late(std::time::Duration::from_millis(300)));
     let headers = [("x-request-id", "first"), ("request-timeout-ms", "100")];
@@ -68,15 +68,18 @@
         let answer = send(&site, Method::GET, &[("x-request-id", &id)], "").await;
         assert_eq!(answer.said, Said::Completed, "{answer:?}");
         let body = String::from_utf8_lossy(&answer.body);
-        assert!(body.contains(&id), "{body} is another request's answer");
+        assert!(
+            body.contains(&id),
+            "{body} is the response to another request"
+        );
     }
     Ok(())
 }
 
-/// The worker runs the request, sends part of the answer and dies. The caller must not see a 200
-/// with half a body, and must not be told "not run", since it did run.
-async fn small_death(mode: Mode) -> Result<()> {
-    let site = stay(1).await?;
+/// The worker runs the request, sends part of the response and crashes. The caller must not see a
+/// 200 with a truncated body, and must not be told "not run", since the request did run.
+async fn truncated_small_response(mode: Mode) -> Result<()> {
+    let site = site_with_workers(1).await?;
     site.worker("stay-0").set_mode(mode);
     let answer = send(&site, Method::POST, &[], "bed 1").await;
     assert_eq!(answer.said, Said::Unknown, "{answer:?}");
@@ -85,24 +88,25 @@
     Ok(())
 }
 
-/// The head of a large answer has gone to the caller when the worker dies. The only truthful way
-/// left is to break the caller's connection off, so that its HTTP library reports a short body.
-async fn large_death() -> Result<()> {
-    let site = stay(1).await?;
+/// The header section of a large response has been sent to the caller when the worker crashes. The
+/// entry can then only abort the caller's connection, so that its HTTP library reports a truncated
+/// body.
+async fn truncated_large_response() -> Result<()> {
+    let site = site_with_workers(1).await?;
     site.worker("stay-0").set_mode(Mode::Truncated);
     let answer = send(&site, Method::GET, &[("x-answer-bytes", LARGE)], "").await;
     assert_eq!(answer.said, Said::Unknown, "{answer:?}");
     assert_eq!(
         answer.status, None,
-        "the caller took a short answer for a whole one"
+        "the caller took a truncated response for a complete one"
     );
     Ok(())
 }
 
-/// The worker runs the request and closes without an answer. Without a key nothing may be sent
-/// again: a second worker stands ready and must stay idle.
+/// The worker runs the request and closes without a response. Without an idempotency key it must
+/// not be sent again, although a second worker is available.
 async fn reset_without_key() -> Result<()> {
-    let site = stay(2).await?;
+    let site = site_with_workers(2).await?;
     for worker in site.workers.values() {
         worker.set_mode(Mode::Reset);
     }
@@ -113,10 +117,10 @@
     Ok(())
 }
 
-/// One of two workers resets everything. Reads are idempotent, so each is tried at the other
-/// worker and every caller gets its answer.
+/// One of two workers resets all connections. Reads are idempotent, so each is retried at the other
+/// worker and every caller gets its response.
 async fn reset_of_a_read() -> Result<()> {
-    let site = stay(2).await?;
+    let site = site_with_workers(2).await?;
     site.worker("stay-0").set_mode(Mode::Reset);
     for _ in 0..5 {
         let answer = send(&site, Method::GET, &[], "").await;
@@ -125,10 +129,10 @@
     Ok(())
 }
 
-/// One of two workers no longer listens. No byte was sent to it, so even a request without a key
-/// may go to the other, and runs once.
+/// One of two workers no longer listens. No byte was sent to it, so even a request without an
+/// idempotency key may go to the other, and runs once.
 async fn refused_connection() -> Result<()> {
-    let site = stay(2).await?;
+    let site = site_with_workers(2).await?;
     site.kill_worker("stay-0").await?;
     for _ in 0..5 {
         let answer = send(&site, Method::POST, &[], "bed 1").await;
@@ -138,10 +142,10 @@
     Ok(())
 }
 
-/// No worker listens. Nothing was sent anywhere, so the caller is told "not run" and when to come
-/// back.
-async fn nobody_listens() -> Result<()> {
-    let site = stay(1).await?;
+/// No worker listens. Nothing was sent to any worker, so the caller is told "not run" and when to
+/// retry.
+async fn no_listening_worker() -> Result<()> {
+    let site = site_with_workers(1).await?;
     site.kill_worker("stay-0").await?;
     let answer = send(&site, Method::POST, &[], "bed 1").await;
     assert_eq!(answer.said, Said::NotRun, "{answer:?}");
@@ -150,8 +154,8 @@
     Ok(())
 }
 
-async fn large_answer() -> Result<()> {
-    let site = stay(1).await?;
+async fn large_response() -> Result<()> {
+    let site = site_with_workers(1).await?;
     let answer = send(&site, Method::GET, &[("x-answer-bytes", LARGE)], "").await;
     assert_eq!(answer.said, Said::Completed, "{:?}", answer.code);
     assert_eq!(answer.body.len().to_string(), LARGE);
@@ -159,24 +163,24 @@
 }
 
 async fn large_request() -> Result<()> {
-    let site = stay(1).await?;
+    let site = site_with_workers(1).await?;
     let body = vec![7_u8; 300_000];
     let caller = Caller::open(caller_token("stay"));
     let to = site.any().callers;
     let answer = caller
-        .send(to, Method::POST, "/stay/beds", &[], body, LIMIT)
+        .send(to, Method::POST, "/stay/beds", &[], body, TIMEOUT)
         .await;
     assert_eq!(answer.said, Said::Completed, "{answer:?}");
     assert_eq!(answer.headers["x-body-bytes"], "300000");
     Ok(())
 }
 
-/// Backend servers that answer each request with the id of another.
+/// Returns every response with the request id of another request.
 #[derive(Debug)]
-struct MixedUp(Pool);
+struct MismatchedIds(Pool);
 
 #[async_trait]
-impl Backend for MixedUp {
+impl Backend for MismatchedIds {
     async fn send(
         &self,
         to: SocketAddr,
@@ -193,11 +197,11 @@
     fn sweep(&self) {}
 }
 
-/// A worker mixes its answers up and says so by the request id that it returns. The caller must get
-/// an error, not another caller's answer; the request may have run.
-async fn mixed_up_answer() -> Result<()> {
-    let mut site = stay(1).await?;
-    let backend = Arc::new(MixedUp(Pool::open()));
+/// A worker returns a response with the id of another request. The caller must get an error, not
+/// another caller's response; the request may have run.
+async fn mismatched_response() -> Result<()> {
+    let mut site = site_with_workers(1).await?;
+    let backend = Arc::new(MismatchedIds(Pool::open()));
     site.start_with("mixed", |parts| Parts { backend, ..parts })
         .await?;
     let seq = site.ledger().head().await?.seq;
@@ -205,7 +209,7 @@
     let caller = Caller::open(caller_token("stay"));
     let to = site.entry("mixed").callers;
     let answer = caller
-        .send(to, Method::POST, "/stay/beds", &[], "bed 1", LIMIT)
+        .send(to, Method::POST, "/stay/beds", &[], "bed 1", TIMEOUT)
         .await;
     assert_eq!(
         (answer.said.clone(), answer.code),
--- a/tests/all/lend.rs
+++ b/tests/all/slot_lending.rs
@@ -1,6 +1,6 @@
-//! Slots of one worker, shared by entries: lent by demand, never overrun.
+//! Request slots of one worker are lent between entries by demand, and its limit is never exceeded.
 
-use crate::{LIMIT, cases};
+use crate::{TIMEOUT, cases};
 use eyre::Result;
 use http::Method;
 use primroseroute_testbed::{Caller, Layout, Site, backend, caller_token, platform, until};
@@ -14,12 +14,12 @@
 use tokio::task::JoinSet;
 
 cases! {
-    entry_with_all_callers_borrows_the_others_slots => borrows();
+    entry_with_all_callers_borrows_slots_of_the_other => borrows();
 }
 
-/// Two entries share one worker of eight slots, four each. All callers come to one entry: it must
-/// come to use more than its own four, or half of the worker stands idle while callers wait; and
-/// the worker must never run more than eight at a time.
+/// Two entries share one worker of eight slots, four each. All callers connect to one entry: it
+/// must borrow slots beyond its own four, or half of the worker would idle while callers wait. The
+/// worker must never run more than eight requests at a time.
 async fn borrows() -> Result<()> {
     let layout = Layout {
         pools: vec![("stay".to_owned(), 1)],
@@ -40,13 +40,13 @@
             let caller = Caller::open(caller_token("stay"));
             while !end.load(Ordering::SeqCst) {
                 caller
-                    .send(to, Method::GET, "/stay/a", &[], "", LIMIT)
+                    .send(to, Method::GET, "/stay/a", &[], "", TIMEOUT)
                     .await;
             }
         });
     }
     let worker = Arc::clone(site.worker("stay-0"));
-    until("it borrows slots", || worker.count().running > 4).await?;
+    until("the entry borrows slots", || worker.count().running > 4).await?;
     end.store(true, Ordering::SeqCst);
     while callers.join_next().await.is_some() {}
     let count = worker.count();
--- a/tests/all/told.rs
+++ b/tests/all/telemetry.rs
@@ -1,51 +1,52 @@
-//! What an entry tells of itself on its admin address.
+//! Metrics, liveness and readiness on an entry's admin address.
 
-use crate::{LIMIT, cases};
+use crate::{TIMEOUT, cases};
 use eyre::Result;
 use http::Method;
 use primroseroute_testbed::{Caller, Layout, Said, Site, backend::Mode, caller_token, platform};
 use std::time::Duration;
 
 cases! {
-    metrics_tell_requests_retries_ejections_and_store_calls => metrics();
-    readiness_goes_with_the_view_and_the_stop => readiness();
+    metrics_count_requests_retries_ejections_and_store_calls => metrics();
+    readiness_follows_the_view_and_the_stop => readiness();
 }
 
-/// The body of an unauthenticated page of the admin address, with its status.
+/// Status and body of an unauthenticated page of the admin address.
 async fn page(site: &Site, name: &str, path: &str) -> (u16, String) {
     let caller = Caller::open("none");
     let to = site.entry(name).admin.address();
-    let answer = caller.send(to, Method::GET, path, &[], "", LIMIT).await;
+    let answer = caller.send(to, Method::GET, path, &[], "", TIMEOUT).await;
     let status = answer.status.map_or(0, |status| status.as_u16());
     (status, String::from_utf8_lossy(&answer.body).into_owned())
 }
 
 /// The value of the first series of `name` whose labels contain all of `labels`.
 fn series(text: &str, name: &str, labels: &[&str]) -> Option<f64> {
-    let fits =
+    let matches_labels =
         |line: &&str| line.starts_with(name) && labels.iter().all(|part| line.contains(part));
-    let line = text.lines().find(fits)?;
+    let line = text.lines().find(matches_labels)?;
     line.rsplit(' ').next()?.parse().ok()
 }
 
-/// Failures in a row that eject a worker.
-const CONSECUTIVE: u32 = 5;
+/// Consecutive failures that eject a worker.
+const EJECTION_FAILURES: u32 = 5;
 
-/// Most requests until the worker that fails has got that many: it is drawn among three.
-const REQUESTS: u32 = 500;
+/// Maximum requests until the failing worker, one of three chosen at random, has received that
+/// many.
+const MAX_REQUESTS: u32 = 500;
 
 async fn metrics() -> Result<()> {
     let mut site = Site::open(Layout::small(), platform::Options::default()).await?;
     site.converge().await?;
     let failing = site.worker("stay-0");
-    // Health checks are answered: a quarantined worker wouldn't count as ejected.
+    // Health checks still pass: a quarantined worker would not count as ejected.
     failing.set_mode(Mode::ResetRequests);
     let caller = Caller::open(caller_token("stay"));
     let mut requests = 0;
-    while failing.count().executions < u64::from(CONSECUTIVE) && requests < REQUESTS {
+    while failing.count().executions < u64::from(EJECTION_FAILURES) && requests < MAX_REQUESTS {
         let to = site.entry("entry-0").callers;
         let answer = caller
-            .send(to, Method::GET, "/stay/a", &[], "", LIMIT)
+            .send(to, Method::GET, "/stay/a", &[], "", TIMEOUT)
             .await;
         assert_eq!(answer.said, Said::Completed, "{answer:?}");
         requests += 1;
@@ -53,26 +54,26 @@
     let (status, text) = page(&site, "entry-0", "/metrics").await;
     assert_eq!(status, 200);
     let value = |name, labels: &[&str]| series(&text, name, labels).unwrap_or_default();
-    let counts = |name, labels: &[&str], want: f64| {
-        let told = value(name, labels);
-        assert!((told - want).abs() < 0.5, "{name} {told} {want}\n{text}");
+    let assert_value = |name, labels: &[&str], want: f64| {
+        let found = value(name, labels);
+        assert!((found - want).abs() < 0.5, "{name} {found} {want}\n{text}");
     };
     let completed = [
         "account=\"stay\"",
         "service=\"stay\"",
         "verdict=\"completed\"",
     ];
-    counts(
+    assert_value(
         "primroseroute_requests_total",
         &completed,
         f64::from(requests),
     );
-    counts(
+    assert_value(
         "primroseroute_retries_total",
         &["service=\"stay\"", "code=\"302\""],
-        f64::from(CONSECUTIVE),
+        f64::from(EJECTION_FAILURES),
     );
-    counts("primroseroute_ejected", &["pool=\"stay\""], 1.0);
+    assert_value("primroseroute_ejected", &["pool=\"stay\""], 1.0);
     assert!(
         value(
             "primroseroute_store_calls_total",
@@ -84,9 +85,9 @@
     Ok(())
 }
 
-/// An entry without a view is alive and not ready, so the platform does not restart it and the
-/// balancer does not send to it. With a view it is ready, and from the stop order on it is not,
-/// while it still serves.
+/// An entry without a view is live but not ready, so the platform does not restart it and the load
+/// balancer does not send to it. With a view it is ready; after the stop order it is no longer
+/// ready, but still serves.
 async fn readiness() -> Result<()> {
     let mut site = Site::open(Layout::small(), platform::Options::default()).await?;
     let outage = platform::fault::Outage::Refuse;
@@ -97,7 +98,7 @@
     let caller = Caller::open(caller_token("stay"));
     let to = site.entry("entry-0").callers;
     let early = caller
-        .send(to, Method::GET, "/stay/a", &[], "", LIMIT)
+        .send(to, Method::GET, "/stay/a", &[], "", TIMEOUT)
         .await;
     assert_eq!((early.said, early.code), (Said::NotRun, Some(702)));
 
@@ -128,16 +129,16 @@
     let mut status = Some(200);
     while status != Some(503) {
         let answer = probe
-            .send(admin, Method::GET, "/readyz", &[], "", LIMIT)
+            .send(admin, Method::GET, "/readyz", &[], "", TIMEOUT)
             .await;
         status = answer.status.map(|status| status.as_u16());
         assert!(
             status.is_some(),
-            "it stopped before it said that it is not ready"
+            "the entry stopped before it reported that it is not ready"
         );
     }
     let late = caller
-        .send(callers, Method::GET, "/stay/a", &[], "", LIMIT)
+        .send(callers, Method::GET, "/stay/a", &[], "", TIMEOUT)
         .await;
     assert_eq!(late.said, Said::Completed, "{late:?}");
     stopped.await?;
--- a/tests/all/views.rs
+++ b/tests/all/views.rs
@@ -1,7 +1,7 @@
-//! I6 and I8: an accepted configuration is in force everywhere and never reverts; a leaving worker
-//! gets nothing new, while the store is down too.
+//! I6 and I8: an accepted configuration is applied everywhere and never reverts; a drained worker
+//! gets no new requests, even while the store is unavailable.
 
-use crate::{LIMIT, cases};
+use crate::{TIMEOUT, cases};
 use eyre::Result;
 use http::Method;
 use primroseroute_api::{Apply, Order};
@@ -13,12 +13,12 @@
 
 cases! {
     change_reaches_an_entry_that_cannot_read_the_store => change_over_peers();
-    drain_is_in_force_while_the_store_is_down => drain_then_outage();
-    racing_applies_leave_one_winner => racing_applies();
-    named_version_refuses_the_slower_operator => named_version();
-    lost_answer_of_an_apply_is_settled => lost_apply_answer();
-    entry_that_starts_while_the_store_is_down_learns_from_its_peers => start_without_store();
-    entry_that_starts_from_a_stale_peer_never_goes_back => start_from_stale_peer();
+    drain_is_applied_during_a_store_outage => drain_then_outage();
+    concurrent_applies_converge_on_the_later => concurrent_applies();
+    stale_version_is_rejected => stale_version();
+    lost_response_of_an_apply_is_resolved => lost_apply_response();
+    entry_started_in_a_store_outage_gets_the_view_from_its_peers => start_without_store();
+    entry_started_from_a_stale_peer_never_reverts => start_from_stale_peer();
 }
 
 fn apply(share: u32) -> Apply {
@@ -39,8 +39,8 @@
     Ok(site)
 }
 
-/// One entry is cut off from the store. A change accepted at another reaches it over the peer
-/// link, so it does not go on with the old configuration for as long as its cut lasts.
+/// One entry is partitioned from the store. A change accepted at another reaches it over the peer
+/// link, so it does not keep the old configuration for the duration of the partition.
 async fn change_over_peers() -> Result<()> {
     let site = site(3).await?;
     site.platform
@@ -52,8 +52,8 @@
     Ok(())
 }
 
-/// The drain is accepted and reaches one entry; then the store goes down for all. The others must
-/// still learn of it and send the worker nothing.
+/// The drain is accepted and reaches one entry; then the store becomes unavailable to all. The
+/// other entries must still apply it and send the worker nothing.
 async fn drain_then_outage() -> Result<()> {
     let site = site(3).await?;
     for name in ["entry-1", "entry-2"] {
@@ -80,7 +80,7 @@
     for running in site.entries.values() {
         for _ in 0..10 {
             let answer = caller
-                .send(running.callers, Method::GET, "/stay/a", &[], "", LIMIT)
+                .send(running.callers, Method::GET, "/stay/a", &[], "", TIMEOUT)
                 .await;
             assert_eq!(answer.said, Said::Completed, "{answer:?}");
         }
@@ -89,9 +89,9 @@
     Ok(())
 }
 
-/// Two operators apply different templates at two entries in the same moment. Both are accepted,
-/// one after the other; every entry ends with the later one, and none ever shows a lower version.
-async fn racing_applies() -> Result<()> {
+/// Two operators apply different templates at two entries at the same time. Both are accepted, one
+/// after the other; every entry ends with the later one, and none ever shows a lower version.
+async fn concurrent_applies() -> Result<()> {
     let site = site(3).await?;
     let [a, b] = ["entry-0", "entry-1"].map(|name| site.entry(name).admin.clone());
     let mut last = Seq(0);
@@ -112,7 +112,7 @@
     Ok(())
 }
 
-async fn named_version() -> Result<()> {
+async fn stale_version() -> Result<()> {
     let site = site(2).await?;
     let admin = &site.any().admin;
     let version = admin.account(&"stay".parse()?).await?.version;
@@ -129,7 +129,7 @@
         })
         .await;
     let code = refused
-        .expect_err("the version has moved")
+        .expect_err("the version is stale")
         .code()
         .map(Code::number);
     assert_eq!(code, Some(502));
@@ -137,9 +137,9 @@
     Ok(())
 }
 
-/// The store commits the operator's change and its answer is lost. The operator must be told that
-/// it was accepted, and the trail must hold it once.
-async fn lost_apply_answer() -> Result<()> {
+/// The store commits the operator's change and its response is lost. The operator must be told that
+/// the change was accepted, and the audit trail must contain it once.
+async fn lost_apply_response() -> Result<()> {
     let site = site(2).await?;
     let table = site.platform.client("entry-0");
     table
@@ -175,16 +175,16 @@
             "/stay/a",
             &[],
             "",
-            LIMIT,
+            TIMEOUT,
         )
         .await;
     assert_eq!(answer.said, Said::Completed, "{answer:?}");
     Ok(())
 }
 
-/// `entry-1` is cut off from store and peers and keeps an old view. A new entry can reach only it,
-/// and starts with the old view; once it reaches the rest it must go forward and, when the stale
-/// peer reports again, never back.
+/// `entry-1` is partitioned from store and peers and keeps an old view. A new entry can reach only
+/// `entry-1` and starts with the old view. Once it reaches the other entry it must apply the new
+/// view, and must not revert when the stale peer reports again.
 async fn start_from_stale_peer() -> Result<()> {
     let mut site = site(2).await?;
     let stale = "entry-1".parse()?;
@@ -204,18 +204,18 @@
         .faults()
         .set_outage(Some(Outage::Refuse));
     site.start("late").await?;
-    primroseroute_testbed::until("it has the old view", || {
+    primroseroute_testbed::until("the new entry has the old view", || {
         site.entry("late").entry.in_force() >= old
     })
     .await?;
     assert!(site.entry("late").entry.in_force() < accepted);
 
     site.network.heal(&late, &fresh);
-    primroseroute_testbed::until("it has the new view", || {
+    primroseroute_testbed::until("the new entry has the new view", || {
         site.entry("late").entry.in_force() >= accepted
     })
     .await?;
-    // The stale peer learns the new view from it, and nobody ever falls back.
+    // The stale peer gets the new view from the new entry, and no entry reverts.
     for _ in 0..50 {
         assert!(site.entry("late").entry.in_force() >= accepted);
         tokio::time::sleep(Duration::from_millis(10)).await;
--- a/tests/all/wave.rs
+++ b/tests/all/wave.rs
@@ -1,6 +1,6 @@
-//! Maintenance waves over whole entries: rolled out under load, halted, resumed by a successor.
+//! Maintenance waves end to end: under load, halted, paused, and continued by the next controller.
 
-use crate::{LIMIT, cases};
+use crate::{TIMEOUT, cases};
 use eyre::{Result, ensure};
 use http::Method;
 use primroseroute_api::{Move, Order, Start, Wave};
@@ -20,13 +20,13 @@
 };
 
 cases! {
-    wave_reboots_every_instance_once_and_cuts_nothing => rolls_out();
-    wave_goes_on_under_another_controller => goes_on_after_a_kill();
-    wave_halts_where_its_first_instance_never_comes_back => halts();
-    overlapping_wave_is_refused => overlap();
-    wave_that_a_budget_never_allows_is_refused => never();
-    paused_wave_takes_nothing_more_out => pause();
-    moved_instance_serves_its_new_pool_alone => moves();
+    wave_reboots_every_instance_once_and_interrupts_no_request => rolls_out();
+    wave_continues_under_another_controller => continues_after_a_kill();
+    wave_halts_if_its_first_instance_never_returns => halts();
+    overlapping_wave_is_rejected => overlap();
+    wave_that_a_budget_never_allows_is_rejected => budget_forbids();
+    paused_wave_starts_no_further_maintenance => pause();
+    moved_instance_serves_its_new_pool_only => moves();
 }
 
 const REBOOT: Duration = Duration::from_millis(150);
@@ -81,15 +81,15 @@
     found.ok_or_else(|| eyre::eyre!("no wave {name}"))
 }
 
-async fn until(site: &Site, name: &str, wanted: impl Fn(&Wave) -> bool) -> Result<Wave> {
-    let give_up = tokio::time::Instant::now() + LIMIT;
+async fn wait_for_wave(site: &Site, name: &str, wanted: impl Fn(&Wave) -> bool) -> Result<Wave> {
+    let deadline = tokio::time::Instant::now() + TIMEOUT;
     loop {
         let found = find(site, name).await?;
         if wanted(&found) {
             return Ok(found);
         }
         ensure!(
-            tokio::time::Instant::now() < give_up,
+            tokio::time::Instant::now() < deadline,
             "the wave stays {found:?}"
         );
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -105,8 +105,8 @@
         .collect()
 }
 
-/// Callers send all the while. Every instance reboots once, no request is cut, and no pool serves
-/// with fewer than promised.
+/// Callers send throughout. Every instance reboots once, no request is interrupted, and no pool
+/// serves with fewer instances than guaranteed.
 async fn rolls_out() -> Result<()> {
     let site = site().await?;
     let end = Arc::new(AtomicBool::new(false));
@@ -119,7 +119,7 @@
             let mut completed = 0;
             while !end.load(Ordering::SeqCst) {
                 let path = format!("/{pool}/a");
-                let answer = caller.send(to, Method::POST, &path, &[], "", LIMIT).await;
+                let answer = caller.send(to, Method::POST, &path, &[], "", TIMEOUT).await;
                 assert_eq!(answer.said, Said::Completed, "{answer:?}");
                 completed += 1;
             }
@@ -127,15 +127,15 @@
         });
     }
     start(&site, order("w", &[])?).await?;
-    let mut fewest = (u32::MAX, u32::MAX);
+    let mut min_serving = (u32::MAX, u32::MAX);
     let done = loop {
         for pool in site.any().admin.pools().await? {
-            let low = if pool.name.as_str() == "stay" {
-                &mut fewest.0
+            let lowest = if pool.name.as_str() == "stay" {
+                &mut min_serving.0
             } else {
-                &mut fewest.1
+                &mut min_serving.1
             };
-            *low = pool.serving.min(*low);
+            *lowest = pool.serving.min(*lowest);
         }
         let found = find(&site, "w").await?;
         if found.row.value.state != State::Running {
@@ -151,18 +151,19 @@
     assert_eq!((done.progress.done, done.progress.failed), (9, 0));
     assert_eq!(boots(&site), vec![2; 9]);
     assert!(
-        fewest.0 >= 4 && fewest.1 >= 3,
-        "{fewest:?} served at the least"
+        min_serving.0 >= 4 && min_serving.1 >= 3,
+        "a pool served with too few instances: {min_serving:?}"
     );
     Ok(())
 }
 
-/// The controller is killed in the middle of a wave. Its successor goes on from the rows alone, and
-/// no instance reboots twice. The killed entry is vouched for, or its silence would hold drains up.
-async fn goes_on_after_a_kill() -> Result<()> {
+/// The controller is killed in the middle of a wave. The next one continues from the stored rows
+/// alone, and no instance reboots twice. The operator removes the killed entry, or drains would
+/// wait for its acknowledgement.
+async fn continues_after_a_kill() -> Result<()> {
     let mut site = site().await?;
     start(&site, order("w", &[])?).await?;
-    until(&site, "w", |wave| wave.progress.done >= 1).await?;
+    wait_for_wave(&site, "w", |wave| wave.progress.done >= 1).await?;
     let holder = loop {
         if let Some(holder) = site.any().admin.status().await?.controller {
             break holder;
@@ -175,20 +176,20 @@
         force: false,
     };
     site.any().admin.remove(&holder, &order).await?;
-    let done = until(&site, "w", |wave| wave.row.value.state != State::Running).await?;
+    let done = wait_for_wave(&site, "w", |wave| wave.row.value.state != State::Running).await?;
     assert_eq!((done.row.value.state, done.progress.done), (State::Done, 9));
     assert_eq!(boots(&site), vec![2; 9]);
     Ok(())
 }
 
-/// The first instance never comes back from its reboot. The wave stops by itself and says why, and
+/// The first instance never returns from its reboot. The wave halts by itself with a reason, and
 /// every other instance serves.
 async fn halts() -> Result<()> {
     let mut site = site().await?;
     for name in site.workers.keys() {
         site.platform.fleet().set_reboot(name, Reboot::Hangs);
     }
-    // Every entry's controller must give up on the instance soon.
+    // Replaces the entries by one whose controller gives up on the instance after a second.
     for name in ["entry-0", "entry-1"] {
         site.take(name).entry.stop().await;
     }
@@ -201,20 +202,20 @@
     let seq = site.ledger().head().await?.seq;
     site.in_force(seq).await?;
     start(&site, order("w", &["stay"])?).await?;
-    let halted = until(&site, "w", |wave| wave.row.value.state != State::Running).await?;
+    let halted = wait_for_wave(&site, "w", |wave| wave.row.value.state != State::Running).await?;
     assert_eq!(halted.row.value.state, State::Halted, "{halted:?}");
     assert!(halted.row.value.reason.is_some());
     let pools = site.any().admin.pools().await?;
     let stay = pools
         .iter()
         .find(|pool| pool.name.as_str() == "stay")
-        .expect("it exists");
+        .expect("the pool exists");
     assert_eq!(stay.serving, 4);
     Ok(())
 }
 
 fn code<T: std::fmt::Debug>(result: Result<T, primroseroute_client::Error>) -> Option<Code> {
-    result.expect_err("it is refused").code()
+    result.expect_err("the request is rejected").code()
 }
 
 async fn overlap() -> Result<()> {
@@ -230,13 +231,13 @@
     );
     start(&site, order("three", &["rest"])?).await?;
     for name in ["one", "three"] {
-        until(&site, name, |wave| wave.row.value.state == State::Done).await?;
+        wait_for_wave(&site, name, |wave| wave.row.value.state == State::Done).await?;
     }
     assert_eq!(boots(&site), vec![2; 9]);
     Ok(())
 }
 
-async fn never() -> Result<()> {
+async fn budget_forbids() -> Result<()> {
     let site = site().await?;
     let mut template = site.templates().remove(0);
     template.pools[0].budget.promised = 5;
@@ -256,7 +257,7 @@
 async fn pause() -> Result<()> {
     let site = site().await?;
     start(&site, order("w", &[])?).await?;
-    until(&site, "w", |wave| wave.progress.done >= 1).await?;
+    wait_for_wave(&site, "w", |wave| wave.progress.done >= 1).await?;
     let name = "w".parse()?;
     let order = Order {
         if_version: None,
@@ -267,25 +268,30 @@
         .admin
         .command_wave(&name, Command::Pause, &order)
         .await?;
-    let paused = until(&site, "w", |wave| wave.progress.out == 0).await?;
+    let paused = wait_for_wave(&site, "w", |wave| wave.progress.out == 0).await?;
     let before = boots(&site);
     tokio::time::sleep(Duration::from_millis(500)).await;
-    assert_eq!(boots(&site), before, "it went on while it was paused");
+    assert_eq!(
+        boots(&site),
+        before,
+        "the wave continued while it was paused"
+    );
     assert!(paused.progress.pending > 0);
     site.any()
         .admin
         .command_wave(&name, Command::Resume, &order)
         .await?;
-    let done = until(&site, "w", |wave| wave.row.value.state == State::Done).await?;
+    let done = wait_for_wave(&site, "w", |wave| wave.row.value.state == State::Done).await?;
     assert_eq!(done.progress.done, 9);
     Ok(())
 }
 
-/// An instance moves from one pool to another. Callers of both pools are served all along, and
-/// once it serves the new pool no request of the old one reaches it.
+/// An instance moves from one pool to another. Callers of both pools are served throughout, and
+/// once the instance serves the new pool no request of the old one reaches it.
 async fn moves() -> Result<()> {
     let site = site().await?;
-    // The pool that loses an instance keeps what it promises, or placement would move one back.
+    // The pool that loses an instance must still meet its guarantee, or placement would move one
+    // back.
     let mut template = site.templates().remove(0);
     template.pools[0].budget.promised = 2;
     let apply = primroseroute_api::Apply {
@@ -305,13 +311,13 @@
         order,
     };
     site.any().admin.move_to(&moved, &order).await?;
-    let give_up = tokio::time::Instant::now() + LIMIT;
+    let deadline = tokio::time::Instant::now() + TIMEOUT;
     loop {
         let instances = site.any().admin.instances().await?;
         let found = instances
             .iter()
             .find(|found| found.row.value.id == moved)
-            .expect("it is there");
+            .expect("the instance is listed");
         let row = &found.row.value;
         if row
             .pool
@@ -322,7 +328,10 @@
             site.in_force(found.row.version).await?;
             break;
         }
-        ensure!(tokio::time::Instant::now() < give_up, "it stays {row:?}");
+        ensure!(
+            tokio::time::Instant::now() < deadline,
+            "the instance does not serve the new pool: {row:?}"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let caller = Caller::open(caller_token("stay"));
@@ -330,7 +339,7 @@
         for _ in 0..20 {
             let to = site.entry(name).callers;
             let answer = caller
-                .send(to, Method::GET, "/stay/a", &[], "", LIMIT)
+                .send(to, Method::GET, "/stay/a", &[], "", TIMEOUT)
                 .await;
             assert_ne!(answer.headers["x-backend"], "stay-0", "{answer:?}");
         }
