--- a/crates/testbed/src/components.rs
+++ b/crates/testbed/src/components.rs
@@ -1,4 +1,4 @@
-//! What the entries of a site are given.
+//! The components with which the entries of a site are started.
 
 use crate::spec::{OPERATOR_TOKEN, token_hash};
 use eyre::Result;
@@ -14,11 +14,11 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 use uuid::Uuid;
 
-/// Joins the site's in-memory network.
+/// Connects an entry to the site's in-memory peer network.
 #[derive(Debug)]
-struct Join(Network);
+struct InMemoryDial(Network);
 
-impl Dial for Join {
+impl Dial for InMemoryDial {
     fn dial(self: Box<Self>, identity: Identity, local: Arc<dyn Local>) -> Result<Dialed> {
         Ok(Dialed {
             link: self.0.join(identity, local),
@@ -30,8 +30,8 @@
 const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// The parts of the entry `name` of a site.
-pub(crate) fn parts(name: id::Entry, platform: &Platform, network: &Network) -> Parts {
+/// The default components of the entry `name` of a site.
+pub(crate) fn components(name: id::Entry, platform: &Platform, network: &Network) -> Parts {
     let incarnation = Uuid::new_v4();
     let mut seed = [0; 32];
     seed[..16].copy_from_slice(incarnation.as_bytes());
@@ -56,7 +56,7 @@
         keep: Keep::default(),
         probe: Arc::new(HttpProbe::new(HEALTH_PATH)),
         backend: Arc::new(Pool::open()),
-        dial: Box::new(Join(network.clone())),
+        dial: Box::new(InMemoryDial(network.clone())),
         clock: Arc::new(SystemClock),
         seed,
         operators: Tokens([operator].into()),
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,10 +1,10 @@
-//! A small site in one process: the platform's stand-in, backend servers, and whole entries.
+//! A small site in one process: a simulated platform, backend servers, and real entries.
 //!
-//! The integration tests, the demo and the benchmarks drive it. It is no simulator: the entries are
-//! the real ones over real sockets on loopback; only the platform and the backend servers are
-//! stand-ins, and the peer link is the in-memory one, so that links can be cut.
+//! The integration tests, the demo and the benchmarks use it. Only the platform and the backend
+//! servers are simulated: the entries are the production ones, over loopback sockets. The peer link
+//! is the in-memory one, so that tests can partition the network between entries.
 
-mod parts;
+mod components;
 mod site;
 mod spec;
 
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -1,7 +1,7 @@
-//! The running site.
+//! A running site.
 
 use crate::{
-    parts::parts,
+    components::components,
     spec::{Layout, OPERATOR_TOKEN, template},
 };
 use eyre::{Result, eyre};
@@ -33,33 +33,33 @@
 };
 use uuid::Uuid;
 
-/// How often a wait looks again.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval between checks of a condition that is waited for.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Longest wait for something that must come; only a hung test gets there.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout of a wait for a condition that must hold eventually; only a hung test reaches it.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// One running entry and its addresses.
 #[derive(Debug)]
 pub struct Running {
     /// The entry.
     pub entry: Entry,
-    /// Where callers are served.
+    /// The address on which callers are served.
     pub callers: SocketAddr,
-    /// The operators' client.
+    /// The operator's client of the entry.
     pub admin: Admin,
 }
 
 /// A platform, workers and entries.
 #[derive(Debug)]
 pub struct Site {
-    /// The platform's stand-in.
+    /// The simulated platform.
     pub platform: Platform,
-    /// The network between entries.
+    /// The peer network between entries.
     pub network: Network,
     /// The workers' backend servers.
     pub workers: BTreeMap<id::Instance, Arc<Backend>>,
-    /// The entries that run.
+    /// The running entries.
     pub entries: BTreeMap<id::Entry, Running>,
     layout: Layout,
 }
@@ -73,7 +73,7 @@
         Self::open_with(layout, platform, BackendOptions::default()).await
     }
 
-    /// The same, with workers made from `worker`.
+    /// Like [`Site::open`], with workers started from the options `worker`.
     ///
     /// # Errors
     /// Where a backend server cannot listen.
@@ -103,12 +103,12 @@
         })
     }
 
-    /// The ledger, as an onlooker who is no entry.
+    /// The ledger, through a store client that belongs to no entry.
     pub fn ledger(&self) -> Ledger {
         Ledger::open(Arc::new(self.platform.client("onlooker")))
     }
 
-    /// The templates of the layout: one account, pool and service of each pool's name.
+    /// The templates of the layout: for each pool, an account, pool and service of its name.
     ///
     /// # Panics
     /// Where a pool has no name or more than `u32::MAX` workers.
@@ -124,7 +124,8 @@
 
     /// Writes the rows of all workers as serving, in one change, and lists them as live.
     ///
-    /// The rows come first: a controller that saw the list before them would let the workers arrive.
+    /// The rows are written first: a controller that saw the list before them would treat the
+    /// workers as new instances.
     ///
     /// # Errors
     /// Where the change is not accepted.
@@ -160,7 +161,7 @@
         Ok(seq)
     }
 
-    /// Starts a worker that no row knows yet, and lists it as live.
+    /// Starts a worker that has no row yet, and lists it as live.
     ///
     /// # Errors
     /// Where it cannot listen.
@@ -185,15 +186,15 @@
         Ok(())
     }
 
-    /// Starts the entry `name` with the usual parts.
+    /// Starts the entry `name` with the default components.
     ///
     /// # Errors
     /// Where it cannot listen.
     pub async fn start(&mut self, name: &str) -> Result<()> {
-        self.start_with(name, |parts| parts).await
+        self.start_with(name, |components| components).await
     }
 
-    /// Starts the entry `name` with parts as `change` makes them.
+    /// Starts the entry `name` with the default components as modified by `change`.
     ///
     /// # Errors
     /// Where it cannot listen.
@@ -203,8 +204,8 @@
         change: impl FnOnce(Parts) -> Parts,
     ) -> Result<()> {
         let name: id::Entry = name.parse()?;
-        let parts = change(parts(name.clone(), &self.platform, &self.network));
-        let entry = Entry::spawn(parts).await?;
+        let components = change(components(name.clone(), &self.platform, &self.network));
+        let entry = Entry::spawn(components).await?;
         let running = Running {
             callers: entry.callers(),
             admin: Admin::open(entry.admin(), OPERATOR_TOKEN),
@@ -215,19 +216,19 @@
     }
 
     /// Starts `entry-0`, `entry-1` and so on, applies all templates, places all workers, and waits
-    /// until every entry has all of it in force.
+    /// until every entry has applied all changes.
     ///
     /// # Errors
-    /// Where something cannot listen or a change is not accepted.
+    /// Where an entry cannot listen or a change is not accepted.
     pub async fn converge(&mut self) -> Result<Seq> {
         let templates = self.templates();
         self.converge_on(templates).await
     }
 
-    /// The same with templates in place of the layout's; their pools are the layout's.
+    /// Like [`Site::converge`], with `templates` instead of the layout's; they must have its pools.
     ///
     /// # Errors
-    /// Where something cannot listen or a change is not accepted.
+    /// Where an entry cannot listen or a change is not accepted.
     pub async fn converge_on(&mut self, templates: Vec<Template>) -> Result<Seq> {
         for index in 0..self.layout.entries {
             self.start(&format!("entry-{index}")).await?;
@@ -246,7 +247,7 @@
         Ok(seq)
     }
 
-    /// One of the entries that run.
+    /// The running entry whose name sorts first.
     ///
     /// # Panics
     /// Where none runs.
@@ -262,7 +263,7 @@
         &self.entries[&name.parse::<id::Entry>().expect("an entry's name")]
     }
 
-    /// Takes the entry `name` out, to stop or kill it.
+    /// Removes the entry `name` from the site, so that the caller can stop or kill it.
     ///
     /// # Panics
     /// Where it does not run.
@@ -279,29 +280,29 @@
         &self.workers[&name.parse::<id::Instance>().expect("a worker's name")]
     }
 
-    /// Kills the backend server `name`, and waits until nothing listens there any more.
+    /// Kills the backend server `name`, and waits until its address refuses connections.
     ///
     /// # Errors
-    /// Where that takes a minute.
+    /// If that takes longer than a minute.
     pub async fn kill_worker(&self, name: &str) -> Result<()> {
         let worker = self.worker(name);
         worker.stop();
-        let give_up = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while TcpStream::connect(worker.address()).await.is_ok() {
-            if Instant::now() >= give_up {
+            if Instant::now() >= deadline {
                 return Err(eyre!("{name} still listens"));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Waits until every running entry has `seq` in force.
+    /// Waits until every running entry has applied the change `seq`.
     ///
     /// # Errors
-    /// Where that takes a minute.
+    /// If that takes longer than a minute.
     pub async fn in_force(&self, seq: Seq) -> Result<()> {
-        until("a change is in force everywhere", || {
+        until("all entries have applied a change", || {
             self.entries
                 .values()
                 .all(|running| running.entry.in_force() >= seq)
@@ -310,7 +311,7 @@
     }
 }
 
-/// The platform's line for a live instance with `row`.
+/// The platform's list entry of a live instance with `row`.
 fn listing(row: &Row) -> Listed {
     Listed {
         id: row.id.clone(),
@@ -322,17 +323,17 @@
     }
 }
 
-/// Waits until `holds`.
+/// Waits until `condition` holds; `what` names it in the error.
 ///
 /// # Errors
-/// Where that takes a minute.
-pub async fn until(what: &str, holds: impl Fn() -> bool) -> Result<()> {
-    let give_up = Instant::now() + PATIENCE;
-    while !holds() {
-        if Instant::now() >= give_up {
-            return Err(eyre!("{what}: not within {PATIENCE:?}"));
+/// If that takes longer than a minute.
+pub async fn until(what: &str, condition: impl Fn() -> bool) -> Result<()> {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        if Instant::now() >= deadline {
+            return Err(eyre!("timed out after {WAIT_TIMEOUT:?}: {what}"));
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/crates/testbed/src/spec.rs
+++ b/crates/testbed/src/spec.rs
@@ -1,4 +1,4 @@
-//! What a site consists of.
+//! Layout, tokens and templates of a site.
 
 use primroseroute_domain::{
     account::{Budget, Class, Pool, Service, Survive, Template, TokenHash},
@@ -7,7 +7,7 @@
 use sha2::{Digest, Sha256};
 use std::fmt::Write;
 
-/// The token of the one operator of a test site.
+/// The bearer token of the only operator of a test site.
 pub const OPERATOR_TOKEN: &str = "operator-secret";
 
 /// The bearer token of the callers of `account`.
@@ -15,7 +15,7 @@
     format!("token-of-{account}")
 }
 
-/// The hash that a template keeps of `token`.
+/// The hash of `token` as stored in a template.
 ///
 /// # Panics
 /// Never: writing to a string succeeds.
@@ -32,17 +32,21 @@
 /// A template with one pool of the account's name and one service under `/<account>`.
 ///
 /// # Panics
-/// Where `account` is not a name.
+/// Where `account` is not a valid name.
 pub fn template(account: &str, share: u32, promised: u32) -> Template {
     let service = Service {
-        name: account.parse().expect("an account's name names a service"),
+        name: account
+            .parse()
+            .expect("an account's name is a valid service name"),
         hosts: Vec::new(),
         path_prefix: Some(format!("/{account}").into()),
         callers: Vec::new(),
         class: Class::Urgent,
     };
     let pool = Pool {
-        name: account.parse().expect("an account's name names a pool"),
+        name: account
+            .parse()
+            .expect("an account's name is a valid pool name"),
         budget: Budget {
             promised,
             max_absent: 1,
@@ -51,7 +55,7 @@
         services: vec![service],
     };
     Template {
-        account: account.parse().expect("the account has a name"),
+        account: account.parse().expect("the account's name is valid"),
         share,
         tokens: vec![token_hash(&caller_token(account))],
         pools: vec![pool],
@@ -61,18 +65,18 @@
 /// Sizes of a site.
 #[derive(Clone, Debug)]
 pub struct Layout {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Accounts with a pool each, by name and number of workers.
+    /// Pools, each of an account of the same name, with their number of workers.
     pub pools: Vec<(String, usize)>,
-    /// Availability zones, over which the workers of a pool are spread.
+    /// Number of availability zones over which the workers of a pool are spread.
     pub zones: usize,
-    /// Workers of one rack.
+    /// Number of workers per rack.
     pub rack: usize,
 }
 
 impl Layout {
-    /// Two entries before one pool of three workers in three zones.
+    /// Two entries and one pool of three workers in three zones.
     pub fn small() -> Self {
         Self {
             entries: 2,
@@ -82,7 +86,7 @@
         }
     }
 
-    /// Zone and rack of the worker `index` of its pool.
+    /// Zone and rack of the worker `index` of the pool number `pool`.
     pub(crate) fn place(&self, pool: usize, index: usize) -> (id::Zone, id::Rack) {
         let zone = index % self.zones;
         let rack = index / self.zones / self.rack;
