--- a/crates/load/src/arrival.rs
+++ b/crates/load/src/arrival.rs
@@ -1,12 +1,12 @@
-//! When requests of an open loop are due.
+//! Scheduled send times of an open loop.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Times of arrival as time since the start, without end: a Poisson process.
+/// An infinite Poisson process of arrival times, as durations since the start.
 ///
-/// Many callers who know nothing of each other make such a process, bursts included.
+/// Many independent callers produce such a process, including its bursts.
 #[derive(Clone, Debug)]
 pub struct Arrivals {
     rate: f64,
@@ -15,7 +15,7 @@
 }
 
 impl Arrivals {
-    /// Arrivals at `rate` a second on average, drawn from `random`.
+    /// Arrivals at an average of `rate` per second, drawn from `random`.
     pub fn open(rate: f64, random: ChaCha8Rng) -> Self {
         Self {
             rate,
--- a/crates/load/src/client.rs
+++ b/crates/load/src/client.rs
@@ -1,4 +1,4 @@
-//! Sending one request on a kept connection.
+//! An HTTP client that sends requests on keep-alive connections.
 
 use crate::plan::Profile;
 use bytes::Bytes;
@@ -18,15 +18,15 @@
     time::{Instant, timeout_at},
 };
 
-/// How a request ended for its caller.
+/// The outcome of a request as seen by its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Ended {
+pub(crate) struct RequestEnd {
     pub(crate) verdict: Verdict,
     pub(crate) code: Option<u16>,
 }
 
-impl Ended {
-    fn without_answer(verdict: Verdict) -> Self {
+impl RequestEnd {
+    fn without_response(verdict: Verdict) -> Self {
         Self {
             verdict,
             code: None,
@@ -41,7 +41,7 @@
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Connections to one target; the newest idle one is used first.
+/// Keep-alive connections to one target; the most recently used idle one is reused first.
 pub(crate) struct Client {
     to: SocketAddr,
     idle: Mutex<Vec<Sender>>,
@@ -63,22 +63,22 @@
         }
     }
 
-    /// Sends a request of `profile` and waits for its end, at most `timeout`.
-    pub(crate) async fn send(&self, profile: &Profile, key: &str, timeout: Duration) -> Ended {
-        let give_up = Instant::now() + timeout;
+    /// Sends a request of `profile` and waits at most `timeout` for its outcome.
+    pub(crate) async fn send(&self, profile: &Profile, key: &str, timeout: Duration) -> RequestEnd {
+        let deadline = Instant::now() + timeout;
         let request = self.request(profile, key, timeout);
-        let connected = timeout_at(give_up, self.connect()).await;
+        let connected = timeout_at(deadline, self.connect()).await;
         let Ok(Ok(mut sender)) = connected else {
-            return Ended::without_answer(Verdict::NotRun);
+            return RequestEnd::without_response(Verdict::NotRun);
         };
-        let answer = timeout_at(give_up, exchange(&mut sender, request)).await;
-        let Ok(Ok(response)) = answer else {
-            return Ended::without_answer(Verdict::Unknown);
+        let exchanged = timeout_at(deadline, exchange(&mut sender, request)).await;
+        let Ok(Ok(response)) = exchanged else {
+            return RequestEnd::without_response(Verdict::Unknown);
         };
         if sender.is_ready() {
             self.idle.lock().push(sender);
         }
-        read(&response)
+        request_end(&response)
     }
 
     fn request(&self, profile: &Profile, key: &str, timeout: Duration) -> Request<Full<Bytes>> {
@@ -93,11 +93,11 @@
         }
         request
             .body(Full::new(profile.body.clone()))
-            .expect("a profile's request is well formed")
+            .expect("a profile yields a valid request")
     }
 
     async fn connect(&self) -> io::Result<Sender> {
-        while let Some(sender) = self.take() {
+        while let Some(sender) = self.take_idle() {
             if !sender.is_closed() {
                 return Ok(sender);
             }
@@ -107,13 +107,13 @@
         let handshake = http1::handshake(TokioIo::new(socket)).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
         tokio::spawn(async move {
-            // How a connection ends is seen by the request that was on it.
+            // A connection error is reported to the request in flight on it.
             drop(connection.await);
         });
         Ok(sender)
     }
 
-    fn take(&self) -> Option<Sender> {
+    fn take_idle(&self) -> Option<Sender> {
         self.idle.lock().pop()
     }
 }
@@ -125,16 +125,16 @@
     let response: Response<Incoming> = sender.send_request(request).await?;
     let (parts, body) = response.into_parts();
     let body = body.collect().await?.to_bytes();
-    // The connection is free again once its task has seen the end of the answer.
+    // The connection is reusable once its task has read the end of the response.
     sender.ready().await?;
     Ok(Response::from_parts(parts, body))
 }
 
-/// What the caller knows: the outcome header says it; without one, as from a backend server, the
-/// status does.
-fn read(response: &Response<Bytes>) -> Ended {
-    let said = response.headers().get("x-outcome");
-    let verdict = match said.and_then(|value| value.to_str().ok()) {
+/// Reads the outcome from its header, or from the status if the header is missing, as in responses
+/// of a backend server.
+fn request_end(response: &Response<Bytes>) -> RequestEnd {
+    let outcome = response.headers().get("x-outcome");
+    let verdict = match outcome.and_then(|value| value.to_str().ok()) {
         Some("completed") => Verdict::Completed,
         Some("not-run") => Verdict::NotRun,
         None if response.status().is_success() => Verdict::Completed,
@@ -143,7 +143,7 @@
     let code = is_problem(response.headers())
         .then(|| serde_json::from_slice::<Problem>(response.body()).ok())
         .flatten();
-    Ended {
+    RequestEnd {
         verdict,
         code: code.map(|problem| problem.code),
     }
--- a/crates/load/src/outcome.rs
+++ b/crates/load/src/outcome.rs
@@ -1,39 +1,40 @@
-//! What a run measured.
+//! Results of a run.
 
 use hdrhistogram::Histogram;
 use primroseroute_domain::{id, outcome::Verdict};
 use std::{collections::BTreeMap, time::Duration};
 
-/// Longest latency that is told apart, in microseconds: the longest run.
-const MAX_MICROS: u64 = 120_000_000;
+/// Upper bound of the latency histogram: the maximum length of a run.
+const MAX_LATENCY_US: u64 = 120_000_000;
 
-/// Significant digits of a latency: an error of one in a thousand.
-const DIGITS: u8 = 3;
+/// Significant digits of the latency histogram: a relative error of 0.1%.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Counts and latencies of one account, or of several together.
+/// Counts and latencies of one account, or the sum of several.
 ///
-/// Requests that were due in the measured part count; `finished` alone counts by when they ended.
+/// Covers the requests whose scheduled send time is in the measurement period; only `finished`
+/// counts by when they ended.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    /// Requests that were due.
+    /// Requests scheduled in the measurement period.
     pub offered: u64,
-    /// Whole answers.
+    /// Complete responses.
     pub completed: u64,
     /// Requests that were proven not to have run.
     pub not_run: u64,
     /// Requests that may have run.
     pub unknown: u64,
-    /// Whole answers that ended within the measured part, whenever they were due.
+    /// Complete responses that ended within the measurement period, whenever they were scheduled.
     pub finished: u64,
-    /// Refusals and failures by numbered code; 0 where none was given.
+    /// Rejections and failures by numbered code; 0 without a code.
     pub codes: BTreeMap<u16, u64>,
     latency: Histogram<u64>,
 }
 
 impl Default for Tally {
     fn default() -> Self {
-        let latency = Histogram::new_with_bounds(1, MAX_MICROS, DIGITS)
-            .expect("the bounds suit three digits");
+        let latency = Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+            .expect("the bounds are valid for this precision");
         Self {
             offered: 0,
             completed: 0,
@@ -47,7 +48,7 @@
 }
 
 impl Tally {
-    /// Counts a request that was due in the measured part; `latency` from when it was due.
+    /// Counts a request scheduled in the measurement period; `latency` is since its scheduled time.
     pub(crate) fn count(&mut self, verdict: Verdict, code: Option<u16>, latency: Duration) {
         self.offered += 1;
         match verdict {
@@ -56,7 +57,7 @@
             Verdict::Unknown => self.unknown += 1,
         }
         if verdict == Verdict::Completed {
-            let micros = u64::try_from(latency.as_micros()).unwrap_or(MAX_MICROS);
+            let micros = u64::try_from(latency.as_micros()).unwrap_or(MAX_LATENCY_US);
             self.latency.saturating_record(micros);
         } else {
             *self.codes.entry(code.unwrap_or(0)).or_default() += 1;
@@ -81,23 +82,23 @@
             .expect("the bounds are the same");
     }
 
-    /// The latency of whole answers that a part `quantile` of them does not exceed.
+    /// The latency of complete responses at `quantile`.
     pub fn latency(&self, quantile: f64) -> Duration {
         Duration::from_micros(self.latency.value_at_quantile(quantile))
     }
 }
 
-/// What a run measured, by account.
+/// Results of a run, by account.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The measured part's length.
+    /// Length of the measurement period.
     pub measured: Duration,
-    /// By account.
+    /// Results by account.
     pub accounts: BTreeMap<id::Account, Tally>,
 }
 
 impl Outcome {
-    /// All accounts together.
+    /// The sum over all accounts.
     pub fn total(&self) -> Tally {
         let mut total = Tally::default();
         for tally in self.accounts.values() {
@@ -106,12 +107,12 @@
         total
     }
 
-    /// Whole answers a second, by when they ended.
+    /// Complete responses per second, by when they ended.
     pub fn goodput(&self) -> f64 {
         self.per_second(self.total().finished)
     }
 
-    /// `count` over the measured part.
+    /// `count` per second of the measurement period.
     pub fn per_second(&self, count: u64) -> f64 {
         count as f64 / self.measured.as_secs_f64()
     }
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -1,4 +1,4 @@
-//! What is to be sent.
+//! The load plan: what is sent, when and where.
 
 use http::Method;
 use primroseroute_domain::id;
@@ -6,44 +6,44 @@
 use rand_chacha::ChaCha8Rng;
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-/// Longest run: longer ones belong to a soak test with its own machine.
+/// Maximum length of a run: longer ones belong in a soak test on a dedicated machine.
 pub const MAX_TIME: Duration = Duration::from_secs(120);
 
-/// Most requests of one run.
+/// Maximum number of requests of one run.
 pub const MAX_REQUESTS: u64 = 2_000_000;
 
-/// Most requests in flight: a quarter of the usual limit on open files, since a request holds two
-/// sockets on the side of the entry and one here.
+/// Maximum number of requests in flight: a quarter of the usual limit on open files, since a
+/// request uses two sockets in the entry and one in the load generator.
 pub const MAX_IN_FLIGHT: usize = 4096;
 
-/// When the next request is sent.
+/// The loop type, which determines when the next request is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Loop {
-    /// At times drawn beforehand, at this rate a second on average.
+    /// At precomputed times, at this average rate.
     Open {
-        /// Requests a second.
+        /// Requests per second.
         rate: f64,
     },
-    /// When the caller's last one has ended.
+    /// When the caller's previous request has ended.
     Closed {
         /// Callers with one request at a time each.
         callers: usize,
     },
 }
 
-/// Where requests go.
+/// A destination of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     /// A loopback address.
     pub address: SocketAddr,
-    /// Its part of the requests, relative to the other targets.
+    /// Its share of the requests, relative to the other targets.
     pub weight: f64,
 }
 
 /// One kind of request in the mix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Profile {
-    /// The account that calls; the outcome is counted under it.
+    /// The calling account, under which results are counted.
     pub account: id::Account,
     /// Its bearer token.
     pub token: Arc<str>,
@@ -55,67 +55,66 @@
     pub body: bytes::Bytes,
     /// Whether each request carries a new idempotency key.
     pub keyed: bool,
-    /// Its part of the requests, relative to the other profiles.
+    /// Its share of the requests, relative to the other profiles.
     pub weight: f64,
 }
 
 /// One bounded run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// When requests are sent.
+    /// The loop type and its rate or number of callers.
     pub pace: Loop,
-    /// Time before the measured part.
+    /// Time before the measurement period.
     pub warm_up: Duration,
-    /// The measured part.
+    /// Length of the measurement period.
     pub measured: Duration,
     /// Requests after which the run ends early.
     pub requests: u64,
-    /// Requests in flight at most; in an open loop a further one waits, and its wait counts.
+    /// Maximum number of requests in flight. In an open loop a further one waits, and the wait
+    /// counts as latency.
     pub in_flight: usize,
-    /// Where requests go.
+    /// The destinations of requests.
     pub targets: Vec<Target>,
-    /// What is sent.
+    /// The mix of requests.
     pub mix: Vec<Profile>,
-    /// How long the caller waits, which the request says too.
+    /// The caller's timeout, which is also sent with each request.
     pub timeout: Duration,
-    /// Everything random is drawn from it.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// Why a plan is not run.
+/// Why a plan is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Invalid {
     /// A target is not on this machine.
-    #[error("{0} is no loopback address")]
+    #[error("{0} is not a loopback address")]
     NotLoopback(SocketAddr),
     /// The run is longer than [`MAX_TIME`].
-    #[error("a run takes at most {MAX_TIME:?}")]
+    #[error("run or request timeout is longer than {MAX_TIME:?}")]
     TooLong,
     /// The run has more requests than [`MAX_REQUESTS`], or more in flight than [`MAX_IN_FLIGHT`].
-    #[error(
-        "a run has at most {MAX_REQUESTS} requests and {MAX_IN_FLIGHT} in flight, and at least one"
-    )]
+    #[error("run must have 1 to {MAX_REQUESTS} requests and 1 to {MAX_IN_FLIGHT} in flight")]
     TooMany,
     /// There is no target, no profile, or one whose weight is not above zero.
-    #[error("weights are above zero, and there is a target and a profile")]
+    #[error("plan needs a target and a profile, all with weights above zero")]
     Weights,
     /// The rate is not a number above zero.
-    #[error("the rate is a number above zero")]
+    #[error("rate must be a finite number above zero")]
     Rate,
 }
 
 impl Plan {
-    /// Whether the plan is within its bounds.
+    /// Checks that the plan is within its bounds.
     ///
     /// # Errors
-    /// [`Invalid`] with the first bound that does not hold.
+    /// [`Invalid`] with the first violated bound.
     pub fn check(&self) -> Result<(), Invalid> {
-        let far = self
+        let remote = self
             .targets
             .iter()
             .find(|to| !to.address.ip().is_loopback());
-        if let Some(far) = far {
-            return Err(Invalid::NotLoopback(far.address));
+        if let Some(remote) = remote {
+            return Err(Invalid::NotLoopback(remote.address));
         }
         if self.warm_up.saturating_add(self.measured) > MAX_TIME || self.timeout > MAX_TIME {
             return Err(Invalid::TooLong);
@@ -124,31 +123,31 @@
             Loop::Open { .. } => self.in_flight,
             Loop::Closed { callers } => callers,
         };
-        let few = (1..=MAX_IN_FLIGHT).contains(&callers);
-        if !few || !(1..=MAX_REQUESTS).contains(&self.requests) {
+        let in_flight_ok = (1..=MAX_IN_FLIGHT).contains(&callers);
+        if !in_flight_ok || !(1..=MAX_REQUESTS).contains(&self.requests) {
             return Err(Invalid::TooMany);
         }
-        let above_zero = |weight: f64| weight.is_finite() && weight > 0.0;
+        let is_positive = |weight: f64| weight.is_finite() && weight > 0.0;
         let targets = self.targets.iter().map(|target| target.weight);
         let profiles = self.mix.iter().map(|profile| profile.weight);
         let is_empty = self.targets.is_empty() || self.mix.is_empty();
-        if is_empty || !targets.chain(profiles).all(above_zero) {
+        if is_empty || !targets.chain(profiles).all(is_positive) {
             return Err(Invalid::Weights);
         }
         match self.pace {
-            Loop::Open { rate } if !above_zero(rate) => Err(Invalid::Rate),
+            Loop::Open { rate } if !is_positive(rate) => Err(Invalid::Rate),
             Loop::Open { .. } | Loop::Closed { .. } => Ok(()),
         }
     }
 
-    /// Whether `at`, as time since the start, is in the measured part.
-    pub(crate) fn measures(&self, at: Duration) -> bool {
+    /// Whether `at`, as time since the start, is in the measurement period.
+    pub(crate) fn is_measured(&self, at: Duration) -> bool {
         at >= self.warm_up && at < self.warm_up + self.measured
     }
 }
 
-/// Draws an index by weight.
-pub(crate) fn draw(weights: &[f64], random: &mut ChaCha8Rng) -> usize {
+/// Draws an index with a probability proportional to its weight.
+pub(crate) fn weighted_index(weights: &[f64], random: &mut ChaCha8Rng) -> usize {
     let total: f64 = weights.iter().sum();
     let mut point = random.random::<f64>() * total;
     for (index, weight) in weights.iter().enumerate() {
--- a/crates/load/src/record.rs
+++ b/crates/load/src/record.rs
@@ -1,53 +1,53 @@
-//! Counting from many tasks at once.
+//! Concurrent recording of results.
 
 use crate::{
-    client::Ended,
+    client::RequestEnd,
     outcome::{Outcome, Tally},
     plan::Plan,
 };
 use parking_lot::Mutex;
 use std::{collections::BTreeMap, time::Duration};
 
-/// Parts of the record, so that tasks seldom wait for each other.
-const PARTS: u64 = 16;
+/// Number of shards, which reduces lock contention between tasks.
+const SHARDS: u64 = 16;
 
-/// Tallies by profile, in parts. Each lock is taken alone.
+/// Sharded tallies by profile. No task holds two of the locks at a time.
 #[derive(Debug)]
 pub(crate) struct Record {
-    parts: Vec<Mutex<Vec<Tally>>>,
+    shards: Vec<Mutex<Vec<Tally>>>,
 }
 
 impl Record {
     pub(crate) fn open(plan: &Plan) -> Self {
-        let part = || Mutex::new(vec![Tally::default(); plan.mix.len()]);
+        let shard = || Mutex::new(vec![Tally::default(); plan.mix.len()]);
         Self {
-            parts: (0..PARTS).map(|_| part()).collect(),
+            shards: (0..SHARDS).map(|_| shard()).collect(),
         }
     }
 
-    /// Counts the request `number` of `profile`, which was due and has ended at these times since
-    /// the start.
+    /// Records the request `number` of `profile`, with its scheduled time and its end as durations
+    /// since the start.
     pub(crate) fn count(
         &self,
         plan: &Plan,
         number: u64,
         profile: usize,
         (due, end): (Duration, Duration),
-        ended: Ended,
+        ended: RequestEnd,
     ) {
-        let part = usize::try_from(number % PARTS).unwrap_or(0);
-        let tally = &mut self.parts[part].lock()[profile];
-        if plan.measures(due) {
+        let shard = usize::try_from(number % SHARDS).unwrap_or(0);
+        let tally = &mut self.shards[shard].lock()[profile];
+        if plan.is_measured(due) {
             tally.count(ended.verdict, ended.code, end.saturating_sub(due));
         }
         let is_completed = ended.verdict == primroseroute_domain::outcome::Verdict::Completed;
-        tally.finished += u64::from(is_completed && plan.measures(end));
+        tally.finished += u64::from(is_completed && plan.is_measured(end));
     }
 
     pub(crate) fn close(&self, plan: &Plan) -> Outcome {
         let mut accounts: BTreeMap<_, Tally> = BTreeMap::new();
-        for part in &self.parts {
-            for (profile, tally) in plan.mix.iter().zip(part.lock().iter()) {
+        for shard in &self.shards {
+            for (profile, tally) in plan.mix.iter().zip(shard.lock().iter()) {
                 accounts
                     .entry(profile.account.clone())
                     .or_default()
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,10 +1,10 @@
-//! Running a plan.
+//! Execution of a plan.
 
 use crate::{
     arrival::Arrivals,
     client::Client,
     outcome::Outcome,
-    plan::{Invalid, Loop, Plan, draw},
+    plan::{Invalid, Loop, Plan, weighted_index},
     record::Record,
 };
 use rand::SeedableRng;
@@ -19,7 +19,7 @@
 };
 use tokio::{runtime::Handle, sync::Semaphore, task};
 
-/// Everything that the senders of one run share.
+/// State shared by all senders of one run.
 #[derive(Debug)]
 struct Run {
     plan: Plan,
@@ -29,23 +29,23 @@
     sent: AtomicU64,
 }
 
-/// One request, as drawn.
+/// One randomly drawn request.
 #[derive(Clone, Copy, Debug)]
-struct Drawn {
+struct RequestDraw {
     number: u64,
     target: usize,
     profile: usize,
 }
 
-/// Draws targets and profiles.
+/// Draws targets and profiles by weight.
 #[derive(Debug)]
-struct Draws {
+struct RequestSampler {
     random: ChaCha8Rng,
     targets: Vec<f64>,
     profiles: Vec<f64>,
 }
 
-impl Draws {
+impl RequestSampler {
     fn open(plan: &Plan, stream: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(plan.seed);
         random.set_stream(stream);
@@ -56,11 +56,11 @@
         }
     }
 
-    fn next(&mut self, number: u64) -> Drawn {
-        Drawn {
+    fn next(&mut self, number: u64) -> RequestDraw {
+        RequestDraw {
             number,
-            target: draw(&self.targets, &mut self.random),
-            profile: draw(&self.profiles, &mut self.random),
+            target: weighted_index(&self.targets, &mut self.random),
+            profile: weighted_index(&self.profiles, &mut self.random),
         }
     }
 }
@@ -70,13 +70,13 @@
         self.plan.warm_up + self.plan.measured
     }
 
-    /// The next request's number, or none where the plan's requests are used up.
+    /// The number of the next request, or `None` once the plan's number of requests is reached.
     fn number(&self) -> Option<u64> {
         let number = self.sent.fetch_add(1, Ordering::Relaxed);
         (number < self.plan.requests).then_some(number)
     }
 
-    async fn send(&self, drawn: Drawn, due: Duration) {
+    async fn send(&self, drawn: RequestDraw, due: Duration) {
         let profile = &self.plan.mix[drawn.profile];
         let key = format!("{}-{}", self.plan.seed, drawn.number);
         let client = &self.clients[drawn.target];
@@ -87,25 +87,25 @@
     }
 
     async fn call(self: Arc<Self>, caller: u64) {
-        let mut source = Draws::open(&self.plan, caller + 1);
+        let mut sampler = RequestSampler::open(&self.plan, caller + 1);
         while self.started.elapsed() < self.length() {
             let Some(number) = self.number() else { return };
-            let drawn = source.next(number);
+            let drawn = sampler.next(number);
             self.send(drawn, self.started.elapsed()).await;
         }
     }
 
-    /// Sends each request when it is due. Blocks its thread: the runtime's timers tick only once a
-    /// millisecond, which would send requests in bursts.
-    fn dispatch(self: &Arc<Self>, rate: f64, room: &Arc<Semaphore>, handle: &Handle) {
+    /// Sends each request at its scheduled time. Blocks its thread, since the runtime's timers have
+    /// a resolution of one millisecond, which would send requests in bursts.
+    fn dispatch(self: &Arc<Self>, rate: f64, permits: &Arc<Semaphore>, handle: &Handle) {
         let mut arrivals = ChaCha8Rng::seed_from_u64(self.plan.seed);
         arrivals.set_stream(0);
-        let mut source = Draws::open(&self.plan, 1);
+        let mut sampler = RequestSampler::open(&self.plan, 1);
         for due in Arrivals::open(rate, arrivals).take_while(|due| *due < self.length()) {
             let Some(number) = self.number() else { return };
             thread::sleep(due.saturating_sub(self.started.elapsed()));
-            let permit = handle.block_on(Arc::clone(room).acquire_owned());
-            let drawn = source.next(number);
+            let permit = handle.block_on(Arc::clone(permits).acquire_owned());
+            let drawn = sampler.next(number);
             let run = Arc::clone(self);
             handle.spawn(async move {
                 let _permit = permit;
@@ -140,15 +140,15 @@
 }
 
 async fn run_open(run: &Arc<Run>, rate: f64) {
-    let room = Arc::new(Semaphore::new(run.plan.in_flight));
+    let permits = Arc::new(Semaphore::new(run.plan.in_flight));
     let dispatcher = {
-        let (run, room, handle) = (Arc::clone(run), Arc::clone(&room), Handle::current());
-        task::spawn_blocking(move || run.dispatch(rate, &room, &handle))
+        let (run, permits, handle) = (Arc::clone(run), Arc::clone(&permits), Handle::current());
+        task::spawn_blocking(move || run.dispatch(rate, &permits, &handle))
     };
     dispatcher.await.expect("the dispatcher does not panic");
     let all = u32::try_from(run.plan.in_flight).unwrap_or(u32::MAX);
-    // Every permit is back once every request has ended; the semaphore is never closed.
-    drop(room.acquire_many(all).await);
+    // All permits are returned once every request has ended; the semaphore is never closed.
+    drop(permits.acquire_many(all).await);
 }
 
 async fn run_closed(run: &Arc<Run>, callers: usize) {
--- a/crates/load/src/share.rs
+++ b/crates/load/src/share.rs
@@ -1,24 +1,24 @@
-//! What each account is due: max-min fairness by share.
+//! Weighted max-min fair allocation of capacity to accounts.
 //!
-//! An account that asks for less than its part gets all that it asks for; what it leaves is divided
-//! among the others by their shares, and so on.
+//! An account that demands less than its share gets its whole demand; the remainder is divided
+//! among the other accounts in proportion to their shares, and so on.
 
 use primroseroute_domain::id;
 use std::collections::BTreeMap;
 
-/// One account's claim on the capacity.
+/// One account's demand for capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Claim {
-    /// Its fair share, relative to the others; above zero.
+    /// Its weight relative to the other accounts; above zero.
     pub share: f64,
-    /// What it asks for, in the unit of the capacity.
+    /// Its demand, in the unit of the capacity.
     pub asked: f64,
 }
 
-/// What each account is due of `capacity`.
+/// Allocates `capacity` to the accounts.
 pub fn due(capacity: f64, claims: &BTreeMap<id::Account, Claim>) -> BTreeMap<id::Account, f64> {
-    // In the order of what each asks for by share, whoever asks least is satisfied first, and
-    // whoever comes later gets at least as much by share.
+    // Sorted by demand per share: the account with the lowest is satisfied first, and each later
+    // one gets at least as much per share.
     let mut order: Vec<_> = claims.iter().collect();
     order.sort_by(|(_, a), (_, b)| (a.asked / a.share).total_cmp(&(b.asked / b.share)));
     let mut left = capacity;
--- a/crates/load/tests/all/main.rs
+++ b/crates/load/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the load tool.
+//! Tests of the load generator.
 
 mod plan;
 mod runs;
--- a/crates/load/tests/all/plan.rs
+++ b/crates/load/tests/all/plan.rs
@@ -1,4 +1,4 @@
-//! Plans out of bounds are refused, and what is drawn follows the seed and the weights.
+//! Plans out of bounds are rejected, and random choices follow the seed and the weights.
 
 use primroseroute_load::{Arrivals, Invalid, Loop, MAX_REQUESTS, MAX_TIME, Plan, Profile, Target};
 use rand::SeedableRng;
@@ -34,7 +34,7 @@
     }
 }
 
-macro_rules! refused {
+macro_rules! rejected {
     ($($name:ident: $change:expr => $invalid:pat,)*) => {$(
         #[test]
         fn $name() {
@@ -47,8 +47,8 @@
     )*};
 }
 
-refused! {
-    other_machines_are_no_targets: |plan| plan.targets[0].address = "192.0.2.1:80".parse().unwrap()
+rejected! {
+    targets_must_be_loopback_addresses: |plan| plan.targets[0].address = "192.0.2.1:80".parse().unwrap()
         => Invalid::NotLoopback(_),
     time_is_bounded: |plan| plan.measured = MAX_TIME + Duration::from_secs(1) => Invalid::TooLong,
     requests_are_bounded: |plan| plan.requests = MAX_REQUESTS + 1 => Invalid::TooMany,
@@ -57,9 +57,9 @@
         plan.pace = Loop::Open { rate: 1.0 };
         plan.in_flight = 5000;
     } => Invalid::TooMany,
-    a_rate_is_above_zero: |plan| plan.pace = Loop::Open { rate: 0.0 } => Invalid::Rate,
-    a_weight_is_above_zero: |plan| plan.mix[0].weight = 0.0 => Invalid::Weights,
-    a_plan_has_a_profile: |plan| plan.mix.clear() => Invalid::Weights,
+    rate_must_be_above_zero: |plan| plan.pace = Loop::Open { rate: 0.0 } => Invalid::Rate,
+    weights_must_be_above_zero: |plan| plan.mix[0].weight = 0.0 => Invalid::Weights,
+    plan_must_have_a_profile: |plan| plan.mix.clear() => Invalid::Weights,
 }
 
 #[test]
@@ -74,10 +74,10 @@
     assert_eq!(first, arrivals(1));
     assert_ne!(first, arrivals(2));
     assert!(first.is_sorted());
-    // The standard error of 20,000 exponential gaps is 0.7%.
+    // The standard error of the mean of 20,000 exponential gaps is 0.7%.
     let last = first.last().expect("there are arrivals").as_secs_f64();
     assert!(
         (last - 20.0).abs() < 0.6,
-        "{last} s for 20,000 at 1,000 a second"
+        "{last} s for 20,000 arrivals at 1,000 per second"
     );
 }
--- a/crates/load/tests/all/runs.rs
+++ b/crates/load/tests/all/runs.rs
@@ -1,4 +1,4 @@
-//! Whole runs against the backend stand-in.
+//! Complete runs against the simulated backend server.
 
 use crate::plan::{plan, profile};
 use eyre::Result;
@@ -27,12 +27,12 @@
     assert_eq!(backend.count().executions, 200);
     assert!(
         backend.count().max_running <= 4,
-        "four callers have one request each"
+        "each of four callers has one request in flight"
     );
     let stay = outcome.accounts[&"stay".parse()?].completed;
     assert!(
         (120..=180).contains(&stay),
-        "{stay} of 200 at three quarters"
+        "{stay} of 200 requests for a weight of three quarters"
     );
     Ok(())
 }
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test]
-async fn failures_are_not_counted_as_answers() -> Result<()> {
+async fn failures_are_not_counted_as_completed() -> Result<()> {
     let backend = backend(Options::default()).await?;
     backend.set_mode(Mode::FailAll);
     let total = run(&against(&backend)).await?.total();
@@ -61,9 +61,9 @@
     Ok(())
 }
 
-/// The server takes one request at a time and 20 ms for each, and 50 are due within some 5 ms. A
-/// tool that counted from when it sent would report 20 ms for each; callers would have waited up to
-/// a second, and half of them more than 400 ms.
+/// The server processes one request at a time in 20 ms, and 50 are scheduled within about 5 ms. A
+/// load generator that measured latency from the actual send would report 20 ms for each, while
+/// callers would have waited up to a second, and half of them more than 400 ms.
 #[tokio::test]
 async fn waiting_for_a_free_connection_counts_as_latency() -> Result<()> {
     let options = Options {
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn nothing_is_sent_by_a_plan_out_of_bounds() -> Result<()> {
+async fn plan_out_of_bounds_sends_nothing() -> Result<()> {
     let backend = backend(Options::default()).await?;
     let mut plan = against(&backend);
     plan.requests = 0;
--- a/crates/load/tests/all/shares.rs
+++ b/crates/load/tests/all/shares.rs
@@ -1,4 +1,4 @@
-//! What accounts are due, against a naive twin that pours capacity out drop by drop.
+//! Compares the allocation with a reference implementation that hands out capacity in small steps.
 
 use primroseroute_domain::id;
 use primroseroute_load::share::{Claim, due};
@@ -8,25 +8,29 @@
 };
 use std::collections::BTreeMap;
 
-const DROPS: u32 = 20_000;
+const STEPS: u32 = 20_000;
 
-/// Gives each drop to the account that has least by its share and still asks for more.
-fn poured(capacity: f64, claims: &BTreeMap<id::Account, Claim>) -> BTreeMap<id::Account, f64> {
-    let drop = capacity / f64::from(DROPS);
+/// Gives each step to the account with the least allocation per share among those with unmet
+/// demand.
+fn reference_allocation(
+    capacity: f64,
+    claims: &BTreeMap<id::Account, Claim>,
+) -> BTreeMap<id::Account, f64> {
+    let step = capacity / f64::from(STEPS);
     let mut got: BTreeMap<id::Account, f64> = claims.keys().map(|n| (n.clone(), 0.0)).collect();
-    for _ in 0..DROPS {
-        let thirsty = claims.iter().filter(|(name, c)| got[*name] < c.asked);
+    for _ in 0..STEPS {
+        let unmet = claims.iter().filter(|(name, c)| got[*name] < c.asked);
         let least =
-            thirsty.min_by(|(a, c), (b, d)| (got[*a] / c.share).total_cmp(&(got[*b] / d.share)));
+            unmet.min_by(|(a, c), (b, d)| (got[*a] / c.share).total_cmp(&(got[*b] / d.share)));
         if let Some((name, _)) = least {
-            *got.get_mut(name).expect("every account is there") += drop;
+            *got.get_mut(name).expect("every account is there") += step;
         }
     }
     got
 }
 
 #[test]
-fn as_a_naive_twin_pours_it() {
+fn matches_the_reference_allocation() {
     let config = Config {
         failure_persistence: None,
         cases: 40,
@@ -35,7 +39,7 @@
     let random = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, random);
     let accounts = vec((1_u32..20, 0_u32..200), 1..6);
-    let verdict = runner.run(&accounts, |accounts| {
+    let result = runner.run(&accounts, |accounts| {
         let claims: BTreeMap<id::Account, Claim> = accounts
             .iter()
             .enumerate()
@@ -49,11 +53,11 @@
             })
             .collect();
         let exact = due(100.0, &claims);
-        for (name, poured) in poured(100.0, &claims) {
-            let difference = (exact[&name] - poured).abs();
-            proptest::prop_assert!(difference < 0.1, "{name}: {} and {poured}", exact[&name]);
+        for (name, expected) in reference_allocation(100.0, &claims) {
+            let difference = (exact[&name] - expected).abs();
+            proptest::prop_assert!(difference < 0.1, "{name}: {} and {expected}", exact[&name]);
         }
         Ok(())
     });
-    verdict.expect("both agree");
+    result.expect("the allocations agree");
 }
