--- a/benches/request_path/overload.rs
+++ b/benches/request_path/overload.rs
@@ -9,7 +9,7 @@
 use primroseroute_domain::id;
 use primroseroute_load::{
     Loop, Outcome, Plan,
-    share::{Claim, due},
+    share::{AccountDemand, allocate},
 };
 use primroseroute_testbed::backend::Mode;
 use std::{collections::BTreeMap, time::Duration};
@@ -93,19 +93,19 @@
 
 /// The least part that an account got of what it was due.
 fn fairness(outcome: &Outcome, capacity: f64) -> f64 {
-    let claims: BTreeMap<id::Account, Claim> = ACCOUNTS
+    let demands: BTreeMap<id::Account, AccountDemand> = ACCOUNTS
         .iter()
         .map(|(name, share, _)| {
             let account: id::Account = name.parse().expect("an account's name");
             let offered = outcome.accounts[&account].offered;
-            let claim = Claim {
+            let account_demand = AccountDemand {
                 share: f64::from(*share),
-                asked: outcome.per_second(offered),
+                demand: outcome.per_second(offered),
             };
-            (account, claim)
+            (account, account_demand)
         })
         .collect();
-    let parts = due(capacity, &claims).into_iter();
+    let parts = allocate(capacity, &demands).into_iter();
     parts
         .map(|(account, due)| outcome.per_second(outcome.accounts[&account].finished) / due)
         .fold(f64::INFINITY, f64::min)
--- a/crates/load/src/share.rs
+++ b/crates/load/src/share.rs
@@ -8,27 +8,35 @@
 
 /// One account's demand for capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Claim {
+pub struct AccountDemand {
     /// Its weight relative to the other accounts; above zero.
     pub share: f64,
     /// Its demand, in the unit of the capacity.
-    pub asked: f64,
+    pub demand: f64,
 }
 
 /// Allocates `capacity` to the accounts.
-pub fn due(capacity: f64, claims: &BTreeMap<id::Account, Claim>) -> BTreeMap<id::Account, f64> {
+pub fn allocate(
+    capacity: f64,
+    demands: &BTreeMap<id::Account, AccountDemand>,
+) -> BTreeMap<id::Account, f64> {
     // Sorted by demand per share: the account with the lowest is satisfied first, and each later
     // one gets at least as much per share.
-    let mut order: Vec<_> = claims.iter().collect();
-    order.sort_by(|(_, a), (_, b)| (a.asked / a.share).total_cmp(&(b.asked / b.share)));
+    let mut order: Vec<_> = demands.iter().collect();
+    order.sort_by(|(_, a), (_, b)| (a.demand / a.share).total_cmp(&(b.demand / b.share)));
     let mut left = capacity;
-    let mut shares: f64 = claims.values().map(|claim| claim.share).sum();
-    let mut due = BTreeMap::new();
-    for (account, claim) in order {
-        let part = claim.asked.min(left * claim.share / shares);
-        due.insert(account.clone(), part);
+    let mut shares: f64 = demands
+        .values()
+        .map(|account_demand| account_demand.share)
+        .sum();
+    let mut allocation = BTreeMap::new();
+    for (account, account_demand) in order {
+        let part = account_demand
+            .demand
+            .min(left * account_demand.share / shares);
+        allocation.insert(account.clone(), part);
         left -= part;
-        shares -= claim.share;
+        shares -= account_demand.share;
     }
-    due
+    allocation
 }
--- a/crates/load/tests/all/shares.rs
+++ b/crates/load/tests/all/shares.rs
@@ -1,7 +1,7 @@
 //! Compares the allocation with a reference implementation that hands out capacity in small steps.
 
 use primroseroute_domain::id;
-use primroseroute_load::share::{Claim, due};
+use primroseroute_load::share::{AccountDemand, allocate};
 use proptest::{
     collection::vec,
     test_runner::{Config, RngAlgorithm, TestRng, TestRunner},
@@ -14,12 +14,12 @@
 /// demand.
 fn reference_allocation(
     capacity: f64,
-    claims: &BTreeMap<id::Account, Claim>,
+    demands: &BTreeMap<id::Account, AccountDemand>,
 ) -> BTreeMap<id::Account, f64> {
     let step = capacity / f64::from(STEPS);
-    let mut got: BTreeMap<id::Account, f64> = claims.keys().map(|n| (n.clone(), 0.0)).collect();
+    let mut got: BTreeMap<id::Account, f64> = demands.keys().map(|n| (n.clone(), 0.0)).collect();
     for _ in 0..STEPS {
-        let unmet = claims.iter().filter(|(name, c)| got[*name] < c.asked);
+        let unmet = demands.iter().filter(|(name, c)| got[*name] < c.demand);
         let least =
             unmet.min_by(|(a, c), (b, d)| (got[*a] / c.share).total_cmp(&(got[*b] / d.share)));
         if let Some((name, _)) = least {
@@ -40,20 +40,20 @@
     let mut runner = TestRunner::new_with_rng(config, random);
     let accounts = vec((1_u32..20, 0_u32..200), 1..6);
     let result = runner.run(&accounts, |accounts| {
-        let claims: BTreeMap<id::Account, Claim> = accounts
+        let demands: BTreeMap<id::Account, AccountDemand> = accounts
             .iter()
             .enumerate()
-            .map(|(number, (share, asked))| {
+            .map(|(number, (share, demand))| {
                 let name = format!("account-{number}").parse().expect("a name");
-                let claim = Claim {
+                let account_demand = AccountDemand {
                     share: f64::from(*share),
-                    asked: f64::from(*asked),
+                    demand: f64::from(*demand),
                 };
-                (name, claim)
+                (name, account_demand)
             })
             .collect();
-        let exact = due(100.0, &claims);
-        for (name, expected) in reference_allocation(100.0, &claims) {
+        let exact = allocate(100.0, &demands);
+        for (name, expected) in reference_allocation(100.0, &demands) {
             let difference = (exact[&name] - expected).abs();
             proptest::prop_assert!(difference < 0.1, "{name}: {} and {expected}", exact[&name]);
         }
