--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -30,5 +30,5 @@
 
 pub use arrival::Arrivals;
 pub use outcome::{Outcome, Tally};
-pub use plan::{Invalid, Loop, MAX_IN_FLIGHT, MAX_REQUESTS, MAX_TIME, Plan, Profile, Target};
+pub use plan::{InvalidPlan, Loop, MAX_IN_FLIGHT, MAX_REQUESTS, MAX_TIME, Plan, Profile, Target};
 pub use run::run;
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -85,7 +85,7 @@
 
 /// Why a plan is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Invalid {
+pub enum InvalidPlan {
     /// A target is not on this machine.
     #[error("{0} is not a loopback address")]
     NotLoopback(SocketAddr),
@@ -107,17 +107,17 @@
     /// Checks that the plan is within its bounds.
     ///
     /// # Errors
-    /// [`Invalid`] with the first violated bound.
-    pub fn check(&self) -> Result<(), Invalid> {
+    /// [`InvalidPlan`] with the first violated bound.
+    pub fn check(&self) -> Result<(), InvalidPlan> {
         let remote = self
             .targets
             .iter()
             .find(|to| !to.address.ip().is_loopback());
         if let Some(remote) = remote {
-            return Err(Invalid::NotLoopback(remote.address));
+            return Err(InvalidPlan::NotLoopback(remote.address));
         }
         if self.warm_up.saturating_add(self.measured) > MAX_TIME || self.timeout > MAX_TIME {
-            return Err(Invalid::TooLong);
+            return Err(InvalidPlan::TooLong);
         }
         let callers = match self.pace {
             Loop::Open { .. } => self.in_flight,
@@ -125,17 +125,17 @@
         };
         let in_flight_ok = (1..=MAX_IN_FLIGHT).contains(&callers);
         if !in_flight_ok || !(1..=MAX_REQUESTS).contains(&self.requests) {
-            return Err(Invalid::TooMany);
+            return Err(InvalidPlan::TooMany);
         }
         let is_positive = |weight: f64| weight.is_finite() && weight > 0.0;
         let targets = self.targets.iter().map(|target| target.weight);
         let profiles = self.mix.iter().map(|profile| profile.weight);
         let is_empty = self.targets.is_empty() || self.mix.is_empty();
         if is_empty || !targets.chain(profiles).all(is_positive) {
-            return Err(Invalid::Weights);
+            return Err(InvalidPlan::Weights);
         }
         match self.pace {
-            Loop::Open { rate } if !is_positive(rate) => Err(Invalid::Rate),
+            Loop::Open { rate } if !is_positive(rate) => Err(InvalidPlan::Rate),
             Loop::Open { .. } | Loop::Closed { .. } => Ok(()),
         }
     }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -4,7 +4,7 @@
     arrival::Arrivals,
     client::Client,
     outcome::Outcome,
-    plan::{Invalid, Loop, Plan, weighted_index},
+    plan::{InvalidPlan, Loop, Plan, weighted_index},
     record::Record,
 };
 use rand::SeedableRng;
@@ -118,11 +118,11 @@
 /// Runs `plan` on the current runtime, and waits until every request has ended.
 ///
 /// # Errors
-/// [`Invalid`] where the plan is out of bounds; nothing was sent.
+/// [`InvalidPlan`] where the plan is out of bounds; nothing was sent.
 ///
 /// # Panics
 /// Outside a tokio runtime, or where a sender panics.
-pub async fn run(plan: &Plan) -> Result<Outcome, Invalid> {
+pub async fn run(plan: &Plan) -> Result<Outcome, InvalidPlan> {
     plan.check()?;
     let targets = plan.targets.iter();
     let run = Arc::new(Run {
--- a/crates/load/tests/all/plan.rs
+++ b/crates/load/tests/all/plan.rs
@@ -1,6 +1,8 @@
 //! Plans out of bounds are rejected, and random choices follow the seed and the weights.
 
-use primroseroute_load::{Arrivals, Invalid, Loop, MAX_REQUESTS, MAX_TIME, Plan, Profile, Target};
+use primroseroute_load::{
+    Arrivals, InvalidPlan, Loop, MAX_REQUESTS, MAX_TIME, Plan, Profile, Target,
+};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
@@ -49,17 +51,18 @@
 
 rejected! {
     targets_must_be_loopback_addresses: |plan| plan.targets[0].address = "192.0.2.1:80".parse().unwrap()
-        => Invalid::NotLoopback(_),
-    time_is_bounded: |plan| plan.measured = MAX_TIME + Duration::from_secs(1) => Invalid::TooLong,
-    requests_are_bounded: |plan| plan.requests = MAX_REQUESTS + 1 => Invalid::TooMany,
-    callers_are_bounded: |plan| plan.pace = Loop::Closed { callers: 5000 } => Invalid::TooMany,
+        => InvalidPlan::NotLoopback(_),
+    time_is_bounded: |plan| plan.measured = MAX_TIME + Duration::from_secs(1)
+        => InvalidPlan::TooLong,
+    requests_are_bounded: |plan| plan.requests = MAX_REQUESTS + 1 => InvalidPlan::TooMany,
+    callers_are_bounded: |plan| plan.pace = Loop::Closed { callers: 5000 } => InvalidPlan::TooMany,
     requests_in_flight_are_bounded: |plan| {
         plan.pace = Loop::Open { rate: 1.0 };
         plan.in_flight = 5000;
-    } => Invalid::TooMany,
-    rate_must_be_above_zero: |plan| plan.pace = Loop::Open { rate: 0.0 } => Invalid::Rate,
-    weights_must_be_above_zero: |plan| plan.mix[0].weight = 0.0 => Invalid::Weights,
-    plan_must_have_a_profile: |plan| plan.mix.clear() => Invalid::Weights,
+    } => InvalidPlan::TooMany,
+    rate_must_be_above_zero: |plan| plan.pace = Loop::Open { rate: 0.0 } => InvalidPlan::Rate,
+    weights_must_be_above_zero: |plan| plan.mix[0].weight = 0.0 => InvalidPlan::Weights,
+    plan_must_have_a_profile: |plan| plan.mix.clear() => InvalidPlan::Weights,
 }
 
 #[test]
