--- a/benches/request_path/bed.rs
+++ b/benches/request_path/bed.rs
@@ -121,7 +121,7 @@
         }
         admin.apply(&apply(owner(1, dims.workers))).await?;
         let seq = site.place_workers().await?;
-        site.in_force(seq).await?;
+        site.wait_until_applied(seq).await?;
         let bed = Self { site, dims, seed };
         bed.meet().await?;
         Ok(bed)
--- a/crates/capacity/src/stage.rs
+++ b/crates/capacity/src/stage.rs
@@ -110,7 +110,7 @@
             };
             bed.start_with(&format!("entry-{index}"), deployed).await?;
         }
-        bed.in_force(seq).await?;
+        bed.wait_until_applied(seq).await?;
         sleep(SETTLE).await;
         Ok(Self {
             ledger: bed.ledger(),
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -243,7 +243,7 @@
             admin.apply(&order).await?;
         }
         let seq = self.place_workers().await?;
-        self.in_force(seq).await?;
+        self.wait_until_applied(seq).await?;
         Ok(seq)
     }
 
@@ -301,8 +301,8 @@
     ///
     /// # Errors
     /// If that takes longer than a minute.
-    pub async fn in_force(&self, seq: Seq) -> Result<()> {
-        until("all entries have applied a change", || {
+    pub async fn wait_until_applied(&self, seq: Seq) -> Result<()> {
+        wait_until("all entries have applied a change", || {
             self.entries
                 .values()
                 .all(|running| running.entry.in_force() >= seq)
@@ -327,7 +327,7 @@
 ///
 /// # Errors
 /// If that takes longer than a minute.
-pub async fn until(what: &str, condition: impl Fn() -> bool) -> Result<()> {
+pub async fn wait_until(what: &str, condition: impl Fn() -> bool) -> Result<()> {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
         if Instant::now() >= deadline {
--- a/tests/all/ctl/wait.rs
+++ b/tests/all/ctl/wait.rs
@@ -60,7 +60,7 @@
     })
     .await?;
     let seq = site.place_workers().await?;
-    site.in_force(seq).await?;
+    site.wait_until_applied(seq).await?;
     let [late, first] = ["late".parse()?, "entry-0".parse()?];
     site.network.cut(&late, &first);
     site.start("late").await?;
@@ -121,7 +121,7 @@
     })
     .await?;
     let seq = site.place_workers().await?;
-    site.in_force(seq).await?;
+    site.wait_until_applied(seq).await?;
     let yaml = stay_template(6)?;
     let args = [
         "account",
--- a/tests/all/end_to_end.rs
+++ b/tests/all/end_to_end.rs
@@ -47,7 +47,7 @@
     };
     let drained = "stay-0".parse()?;
     let accepted = site.entry("entry-0").admin.drain(&drained, &order).await?;
-    site.in_force(accepted.version).await?;
+    site.wait_until_applied(accepted.version).await?;
     let before = site.worker("stay-0").count().executions;
 
     let caller = Caller::open(caller_token("stay"));
--- a/tests/all/fleet.rs
+++ b/tests/all/fleet.rs
@@ -91,7 +91,7 @@
     let id = add_worker(&mut site, "new", Mode::Ok).await?;
     wait_for_row(&site, &id, has_state(State::Serving)).await?;
     let seq = site.ledger().head().await?.seq;
-    site.in_force(seq).await?;
+    site.wait_until_applied(seq).await?;
 
     let worker = Arc::clone(site.worker("new"));
     assert_reads_complete(site.any().callers, 60).await;
@@ -220,7 +220,7 @@
     let mut site = site_with_workers(3).await?;
     site.start("cut").await?;
     let seq = site.ledger().head().await?.seq;
-    site.in_force(seq).await?;
+    site.wait_until_applied(seq).await?;
     let partitioned: id::Entry = "cut".parse()?;
     site.platform
         .client("cut")
@@ -273,7 +273,7 @@
     wait_for_row(&site, &id, has_state(State::Draining)).await?;
     // Every running entry acknowledges within one or two exchanges; `ghost` never does.
     let drained = site.ledger().head().await?.seq;
-    site.in_force(drained).await?;
+    site.wait_until_applied(drained).await?;
     tokio::time::sleep(std::time::Duration::from_millis(2500)).await;
     wait_for_row(&site, &id, has_state(State::Draining)).await?;
     let order = Order {
--- a/tests/all/idempotency.rs
+++ b/tests/all/idempotency.rs
@@ -8,7 +8,7 @@
 use primroseroute_api::Order;
 use primroseroute_route::backend::{Backend, Body, Failure, Pool};
 use primroseroute_testbed::{
-    Answer, Caller, Layout, Said, Site, backend::Mode, caller_token, platform, until,
+    Answer, Caller, Layout, Said, Site, backend::Mode, caller_token, platform, wait_until,
 };
 use std::{
     net::SocketAddr,
@@ -155,7 +155,7 @@
     })
     .await?;
     let seq = site.ledger().head().await?.seq;
-    site.in_force(seq).await?;
+    site.wait_until_applied(seq).await?;
     Ok((site, blocking))
 }
 
@@ -165,7 +165,7 @@
     let (mut site, blocking) = site_with_blocking_entry().await?;
     let to = site.entry("entry-held").callers;
     let waiting = tokio::spawn(async move { send_hold(to, "k", "bed 1").await });
-    until("the claim is made", || {
+    wait_until("the claim is made", || {
         blocking.reached.load(Ordering::SeqCst) == 1
     })
     .await?;
@@ -188,7 +188,7 @@
     let (site, blocking) = site_with_blocking_entry().await?;
     let to = site.entry("entry-held").callers;
     let waiting = tokio::spawn(async move { send_hold(to, "k", "bed 1").await });
-    until("the claim is made", || {
+    wait_until("the claim is made", || {
         blocking.reached.load(Ordering::SeqCst) == 1
     })
     .await?;
@@ -270,14 +270,14 @@
     let (site, blocking) = site_with_blocking_entry().await?;
     let to = site.entry("entry-held").callers;
     let waiting = tokio::spawn(async move { send_hold(to, "k", "bed 1").await });
-    until("the claim is made", || {
+    wait_until("the claim is made", || {
         blocking.reached.load(Ordering::SeqCst) == 1
     })
     .await?;
     waiting.abort();
     assert!(waiting.await.is_err());
     blocking.permits.add_permits(1);
-    until("the request has run", || executions(&site, "k") == 1).await?;
+    wait_until("the request has run", || executions(&site, "k") == 1).await?;
 
     let other = site.entry("entry-0").callers;
     let mut repeat = send_hold(other, "k", "bed 1").await;
@@ -308,7 +308,7 @@
         });
     }
     let sent = || usize::try_from(blocking.reached.load(Ordering::SeqCst)).unwrap_or(usize::MAX);
-    until("every read is sent or queued", || {
+    wait_until("every read is sent or queued", || {
         sent() + entry.waiting() == READS
     })
     .await?;
@@ -316,7 +316,7 @@
     assert!(waiting > 0, "no request is queued, so slots are still free");
 
     let queued = tokio::spawn(async move { send_hold(to, "k", "bed 1").await });
-    until("the hold is queued", || entry.waiting() == waiting + 1).await?;
+    wait_until("the hold is queued", || entry.waiting() == waiting + 1).await?;
     let probe = Caller::open("none");
     let admin = site.entry("entry-held").admin.address();
     let metrics = probe
@@ -330,7 +330,7 @@
     assert!(metrics.contains(&line), "{metrics}");
     queued.abort();
     assert!(queued.await.is_err());
-    until("the hold has left the queue", || entry.waiting() == waiting).await?;
+    wait_until("the hold has left the queue", || entry.waiting() == waiting).await?;
     blocking.permits.add_permits(READS);
     while let Some(said) = reads.join_next().await {
         assert_eq!(said?, Said::Completed);
@@ -355,7 +355,8 @@
     for name in site.workers.keys() {
         last = Some(site.any().admin.drain(name, &order).await?.version);
     }
-    site.in_force(last.expect("there are workers")).await?;
+    site.wait_until_applied(last.expect("there are workers"))
+        .await?;
 
     let again = send_hold(site.entry("entry-0").callers, "k", "bed 1").await;
     assert_eq!(
@@ -406,7 +407,7 @@
         }
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
         let accepted = site.entry("entry-1").admin.drain(name, &order).await?;
-        site.in_force(accepted.version).await?;
+        site.wait_until_applied(accepted.version).await?;
         let before = worker.count().executions;
         while let Some(answer) = holds.join_next().await {
             assert_eq!(answer?.said, Said::Completed);
@@ -439,7 +440,7 @@
     };
     for name in site.workers.keys() {
         let accepted = site.any().admin.drain(name, &order).await?;
-        site.in_force(accepted.version).await?;
+        site.wait_until_applied(accepted.version).await?;
     }
     let caller = Caller::open(caller_token("stay"));
     let headers = [("idempotency-key", "k"), ("idempotency-repeat", "1")];
--- a/tests/all/planned_stop.rs
+++ b/tests/all/planned_stop.rs
@@ -96,7 +96,7 @@
     })
     .await?;
     let seq = site.ledger().head().await?.seq;
-    site.in_force(seq).await?;
+    site.wait_until_applied(seq).await?;
     let stopping = site.take("stopping");
     let load = CallerLoad::start(stopping.callers);
     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -125,7 +125,7 @@
     })
     .await?;
     let seq = site.ledger().head().await?.seq;
-    site.in_force(seq).await?;
+    site.wait_until_applied(seq).await?;
     let stopping = site.take("stopping");
     let mut connection = TcpStream::connect(stopping.callers).await?;
     let request = format!(
@@ -169,9 +169,9 @@
         .admin
         .drain(&"stay-0".parse()?, &order)
         .await?;
-    site.in_force(accepted.version).await?;
+    site.wait_until_applied(accepted.version).await?;
     let drained = Arc::clone(site.worker("stay-0"));
-    primroseroute_testbed::until("the worker is idle", || drained.count().running == 0).await?;
+    primroseroute_testbed::wait_until("worker is idle", || drained.count().running == 0).await?;
     let before = drained.count().executions;
     tokio::time::sleep(Duration::from_millis(200)).await;
     let answers = load.finish().await;
--- a/tests/all/regions.rs
+++ b/tests/all/regions.rs
@@ -202,7 +202,7 @@
     );
 
     heal(&site);
-    site.in_force(last).await?;
+    site.wait_until_applied(last).await?;
     applied.check(&site)?;
     for entry in NEAR.into_iter().chain(FAR) {
         let stored = site.entry(entry).admin.account(&"stay".parse()?).await?;
@@ -219,7 +219,7 @@
         applied.check(&site)?;
     }
     let head = site.ledger().head().await?.seq;
-    site.in_force(head).await?;
+    site.wait_until_applied(head).await?;
     let (ledger, account) = (site.ledger(), key::account(&"stay".parse()?));
     let stored = ledger.read::<Template>(&account).await?;
     let stored = stored.map(|row| row.value.share);
--- a/tests/all/responses.rs
+++ b/tests/all/responses.rs
@@ -205,7 +205,7 @@
     site.start_with("mixed", |parts| Parts { backend, ..parts })
         .await?;
     let seq = site.ledger().head().await?.seq;
-    site.in_force(seq).await?;
+    site.wait_until_applied(seq).await?;
     let caller = Caller::open(caller_token("stay"));
     let to = site.entry("mixed").callers;
     let answer = caller
--- a/tests/all/slot_lending.rs
+++ b/tests/all/slot_lending.rs
@@ -3,7 +3,7 @@
 use crate::{TIMEOUT, cases};
 use eyre::Result;
 use http::Method;
-use primroseroute_testbed::{Caller, Layout, Site, backend, caller_token, platform, until};
+use primroseroute_testbed::{Caller, Layout, Site, backend, caller_token, platform, wait_until};
 use std::{
     sync::{
         Arc,
@@ -46,7 +46,7 @@
         });
     }
     let worker = Arc::clone(site.worker("stay-0"));
-    until("the entry borrows slots", || worker.count().running > 4).await?;
+    wait_until("the entry borrows slots", || worker.count().running > 4).await?;
     end.store(true, Ordering::SeqCst);
     while callers.join_next().await.is_some() {}
     let count = worker.count();
--- a/tests/all/telemetry.rs
+++ b/tests/all/telemetry.rs
@@ -110,7 +110,7 @@
     };
     site.any().admin.apply(&order).await?;
     let seq = site.place_workers().await?;
-    site.in_force(seq).await?;
+    site.wait_until_applied(seq).await?;
     assert_eq!(page(&site, "entry-0", "/readyz").await.0, 200);
 
     site.start_with("entry-1", |parts| {
@@ -121,7 +121,7 @@
         primroseroute_entry::Parts { timers, ..parts }
     })
     .await?;
-    site.in_force(seq).await?;
+    site.wait_until_applied(seq).await?;
     let admin = site.entry("entry-1").admin.address();
     let callers = site.entry("entry-1").callers;
     let stopped = tokio::spawn(site.take("entry-1").entry.stop());
--- a/tests/all/views.rs
+++ b/tests/all/views.rs
@@ -48,7 +48,7 @@
         .faults()
         .set_outage(Some(Outage::Refuse));
     let accepted = site.entry("entry-0").admin.apply(&apply(7)).await?;
-    site.in_force(accepted.version).await?;
+    site.wait_until_applied(accepted.version).await?;
     Ok(())
 }
 
@@ -73,7 +73,7 @@
         .drain(&"stay-0".parse()?, &order)
         .await?;
     site.platform.faults().set_outage(Some(Outage::Refuse));
-    site.in_force(accepted.version).await?;
+    site.wait_until_applied(accepted.version).await?;
 
     let before = site.worker("stay-0").count().executions;
     let caller = Caller::open(caller_token("stay"));
@@ -102,7 +102,7 @@
         assert_ne!(one, other);
         assert!(one > last && other > last);
         last = one.max(other);
-        site.in_force(last).await?;
+        site.wait_until_applied(last).await?;
         let share = if one > other { 10 + round } else { 110 + round };
         for running in site.entries.values() {
             let stored = running.admin.account(&"stay".parse()?).await?;
@@ -146,7 +146,7 @@
         .faults()
         .lose_answers(platform::tally::Kind::Commit, 1);
     let accepted = site.entry("entry-0").admin.apply(&apply(9)).await?;
-    site.in_force(accepted.version).await?;
+    site.wait_until_applied(accepted.version).await?;
     let trail = site
         .any()
         .admin
@@ -166,7 +166,7 @@
     site.platform.faults().set_outage(Some(Outage::Refuse));
     let seq = site.any().entry.in_force();
     site.start("late").await?;
-    site.in_force(seq).await?;
+    site.wait_until_applied(seq).await?;
     let caller = Caller::open(caller_token("stay"));
     let answer = caller
         .send(
@@ -204,14 +204,14 @@
         .faults()
         .set_outage(Some(Outage::Refuse));
     site.start("late").await?;
-    primroseroute_testbed::until("the new entry has the old view", || {
+    primroseroute_testbed::wait_until("the new entry has the old view", || {
         site.entry("late").entry.in_force() >= old
     })
     .await?;
     assert!(site.entry("late").entry.in_force() < accepted);
 
     site.network.heal(&late, &fresh);
-    primroseroute_testbed::until("the new entry has the new view", || {
+    primroseroute_testbed::wait_until("the new entry has the new view", || {
         site.entry("late").entry.in_force() >= accepted
     })
     .await?;
@@ -220,6 +220,6 @@
         assert!(site.entry("late").entry.in_force() >= accepted);
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    site.in_force(accepted).await?;
+    site.wait_until_applied(accepted).await?;
     Ok(())
 }
--- a/tests/all/wave.rs
+++ b/tests/all/wave.rs
@@ -200,7 +200,7 @@
     })
     .await?;
     let seq = site.ledger().head().await?.seq;
-    site.in_force(seq).await?;
+    site.wait_until_applied(seq).await?;
     start(&site, order("w", &["stay"])?).await?;
     let halted = wait_for_wave(&site, "w", |wave| wave.row.value.state != State::Running).await?;
     assert_eq!(halted.row.value.state, State::Halted, "{halted:?}");
@@ -325,7 +325,7 @@
             .is_some_and(|pool| pool.as_str() == "rest")
             && row.state.takes_requests()
         {
-            site.in_force(found.row.version).await?;
+            site.wait_until_applied(found.row.version).await?;
             break;
         }
         ensure!(
