--- a/crates/demo/src/stage/step.rs
+++ b/crates/demo/src/stage/step.rs
@@ -13,7 +13,7 @@
 use primroseroute_fleet::wave::{self, Limits, Scope, Window};
 use primroseroute_platform::fleet::{Listed, Phase};
 use primroseroute_testbed::{
-    Running,
+    RunningEntry,
     backend::{self, Mode},
     platform::fault::Outage,
 };
@@ -152,7 +152,7 @@
     }
 
     /// Takes the first entry out of the site.
-    fn retire(&mut self) -> Result<(id::Entry, Running)> {
+    fn retire(&mut self) -> Result<(id::Entry, RunningEntry)> {
         let first = self.site.entries.pop_first();
         let (name, running) = first.ok_or_else(|| eyre!("no entry runs"))?;
         self.journal.write(Event::Retired(Presence {
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -8,7 +8,7 @@
 mod site;
 mod spec;
 
-pub use site::{Running, Site, wait_until};
+pub use site::{RunningEntry, Site, wait_until};
 pub use spec::{Layout, OPERATOR_TOKEN, caller_token, template, token_hash};
 
 #[doc(no_inline)]
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -41,7 +41,7 @@
 
 /// One running entry and its addresses.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningEntry {
     /// The entry.
     pub entry: Entry,
     /// The address on which callers are served.
@@ -60,7 +60,7 @@
     /// The workers' backend servers.
     pub workers: BTreeMap<id::Instance, Arc<Backend>>,
     /// The running entries.
-    pub entries: BTreeMap<id::Entry, Running>,
+    pub entries: BTreeMap<id::Entry, RunningEntry>,
     layout: Layout,
 }
 
@@ -206,7 +206,7 @@
         let name: id::Entry = name.parse()?;
         let components = change(components(name.clone(), &self.platform, &self.network));
         let entry = Entry::spawn(components).await?;
-        let running = Running {
+        let running = RunningEntry {
             callers: entry.callers(),
             admin: Admin::open(entry.admin(), OPERATOR_TOKEN),
             entry,
@@ -251,7 +251,7 @@
     ///
     /// # Panics
     /// Where none runs.
-    pub fn any(&self) -> &Running {
+    pub fn any(&self) -> &RunningEntry {
         self.entries.values().next().expect("an entry runs")
     }
 
@@ -259,7 +259,7 @@
     ///
     /// # Panics
     /// Where it does not run.
-    pub fn entry(&self, name: &str) -> &Running {
+    pub fn entry(&self, name: &str) -> &RunningEntry {
         &self.entries[&name.parse::<id::Entry>().expect("an entry's name")]
     }
 
@@ -267,7 +267,7 @@
     ///
     /// # Panics
     /// Where it does not run.
-    pub fn take(&mut self, name: &str) -> Running {
+    pub fn take(&mut self, name: &str) -> RunningEntry {
         let name: id::Entry = name.parse().expect("an entry's name");
         self.entries.remove(&name).expect("the entry runs")
     }
