--- a/benches/request_path/bed.rs
+++ b/benches/request_path/bed.rs
@@ -111,7 +111,7 @@
         for index in 0..dims.entries {
             site.start_with(&format!("entry-{index}"), deployed).await?;
         }
-        let admin = site.any().admin.clone();
+        let admin = site.any_entry().admin.clone();
         for (name, share, _) in ACCOUNTS.iter().filter(|(name, ..)| *name != OWNER) {
             let guest = Template {
                 pools: Vec::new(),
--- a/benches/request_path/change.rs
+++ b/benches/request_path/change.rs
@@ -73,7 +73,7 @@
     if before == 0 {
         return Err(eyre!("{name} got no request before its drain"));
     }
-    let admin = &bed.site.any().admin;
+    let admin = &bed.site.any_entry().admin;
     admin.drain(&name.parse()?, &order()).await?;
     let accepted = Instant::now();
     then();
--- a/crates/capacity/src/stage.rs
+++ b/crates/capacity/src/stage.rs
@@ -242,7 +242,7 @@
             }
         }
         for name in entries {
-            self.site.take(name.as_str()).entry.abort().await;
+            self.site.take_entry(name.as_str()).entry.abort().await;
         }
     }
 
--- a/crates/demo/src/stage/mod.rs
+++ b/crates/demo/src/stage/mod.rs
@@ -251,7 +251,7 @@
             return Ok(());
         };
         while Instant::now() < give_up {
-            let waves = self.site.any().admin.waves().await?;
+            let waves = self.site.any_entry().admin.waves().await?;
             let runs =
                 |wave: &Wave| wave.row.value.id() == name && !wave.row.value.state.has_ended();
             if !waves.iter().any(runs) {
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -233,7 +233,7 @@
         for index in 0..self.layout.entries {
             self.start(&format!("entry-{index}")).await?;
         }
-        let admin = self.any().admin.clone();
+        let admin = self.any_entry().admin.clone();
         for template in templates {
             let order = primroseroute_api::Apply {
                 template,
@@ -251,7 +251,7 @@
     ///
     /// # Panics
     /// Where none runs.
-    pub fn any(&self) -> &RunningEntry {
+    pub fn any_entry(&self) -> &RunningEntry {
         self.entries.values().next().expect("an entry runs")
     }
 
@@ -267,7 +267,7 @@
     ///
     /// # Panics
     /// Where it does not run.
-    pub fn take(&mut self, name: &str) -> RunningEntry {
+    pub fn take_entry(&mut self, name: &str) -> RunningEntry {
         let name: id::Entry = name.parse().expect("an entry's name");
         self.entries.remove(&name).expect("the entry runs")
     }
--- a/tests/all/acknowledge.rs
+++ b/tests/all/acknowledge.rs
@@ -39,7 +39,7 @@
     while site.entry("entry-0").admin.status().await?.entries.len() < 2 {
         sleep(Duration::from_millis(20)).await;
     }
-    site.take("entry-1").entry.abort().await;
+    site.take_entry("entry-1").entry.abort().await;
     let fleet = site.platform.fleet();
     fleet.add(Listed {
         id: "entry-1".parse()?,
@@ -53,7 +53,7 @@
     fleet.set_phase(&departing, Phase::Leaving);
     let removed = async {
         loop {
-            let instances = site.any().admin.instances().await?;
+            let instances = site.any_entry().admin.instances().await?;
             let row = instances
                 .iter()
                 .find(|found| found.row.value.id == departing);
--- a/tests/all/ctl/history.rs
+++ b/tests/all/ctl/history.rs
@@ -37,7 +37,7 @@
         if_version: None,
         reason: "the last".into(),
     };
-    fixture.site.any().admin.apply(&order).await?;
+    fixture.site.any_entry().admin.apply(&order).await?;
     let history = fixture.json(&["account", "history", "stay"]).await?;
     let reasons: Vec<_> = history
         .as_array()
--- a/tests/all/end_to_end.rs
+++ b/tests/all/end_to_end.rs
@@ -76,7 +76,7 @@
     let mut site = Site::open(layout, platform::Options::default()).await?;
     site.converge().await?;
     let caller = Caller::open(caller_token(&name));
-    let to = site.any().callers;
+    let to = site.any_entry().callers;
     let path = format!("/{name}/beds");
     let answer = caller.send(to, Method::GET, &path, &[], "", TIMEOUT).await;
     assert_eq!(answer.said, Said::Completed, "{answer:?}");
--- a/tests/all/fleet.rs
+++ b/tests/all/fleet.rs
@@ -87,14 +87,14 @@
         if_version: None,
         reason: "more".into(),
     };
-    site.any().admin.apply(&order).await?;
+    site.any_entry().admin.apply(&order).await?;
     let id = add_worker(&mut site, "new", Mode::Ok).await?;
     wait_for_row(&site, &id, has_state(State::Serving)).await?;
     let seq = site.ledger().head().await?.seq;
     site.wait_until_applied(seq).await?;
 
     let worker = Arc::clone(site.worker("new"));
-    assert_reads_complete(site.any().callers, 60).await;
+    assert_reads_complete(site.any_entry().callers, 60).await;
     assert!(
         worker.count().executions > 0,
         "the new instance serves but gets no requests"
@@ -113,19 +113,26 @@
         if_version: None,
         reason: "more".into(),
     };
-    site.any().admin.apply(&order).await?;
+    site.any_entry().admin.apply(&order).await?;
     let id = add_worker(&mut site, "bad", Mode::FailAll).await?;
     wait_for_row(&site, &id, has_state(State::Quarantined)).await?;
     let caller = Caller::open(caller_token("stay"));
     for _ in 0..20 {
         let answer = caller
-            .send(site.any().callers, Method::GET, "/stay/a", &[], "", TIMEOUT)
+            .send(
+                site.any_entry().callers,
+                Method::GET,
+                "/stay/a",
+                &[],
+                "",
+                TIMEOUT,
+            )
             .await;
         assert_eq!(answer.headers["x-backend"], "stay-0", "{answer:?}");
     }
     let key = format!("instance/{id}");
     let trail = site
-        .any()
+        .any_entry()
         .admin
         .audit(Seq(0), 1000, None, Some(&key))
         .await?;
@@ -150,7 +157,7 @@
     wait_for_row(&site, &id, has_state(State::Leaving)).await?;
     site.platform.fleet().set_phase(&id, Phase::Gone);
     wait_for_row(&site, &id, |row| row.is_none()).await?;
-    assert_reads_complete(site.any().callers, 20).await;
+    assert_reads_complete(site.any_entry().callers, 20).await;
     Ok(())
 }
 
@@ -173,7 +180,7 @@
 async fn takeover() -> Result<()> {
     let mut site = site_with_workers(3).await?;
     let first = lease_holder(&site).await?;
-    site.take(first.as_str()).entry.abort().await;
+    site.take_entry(first.as_str()).entry.abort().await;
     let id: id::Instance = "stay-0".parse()?;
     site.platform.fleet().set_phase(&id, Phase::Leaving);
     wait_for_row(&site, &id, has_state(State::Draining)).await?;
@@ -184,7 +191,7 @@
 async fn hand_over() -> Result<()> {
     let mut site = site_with_workers(3).await?;
     let first = lease_holder(&site).await?;
-    site.take(first.as_str()).entry.stop().await;
+    site.take_entry(first.as_str()).entry.stop().await;
     let lease = site
         .ledger()
         .table()
@@ -236,13 +243,16 @@
     wait_for_row(&site, &id, has_state(State::Draining)).await?;
 
     // The operator confirms that the entry has stopped by removing its registration.
-    site.take("cut").entry.abort().await;
+    site.take_entry("cut").entry.abort().await;
     let order = Order {
         if_version: None,
         reason: "it is gone".into(),
         force: false,
     };
-    site.any().admin.remove(&"cut".parse()?, &order).await?;
+    site.any_entry()
+        .admin
+        .remove(&"cut".parse()?, &order)
+        .await?;
     wait_for_row(&site, &id, has_state(State::Leaving)).await
 }
 
@@ -281,6 +291,9 @@
         reason: "it is gone".into(),
         force: false,
     };
-    site.any().admin.remove(&"ghost".parse()?, &order).await?;
+    site.any_entry()
+        .admin
+        .remove(&"ghost".parse()?, &order)
+        .await?;
     wait_for_row(&site, &id, has_state(State::Leaving)).await
 }
--- a/tests/all/idempotency.rs
+++ b/tests/all/idempotency.rs
@@ -97,7 +97,7 @@
 
 async fn reused_key() -> Result<()> {
     let site = site().await?;
-    let to = site.any().callers;
+    let to = site.any_entry().callers;
     assert_eq!(send_hold(to, "k", "bed 1").await.said, Said::Completed);
     let other = send_hold(to, "k", "bed 2").await;
     assert_eq!(other.code, Some(401), "{other:?}");
@@ -169,7 +169,7 @@
         blocking.reached.load(Ordering::SeqCst) == 1
     })
     .await?;
-    site.take("entry-held").entry.abort().await;
+    site.take_entry("entry-held").entry.abort().await;
     assert_eq!(waiting.await?.said, Said::Unknown);
 
     let other = site.entry("entry-0").callers;
@@ -224,7 +224,7 @@
 /// once.
 async fn store_outage() -> Result<()> {
     let site = site().await?;
-    let to = site.any().callers;
+    let to = site.any_entry().callers;
     site.platform
         .faults()
         .set_outage(Some(platform::fault::Outage::Refuse));
@@ -353,7 +353,7 @@
     };
     let mut last = None;
     for name in site.workers.keys() {
-        last = Some(site.any().admin.drain(name, &order).await?.version);
+        last = Some(site.any_entry().admin.drain(name, &order).await?.version);
     }
     site.wait_until_applied(last.expect("there are workers"))
         .await?;
@@ -430,7 +430,7 @@
     for worker in site.workers.values() {
         worker.set_mode(Mode::Reset);
     }
-    let to = site.any().callers;
+    let to = site.any_entry().callers;
     assert_eq!(send_hold(to, "k", "bed 1").await.said, Said::Unknown);
     assert_eq!(executions(&site, "k"), 1);
     let order = Order {
@@ -439,7 +439,7 @@
         force: true,
     };
     for name in site.workers.keys() {
-        let accepted = site.any().admin.drain(name, &order).await?;
+        let accepted = site.any_entry().admin.drain(name, &order).await?;
         site.wait_until_applied(accepted.version).await?;
     }
     let caller = Caller::open(caller_token("stay"));
--- a/tests/all/input/callers.rs
+++ b/tests/all/input/callers.rs
@@ -75,7 +75,7 @@
     ];
     for (code, status, token, path, headers) in bad {
         let caller = Caller::open(token);
-        let to = site.any().callers;
+        let to = site.any_entry().callers;
         let answer = caller
             .send(to, Method::POST, path, headers, "bed", TIMEOUT)
             .await;
@@ -92,7 +92,7 @@
     ] {
         let head =
             format!("GET /stay/beds HTTP/1.1\r\nhost: a\r\n{header}connection: close\r\n\r\n");
-        let answer = exchange(site.any().callers, head.as_bytes()).await?;
+        let answer = exchange(site.any_entry().callers, head.as_bytes()).await?;
         assert!(answer.starts_with("HTTP/1.1 401"), "{answer}");
         assert!(answer.contains("\"code\":102"), "{answer}");
     }
@@ -107,7 +107,7 @@
     let caller = Caller::open(caller_token("stay"));
     for headers in [&[][..], &[("idempotency-key", "large")]] {
         let body = vec![b'x'; MAX_BODY_BYTES + 1];
-        let to = site.any().callers;
+        let to = site.any_entry().callers;
         let answer = caller
             .send(to, Method::POST, "/stay/beds", headers, body, TIMEOUT)
             .await;
@@ -116,7 +116,7 @@
     }
     for key in ["", "idempotency-key: chunks\r\n"] {
         for excess_bytes in [1, 10 * MAX_BODY_BYTES] {
-            let answer = exchange(site.any().callers, &chunked(key, excess_bytes)).await?;
+            let answer = exchange(site.any_entry().callers, &chunked(key, excess_bytes)).await?;
             assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
             assert!(answer.contains("\"code\":106"), "{answer}");
         }
@@ -156,7 +156,7 @@
     let site = site().await?;
     let cookie = "c".repeat(3 * MAX_HEAD_BYTES);
     let head = format!("GET /stay/beds HTTP/1.1\r\nhost: a\r\ncookie: {cookie}\r\n\r\n");
-    let answer = exchange(site.any().callers, head.as_bytes()).await?;
+    let answer = exchange(site.any_entry().callers, head.as_bytes()).await?;
     assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
     assert_service_unaffected(&site).await;
     Ok(())
@@ -166,7 +166,11 @@
 /// it would occupy one of a bounded number of connections indefinitely.
 async fn slow_head() -> Result<()> {
     let site = site().await?;
-    let answer = exchange(site.any().callers, b"GET /stay/beds HTTP/1.1\r\nhost:").await?;
+    let answer = exchange(
+        site.any_entry().callers,
+        b"GET /stay/beds HTTP/1.1\r\nhost:",
+    )
+    .await?;
     assert!(!answer.starts_with("HTTP/1.1 200"), "{answer}");
     assert_service_unaffected(&site).await;
     Ok(())
@@ -182,7 +186,7 @@
         head.extend_from_slice(name);
         head.extend_from_slice(format!("\r\nauthorization: Bearer {token}\r\n").as_bytes());
         head.extend_from_slice(b"connection: close\r\n\r\n");
-        let answer = exchange(site.any().callers, &head).await?;
+        let answer = exchange(site.any_entry().callers, &head).await?;
         assert!(answer.starts_with("HTTP/1.1 404"), "{answer}");
         assert!(answer.contains("\"code\":104"), "{answer}");
     }
--- a/tests/all/input/mod.rs
+++ b/tests/all/input/mod.rs
@@ -45,7 +45,7 @@
 /// Asserts that a valid request is served and that no other request was executed.
 async fn assert_service_unaffected(site: &Site) {
     let caller = Caller::open(caller_token("stay"));
-    let to = site.any().callers;
+    let to = site.any_entry().callers;
     let answer = caller
         .send(to, Method::POST, "/stay/beds", &[], "bed", TIMEOUT)
         .await;
@@ -63,8 +63,8 @@
 impl Port {
     fn of(self, site: &Site) -> SocketAddr {
         match self {
-            Self::Callers => site.any().callers,
-            Self::Admin => site.any().entry.admin(),
+            Self::Callers => site.any_entry().callers,
+            Self::Admin => site.any_entry().entry.admin(),
         }
     }
 }
--- a/tests/all/input/operators.rs
+++ b/tests/all/input/operators.rs
@@ -53,7 +53,7 @@
             t.pools[0].services[0].callers = vec!["nobody".parse().expect("a name")];
         }),
     ];
-    let admin = &site.any().admin;
+    let admin = &site.any_entry().admin;
     let before = admin.accounts().await?;
     for (field, corrupt) in corruptions {
         let mut template = template("stay", 1, 2);
@@ -121,7 +121,7 @@
     let site = site().await?;
     let caller = caller_token("stay");
     for token in ["wrong", "", &caller] {
-        let admin = Admin::open(site.any().entry.admin(), token);
+        let admin = Admin::open(site.any_entry().entry.admin(), token);
         let refused = admin.status().await.expect_err("a wrong token");
         assert_eq!(refused.code().map(Code::number), Some(506), "{refused}");
         let change = Apply {
@@ -132,7 +132,7 @@
         let refused = admin.apply(&change).await.expect_err("a wrong token");
         assert_eq!(refused.code().map(Code::number), Some(506), "{refused}");
     }
-    let stay = site.any().admin.account(&"stay".parse()?).await?;
+    let stay = site.any_entry().admin.account(&"stay".parse()?).await?;
     assert_eq!(stay.value.share, 1);
     assert_service_unaffected(&site).await;
     Ok(())
--- a/tests/all/input/secrets.rs
+++ b/tests/all/input/secrets.rs
@@ -42,7 +42,7 @@
         OPERATOR_TOKEN,
     ];
     let [wrong, key, body, stay, _] = secrets;
-    let to = site.any().callers;
+    let to = site.any_entry().callers;
     for (token, path) in [(wrong, "/stay/a"), (stay, "/stay/a"), (stay, "/nowhere")] {
         let headers = [("idempotency-key", key)];
         let caller = Caller::open(token);
@@ -57,9 +57,9 @@
     caller
         .send(to, Method::POST, "/stay/a", &[], body, TIMEOUT)
         .await;
-    let admin = Admin::open(site.any().entry.admin(), wrong);
+    let admin = Admin::open(site.any_entry().entry.admin(), wrong);
     admin.status().await.expect_err("a wrong token");
-    site.any().admin.status().await?;
+    site.any_entry().admin.status().await?;
 
     let lines = lines.0.lock();
     assert!(!lines.is_empty(), "nothing was logged");
--- a/tests/all/jobs.rs
+++ b/tests/all/jobs.rs
@@ -65,7 +65,10 @@
 
 async fn submit(site: &Site, jobs: Vec<Spec>) -> Result<()> {
     let reason = "test".into();
-    site.any().admin.submit(&Submit { jobs, reason }).await?;
+    site.any_entry()
+        .admin
+        .submit(&Submit { jobs, reason })
+        .await?;
     Ok(())
 }
 
@@ -73,11 +76,11 @@
 async fn wait_for_jobs(site: &Site, state: &str, count: usize) -> Result<()> {
     let deadline = Instant::now() + TIMEOUT;
     loop {
-        let jobs = site.any().admin.jobs(None, None, Some(state)).await?;
+        let jobs = site.any_entry().admin.jobs(None, None, Some(state)).await?;
         if jobs.len() == count {
             return Ok(());
         }
-        let all = site.any().admin.jobs(None, None, None).await?;
+        let all = site.any_entry().admin.jobs(None, None, None).await?;
         eyre::ensure!(Instant::now() < deadline, "{count} {state}: {all:#?}");
         sleep(Duration::from_millis(20)).await;
     }
@@ -99,7 +102,7 @@
     sleep(Duration::from_millis(500)).await;
     assert_eq!(site.platform.tasks().runs().len(), 20);
     let page = site
-        .any()
+        .any_entry()
         .admin
         .audit(Seq(0), 1000, Some("operator:test"), Some("job/"));
     assert_eq!(page.await?.records.len(), 1, "one change per submission");
@@ -110,7 +113,7 @@
 async fn ctl(site: &Site, args: &[&str]) -> Result<(u8, Value)> {
     let mut token = NamedTempFile::new()?;
     token.write_all(OPERATOR_TOKEN.as_bytes())?;
-    let entry = site.any().entry.admin().to_string();
+    let entry = site.any_entry().entry.admin().to_string();
     let token = token.path().to_string_lossy().into_owned();
     let target = [
         "primrosectl",
@@ -161,7 +164,7 @@
 
 async fn rejections() -> Result<()> {
     let site = site(60_000).await?;
-    let admin = site.any().admin.clone();
+    let admin = site.any_entry().admin.clone();
     let order = |jobs| Submit {
         jobs,
         reason: "".into(),
@@ -233,9 +236,9 @@
     let mut site = site(4000).await?;
     submit(&site, specs(6)?).await?;
     wait_for_jobs(&site, "running", 3).await?;
-    let holder = site.any().admin.status().await?.controller;
+    let holder = site.any_entry().admin.status().await?.controller;
     let holder = holder.ok_or_else(|| eyre::eyre!("no entry holds the lease"))?;
-    site.take(holder.as_str()).entry.abort().await;
+    site.take_entry(holder.as_str()).entry.abort().await;
     wait_for_jobs(&site, "done", 6).await?;
     assert_no_overlap(&site);
     assert_eq!(site.platform.tasks().runs().len(), 6);
@@ -250,7 +253,7 @@
     submit(&site, specs(4)?).await?;
     wait_for_jobs(&site, "parked", 1).await?;
     wait_for_jobs(&site, "done", 3).await?;
-    let found = site.any().admin.job(&name).await?.value;
+    let found = site.any_entry().admin.job(&name).await?.value;
     assert!(found.failures <= 6, "{found:?}");
     assert!(matches!(found.state, State::Parked(_)), "{found:?}");
     tasks.script_job(name.clone(), script(100, Ending::Done));
@@ -259,7 +262,7 @@
         reason: "mended".into(),
         force: false,
     };
-    site.any().admin.release_job(&name, &order).await?;
+    site.any_entry().admin.release_job(&name, &order).await?;
     wait_for_jobs(&site, "done", 4).await?;
     assert_no_overlap(&site);
     Ok(())
@@ -274,7 +277,7 @@
         kind: Some(Kind("k".into())),
         ..Cancel::default()
     };
-    let done = site.any().admin.cancel(&order).await?;
+    let done = site.any_entry().admin.cancel(&order).await?;
     assert_eq!((done.cancelled, done.left), (40, 0));
     wait_for_jobs(&site, "cancelled", 40).await?;
     wait_for_jobs(&site, "running", 1).await?;
--- a/tests/all/planned_stop.rs
+++ b/tests/all/planned_stop.rs
@@ -97,7 +97,7 @@
     .await?;
     let seq = site.ledger().head().await?.seq;
     site.wait_until_applied(seq).await?;
-    let stopping = site.take("stopping");
+    let stopping = site.take_entry("stopping");
     let load = CallerLoad::start(stopping.callers);
     tokio::time::sleep(Duration::from_millis(100)).await;
     let stopped = tokio::spawn(stopping.entry.stop());
@@ -126,7 +126,7 @@
     .await?;
     let seq = site.ledger().head().await?.seq;
     site.wait_until_applied(seq).await?;
-    let stopping = site.take("stopping");
+    let stopping = site.take_entry("stopping");
     let mut connection = TcpStream::connect(stopping.callers).await?;
     let request = format!(
         "GET /stay/beds HTTP/1.1\r\nhost: entry\r\nauthorization: Bearer {}\r\n\r\n",
@@ -187,7 +187,7 @@
 /// for it.
 async fn stopped_entry_leaves() -> Result<()> {
     let mut site = site().await?;
-    site.take("entry-0").entry.stop().await;
+    site.take_entry("entry-0").entry.stop().await;
     let left = site.ledger().table().read(&"entry/entry-0".into()).await?;
     assert_eq!(left, None);
     Ok(())
--- a/tests/all/regions.rs
+++ b/tests/all/regions.rs
@@ -98,7 +98,7 @@
 }
 
 async fn state(site: &Site, worker: &str) -> Result<State> {
-    let rows = site.any().admin.instances().await?;
+    let rows = site.any_entry().admin.instances().await?;
     let row = rows
         .into_iter()
         .find(|row| row.row.value.id.as_str() == worker);
--- a/tests/all/report.rs
+++ b/tests/all/report.rs
@@ -52,7 +52,7 @@
 async fn report(site: &Site, folder: &Path, args: &[&str]) -> Result<(u8, String)> {
     let token = folder.join("token");
     fs::write(&token, OPERATOR_TOKEN)?;
-    let entry = site.any().entry.admin().to_string();
+    let entry = site.any_entry().entry.admin().to_string();
     let token = token.to_string_lossy();
     let target = ["primrosectl", "--entry", &entry, "--token-file", &token];
     let args = target.iter().chain(&["report"]).chain(args);
@@ -77,7 +77,7 @@
         order,
         reason: "test".into(),
     };
-    let admin = &site.any().admin;
+    let admin = &site.any_entry().admin;
     admin.start_wave(&start).await?;
     let deadline = tokio::time::Instant::now() + crate::TIMEOUT;
     loop {
@@ -130,7 +130,7 @@
     };
     assert_eq!((wave.state, wave.maintained), (State::Done, 4));
     assert_eq!(wave.pools, ["stay".parse()?].into());
-    let known = site.any().admin.waves().await?.remove(0).row.value;
+    let known = site.any_entry().admin.waves().await?.remove(0).row.value;
     assert_eq!((wave.started, wave.ended), (known.started, known.ended));
     let took = rollout_duration(&known, known.started).as_secs_f64();
     assert!((wave.rollout_seconds - took).abs() < 1e-9, "{wave:?}");
--- a/tests/all/responses.rs
+++ b/tests/all/responses.rs
@@ -33,7 +33,7 @@
     let caller = Caller::open(caller_token("stay"));
     caller
         .send(
-            site.any().callers,
+            site.any_entry().callers,
             method,
             "/stay/beds",
             headers,
@@ -166,7 +166,7 @@
     let site = site_with_workers(1).await?;
     let body = vec![7_u8; 300_000];
     let caller = Caller::open(caller_token("stay"));
-    let to = site.any().callers;
+    let to = site.any_entry().callers;
     let answer = caller
         .send(to, Method::POST, "/stay/beds", &[], body, TIMEOUT)
         .await;
--- a/tests/all/telemetry.rs
+++ b/tests/all/telemetry.rs
@@ -108,7 +108,7 @@
         if_version: None,
         reason: "test".into(),
     };
-    site.any().admin.apply(&order).await?;
+    site.any_entry().admin.apply(&order).await?;
     let seq = site.place_workers().await?;
     site.wait_until_applied(seq).await?;
     assert_eq!(page(&site, "entry-0", "/readyz").await.0, 200);
@@ -124,7 +124,7 @@
     site.wait_until_applied(seq).await?;
     let admin = site.entry("entry-1").admin.address();
     let callers = site.entry("entry-1").callers;
-    let stopped = tokio::spawn(site.take("entry-1").entry.stop());
+    let stopped = tokio::spawn(site.take_entry("entry-1").entry.stop());
     let probe = Caller::open("none");
     let mut status = Some(200);
     while status != Some(503) {
--- a/tests/all/views.rs
+++ b/tests/all/views.rs
@@ -114,7 +114,7 @@
 
 async fn stale_version() -> Result<()> {
     let site = site(2).await?;
-    let admin = &site.any().admin;
+    let admin = &site.any_entry().admin;
     let version = admin.account(&"stay".parse()?).await?.version;
     admin
         .apply(&Apply {
@@ -148,7 +148,7 @@
     let accepted = site.entry("entry-0").admin.apply(&apply(9)).await?;
     site.wait_until_applied(accepted.version).await?;
     let trail = site
-        .any()
+        .any_entry()
         .admin
         .audit(Seq(0), 1000, None, Some("account/stay"))
         .await?;
@@ -164,7 +164,7 @@
 async fn start_without_store() -> Result<()> {
     let mut site = site(2).await?;
     site.platform.faults().set_outage(Some(Outage::Refuse));
-    let seq = site.any().entry.in_force();
+    let seq = site.any_entry().entry.in_force();
     site.start("late").await?;
     site.wait_until_applied(seq).await?;
     let caller = Caller::open(caller_token("stay"));
--- a/tests/all/wave.rs
+++ b/tests/all/wave.rs
@@ -67,7 +67,7 @@
         order,
         reason: "test".into(),
     };
-    site.any()
+    site.any_entry()
         .admin
         .start_wave(&start)
         .await
@@ -76,7 +76,7 @@
 
 async fn find(site: &Site, name: &str) -> Result<Wave> {
     let name: id::Wave = name.parse()?;
-    let waves = site.any().admin.waves().await?;
+    let waves = site.any_entry().admin.waves().await?;
     let found = waves.into_iter().find(|wave| *wave.row.value.id() == name);
     found.ok_or_else(|| eyre::eyre!("no wave {name}"))
 }
@@ -129,7 +129,7 @@
     start(&site, order("w", &[])?).await?;
     let mut min_serving = (u32::MAX, u32::MAX);
     let done = loop {
-        for pool in site.any().admin.pools().await? {
+        for pool in site.any_entry().admin.pools().await? {
             let lowest = if pool.name.as_str() == "stay" {
                 &mut min_serving.0
             } else {
@@ -165,17 +165,17 @@
     start(&site, order("w", &[])?).await?;
     wait_for_wave(&site, "w", |wave| wave.progress.done >= 1).await?;
     let holder = loop {
-        if let Some(holder) = site.any().admin.status().await?.controller {
+        if let Some(holder) = site.any_entry().admin.status().await?.controller {
             break holder;
         }
     };
-    site.take(holder.as_str()).entry.abort().await;
+    site.take_entry(holder.as_str()).entry.abort().await;
     let order = Order {
         if_version: None,
         reason: "killed".into(),
         force: false,
     };
-    site.any().admin.remove(&holder, &order).await?;
+    site.any_entry().admin.remove(&holder, &order).await?;
     let done = wait_for_wave(&site, "w", |wave| wave.row.value.state != State::Running).await?;
     assert_eq!((done.row.value.state, done.progress.done), (State::Done, 9));
     assert_eq!(boots(&site), vec![2; 9]);
@@ -191,7 +191,7 @@
     }
     // Replaces the entries by one whose controller gives up on the instance after a second.
     for name in ["entry-0", "entry-1"] {
-        site.take(name).entry.stop().await;
+        site.take_entry(name).entry.stop().await;
     }
     site.start_with("entry-2", |parts| {
         let mut lifecycle = parts.lifecycle;
@@ -205,7 +205,7 @@
     let halted = wait_for_wave(&site, "w", |wave| wave.row.value.state != State::Running).await?;
     assert_eq!(halted.row.value.state, State::Halted, "{halted:?}");
     assert!(halted.row.value.reason.is_some());
-    let pools = site.any().admin.pools().await?;
+    let pools = site.any_entry().admin.pools().await?;
     let stay = pools
         .iter()
         .find(|pool| pool.name.as_str() == "stay")
@@ -246,8 +246,12 @@
         if_version: None,
         reason: "test".into(),
     };
-    site.any().admin.apply(&apply).await?;
-    let refused = site.any().admin.plan_wave(&order("w", &["stay"])?).await;
+    site.any_entry().admin.apply(&apply).await?;
+    let refused = site
+        .any_entry()
+        .admin
+        .plan_wave(&order("w", &["stay"])?)
+        .await;
     let error = refused.expect_err("the budget never allows it");
     assert_eq!(error.code(), Some(Code::WaveCannotFinish));
     assert!(error.to_string().contains("stay"), "{error}");
@@ -264,7 +268,7 @@
         reason: "test".into(),
         force: false,
     };
-    site.any()
+    site.any_entry()
         .admin
         .command_wave(&name, Command::Pause, &order)
         .await?;
@@ -277,7 +281,7 @@
         "the wave continued while it was paused"
     );
     assert!(paused.progress.pending > 0);
-    site.any()
+    site.any_entry()
         .admin
         .command_wave(&name, Command::Resume, &order)
         .await?;
@@ -299,7 +303,7 @@
         if_version: None,
         reason: "test".into(),
     };
-    site.any().admin.apply(&apply).await?;
+    site.any_entry().admin.apply(&apply).await?;
     let moved: id::Instance = "stay-0".parse()?;
     let order = Order {
         if_version: None,
@@ -310,10 +314,10 @@
         pool: "rest".parse()?,
         order,
     };
-    site.any().admin.move_to(&moved, &order).await?;
+    site.any_entry().admin.move_to(&moved, &order).await?;
     let deadline = tokio::time::Instant::now() + TIMEOUT;
     loop {
-        let instances = site.any().admin.instances().await?;
+        let instances = site.any_entry().admin.instances().await?;
         let found = instances
             .iter()
             .find(|found| found.row.value.id == moved)
