--- a/benches/request_path/bed.rs
+++ b/benches/request_path/bed.rs
@@ -111,7 +111,7 @@
         for index in 0..dims.entries {
             site.start_with(&format!("entry-{index}"), deployed).await?;
         }
-        let admin = site.any().admin.clone();
+        let admin = site.any_entry().admin.clone();
         for (name, share, _) in ACCOUNTS.iter().filter(|(name, ..)| *name != OWNER) {
             let guest = Template {
                 pools: Vec::new(),
@@ -121,7 +121,7 @@
         }
         admin.apply(&apply(owner(1, dims.workers))).await?;
         let seq = site.place_workers().await?;
-        site.in_force(seq).await?;
+        site.wait_until_applied(seq).await?;
         let bed = Self { site, dims, seed };
         bed.meet().await?;
         Ok(bed)
--- a/crates/capacity/src/stage.rs
+++ b/crates/capacity/src/stage.rs
@@ -110,7 +110,7 @@
             };
             bed.start_with(&format!("entry-{index}"), deployed).await?;
         }
-        bed.in_force(seq).await?;
+        bed.wait_until_applied(seq).await?;
         sleep(SETTLE).await;
         Ok(Self {
             ledger: bed.ledger(),
@@ -245,7 +245,7 @@
             }
         }
         for name in entries {
-            self.site.take(name.as_str()).entry.abort().await;
+            self.site.take_entry(name.as_str()).entry.abort().await;
         }
     }
 
