--- a/crates/demo/src/balancer.rs
+++ b/crates/demo/src/balancer.rs
@@ -1,7 +1,7 @@
-//! A small stand-in for the platform's balancer: it sends callers to entries that say they are ready.
+//! A minimal load balancer in place of the platform's: sends callers to entries that report ready.
 //!
-//! Between the death of an entry and the next check, callers still get its address and are refused
-//! the connection. Nothing was sent then, so a caller asks for another entry and goes on.
+//! Between the death of an entry and the next readiness check, callers still get its address and their
+//! connections are refused. Nothing was sent in that case, so a caller tries another entry.
 
 use http::{Method, StatusCode};
 use parking_lot::Mutex;
@@ -11,13 +11,12 @@
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 use tokio::time::sleep;
 
-/// Between two checks of one entry: half of the grace that a stopping entry gives its balancer.
-const CHECK: Duration = Duration::from_millis(100);
+/// Interval between readiness checks: half of the grace period that a stopping entry gives its balancer.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest wait for the answer to a check.
-const CHECK_LIMIT: Duration = Duration::from_millis(300);
+const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// One entry behind the balancer.
+/// An entry behind the balancer.
 #[derive(Clone, Copy, Debug)]
 struct Target {
     callers: SocketAddr,
@@ -31,12 +30,12 @@
     next: usize,
 }
 
-/// The balancer; clones are the same one.
+/// The load balancer; clones share their state.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Balancer(Arc<Mutex<State>>);
 
 impl Balancer {
-    /// Puts an entry behind the balancer; it gets callers once a check finds it ready.
+    /// Adds an entry, which gets callers once a check finds it ready.
     pub(crate) fn add(&self, entry: id::Entry, callers: SocketAddr, admin: SocketAddr) {
         let target = Target {
             callers,
@@ -46,7 +45,7 @@
         self.0.lock().targets.insert(entry, target);
     }
 
-    /// Another ready entry than `last`, in turn; `last` itself where there is no other.
+    /// Picks a ready entry other than `last`, round robin; `last` itself if no other entry is ready.
     pub(crate) fn pick(&self, last: Option<SocketAddr>) -> Option<SocketAddr> {
         let mut state = self.0.lock();
         state.next = state.next.wrapping_add(1);
@@ -61,13 +60,13 @@
         Some(others[state.next % others.len()])
     }
 
-    /// Whether every entry is ready.
+    /// Whether there are entries and all of them are ready.
     pub(crate) fn all_ready(&self) -> bool {
         let state = self.0.lock();
         !state.targets.is_empty() && state.targets.values().all(|target| target.ready)
     }
 
-    /// Checks every entry again and again, until it is aborted.
+    /// Checks every entry periodically until the task is aborted.
     pub(crate) async fn run(self) {
         let checker = Caller::open("");
         loop {
@@ -77,27 +76,27 @@
                 checks.spawn(check(checker.clone(), entry, target));
             }
             while let Some(done) = checks.join_next().await {
-                if let Ok(Checked { entry, ready }) = done {
-                    self.note(&entry, ready);
+                if let Ok(CheckResult { entry, ready }) = done {
+                    self.set_ready(&entry, ready);
                 }
             }
-            sleep(CHECK).await;
+            sleep(CHECK_INTERVAL).await;
         }
     }
 
-    fn note(&self, entry: &id::Entry, ready: bool) {
+    fn set_ready(&self, entry: &id::Entry, ready: bool) {
         if let Some(target) = self.0.lock().targets.get_mut(entry) {
             target.ready = ready;
         }
     }
 }
 
-struct Checked {
+struct CheckResult {
     entry: id::Entry,
     ready: bool,
 }
 
-async fn check(checker: Caller, entry: id::Entry, target: Target) -> Checked {
+async fn check(checker: Caller, entry: id::Entry, target: Target) -> CheckResult {
     let answer = checker
         .send(
             target.admin,
@@ -105,10 +104,10 @@
             path::READYZ,
             &[],
             "",
-            CHECK_LIMIT,
+            CHECK_TIMEOUT,
         )
         .await;
-    Checked {
+    CheckResult {
         entry,
         ready: answer.status == Some(StatusCode::OK),
     }
--- a/crates/demo/src/caller.rs
+++ b/crates/demo/src/caller.rs
@@ -1,8 +1,9 @@
-//! A caller that keeps the caller contract: the same key again, elsewhere, until it knows.
+//! A caller that follows the caller contract: repeats a request with the same key at another entry until
+//! its outcome is known.
 
 use crate::{
     balancer::Balancer,
-    journal::Journal,
+    event_log::EventLog,
     judge::{Ended, Event},
 };
 use http::Method;
@@ -21,38 +22,38 @@
 };
 use tokio::time::{Instant, sleep};
 
-/// Part of the requests that are holds.
-const HOLDS: f64 = 0.35;
+/// Fraction of the requests that are holds.
+const HOLD_FRACTION: f64 = 0.35;
 
-/// Milliseconds between two requests of one caller.
-const PAUSE: Range<u64> = 10..50;
+/// Delay between two requests of one caller.
+const DELAY_MS: Range<u64> = 10..50;
 
-/// The timeout that callers name.
+/// The request timeout that callers send.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The same in milliseconds, as the header wants it.
+/// [`TIMEOUT`] in milliseconds, for the header.
 const TIMEOUT_MS: &str = "2000";
 
-/// How long after the timeout an answer is late. An entry counts from the request's arrival and may
-/// answer at the last moment; the way there and back is allowed for.
+/// Time after the timeout from which a response counts as late. An entry measures the timeout from the
+/// request's arrival and may respond just before it ends, so the network round trip is allowed for.
 const TRANSIT: Duration = Duration::from_millis(50);
 
-/// When a caller gives a connection up: later than its timeout, so that a late answer is seen.
-const GIVE_UP: Duration = Duration::from_secs(4);
+/// Client-side timeout of one attempt, longer than [`TIMEOUT`] so that late responses are observed.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Attempts at one request that reach an entry.
-const ATTEMPTS: u64 = 12;
+/// Maximum attempts per request; refused connections don't count.
+const MAX_ATTEMPTS: u64 = 12;
 
-/// Longest time over all attempts at one request: shorter than the store's outage in a full run, so
-/// that some callers leave with "not run", which must then be true.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// Time limit over all attempts at one request: shorter than the store's outage in a full run, so that
+/// some requests end as "not run", which the checker then verifies.
+const REQUEST_TIME_LIMIT: Duration = Duration::from_secs(3);
 
-/// Milliseconds before the same request is sent again.
-const BACKOFF: Range<u64> = 20..80;
+/// Delay before the next attempt at a request.
+const BACKOFF_MS: Range<u64> = 20..80;
 
-/// Who calls what, and for how long.
+/// One caller: its account, its targets and its share of the run's state.
 #[derive(Clone, Debug)]
-pub(crate) struct Calling {
+pub(crate) struct CallerTask {
     pub(crate) account: id::Account,
     pub(crate) token: Arc<str>,
     /// Path prefixes of the services that the account may call.
@@ -60,29 +61,29 @@
     pub(crate) number: usize,
     pub(crate) seed: u64,
     pub(crate) balancer: Balancer,
-    pub(crate) journal: Journal,
+    pub(crate) log: EventLog,
     pub(crate) closing: Arc<AtomicBool>,
 }
 
-impl Calling {
-    /// Sends one request after another until the demo closes.
+impl CallerTask {
+    /// Sends one request after another until `closing` is set.
     pub(crate) async fn run(self) {
         let caller = Caller::open(Arc::clone(&self.token));
         let mut random = ChaCha8Rng::seed_from_u64(self.seed);
         let mut count = 0;
         while !self.closing.load(Ordering::Relaxed) {
-            let request = self.next(count, &mut random);
+            let request = self.next_request(count, &mut random);
             let ended = request.send(&self, &caller, &mut random).await;
-            self.journal.write(Event::Ended(ended));
+            self.log.record(Event::Ended(ended));
             count += 1;
-            sleep(Duration::from_millis(random.random_range(PAUSE))).await;
+            sleep(Duration::from_millis(random.random_range(DELAY_MS))).await;
         }
     }
 
-    fn next(&self, count: u64, random: &mut ChaCha8Rng) -> Request {
+    fn next_request(&self, count: u64, random: &mut ChaCha8Rng) -> Request {
         let id: Arc<str> = format!("{}-{}-{count}", self.account, self.number).into();
         let prefix = &self.prefixes[random.random_range(0..self.prefixes.len())];
-        let is_hold = random.random_bool(HOLDS);
+        let is_hold = random.random_bool(HOLD_FRACTION);
         Request {
             path: format!("{prefix}/beds/{}", random.random_range(0..1000)),
             key: is_hold.then(|| format!("hold-{id}").into()),
@@ -91,7 +92,6 @@
     }
 }
 
-/// One request of a caller.
 #[derive(Debug)]
 struct Request {
     id: Arc<str>,
@@ -99,9 +99,9 @@
     key: Option<Arc<str>>,
 }
 
-/// What the caller knows while it tries.
+/// What the caller has learned from the attempts so far.
 #[derive(Debug)]
-struct Course {
+struct RequestState {
     verdict: Verdict,
     success: bool,
     late: bool,
@@ -111,10 +111,10 @@
 }
 
 impl Request {
-    async fn send(self, calling: &Calling, caller: &Caller, random: &mut ChaCha8Rng) -> Ended {
-        let give_up = Instant::now() + PATIENCE;
+    async fn send(self, task: &CallerTask, caller: &Caller, random: &mut ChaCha8Rng) -> Ended {
+        let deadline = Instant::now() + REQUEST_TIME_LIMIT;
         let mut last = None;
-        let mut course = Course {
+        let mut state = RequestState {
             verdict: Verdict::NotRun,
             success: false,
             late: false,
@@ -122,31 +122,31 @@
             attempts: 0,
             refused: 0,
         };
-        while course.attempts < ATTEMPTS && Instant::now() < give_up {
-            if let Some(to) = calling.balancer.pick(last) {
+        while state.attempts < MAX_ATTEMPTS && Instant::now() < deadline {
+            if let Some(to) = task.balancer.pick(last) {
                 last = Some(to);
-                let began = Instant::now();
-                let answer = self.attempt(caller, to, course.verdict).await;
-                course.note(&answer, began.elapsed());
-                if course.verdict == Verdict::Completed {
+                let started = Instant::now();
+                let response = self.attempt(caller, to, state.verdict).await;
+                state.apply(&response, started.elapsed());
+                if state.verdict == Verdict::Completed {
                     break;
                 }
             }
-            sleep(Duration::from_millis(random.random_range(BACKOFF))).await;
+            sleep(Duration::from_millis(random.random_range(BACKOFF_MS))).await;
         }
         Ended {
             request: self.id,
             key: self.key,
-            verdict: course.verdict,
-            success: course.success,
-            late: course.late,
-            named: course.named,
-            attempts: course.attempts,
-            refused: course.refused,
+            verdict: state.verdict,
+            success: state.success,
+            late: state.late,
+            named: state.named,
+            attempts: state.attempts,
+            refused: state.refused,
         }
     }
 
-    /// Sends it once; marked as a repeat where an earlier attempt may have run.
+    /// Sends the request once, marked as a repeat if an earlier attempt may have run.
     async fn attempt(&self, caller: &Caller, to: SocketAddr, known: Verdict) -> Answer {
         let mut headers = vec![
             ("x-request-id", &*self.id),
@@ -154,7 +154,7 @@
         ];
         let Some(key) = &self.key else {
             return caller
-                .send(to, Method::GET, &self.path, &headers, "", GIVE_UP)
+                .send(to, Method::GET, &self.path, &headers, "", ATTEMPT_TIMEOUT)
                 .await;
         };
         headers.push(("idempotency-key", key));
@@ -162,36 +162,43 @@
             headers.push(("idempotency-repeat", "1"));
         }
         caller
-            .send(to, Method::POST, &self.path, &headers, "one bed", GIVE_UP)
+            .send(
+                to,
+                Method::POST,
+                &self.path,
+                &headers,
+                "one bed",
+                ATTEMPT_TIMEOUT,
+            )
             .await
     }
 }
 
-impl Course {
-    fn note(&mut self, answer: &Answer, took: Duration) {
-        // No connection: nothing was sent, and what is known of earlier attempts stands.
-        if answer.status.is_none() && answer.said == Said::NotRun {
+impl RequestState {
+    fn apply(&mut self, response: &Answer, duration: Duration) {
+        // The connection was refused: nothing was sent, and the verdict of earlier attempts still holds.
+        if response.status.is_none() && response.said == Said::NotRun {
             self.refused += 1;
             return;
         }
         self.attempts += 1;
-        self.late |= answer.status.is_some() && took > TIMEOUT + TRANSIT;
-        self.verdict = match answer.said {
+        self.late |= response.status.is_some() && duration > TIMEOUT + TRANSIT;
+        self.verdict = match response.said {
             Said::Completed => Verdict::Completed,
             Said::NotRun => Verdict::NotRun,
             Said::Unknown => Verdict::Unknown,
         };
-        self.success = answer.status.is_some_and(|status| status.is_success());
-        self.named.extend(named(answer));
+        self.success = response.status.is_some_and(|status| status.is_success());
+        self.named.extend(named_requests(response));
     }
 }
 
-/// The requests that an answer names: in its header, and a worker's answer in its body too.
-fn named(answer: &Answer) -> Vec<Arc<str>> {
-    let header = answer.headers.get("x-request-id");
+/// Request ids that a response names: in its header, and in the body of a worker's response.
+fn named_requests(response: &Answer) -> Vec<Arc<str>> {
+    let header = response.headers.get("x-request-id");
     let header = header.and_then(|value| value.to_str().ok());
-    let body = std::str::from_utf8(&answer.body).ok();
+    let body = std::str::from_utf8(&response.body).ok();
     let body = body.and_then(|text| text.split(' ').next());
-    let body = body.filter(|_| answer.said == Said::Completed && answer.code.is_none());
+    let body = body.filter(|_| response.said == Said::Completed && response.code.is_none());
     header.into_iter().chain(body).map(Arc::from).collect()
 }
--- a/crates/demo/src/deployment.rs
+++ b/crates/demo/src/deployment.rs
@@ -1,11 +1,11 @@
-//! The example deployment `examples/gojo-beds`, in small.
+//! The example deployment `examples/gojo-beds` at a reduced size.
 
 use eyre::{Result, WrapErr};
 use primroseroute_domain::account::{Budget, Survive, Template};
 use primroseroute_testbed::Layout;
 use std::sync::Arc;
 
-/// The committed templates.
+/// Account templates of the example.
 const TEMPLATES: [&str; 5] = [
     include_str!("../../../examples/gojo-beds/habesha-stay.yaml"),
     include_str!("../../../examples/gojo-beds/lalibela-rest.yaml"),
@@ -14,25 +14,25 @@
     include_str!("../../../examples/gojo-beds/gojo-backoffice.yaml"),
 ];
 
-/// A third of the promise: about 17 workers in place of about 50.
-const SCALE: u32 = 3;
+/// Divisor of the promised capacity: about 17 workers instead of about 50.
+const CAPACITY_DIVISOR: u32 = 3;
 
-/// Availability zones.
 const ZONES: usize = 3;
 
-/// Entries at the start.
+/// Entries at start-up.
 const ENTRIES: usize = 3;
 
-/// The templates of the deployment, each promise cut to a third.
+/// The templates of the deployment, with each pool's promised capacity reduced to a third.
 pub(crate) fn templates() -> Result<Vec<Template>> {
     TEMPLATES.iter().map(|text| template(text)).collect()
 }
 
 fn template(text: &str) -> Result<Template> {
-    let mut template: Template = serde_saphyr::from_str(text).wrap_err("an example template")?;
+    let mut template: Template =
+        serde_saphyr::from_str(text).wrap_err("parsing an example template")?;
     for pool in &mut template.pools {
         pool.budget = Budget {
-            promised: (pool.budget.promised / SCALE).max(1),
+            promised: (pool.budget.promised / CAPACITY_DIVISOR).max(1),
             max_absent: 1,
             survive: Survive::Rack,
         };
@@ -40,7 +40,7 @@
     Ok(template)
 }
 
-/// Workers for every pool: the promise, one that the loss of a rack takes, and one in maintenance.
+/// Workers of every pool: the promised capacity, one to cover the loss of a rack, and one to cover maintenance.
 pub(crate) fn layout(templates: &[Template]) -> Layout {
     let pools = templates.iter().flat_map(|template| &template.pools);
     let sizes = pools.map(|pool| {
@@ -51,25 +51,25 @@
         entries: ENTRIES,
         pools: sizes.collect(),
         zones: ZONES,
-        // One worker of a pool in each rack: a rack takes one of it, as in the deployment.
+        // One worker of a pool per rack, so that losing a rack costs a pool one worker, as in the full deployment.
         rack: 1,
     }
 }
 
-/// The token of the account's callers, whose hash the committed template has.
+/// The token of the account's callers; the template contains its hash.
 pub(crate) fn token(template: &Template) -> Arc<str> {
     format!("example-token-of-{}", template.account).into()
 }
 
 /// Path prefixes of the services that `template`'s account may call.
 pub(crate) fn prefixes(template: &Template, all: &[Template]) -> Vec<Arc<str>> {
-    let mut found = Vec::new();
+    let mut paths = Vec::new();
     for owner in all {
         for service in owner.pools.iter().flat_map(|pool| &pool.services) {
             let allowed =
                 owner.account == template.account || service.callers.contains(&template.account);
-            found.extend(service.path_prefix.clone().filter(|_| allowed));
+            paths.extend(service.path_prefix.clone().filter(|_| allowed));
         }
     }
-    found
+    paths
 }
--- a/crates/demo/src/journal.rs
+++ b/crates/demo/src/event_log.rs
@@ -1,4 +1,4 @@
-//! Where everything that happens is written down.
+//! In-memory log of the events of a run.
 
 use crate::judge::Event;
 use parking_lot::Mutex;
@@ -7,29 +7,29 @@
 
 #[derive(Debug)]
 struct Shared {
-    began: Instant,
+    started: Instant,
     events: Mutex<Vec<Event>>,
 }
 
-/// The events so far; clones write to the same journal.
+/// The recorded events; clones share one log.
 #[derive(Clone, Debug)]
-pub(crate) struct Journal(Arc<Shared>);
+pub(crate) struct EventLog(Arc<Shared>);
 
-impl Journal {
-    /// An empty journal whose time starts now.
-    pub(crate) fn open() -> Self {
+impl EventLog {
+    /// Creates an empty log whose clock starts now.
+    pub(crate) fn new() -> Self {
         Self(Arc::new(Shared {
-            began: Instant::now(),
+            started: Instant::now(),
             events: Mutex::default(),
         }))
     }
 
-    /// Time since the journal was opened.
+    /// Time since the log was created.
     pub(crate) fn now(&self) -> Duration {
-        self.0.began.elapsed()
+        self.0.started.elapsed()
     }
 
-    pub(crate) fn write(&self, event: Event) {
+    pub(crate) fn record(&self, event: Event) {
         self.0.events.lock().push(event);
     }
 
--- a/crates/demo/src/judge/event.rs
+++ b/crates/demo/src/judge/event.rs
@@ -1,4 +1,4 @@
-//! What the runner records.
+//! Events that the runner records.
 
 use primroseroute_domain::{
     account::Budget, change::Seq, id, instance::Row, outcome::Verdict, time::Instant,
@@ -6,95 +6,95 @@
 use primroseroute_fleet::wave;
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-/// One thing that happened. Durations count from the start of the demo.
+/// A recorded event. Durations count from the start of the event log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A caller's request came to its end.
+    /// A caller's request ended.
     Ended(Ended),
-    /// How often the workers executed a key, counted after the last request.
+    /// The number of executions of a key, counted after the last request.
     Executed(Executed),
-    /// An operator's order was accepted.
+    /// An operator's command was accepted.
     Ordered(Ordered),
     /// An entry started.
     Started(Presence),
     /// An entry was told to stop, or was killed.
     Retired(Presence),
-    /// An entry was seen with this change as the newest in force.
+    /// An entry's version in effect was observed.
     InForce(InForce),
-    /// A change in the table, in the order of changes.
+    /// A change in the table, in sequence order.
     Changed(Change),
 }
 
 /// The end of one request, after all of the caller's attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ended {
-    /// The id that the caller gave the request; attempts share it.
+    /// The request id, chosen by the caller and shared by all attempts.
     pub request: Arc<str>,
-    /// The key, where the request is a hold.
+    /// The idempotency key, if the request is a hold.
     pub key: Option<Arc<str>>,
-    /// What the caller knows in the end.
+    /// The final outcome as the caller knows it.
     pub verdict: Verdict,
-    /// Whether the answer has a success status; a worker's own refusal has not.
+    /// Whether the response has a success status; an error response of the worker has not.
     pub success: bool,
-    /// Whether an attempt's answer came after the timeout that the caller had named and its transit.
+    /// Whether the response to an attempt came after the request timeout plus the allowance for transit.
     pub late: bool,
-    /// Ids that the answers named, in their header and in their body.
+    /// Request ids in the headers and bodies of the responses.
     pub named: Vec<Arc<str>>,
     /// Attempts that reached an entry.
     pub attempts: u64,
-    /// Attempts whose connection was refused, so that the caller went to another entry.
+    /// Attempts whose connection was refused, after which the caller tried another entry.
     pub refused: u64,
 }
 
-/// Executions of one key over all workers.
+/// Executions of one key, summed over one or more workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Executed {
-    /// The key.
+    /// The idempotency key.
     pub key: Arc<str>,
-    /// How often it was executed.
+    /// Number of executions.
     pub times: u64,
 }
 
-/// An accepted order.
+/// An accepted command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ordered {
-    /// The change that it became.
+    /// Sequence number of the resulting change.
     pub seq: Seq,
-    /// When the order was sent.
+    /// When the command was sent.
     pub sent: Duration,
 }
 
-/// An entry that comes or goes.
+/// The start or retirement of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Presence {
-    /// The entry; a name is never used for a second run.
+    /// The entry; names aren't reused.
     pub entry: id::Entry,
-    /// When.
+    /// Time of the event.
     pub at: Duration,
 }
 
-/// A look at one entry's newest change in force.
+/// An observation of an entry's version in effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InForce {
     /// The entry.
     pub entry: id::Entry,
-    /// The newest change in force there.
+    /// The newest change in effect there.
     pub seq: Seq,
-    /// When it was seen.
+    /// When it was observed.
     pub at: Duration,
 }
 
-/// What one change wrote of instances and budgets.
+/// The instances, budgets and waves that one change wrote.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Its place in the order.
+    /// Its sequence number.
     pub seq: Seq,
-    /// When it was made, by the writer's clock.
+    /// When it was made, on the writer's clock.
     pub at: Instant,
-    /// Instances' rows after the change; none where it deleted the row.
+    /// Instance rows after the change; `None` if it deleted the row.
     pub rows: BTreeMap<id::Instance, Option<Row>>,
     /// Budgets after the change.
     pub budgets: BTreeMap<id::Pool, Budget>,
-    /// Waves' rows after the change.
+    /// Wave rows after the change.
     pub waves: BTreeMap<id::Wave, wave::Row>,
 }
--- a/crates/demo/src/judge/mod.rs
+++ b/crates/demo/src/judge/mod.rs
@@ -1,6 +1,6 @@
-//! The verdict over a recorded history: events in, a report with every breach out.
+//! Checks a recorded history: takes its events and returns a report with every violated invariant.
 //!
-//! Nothing here reads a clock or talks to anyone.
+//! Pure functions: no clock and no I/O.
 
 mod event;
 mod fleet;
@@ -11,12 +11,12 @@
 pub use event::{Change, Ended, Event, Executed, InForce, Ordered, Presence};
 pub use report::{Breach, Fleet, Quantiles, Report, Requests, Views};
 
-/// Judges a history.
+/// Checks a history and returns its counts and violated invariants.
 pub fn judge(events: &[Event]) -> Report {
     let mut breaches = Vec::new();
-    let requests = requests::judge(events, &mut breaches);
-    let views = views::judge(events, &mut breaches);
-    let fleet = fleet::judge(events, &mut breaches);
+    let requests = requests::evaluate(events, &mut breaches);
+    let views = views::evaluate(events, &mut breaches);
+    let fleet = fleet::evaluate(events, &mut breaches);
     Report {
         requests,
         views,
--- a/crates/demo/src/judge/report.rs
+++ b/crates/demo/src/judge/report.rs
@@ -1,110 +1,110 @@
-//! What the judge says.
+//! The report of a run.
 
 use primroseroute_domain::{change::Seq, id};
 use serde::Serialize;
 use std::sync::Arc;
 
-/// The verdict with its figures.
+/// Counts, measured times and violated invariants of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Report {
-    /// What became of callers' requests.
+    /// Outcomes of callers' requests.
     pub requests: Requests,
-    /// How changes came into force.
+    /// Distribution of configuration changes to the entries.
     pub views: Views,
-    /// What the fleet did.
+    /// Changes of the fleet.
     pub fleet: Fleet,
-    /// Every broken invariant; empty where all held.
+    /// Every violated invariant; empty if all held.
     pub breaches: Vec<Breach>,
 }
 
-/// Counts of requests; a request with all of its repeats counts once.
+/// Counts of requests; a request and its repeats count once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Requests {
-    /// Requests that callers sent.
+    /// Requests sent by callers.
     pub sent: u64,
-    /// Of these, holds with a key.
+    /// Holds (requests with an idempotency key) among these.
     pub holds: u64,
-    /// Attempts that reached an entry, repeats among them.
+    /// Attempts that reached an entry, including repeats.
     pub attempts: u64,
-    /// Connections refused by an entry that was gone before the balancer noticed.
+    /// Connections refused by an entry that had ended before the balancer noticed.
     pub refused: u64,
-    /// Answered whole by a worker.
+    /// Requests with a complete response from a worker.
     pub completed: u64,
-    /// Of these, answered with the worker's own error status.
+    /// Completed requests whose response has an error status of the worker.
     pub errors: u64,
-    /// Proven not run.
+    /// Requests proven not to have run.
     pub not_run: u64,
-    /// May have run, still not known when the caller stopped asking.
+    /// Requests that may have run; still unknown when the caller stopped retrying.
     pub unknown: u64,
-    /// An answer came after the timeout that the caller had named and its transit.
+    /// Requests with a response after the request timeout plus the allowance for transit.
     pub late: u64,
     /// Keys executed more than once.
     pub doubled: u64,
-    /// Holds that completed with success and were never executed.
+    /// Holds that completed with success but were never executed.
     pub lost: u64,
-    /// Holds that were said not to have run and did.
+    /// Holds reported as not run that did run.
     pub ran: u64,
-    /// Requests that were answered with another's answer.
+    /// Requests that received another request's response.
     pub foreign: u64,
 }
 
-/// How changes came into force.
+/// How configuration changes took effect at the entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Views {
-    /// Accepted orders whose way into force was seen whole.
+    /// Accepted commands that were observed to take effect at every entry that ran throughout.
     pub orders: u64,
-    /// Accepted orders that some entry that stayed never had in force.
+    /// Accepted commands that never took effect at some entry that kept running.
     pub never: u64,
-    /// From sending an order to its being in force at every entry that ran throughout.
+    /// Time from sending a command until it was in effect at every entry that ran throughout.
     pub in_force: Quantiles,
-    /// Times that an entry's version went backwards.
+    /// Number of times that an entry's version went backwards.
     pub reverted: u64,
 }
 
-/// A distribution of times, in milliseconds.
+/// Quantiles of a distribution of times.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Quantiles {
-    /// The median.
+    /// Median.
     pub p50_ms: u64,
-    /// The 99th percentile.
+    /// 99th percentile.
     pub p99_ms: u64,
-    /// The largest.
+    /// Maximum.
     pub max_ms: u64,
 }
 
-/// What the fleet did.
+/// Counts and measurements of the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Fleet {
-    /// Changes in the table.
+    /// Changes committed to the table.
     pub changes: u64,
-    /// Instances that arrived and came to serve.
+    /// Instances that arrived and went on to serve.
     pub arrivals: u64,
     /// Instances that left.
     pub departures: u64,
-    /// Instances that went from one pool to another.
+    /// Instances that moved from one pool to another.
     pub moves: u64,
-    /// Instances put into quarantine.
+    /// Instances that were quarantined.
     pub quarantines: u64,
-    /// Waves started.
+    /// Waves that were started.
     pub waves: u64,
-    /// Of these, rolled out to the end.
+    /// Waves that completed their roll-out.
     pub waves_done: u64,
-    /// Roll-out time of the slowest wave that was rolled out, in milliseconds.
+    /// Roll-out time of the slowest completed wave, in milliseconds.
     pub rollout_ms: u64,
-    /// Instances that waves rebooted and that came back.
+    /// Instances that were rebooted by waves and returned.
     pub maintained: u64,
-    /// Slot-hours of instances that serve beyond what is promised, or wait for a pool.
+    /// Slot-hours of instances that serve beyond the promised capacity or have no pool.
     pub buffer_slot_hours: f64,
-    /// Breaches of an availability budget by planned work.
+    /// Violations of an availability budget by planned work.
     pub budget_breaches: u64,
 }
 
-/// A broken invariant.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "breach")]
 pub enum Breach {
@@ -112,7 +112,7 @@
     Doubled {
         /// The key.
         key: Arc<str>,
-        /// How often.
+        /// Number of executions.
         times: u64,
     },
     /// A hold that completed with success was never executed.
@@ -120,32 +120,32 @@
         /// The key.
         key: Arc<str>,
     },
-    /// A hold was said not to have run and did.
+    /// A hold reported as not run did run.
     Ran {
         /// The key.
         key: Arc<str>,
     },
-    /// An answer named another request.
+    /// A response named another request.
     Foreign {
-        /// The request.
+        /// Id of the request.
         request: Arc<str>,
-        /// What the answer named.
+        /// Request id in the response.
         named: Arc<str>,
     },
-    /// An entry's version in force went backwards.
+    /// An entry's version in effect went backwards.
     Reverted {
         /// The entry.
         entry: id::Entry,
-        /// The version it had.
+        /// The version before.
         from: Seq,
-        /// The version it went back to.
+        /// The version after.
         to: Seq,
     },
-    /// Planned work broke an availability budget or put an instance into two pools.
+    /// Planned work violated an availability budget or put an instance into two pools.
     Budget {
-        /// The change that did it.
+        /// The change that did so.
         seq: Seq,
-        /// What the checker says.
+        /// The violation that the budget check reported.
         what: String,
     },
 }
--- a/crates/demo/src/judge/requests.rs
+++ b/crates/demo/src/judge/requests.rs
@@ -1,4 +1,5 @@
-//! Callers' requests: whole answers, own answers, at most once, truth of "not run".
+//! Checks callers' requests: each is executed at most once, each response belongs to its request, and
+//! "completed" and "not run" are true.
 
 use super::{
     event::{Ended, Event},
@@ -7,12 +8,12 @@
 use primroseroute_domain::outcome::Verdict;
 use std::{collections::BTreeMap, sync::Arc};
 
-pub(super) fn judge(events: &[Event], breaches: &mut Vec<Breach>) -> Requests {
+pub(super) fn evaluate(events: &[Event], breaches: &mut Vec<Breach>) -> Requests {
     let executions = executions(events);
-    let mut found = Requests::default();
+    let mut summary = Requests::default();
     for (key, times) in &executions {
         if *times > 1 {
-            found.doubled += 1;
+            summary.doubled += 1;
             breaches.push(Breach::Doubled {
                 key: Arc::clone(key),
                 times: *times,
@@ -21,12 +22,12 @@
     }
     for event in events {
         if let Event::Ended(ended) = event {
-            count(ended, &mut found);
-            check_named(ended, &mut found, breaches);
-            check_hold(ended, &executions, &mut found, breaches);
+            count(ended, &mut summary);
+            check_response_ids(ended, &mut summary, breaches);
+            check_hold(ended, &executions, &mut summary, breaches);
         }
     }
-    found
+    summary
 }
 
 fn executions(events: &[Event]) -> BTreeMap<Arc<str>, u64> {
@@ -39,25 +40,25 @@
     executions
 }
 
-fn count(ended: &Ended, found: &mut Requests) {
-    found.sent += 1;
-    found.holds += u64::from(ended.key.is_some());
-    found.attempts += ended.attempts;
-    found.refused += ended.refused;
-    found.late += u64::from(ended.late);
+fn count(ended: &Ended, summary: &mut Requests) {
+    summary.sent += 1;
+    summary.holds += u64::from(ended.key.is_some());
+    summary.attempts += ended.attempts;
+    summary.refused += ended.refused;
+    summary.late += u64::from(ended.late);
     match ended.verdict {
         Verdict::Completed => {
-            found.completed += 1;
-            found.errors += u64::from(!ended.success);
+            summary.completed += 1;
+            summary.errors += u64::from(!ended.success);
         }
-        Verdict::NotRun => found.not_run += 1,
-        Verdict::Unknown => found.unknown += 1,
+        Verdict::NotRun => summary.not_run += 1,
+        Verdict::Unknown => summary.unknown += 1,
     }
 }
 
-fn check_named(ended: &Ended, found: &mut Requests, breaches: &mut Vec<Breach>) {
+fn check_response_ids(ended: &Ended, summary: &mut Requests, breaches: &mut Vec<Breach>) {
     if let Some(named) = ended.named.iter().find(|named| **named != ended.request) {
-        found.foreign += 1;
+        summary.foreign += 1;
         breaches.push(Breach::Foreign {
             request: Arc::clone(&ended.request),
             named: Arc::clone(named),
@@ -68,7 +69,7 @@
 fn check_hold(
     ended: &Ended,
     executions: &BTreeMap<Arc<str>, u64>,
-    found: &mut Requests,
+    summary: &mut Requests,
     breaches: &mut Vec<Breach>,
 ) {
     let Some(key) = &ended.key else { return };
@@ -76,11 +77,11 @@
     let key = Arc::clone(key);
     match ended.verdict {
         Verdict::Completed if ended.success && !ran => {
-            found.lost += 1;
+            summary.lost += 1;
             breaches.push(Breach::Lost { key });
         }
         Verdict::NotRun if ran => {
-            found.ran += 1;
+            summary.ran += 1;
             breaches.push(Breach::Ran { key });
         }
         Verdict::Completed | Verdict::NotRun | Verdict::Unknown => {}
--- a/crates/demo/src/judge/views.rs
+++ b/crates/demo/src/judge/views.rs
@@ -1,4 +1,5 @@
-//! Configurations: how long until in force everywhere, and never backwards.
+//! Checks configuration changes: the time until each is in effect at every entry, and that no entry's
+//! version goes backwards.
 
 use super::{
     event::{Event, InForce, Ordered},
@@ -8,70 +9,69 @@
 use primroseroute_domain::{change::Seq, id};
 use std::{collections::BTreeMap, time::Duration};
 
-/// Significant digits of the distribution.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// One entry's life.
+/// The lifetime of one entry and the versions observed at it.
 #[derive(Debug, Default)]
-struct Life {
+struct EntryHistory {
     started: Duration,
     retired: Option<Duration>,
-    seen: Vec<InForce>,
+    observed: Vec<InForce>,
 }
 
-pub(super) fn judge(events: &[Event], breaches: &mut Vec<Breach>) -> Views {
-    let lives = lives(events);
-    let mut found = Views::default();
-    for life in lives.values() {
-        found.reverted += check_forward(life, breaches);
+pub(super) fn evaluate(events: &[Event], breaches: &mut Vec<Breach>) -> Views {
+    let histories = entry_histories(events);
+    let mut summary = Views::default();
+    for history in histories.values() {
+        summary.reverted += check_versions(history, breaches);
     }
-    let mut times = Histogram::<u64>::new(DIGITS).expect("three digits are allowed");
+    let mut times = Histogram::<u64>::new(SIGNIFICANT_DIGITS).expect("three digits are allowed");
     for event in events {
         if let Event::Ordered(ordered) = event {
-            match everywhere(ordered, &lives) {
+            match in_effect_at(ordered, &histories) {
                 Some(at) => times.saturating_record(millis(at.saturating_sub(ordered.sent))),
-                None => found.never += 1,
+                None => summary.never += 1,
             }
         }
     }
-    found.orders = times.len();
-    found.in_force = Quantiles {
+    summary.orders = times.len();
+    summary.in_force = Quantiles {
         p50_ms: times.value_at_quantile(0.5),
         p99_ms: times.value_at_quantile(0.99),
         max_ms: times.max(),
     };
-    found
+    summary
 }
 
-/// Rounded up: a time under the resolution is not zero.
+/// Rounds up, so that a time below one millisecond isn't zero.
 fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_micros().div_ceil(1000)).unwrap_or(u64::MAX)
 }
 
-fn lives(events: &[Event]) -> BTreeMap<id::Entry, Life> {
-    let mut lives: BTreeMap<id::Entry, Life> = BTreeMap::new();
+fn entry_histories(events: &[Event]) -> BTreeMap<id::Entry, EntryHistory> {
+    let mut histories: BTreeMap<id::Entry, EntryHistory> = BTreeMap::new();
     for event in events {
         match event {
             Event::Started(presence) => {
-                lives.entry(presence.entry.clone()).or_default().started = presence.at;
+                histories.entry(presence.entry.clone()).or_default().started = presence.at;
             }
             Event::Retired(presence) => {
-                lives.entry(presence.entry.clone()).or_default().retired = Some(presence.at);
+                histories.entry(presence.entry.clone()).or_default().retired = Some(presence.at);
             }
             Event::InForce(seen) => {
-                let life = lives.entry(seen.entry.clone()).or_default();
-                life.seen.push(seen.clone());
+                let history = histories.entry(seen.entry.clone()).or_default();
+                history.observed.push(seen.clone());
             }
             Event::Ended(_) | Event::Executed(_) | Event::Ordered(_) | Event::Changed(_) => {}
         }
     }
-    lives
+    histories
 }
 
-fn check_forward(life: &Life, breaches: &mut Vec<Breach>) -> u64 {
+fn check_versions(history: &EntryHistory, breaches: &mut Vec<Breach>) -> u64 {
     let mut reverted = 0;
     let mut newest = Seq(0);
-    for seen in &life.seen {
+    for seen in &history.observed {
         if seen.seq < newest {
             reverted += 1;
             breaches.push(Breach::Reverted {
@@ -85,15 +85,19 @@
     reverted
 }
 
-/// When every entry that ran at the order's sending had it in force, or had gone.
-fn everywhere(ordered: &Ordered, lives: &BTreeMap<id::Entry, Life>) -> Option<Duration> {
-    let there = |life: &&Life| {
-        life.started <= ordered.sent && life.retired.is_none_or(|at| at > ordered.sent)
+/// The time at which each entry that ran when the command was sent had it in effect or was retired;
+/// `None` if an entry that kept running never had.
+fn in_effect_at(
+    ordered: &Ordered,
+    histories: &BTreeMap<id::Entry, EntryHistory>,
+) -> Option<Duration> {
+    let was_running = |history: &&EntryHistory| {
+        history.started <= ordered.sent && history.retired.is_none_or(|at| at > ordered.sent)
     };
     let mut latest = ordered.sent;
-    for life in lives.values().filter(there) {
-        let seen = life.seen.iter().find(|seen| seen.seq >= ordered.seq);
-        let at = seen.map(|seen| seen.at).or(life.retired)?;
+    for history in histories.values().filter(was_running) {
+        let seen = history.observed.iter().find(|seen| seen.seq >= ordered.seq);
+        let at = seen.map(|seen| seen.at).or(history.retired)?;
         latest = latest.max(at);
     }
     Some(latest)
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -1,23 +1,24 @@
-//! The demo: a small deployment in one process, under load and faults, and its verdict.
+//! The demo: runs a small deployment in one process under load and faults, and checks its invariants.
 //!
-//! [`run`] starts the platform's stand-in, the workers of five services in three availability
-//! zones, and three real entries over loopback. Callers of five accounts send reads and keyed holds
-//! through a balancer that follows each entry's readiness, while a fixed schedule changes templates
-//! and breaks things. The runner only records what happened, as typed [`judge::Event`]s;
-//! [`judge::judge`] is pure and turns them into the [`judge::Report`], with every broken invariant
-//! named. So a test can feed it a history that breaks an invariant and see it say so.
+//! [`run`] starts the simulated platform, the workers of five services in three availability zones,
+//! and three real entries over loopback. Callers of five accounts send reads and keyed holds through
+//! a load balancer that follows each entry's readiness, while a fixed schedule changes templates and
+//! injects faults. The runner only records what happened, as typed [`judge::Event`]s;
+//! [`judge::judge`] is a pure function that turns them into a [`judge::Report`], which names every
+//! violated invariant. Tests can therefore pass it a history that violates an invariant and assert
+//! that the violation is reported.
 //!
-//! The workload and the schedule come from a seed. Times are real, so figures differ between runs;
-//! invariants may not.
+//! The workload and the schedule come from a seed. The run uses real time, so figures differ between
+//! runs, but the invariants have to hold in each.
 
 mod balancer;
 mod caller;
 mod deployment;
-mod journal;
+mod event_log;
 pub mod judge;
 mod options;
+mod runner;
 mod schedule;
-mod stage;
 
 pub use options::{Options, Progress};
-pub use stage::run;
+pub use runner::run;
--- a/crates/demo/src/options.rs
+++ b/crates/demo/src/options.rs
@@ -1,21 +1,22 @@
-//! What the demo is started with.
+//! Options of the demo.
 
 use std::{fmt, time::Duration};
 
-/// How large the demo is and which random choices its callers make.
+/// Size of the load and seed of the callers' random choices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// How long callers send; the whole run takes a few seconds more.
+    /// How long callers send requests; the whole run takes a few seconds more.
     pub load: Duration,
-    /// Seed of the callers' choices.
+    /// Seed of the callers' random choices.
     pub seed: u64,
-    /// Callers of each account, each with one request at a time.
+    /// Number of callers per account; each has one request in flight at a time.
     pub callers: usize,
 }
 
 impl Default for Options {
-    /// 40 s show every step of the schedule apart from the others and leave room under a minute;
-    /// three callers an account keep the writes for claims under half of what the store takes.
+    /// In 40 s the effects of each step of the schedule can be told apart, and the whole run stays under
+    /// a minute. With three callers per account the writes for claims use less than half of the store's
+    /// write rate.
     fn default() -> Self {
         Self {
             load: Duration::from_secs(40),
@@ -25,8 +26,8 @@
     }
 }
 
-/// Where the demo says what it is doing.
+/// Receives progress updates of the demo.
 pub trait Progress: Send + Sync + fmt::Debug {
-    /// Says that `done` of the load's time has passed; what has just happened is `step`.
+    /// Reports that `done` of the load's duration has passed; `step` describes the latest step.
     fn show(&self, done: Duration, step: &str);
 }
--- a/crates/demo/src/stage/history.rs
+++ b/crates/demo/src/runner/history.rs
@@ -1,4 +1,4 @@
-//! The history of the fleet, from the trail in the table.
+//! Reads the fleet's history from the change records in the table.
 
 use crate::judge::Change;
 use eyre::{Result, WrapErr};
@@ -14,18 +14,18 @@
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
 
-/// Changes read at a time.
-const PAGE: u32 = 500;
+/// Changes per read.
+const PAGE_SIZE: u32 = 500;
 
-/// Every change in the table, in order.
+/// Reads every change in the table, in order.
 pub(super) async fn read(site: &Site) -> Result<Vec<Change>> {
-    // The onlooker is no part of the deployment and must not compete for its rate.
+    // This reader isn't part of the deployment and must not be throttled by its rate limits.
     site.platform.faults().set_rates(None);
     let ledger = site.ledger();
     let mut changes = Vec::new();
     let mut after = Seq(0);
     loop {
-        let page = ledger.records_after(after, PAGE).await?;
+        let page = ledger.records_after(after, PAGE_SIZE).await?;
         let Some(last) = page.last() else {
             return Ok(changes);
         };
@@ -61,18 +61,18 @@
 }
 
 fn row(edit: &Edit) -> Result<Option<Row>> {
-    value(edit).wrap_err("an instance's row")
+    value(edit).wrap_err("parsing an instance row")
 }
 
 fn template(edit: &Edit) -> Result<Option<Template>> {
-    value(edit).wrap_err("a template")
+    value(edit).wrap_err("parsing a template")
 }
 
 fn wave(edit: &Edit) -> Result<Option<wave::Row>> {
-    value(edit).wrap_err("a wave")
+    value(edit).wrap_err("parsing a wave row")
 }
 
-/// The row's value after the change; none where the change deleted it.
+/// The row's value after the change; `None` if the change deleted it.
 fn value<T: DeserializeOwned>(edit: &Edit) -> Result<Option<T>> {
     let read = |text: &str| serde_json::from_str::<Versioned<T>>(text);
     let row = edit.after.as_deref().map(read).transpose()?;
--- a/crates/demo/src/stage/operator.rs
+++ b/crates/demo/src/runner/operator.rs
@@ -1,7 +1,7 @@
-//! An operator, who sends one order after another.
+//! A simulated operator that sends one command after another to the entries' admin interface.
 
 use crate::{
-    journal::Journal,
+    event_log::EventLog,
     judge::{Event, Ordered},
 };
 use parking_lot::Mutex;
@@ -16,17 +16,17 @@
     task::JoinHandle,
 };
 
-/// What is to be done at one entry.
+/// A command and the entry that it is sent to.
 #[derive(Debug)]
-pub(super) struct Order {
+pub(super) struct Command {
     pub(super) admin: Admin,
-    pub(super) task: Task,
+    pub(super) action: Action,
     pub(super) reason: &'static str,
 }
 
-/// What an order asks for.
+/// The action of a command.
 #[derive(Debug)]
-pub(super) enum Task {
+pub(super) enum Action {
     /// Apply a template.
     Apply(Template),
     /// Move an instance to another pool.
@@ -35,17 +35,17 @@
     Wave(wave::Order),
 }
 
-/// An instance and the pool that it is to join.
+/// An instance and the pool that it moves to.
 #[derive(Debug)]
 pub(super) struct Move {
     pub(super) instance: id::Instance,
     pub(super) pool: id::Pool,
 }
 
-impl Order {
+impl Command {
     async fn send(self) -> Result<Accepted, Error> {
-        match self.task {
-            Task::Apply(template) => {
+        match self.action {
+            Action::Apply(template) => {
                 let apply = Apply {
                     template,
                     if_version: None,
@@ -53,7 +53,7 @@
                 };
                 self.admin.apply(&apply).await
             }
-            Task::Move(Move { instance, pool }) => {
+            Action::Move(Move { instance, pool }) => {
                 let order = api::Order {
                     if_version: None,
                     reason: self.reason.into(),
@@ -62,7 +62,7 @@
                 let order = api::Move { pool, order };
                 self.admin.move_to(&instance, &order).await
             }
-            Task::Wave(order) => {
+            Action::Wave(order) => {
                 let start = Start {
                     order,
                     reason: self.reason.into(),
@@ -73,45 +73,49 @@
     }
 }
 
-/// How far the operator is.
+/// Counts of submitted and finished commands.
 #[derive(Debug, Default)]
-struct Done {
-    given: u64,
-    ended: u64,
+struct Progress {
+    submitted: u64,
+    finished: u64,
     newest: Seq,
 }
 
-/// The operator at work.
+/// Handle of the operator's task.
 #[derive(Debug)]
 pub(super) struct Operator {
-    orders: UnboundedSender<Order>,
-    done: Arc<Mutex<Done>>,
+    commands: UnboundedSender<Command>,
+    progress: Arc<Mutex<Progress>>,
     task: JoinHandle<()>,
 }
 
 impl Operator {
-    pub(super) fn spawn(journal: Journal) -> Self {
-        let (orders, given) = unbounded_channel();
-        let done = Arc::<Mutex<Done>>::default();
-        let task = tokio::spawn(work(given, journal, Arc::clone(&done)));
-        Self { orders, done, task }
+    pub(super) fn spawn(log: EventLog) -> Self {
+        let (commands, submitted) = unbounded_channel();
+        let progress = Arc::<Mutex<Progress>>::default();
+        let task = tokio::spawn(send_all(submitted, log, Arc::clone(&progress)));
+        Self {
+            commands,
+            progress,
+            task,
+        }
     }
 
-    pub(super) fn give(&self, order: Order) {
-        self.done.lock().given += 1;
-        if self.orders.send(order).is_err() {
-            self.done.lock().ended += 1;
+    pub(super) fn submit(&self, command: Command) {
+        self.progress.lock().submitted += 1;
+        if self.commands.send(command).is_err() {
+            self.progress.lock().finished += 1;
         }
     }
 
     pub(super) fn is_idle(&self) -> bool {
-        let done = self.done.lock();
-        done.given == done.ended
+        let progress = self.progress.lock();
+        progress.submitted == progress.finished
     }
 
-    /// The newest accepted change.
+    /// The newest change that an accepted command became.
     pub(super) fn newest(&self) -> Seq {
-        self.done.lock().newest
+        self.progress.lock().newest
     }
 
     pub(super) fn abort(&self) {
@@ -119,16 +123,20 @@
     }
 }
 
-async fn work(mut given: UnboundedReceiver<Order>, journal: Journal, done: Arc<Mutex<Done>>) {
-    while let Some(order) = given.recv().await {
-        let sent = journal.now();
-        // A refusal, such as while the store is down, changes nothing and is no breach.
-        let accepted = order.send().await.ok();
-        let mut done = done.lock();
-        done.ended += 1;
+async fn send_all(
+    mut submitted: UnboundedReceiver<Command>,
+    log: EventLog,
+    progress: Arc<Mutex<Progress>>,
+) {
+    while let Some(command) = submitted.recv().await {
+        let sent = log.now();
+        // A rejected command, such as while the store is down, changes nothing and violates no invariant.
+        let accepted = command.send().await.ok();
+        let mut progress = progress.lock();
+        progress.finished += 1;
         if let Some(accepted) = accepted {
-            done.newest = done.newest.max(accepted.version);
-            journal.write(Event::Ordered(Ordered {
+            progress.newest = progress.newest.max(accepted.version);
+            log.record(Event::Ordered(Ordered {
                 seq: accepted.version,
                 sent,
             }));
--- a/crates/demo/tests/all/fleet.rs
+++ b/crates/demo/tests/all/fleet.rs
@@ -1,4 +1,4 @@
-//! Verdicts on the fleet's history.
+//! Checks of the fleet's history.
 
 use primroseroute_demo::judge::{Breach, Change, Event, Report, judge};
 use primroseroute_domain::{
@@ -13,7 +13,7 @@
 
 cases! {
     planned_drain_within_the_budget_is_sound => within_budget();
-    planned_drain_below_the_promise_is_a_breach => below_promise();
+    planned_drain_below_the_promise_is_a_breach => below_promised();
     loss_that_nobody_planned_is_no_breach => unplanned();
     arrival_move_departure_and_quarantine_are_counted => counted();
     idle_slots_are_counted_over_time => idle();
@@ -21,15 +21,15 @@
 }
 
 fn pool(name: &str) -> id::Pool {
-    name.parse().expect("a name")
+    name.parse().expect("valid name")
 }
 
 fn row(name: &str, state: State, purpose: Option<Purpose>, pool_name: Option<&str>) -> Row {
     Row {
-        id: name.parse().expect("a name"),
-        address: "127.0.0.1:1".parse().expect("an address"),
-        zone: "zone".parse().expect("a name"),
-        rack: name.parse().expect("a name"),
+        id: name.parse().expect("valid name"),
+        address: "127.0.0.1:1".parse().expect("valid address"),
+        zone: "zone".parse().expect("valid name"),
+        rack: name.parse().expect("valid name"),
         pool: pool_name.map(pool),
         state,
         purpose,
@@ -53,8 +53,8 @@
     })
 }
 
-/// A pool of three that promises `promised`, then `more`.
-fn with(promised: u32, more: Vec<Event>) -> Report {
+/// The report on a pool of three instances with the promised capacity `promised`, followed by `more`.
+fn report_with(promised: u32, more: Vec<Event>) -> Report {
     let budget = Budget {
         promised,
         max_absent: 1,
@@ -78,14 +78,14 @@
 }
 
 fn within_budget() {
-    let report = with(2, drained(Purpose::Operator));
+    let report = report_with(2, drained(Purpose::Operator));
     assert_eq!(report.breaches, []);
     assert_eq!(report.fleet.budget_breaches, 0);
 }
 
-fn below_promise() {
+fn below_promised() {
     for purpose in [Purpose::Operator, Purpose::Move(pool("q"))] {
-        let report = with(3, drained(purpose));
+        let report = report_with(3, drained(purpose));
         assert!(report.fleet.budget_breaches > 0);
         let named = |breach: &Breach| matches!(breach, Breach::Budget { seq: Seq(2), .. });
         assert!(report.breaches.iter().all(named), "{:?}", report.breaches);
@@ -93,7 +93,7 @@
 }
 
 fn unplanned() {
-    let report = with(3, drained(Purpose::Leave));
+    let report = report_with(3, drained(Purpose::Leave));
     assert_eq!(report.breaches, []);
 }
 
@@ -105,7 +105,7 @@
         budgets: BTreeMap::new(),
         waves: BTreeMap::new(),
     };
-    let report = with(
+    let report = report_with(
         1,
         vec![
             change(2, 20, vec![row("d", State::Arriving, None, None)]),
@@ -124,11 +124,11 @@
     assert_eq!((fleet.moves, fleet.quarantines), (1, 1));
 }
 
-/// Two of three instances serve beyond the promise for half an hour, then one: 8 + 4 slot-hours.
+/// Two of three instances serve beyond the promised capacity for half an hour, then one: 8 + 4 slot-hours.
 fn idle() {
     let half_hour = 1_800_000;
     let lost = row("a", State::Quarantined, None, Some("p"));
-    let report = with(
+    let report = report_with(
         1,
         vec![
             change(2, half_hour, vec![lost]),
@@ -141,7 +141,7 @@
 
 fn wave_row(name: &str, state: wave::State, ended: Option<Instant>) -> Event {
     let order = wave::Order {
-        id: name.parse().expect("a name"),
+        id: name.parse().expect("valid name"),
         scope: wave::Scope::default(),
         window: wave::Window::default(),
         limits: wave::Limits::default(),
@@ -160,14 +160,14 @@
     })
 }
 
-/// One wave is rolled out after 50 ms, one was aborted and one still runs. An instance that was
-/// maintained keeps the mark in its later rows and counts once.
+/// One wave completes after 50 ms, one is aborted and one still runs. A maintained instance keeps its
+/// `maintained` time in later rows and counts once.
 fn waves() {
     let maintained = Row {
         maintained: Some(Instant(120)),
         ..serving("a")
     };
-    let report = with(
+    let report = report_with(
         1,
         vec![
             wave_row("rolled", wave::State::Running, None),
--- a/crates/demo/tests/all/main.rs
+++ b/crates/demo/tests/all/main.rs
@@ -1,6 +1,6 @@
-//! The judge, fed with histories that break one invariant each, and with sound ones.
+//! The checker, given histories that violate one invariant each and histories that violate none.
 
-/// Names each case of its module.
+/// Declares one test per case.
 macro_rules! cases {
     ($($name:ident => $body:expr;)*) => {$(
         #[test]
--- a/crates/demo/tests/all/requests.rs
+++ b/crates/demo/tests/all/requests.rs
@@ -1,4 +1,4 @@
-//! Verdicts on callers' requests.
+//! Checks of callers' requests.
 
 use primroseroute_demo::judge::{Breach, Ended, Event, Executed, Report, judge};
 use primroseroute_domain::outcome::Verdict;
@@ -9,7 +9,7 @@
     key_executed_twice_is_doubled => doubled();
     executions_of_one_key_at_two_workers_add_up => doubled_over_two_counts();
     completed_hold_that_never_ran_is_lost => lost();
-    completed_refusal_of_a_worker_is_not_lost => refused_by_worker();
+    completed_refusal_of_a_worker_is_not_lost => rejected_by_worker();
     hold_that_ran_was_not_not_run => ran();
     unknown_hold_may_have_run_or_not => unknown();
     anothers_answer_is_foreign => foreign();
@@ -41,18 +41,18 @@
     "k1".into()
 }
 
-fn verdict(ended: Ended, times: u64) -> Report {
+fn report_on(ended: Ended, times: u64) -> Report {
     judge(&[Event::Ended(ended), executed(times)])
 }
 
 fn sound() {
-    let report = verdict(ended(Verdict::Completed), 1);
+    let report = report_on(ended(Verdict::Completed), 1);
     assert_eq!(report.breaches, []);
     assert_eq!((report.requests.sent, report.requests.completed), (1, 1));
 }
 
 fn doubled() {
-    let report = verdict(ended(Verdict::Completed), 2);
+    let report = report_on(ended(Verdict::Completed), 2);
     let breach = Breach::Doubled {
         key: key(),
         times: 2,
@@ -61,7 +61,7 @@
     assert_eq!(report.requests.doubled, 1);
 }
 
-/// The order of the events says nothing: counts come from the workers one by one.
+/// Counts arrive one by one from the workers, so the order of events doesn't matter.
 fn doubled_over_two_counts() {
     let report = judge(&[
         executed(1),
@@ -83,25 +83,25 @@
     }
 }
 
-fn refused_by_worker() {
-    let refused = Ended {
+fn rejected_by_worker() {
+    let rejected = Ended {
         success: false,
         ..ended(Verdict::Completed)
     };
-    let report = verdict(refused, 0);
+    let report = report_on(rejected, 0);
     assert_eq!(report.breaches, []);
     assert_eq!(report.requests.errors, 1);
 }
 
 fn ran() {
-    let report = verdict(ended(Verdict::NotRun), 1);
+    let report = report_on(ended(Verdict::NotRun), 1);
     assert_eq!(report.breaches, [Breach::Ran { key: key() }]);
     assert_eq!((report.requests.ran, report.requests.not_run), (1, 1));
 }
 
 fn unknown() {
     for times in [0, 1] {
-        let report = verdict(ended(Verdict::Unknown), times);
+        let report = report_on(ended(Verdict::Unknown), times);
         assert_eq!(report.breaches, []);
         assert_eq!(report.requests.unknown, 1);
     }
@@ -112,7 +112,7 @@
         named: vec!["r1".into(), "r2".into()],
         ..ended(Verdict::Completed)
     };
-    let report = verdict(mixed_up, 1);
+    let report = report_on(mixed_up, 1);
     let breach = Breach::Foreign {
         request: "r1".into(),
         named: "r2".into(),
@@ -138,7 +138,7 @@
         refused: 2,
         ..ended(Verdict::Completed)
     };
-    let requests = verdict(slow, 1).requests;
+    let requests = report_on(slow, 1).requests;
     assert_eq!(
         (requests.late, requests.attempts, requests.refused),
         (1, 3, 2)
--- a/crates/demo/tests/all/views.rs
+++ b/crates/demo/tests/all/views.rs
@@ -1,4 +1,4 @@
-//! Verdicts on how changes came into force.
+//! Checks of how configuration changes take effect.
 
 use primroseroute_demo::judge::{Breach, Event, InForce, Ordered, Presence, Report, judge};
 use primroseroute_domain::{change::Seq, id};
@@ -7,14 +7,14 @@
 cases! {
     slowest_entry_decides_when_a_change_is_in_force => slowest();
     entry_that_goes_is_not_waited_for => retired();
-    entry_that_comes_later_is_not_waited_for => latecomer();
+    entry_that_comes_later_is_not_waited_for => started_later();
     entry_that_stays_without_the_change_shows => never();
     version_that_goes_back_is_a_breach => reverted();
     same_version_again_is_no_breach => repeated();
 }
 
 fn entry(name: &str) -> id::Entry {
-    name.parse().expect("a name")
+    name.parse().expect("valid name")
 }
 
 fn presence(name: &str, at: u64) -> Presence {
@@ -36,9 +36,9 @@
     })
 }
 
-/// The order that becomes change 5 is sent after 100 ms, while `a` and `b` run.
-fn with_order(more: &[Event]) -> Report {
-    let order = Event::Ordered(Ordered {
+/// The command that becomes change 5 is sent after 100 ms, while `a` and `b` run.
+fn report_with_command(more: &[Event]) -> Report {
+    let command = Event::Ordered(Ordered {
         seq: Seq(5),
         sent: Duration::from_millis(100),
     });
@@ -47,13 +47,13 @@
         started("b", 0),
         seen("a", 4, 1),
         seen("b", 4, 1),
-        order,
+        command,
     ];
     judge(&[&start[..], more].concat())
 }
 
 fn slowest() {
-    let report = with_order(&[seen("a", 5, 110), seen("b", 6, 350)]);
+    let report = report_with_command(&[seen("a", 5, 110), seen("b", 6, 350)]);
     assert_eq!(report.breaches, []);
     assert_eq!((report.views.orders, report.views.never), (1, 0));
     assert_eq!(report.views.in_force.max_ms, 250);
@@ -61,24 +61,24 @@
 
 fn retired() {
     let gone = Event::Retired(presence("b", 130));
-    let report = with_order(&[seen("a", 5, 110), gone]);
+    let report = report_with_command(&[seen("a", 5, 110), gone]);
     assert_eq!((report.views.orders, report.views.never), (1, 0));
     assert_eq!(report.views.in_force.max_ms, 30);
 }
 
-fn latecomer() {
-    let report = with_order(&[seen("a", 5, 110), seen("b", 5, 120), started("c", 101)]);
+fn started_later() {
+    let report = report_with_command(&[seen("a", 5, 110), seen("b", 5, 120), started("c", 101)]);
     assert_eq!((report.views.orders, report.views.never), (1, 0));
     assert_eq!(report.views.in_force.max_ms, 20);
 }
 
 fn never() {
-    let report = with_order(&[seen("a", 5, 110)]);
+    let report = report_with_command(&[seen("a", 5, 110)]);
     assert_eq!((report.views.orders, report.views.never), (0, 1));
 }
 
 fn reverted() {
-    let report = with_order(&[seen("a", 5, 110), seen("b", 5, 120), seen("a", 4, 130)]);
+    let report = report_with_command(&[seen("a", 5, 110), seen("b", 5, 120), seen("a", 4, 130)]);
     let breach = Breach::Reverted {
         entry: entry("a"),
         from: Seq(5),
@@ -89,7 +89,7 @@
 }
 
 fn repeated() {
-    let report = with_order(&[seen("a", 5, 110), seen("b", 5, 120), seen("a", 5, 130)]);
+    let report = report_with_command(&[seen("a", 5, 110), seen("b", 5, 120), seen("a", 5, 130)]);
     assert_eq!(report.breaches, []);
     assert_eq!(report.views.reverted, 0);
 }
