--- a/crates/ctl/src/command/demo.rs
+++ b/crates/ctl/src/command/demo.rs
@@ -8,7 +8,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use primroseroute_demo::{
     Options, Progress,
-    judge::{Breach, Report},
+    checker::{Breach, Report},
 };
 use std::time::Duration;
 
--- a/crates/demo/src/caller.rs
+++ b/crates/demo/src/caller.rs
@@ -3,8 +3,8 @@
 
 use crate::{
     balancer::Balancer,
+    checker::{Event, RequestEnded},
     event_log::EventLog,
-    judge::{Ended, Event},
 };
 use http::Method;
 use primroseroute_domain::{id, outcome::Verdict};
@@ -74,7 +74,7 @@
         while !self.closing.load(Ordering::Relaxed) {
             let request = self.next_request(count, &mut random);
             let ended = request.send(&self, &caller, &mut random).await;
-            self.log.record(Event::Ended(ended));
+            self.log.record(Event::RequestEnded(ended));
             count += 1;
             sleep(Duration::from_millis(random.random_range(DELAY_MS))).await;
         }
@@ -111,7 +111,12 @@
 }
 
 impl Request {
-    async fn send(self, task: &CallerTask, caller: &Caller, random: &mut ChaCha8Rng) -> Ended {
+    async fn send(
+        self,
+        task: &CallerTask,
+        caller: &Caller,
+        random: &mut ChaCha8Rng,
+    ) -> RequestEnded {
         let deadline = Instant::now() + REQUEST_TIME_LIMIT;
         let mut last = None;
         let mut state = RequestState {
@@ -134,7 +139,7 @@
             }
             sleep(Duration::from_millis(random.random_range(BACKOFF_MS))).await;
         }
-        Ended {
+        RequestEnded {
             request: self.id,
             key: self.key,
             verdict: state.verdict,
--- a/crates/demo/src/judge/event.rs
+++ b/crates/demo/src/checker/event.rs
@@ -10,24 +10,24 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A caller's request ended.
-    Ended(Ended),
+    RequestEnded(RequestEnded),
     /// The number of executions of a key, counted after the last request.
-    Executed(Executed),
+    KeyExecuted(KeyExecutions),
     /// An operator's command was accepted.
-    Ordered(Ordered),
+    CommandAccepted(AcceptedCommand),
     /// An entry started.
-    Started(Presence),
+    EntryStarted(EntryEvent),
     /// An entry was told to stop, or was killed.
-    Retired(Presence),
+    EntryRetired(EntryEvent),
     /// An entry's version in effect was observed.
-    InForce(InForce),
+    VersionObserved(ObservedVersion),
     /// A change in the table, in sequence order.
     Changed(Change),
 }
 
 /// The end of one request, after all of the caller's attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct RequestEnded {
     /// The request id, chosen by the caller and shared by all attempts.
     pub request: Arc<str>,
     /// The idempotency key, if the request is a hold.
@@ -46,9 +46,9 @@
     pub refused: u64,
 }
 
-/// Executions of one key, summed over one or more workers.
+/// Executions of one key, summed over all workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Executed {
+pub struct KeyExecutions {
     /// The idempotency key.
     pub key: Arc<str>,
     /// Number of executions.
@@ -57,7 +57,7 @@
 
 /// An accepted command.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ordered {
+pub struct AcceptedCommand {
     /// Sequence number of the resulting change.
     pub seq: Seq,
     /// When the command was sent.
@@ -66,7 +66,7 @@
 
 /// The start or retirement of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Presence {
+pub struct EntryEvent {
     /// The entry; names aren't reused.
     pub entry: id::Entry,
     /// Time of the event.
@@ -75,7 +75,7 @@
 
 /// An observation of an entry's version in effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct InForce {
+pub struct ObservedVersion {
     /// The entry.
     pub entry: id::Entry,
     /// The newest change in effect there.
--- a/crates/demo/src/judge/fleet.rs
+++ b/crates/demo/src/checker/fleet.rs
@@ -127,15 +127,12 @@
         let surplus: usize = self
             .budgets
             .iter()
-            .map(|(pool, budget)| {
-                self.count_serving(pool)
-                    .saturating_sub(budget.promised as usize)
-            })
+            .map(|(pool, budget)| self.serving(pool).saturating_sub(budget.promised as usize))
             .sum();
         (unassigned + surplus) as f64 * f64::from(SLOTS)
     }
 
-    fn count_serving(&self, pool: &id::Pool) -> usize {
+    fn serving(&self, pool: &id::Pool) -> usize {
         let serves = |row: &&Row| row.state == State::Serving && row.pool.as_ref() == Some(pool);
         self.rows.values().filter(serves).count()
     }
--- a/crates/demo/src/judge/mod.rs
+++ b/crates/demo/src/checker/mod.rs
@@ -8,11 +8,13 @@
 mod requests;
 mod views;
 
-pub use event::{Change, Ended, Event, Executed, InForce, Ordered, Presence};
+pub use event::{
+    AcceptedCommand, Change, EntryEvent, Event, KeyExecutions, ObservedVersion, RequestEnded,
+};
 pub use report::{Breach, Fleet, Quantiles, Report, Requests, Views};
 
 /// Checks a history and returns its counts and violated invariants.
-pub fn judge(events: &[Event]) -> Report {
+pub fn check_history(events: &[Event]) -> Report {
     let mut breaches = Vec::new();
     let requests = requests::evaluate(events, &mut breaches);
     let views = views::evaluate(events, &mut breaches);
--- a/crates/demo/src/judge/requests.rs
+++ b/crates/demo/src/checker/requests.rs
@@ -2,7 +2,7 @@
 //! "completed" and "not run" are true.
 
 use super::{
-    event::{Ended, Event},
+    event::{Event, RequestEnded},
     report::{Breach, Requests},
 };
 use primroseroute_domain::outcome::Verdict;
@@ -21,7 +21,7 @@
         }
     }
     for event in events {
-        if let Event::Ended(ended) = event {
+        if let Event::RequestEnded(ended) = event {
             count(ended, &mut summary);
             check_response_ids(ended, &mut summary, breaches);
             check_hold(ended, &executions, &mut summary, breaches);
@@ -33,14 +33,14 @@
 fn executions(events: &[Event]) -> BTreeMap<Arc<str>, u64> {
     let mut executions = BTreeMap::new();
     for event in events {
-        if let Event::Executed(executed) = event {
+        if let Event::KeyExecuted(executed) = event {
             *executions.entry(Arc::clone(&executed.key)).or_default() += executed.times;
         }
     }
     executions
 }
 
-fn count(ended: &Ended, summary: &mut Requests) {
+fn count(ended: &RequestEnded, summary: &mut Requests) {
     summary.sent += 1;
     summary.holds += u64::from(ended.key.is_some());
     summary.attempts += ended.attempts;
@@ -56,7 +56,7 @@
     }
 }
 
-fn check_response_ids(ended: &Ended, summary: &mut Requests, breaches: &mut Vec<Breach>) {
+fn check_response_ids(ended: &RequestEnded, summary: &mut Requests, breaches: &mut Vec<Breach>) {
     if let Some(named) = ended.named.iter().find(|named| **named != ended.request) {
         summary.foreign += 1;
         breaches.push(Breach::Foreign {
@@ -67,7 +67,7 @@
 }
 
 fn check_hold(
-    ended: &Ended,
+    ended: &RequestEnded,
     executions: &BTreeMap<Arc<str>, u64>,
     summary: &mut Requests,
     breaches: &mut Vec<Breach>,
--- a/crates/demo/src/judge/views.rs
+++ b/crates/demo/src/checker/views.rs
@@ -2,7 +2,7 @@
 //! version goes backwards.
 
 use super::{
-    event::{Event, InForce, Ordered},
+    event::{AcceptedCommand, Event, ObservedVersion},
     report::{Breach, Quantiles, Views},
 };
 use hdrhistogram::Histogram;
@@ -16,7 +16,7 @@
 struct EntryHistory {
     started: Duration,
     retired: Option<Duration>,
-    observed: Vec<InForce>,
+    observed: Vec<ObservedVersion>,
 }
 
 pub(super) fn evaluate(events: &[Event], breaches: &mut Vec<Breach>) -> Views {
@@ -27,9 +27,9 @@
     }
     let mut times = Histogram::<u64>::new(SIGNIFICANT_DIGITS).expect("three digits are allowed");
     for event in events {
-        if let Event::Ordered(ordered) = event {
-            match in_effect_at(ordered, &histories) {
-                Some(at) => times.saturating_record(millis(at.saturating_sub(ordered.sent))),
+        if let Event::CommandAccepted(accepted) = event {
+            match in_effect_at(accepted, &histories) {
+                Some(at) => times.saturating_record(millis(at.saturating_sub(accepted.sent))),
                 None => summary.never += 1,
             }
         }
@@ -52,17 +52,26 @@
     let mut histories: BTreeMap<id::Entry, EntryHistory> = BTreeMap::new();
     for event in events {
         match event {
-            Event::Started(presence) => {
-                histories.entry(presence.entry.clone()).or_default().started = presence.at;
+            Event::EntryStarted(entry_event) => {
+                histories
+                    .entry(entry_event.entry.clone())
+                    .or_default()
+                    .started = entry_event.at;
             }
-            Event::Retired(presence) => {
-                histories.entry(presence.entry.clone()).or_default().retired = Some(presence.at);
+            Event::EntryRetired(entry_event) => {
+                histories
+                    .entry(entry_event.entry.clone())
+                    .or_default()
+                    .retired = Some(entry_event.at);
             }
-            Event::InForce(seen) => {
+            Event::VersionObserved(seen) => {
                 let history = histories.entry(seen.entry.clone()).or_default();
                 history.observed.push(seen.clone());
             }
-            Event::Ended(_) | Event::Executed(_) | Event::Ordered(_) | Event::Changed(_) => {}
+            Event::RequestEnded(_)
+            | Event::KeyExecuted(_)
+            | Event::CommandAccepted(_)
+            | Event::Changed(_) => {}
         }
     }
     histories
@@ -88,15 +97,18 @@
 /// The time at which each entry that ran when the command was sent had it in effect or was retired;
 /// `None` if an entry that kept running never had.
 fn in_effect_at(
-    ordered: &Ordered,
+    accepted: &AcceptedCommand,
     histories: &BTreeMap<id::Entry, EntryHistory>,
 ) -> Option<Duration> {
     let was_running = |history: &&EntryHistory| {
-        history.started <= ordered.sent && history.retired.is_none_or(|at| at > ordered.sent)
+        history.started <= accepted.sent && history.retired.is_none_or(|at| at > accepted.sent)
     };
-    let mut latest = ordered.sent;
+    let mut latest = accepted.sent;
     for history in histories.values().filter(was_running) {
-        let seen = history.observed.iter().find(|seen| seen.seq >= ordered.seq);
+        let seen = history
+            .observed
+            .iter()
+            .find(|seen| seen.seq >= accepted.seq);
         let at = seen.map(|seen| seen.at).or(history.retired)?;
         latest = latest.max(at);
     }
--- a/crates/demo/src/event_log.rs
+++ b/crates/demo/src/event_log.rs
@@ -1,6 +1,6 @@
 //! In-memory log of the events of a run.
 
-use crate::judge::Event;
+use crate::checker::Event;
 use parking_lot::Mutex;
 use std::{sync::Arc, time::Duration};
 use tokio::time::Instant;
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -3,8 +3,8 @@
 //! [`run`] starts the simulated platform, the workers of five services in three availability zones,
 //! and three real entries over loopback. Callers of five accounts send reads and keyed holds through
 //! a load balancer that follows each entry's readiness, while a fixed schedule changes templates and
-//! injects faults. The runner only records what happened, as typed [`judge::Event`]s;
-//! [`judge::judge`] is a pure function that turns them into a [`judge::Report`], which names every
+//! injects faults. The runner only records what happened, as typed [`checker::Event`]s;
+//! [`checker::check_history`] is a pure function that turns them into a [`checker::Report`], which names every
 //! violated invariant. Tests can therefore pass it a history that violates an invariant and assert
 //! that the violation is reported.
 //!
@@ -13,9 +13,9 @@
 
 mod balancer;
 mod caller;
+pub mod checker;
 mod deployment;
 mod event_log;
-pub mod judge;
 mod options;
 mod runner;
 mod schedule;
--- a/crates/demo/src/runner/history.rs
+++ b/crates/demo/src/runner/history.rs
@@ -1,6 +1,6 @@
 //! Reads the fleet's history from the change records in the table.
 
-use crate::judge::Change;
+use crate::checker::Change;
 use eyre::{Result, WrapErr};
 use primroseroute_domain::{
     account::Template,
--- a/crates/demo/src/runner/mod.rs
+++ b/crates/demo/src/runner/mod.rs
@@ -8,9 +8,9 @@
     Options, Progress,
     balancer::Balancer,
     caller::CallerTask,
+    checker::{EntryEvent, Event, KeyExecutions, ObservedVersion, Report, check_history},
     deployment,
     event_log::EventLog,
-    judge::{Event, Executed, InForce, Presence, Report, judge},
     schedule::{Schedule, Step},
 };
 use eyre::{Result, WrapErr, eyre};
@@ -62,7 +62,7 @@
     let callers = runner.spawn_callers(options);
     runner.run_schedule(options.load, progress).await?;
     runner.finish(callers, progress, options.load).await?;
-    let report = judge(&runner.log.events());
+    let report = check_history(&runner.log.events());
     runner.shut_down().await;
     Ok(report)
 }
@@ -135,7 +135,7 @@
         let running = &self.site.entries[name];
         self.balancer
             .add(name.clone(), running.callers, running.entry.admin());
-        self.log.record(Event::Started(Presence {
+        self.log.record(Event::EntryStarted(EntryEvent {
             entry: name.clone(),
             at: self.log.now(),
         }));
@@ -200,7 +200,7 @@
         for (name, running) in &self.site.entries {
             let seq = running.entry.in_force();
             if self.versions.insert(name.clone(), seq) != Some(seq) {
-                self.log.record(Event::InForce(InForce {
+                self.log.record(Event::VersionObserved(ObservedVersion {
                     entry: name.clone(),
                     seq,
                     at: self.log.now(),
@@ -269,13 +269,14 @@
     fn record_executions(&self) {
         let events = self.log.events();
         let keys = events.iter().filter_map(|event| match event {
-            Event::Ended(ended) => ended.key.clone(),
+            Event::RequestEnded(ended) => ended.key.clone(),
             _ => None,
         });
         for key in keys {
             let workers = self.site.workers.values();
             let times = workers.map(|worker| worker.executions(&key)).sum();
-            self.log.record(Event::Executed(Executed { key, times }));
+            self.log
+                .record(Event::KeyExecuted(KeyExecutions { key, times }));
         }
     }
 
--- a/crates/demo/src/runner/operator.rs
+++ b/crates/demo/src/runner/operator.rs
@@ -1,8 +1,8 @@
 //! A simulated operator that sends one command after another to the entries' admin interface.
 
 use crate::{
+    checker::{AcceptedCommand, Event},
     event_log::EventLog,
-    judge::{Event, Ordered},
 };
 use parking_lot::Mutex;
 use primroseroute_api::{self as api, Accepted, Apply, Start};
@@ -136,7 +136,7 @@
         progress.finished += 1;
         if let Some(accepted) = accepted {
             progress.newest = progress.newest.max(accepted.version);
-            log.record(Event::Ordered(Ordered {
+            log.record(Event::CommandAccepted(AcceptedCommand {
                 seq: accepted.version,
                 sent,
             }));
--- a/crates/demo/src/runner/step.rs
+++ b/crates/demo/src/runner/step.rs
@@ -5,7 +5,7 @@
     operator::{Action, Command, Move},
 };
 use crate::{
-    judge::{Event, Presence},
+    checker::{EntryEvent, Event},
     schedule::Step,
 };
 use eyre::{Result, eyre};
@@ -156,7 +156,7 @@
     fn retire_first(&mut self) -> Result<(id::Entry, Running)> {
         let first = self.site.entries.pop_first();
         let (name, running) = first.ok_or_else(|| eyre!("no entry runs"))?;
-        self.log.record(Event::Retired(Presence {
+        self.log.record(Event::EntryRetired(EntryEvent {
             entry: name.clone(),
             at: self.log.now(),
         }));
--- a/crates/demo/tests/all/fleet.rs
+++ b/crates/demo/tests/all/fleet.rs
@@ -1,6 +1,6 @@
 //! Checks of the fleet's history.
 
-use primroseroute_demo::judge::{Breach, Change, Event, Report, judge};
+use primroseroute_demo::checker::{Breach, Change, Event, Report, check_history};
 use primroseroute_domain::{
     account::{Budget, Survive},
     change::Seq,
@@ -69,7 +69,7 @@
         waves: BTreeMap::new(),
     });
     let events: Vec<Event> = [start].into_iter().chain(more).collect();
-    judge(&events)
+    check_history(&events)
 }
 
 fn drained(purpose: Purpose) -> Vec<Event> {
--- a/crates/demo/tests/all/requests.rs
+++ b/crates/demo/tests/all/requests.rs
@@ -1,6 +1,8 @@
 //! Checks of callers' requests.
 
-use primroseroute_demo::judge::{Breach, Ended, Event, Executed, Report, judge};
+use primroseroute_demo::checker::{
+    Breach, Event, KeyExecutions, Report, RequestEnded, check_history,
+};
 use primroseroute_domain::outcome::Verdict;
 use std::sync::Arc;
 
@@ -17,8 +19,8 @@
     lateness_and_refused_connections_are_counted => counts();
 }
 
-fn ended(verdict: Verdict) -> Ended {
-    Ended {
+fn ended(verdict: Verdict) -> RequestEnded {
+    RequestEnded {
         request: "r1".into(),
         key: Some("k1".into()),
         verdict,
@@ -31,7 +33,7 @@
 }
 
 fn executed(times: u64) -> Event {
-    Event::Executed(Executed {
+    Event::KeyExecuted(KeyExecutions {
         key: "k1".into(),
         times,
     })
@@ -41,8 +43,8 @@
     "k1".into()
 }
 
-fn report_on(ended: Ended, times: u64) -> Report {
-    judge(&[Event::Ended(ended), executed(times)])
+fn report_on(ended: RequestEnded, times: u64) -> Report {
+    check_history(&[Event::RequestEnded(ended), executed(times)])
 }
 
 fn sound() {
@@ -63,9 +65,9 @@
 
 /// Counts arrive one by one from the workers, so the order of events doesn't matter.
 fn doubled_over_two_counts() {
-    let report = judge(&[
+    let report = check_history(&[
         executed(1),
-        Event::Ended(ended(Verdict::Unknown)),
+        Event::RequestEnded(ended(Verdict::Unknown)),
         executed(1),
     ]);
     assert_eq!(report.requests.doubled, 1);
@@ -74,17 +76,17 @@
 
 fn lost() {
     for events in [
-        vec![Event::Ended(ended(Verdict::Completed)), executed(0)],
-        vec![Event::Ended(ended(Verdict::Completed))],
+        vec![Event::RequestEnded(ended(Verdict::Completed)), executed(0)],
+        vec![Event::RequestEnded(ended(Verdict::Completed))],
     ] {
-        let report = judge(&events);
+        let report = check_history(&events);
         assert_eq!(report.breaches, [Breach::Lost { key: key() }]);
         assert_eq!(report.requests.lost, 1);
     }
 }
 
 fn rejected_by_worker() {
-    let rejected = Ended {
+    let rejected = RequestEnded {
         success: false,
         ..ended(Verdict::Completed)
     };
@@ -108,7 +110,7 @@
 }
 
 fn foreign() {
-    let mixed_up = Ended {
+    let mixed_up = RequestEnded {
         named: vec!["r1".into(), "r2".into()],
         ..ended(Verdict::Completed)
     };
@@ -122,17 +124,17 @@
 }
 
 fn read() {
-    let read = Ended {
+    let read = RequestEnded {
         key: None,
         ..ended(Verdict::Completed)
     };
-    let report = judge(&[Event::Ended(read)]);
+    let report = check_history(&[Event::RequestEnded(read)]);
     assert_eq!(report.breaches, []);
     assert_eq!((report.requests.sent, report.requests.holds), (1, 0));
 }
 
 fn counts() {
-    let slow = Ended {
+    let slow = RequestEnded {
         late: true,
         attempts: 3,
         refused: 2,
--- a/crates/demo/tests/all/views.rs
+++ b/crates/demo/tests/all/views.rs
@@ -1,6 +1,8 @@
 //! Checks of how configuration changes take effect.
 
-use primroseroute_demo::judge::{Breach, Event, InForce, Ordered, Presence, Report, judge};
+use primroseroute_demo::checker::{
+    AcceptedCommand, Breach, EntryEvent, Event, ObservedVersion, Report, check_history,
+};
 use primroseroute_domain::{change::Seq, id};
 use std::time::Duration;
 
@@ -17,19 +19,19 @@
     name.parse().expect("valid name")
 }
 
-fn presence(name: &str, at: u64) -> Presence {
-    Presence {
+fn entry_event(name: &str, at: u64) -> EntryEvent {
+    EntryEvent {
         entry: entry(name),
         at: Duration::from_millis(at),
     }
 }
 
 fn started(name: &str, at: u64) -> Event {
-    Event::Started(presence(name, at))
+    Event::EntryStarted(entry_event(name, at))
 }
 
 fn seen(name: &str, seq: u64, at: u64) -> Event {
-    Event::InForce(InForce {
+    Event::VersionObserved(ObservedVersion {
         entry: entry(name),
         seq: Seq(seq),
         at: Duration::from_millis(at),
@@ -38,7 +40,7 @@
 
 /// The command that becomes change 5 is sent after 100 ms, while `a` and `b` run.
 fn report_with_command(more: &[Event]) -> Report {
-    let command = Event::Ordered(Ordered {
+    let command = Event::CommandAccepted(AcceptedCommand {
         seq: Seq(5),
         sent: Duration::from_millis(100),
     });
@@ -49,7 +51,7 @@
         seen("b", 4, 1),
         command,
     ];
-    judge(&[&start[..], more].concat())
+    check_history(&[&start[..], more].concat())
 }
 
 fn slowest() {
@@ -60,7 +62,7 @@
 }
 
 fn retired() {
-    let gone = Event::Retired(presence("b", 130));
+    let gone = Event::EntryRetired(entry_event("b", 130));
     let report = report_with_command(&[seen("a", 5, 110), gone]);
     assert_eq!((report.views.orders, report.views.never), (1, 0));
     assert_eq!(report.views.in_force.max_ms, 30);
