--- a/crates/capacity/src/stage.rs
+++ b/crates/capacity/src/cluster.rs
@@ -1,9 +1,9 @@
-//! Entries under paused time.
+//! Entries running under paused time.
 
 use crate::{
     Count, Size,
-    loaded::{Join, Well},
     rows::{templates, workers},
+    simulated_load::{AlwaysHealthy, LoadedDial},
 };
 use eyre::{Result, eyre};
 use primroseroute_controller::{Timers as ControllerTimers, jobs::Settings as Jobs};
@@ -27,38 +27,37 @@
 use tokio::time::{self, sleep};
 use uuid::Uuid;
 
-/// One-way latency between entries: 1 ms between availability zones, from the brief.
-const LATENCY: Duration = Duration::from_millis(1);
+/// One-way latency between entries: that between availability zones of the reference deployment.
+const PEER_LATENCY: Duration = Duration::from_millis(1);
 
-/// From the start until everything repeats: the roster has been read, leases are taken.
-const SETTLE: Duration = Duration::from_secs(30);
+/// Time from the start to a steady state, in which the roster has been read and leases are held.
+const SETTLE_TIME: Duration = Duration::from_secs(30);
 
-/// How often a wait looks again.
-const LOOK: Duration = Duration::from_millis(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Longest wait for a change or a restart.
-const PATIENCE: Duration = Duration::from_secs(120);
+/// Time limit for a change to take effect and for a restart.
+const TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Whether the controller works.
+/// Whether the controller runs its cycles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cycles {
-    /// A cycle each second, as in a deployment.
+    /// One cycle per second, as in a deployment.
     Running,
-    /// No cycle after the first, so that the difference shows what the cycles cost.
+    /// No cycle after the first; the difference to [`Cycles::Running`] is the cost of the cycles.
     Held,
 }
 
-/// Wall-clock time that passes with tokio's paused time.
+/// A wall clock driven by tokio's paused time.
 #[derive(Debug)]
-struct Virtual(time::Instant);
+struct VirtualClock(time::Instant);
 
-impl Clock for Virtual {
+impl Clock for VirtualClock {
     fn now(&self) -> Instant {
         Instant(1).after(self.0.elapsed())
     }
 }
 
-/// Running entries of one size; nothing but control happens in them.
+/// The running entries of a deployment of one size, which handle control traffic only.
 #[derive(Debug)]
 pub struct Stage {
     site: Site,
@@ -68,12 +67,12 @@
 }
 
 impl Stage {
-    /// Starts the entries on a table that holds everything, and waits until all is quiet.
+    /// Starts the entries on a table that holds the whole deployment and waits for a steady state.
     ///
-    /// Must run on a runtime with one thread and paused time.
+    /// Must run on a single-threaded runtime with paused time.
     ///
     /// # Errors
-    /// Where an entry cannot listen or the rows are not accepted.
+    /// If an entry can't listen or the rows aren't accepted.
     ///
     /// # Panics
     /// Outside a tokio runtime.
@@ -88,33 +87,34 @@
             latency: Duration::from_millis(2),
             ..platform::Options::default()
         };
-        let mut bed = Site::open(layout, options).await?;
-        bed.network.set_latency(LATENCY);
-        let clock: Arc<dyn Clock> = Arc::new(Virtual(time::Instant::now()));
-        let seq = fill(&bed, size, clock.now()).await?;
+        let mut site = Site::open(layout, options).await?;
+        site.network.set_latency(PEER_LATENCY);
+        let clock: Arc<dyn Clock> = Arc::new(VirtualClock(time::Instant::now()));
+        let seq = fill(&site, size, clock.now()).await?;
         let loads = loads(size);
         for index in 0..size.entries {
-            let (network, clock) = (bed.network.clone(), Arc::clone(&clock));
-            let dial = Box::new(Join {
+            let (network, clock) = (site.network.clone(), Arc::clone(&clock));
+            let dial = Box::new(LoadedDial {
                 network,
                 loads: loads.clone(),
             });
-            let deployed = |parts| Parts {
+            let configure = |parts| Parts {
                 dial,
                 clock,
-                probe: Arc::new(Well),
+                probe: Arc::new(AlwaysHealthy),
                 timers: Timers::default(),
                 controller: timers(cycles),
                 jobs: Jobs::default(),
                 ..parts
             };
-            bed.start_with(&format!("entry-{index}"), deployed).await?;
+            site.start_with(&format!("entry-{index}"), configure)
+                .await?;
         }
-        bed.in_force(seq).await?;
-        sleep(SETTLE).await;
+        site.in_force(seq).await?;
+        sleep(SETTLE_TIME).await;
         Ok(Self {
-            ledger: bed.ledger(),
-            site: bed,
+            ledger: site.ledger(),
+            site,
             clock,
             cell: SnapshotCell::default(),
         })
@@ -125,35 +125,35 @@
         Count::of(&self.site.platform.tally(), self.site.network.count())
     }
 
-    /// What is counted while `during` passes.
+    /// Waits for `during` and returns the counts of that period.
     pub async fn rest(&self, during: Duration) -> Count {
         let before = self.count();
         sleep(during).await;
         self.count() - before
     }
 
-    /// Accepts a change of the first account's template, and returns how long it took from then
-    /// until every entry had it in force.
+    /// Commits a change of the first account's template and returns the time from the commit until the
+    /// change is in effect at every entry.
     ///
     /// # Errors
-    /// Where it is not accepted or not in force after two minutes.
+    /// If the change isn't accepted or isn't in effect after two minutes.
     ///
     /// # Panics
-    /// Where the size has no account.
+    /// If the deployment has no account.
     pub async fn change(&self, share: u32) -> Result<Duration> {
         let seq = self.accept(share).await?;
         self.spread(seq).await
     }
 
-    /// Accepts a change of the first account's template and waits for no entry.
+    /// Commits a change of the first account's template without waiting for the entries.
     ///
     /// # Errors
-    /// Where it is not accepted.
+    /// If the change isn't accepted.
     ///
     /// # Panics
-    /// Where the size has no account.
+    /// If the deployment has no account.
     pub async fn accept(&self, share: u32) -> Result<Seq> {
-        self.amended(&|snapshot, draft| {
+        self.commit_edits(&|snapshot, draft| {
             let (name, row) = snapshot.accounts().iter().next().expect("an account");
             let template = Template {
                 share,
@@ -164,19 +164,19 @@
         .await
     }
 
-    /// Takes the worker `number` through a drain, a reboot and its checks, and returns how many
-    /// changes that took.
+    /// Drains and reboots worker `number`, waits until it has passed its health checks, and returns the
+    /// number of changes that this took.
     ///
     /// # Errors
-    /// Where the drain is not accepted or the worker not back after two minutes.
+    /// If the drain isn't accepted or the worker doesn't serve again after two minutes.
     ///
     /// # Panics
-    /// Where the size has no such worker.
+    /// If the deployment has no such worker.
     pub async fn restart(&self, number: usize) -> Result<u64> {
         let id: id::Instance = format!("worker-{number}").parse()?;
         let wave: id::Wave = "measured".parse()?;
         let before = self.in_force();
-        self.amended(&|snapshot, draft| {
+        self.commit_edits(&|snapshot, draft| {
             let row = &snapshot.instances()[&id];
             let drained = Row {
                 state: State::Draining,
@@ -186,8 +186,8 @@
             draft.put(key::instance(&id), Some(row.version), &drained);
         })
         .await?;
-        let give_up = time::Instant::now() + PATIENCE;
-        while time::Instant::now() < give_up {
+        let deadline = time::Instant::now() + TIMEOUT;
+        while time::Instant::now() < deadline {
             sleep(Duration::from_millis(100)).await;
             primroseroute_view::poll(&self.ledger, &self.cell).await?;
             let row = self.cell.current().instances()[&id].value.clone();
@@ -195,10 +195,10 @@
                 return Ok(self.in_force().0 - before.0);
             }
         }
-        Err(eyre!("{id} is not back from its restart"))
+        Err(eyre!("{id} did not return from its restart in time"))
     }
 
-    /// What each entry that runs has in force.
+    /// The version in effect at each running entry.
     pub fn views(&self) -> BTreeMap<id::Entry, Seq> {
         let entries = self.site.entries.iter();
         entries
@@ -206,32 +206,32 @@
             .collect()
     }
 
-    /// Cuts the entries `far` off from all others and from the store.
+    /// Partitions the entries `far` from all others and from the store.
     pub fn cut(&self, far: &[id::Entry]) {
         let near = self.site.entries.keys().filter(|name| !far.contains(name));
         let near: Vec<id::Entry> = near.cloned().collect();
         self.site.network.part(&near, far);
-        self.refuse(far, Some(Outage::Refuse));
+        self.set_store_outage(far, Some(Outage::Refuse));
     }
 
-    /// Heals the links between entries that [`Stage::cut`] cut; the store stays out of reach.
+    /// Restores the links between entries after [`Stage::cut`]; the store stays unreachable.
     pub fn heal(&self) {
         self.site.network.heal_all();
     }
 
-    /// Lets the entries `far` reach the store again.
+    /// Makes the store reachable again for the entries `far`.
     pub fn reach(&self, far: &[id::Entry]) {
-        self.refuse(far, None);
+        self.set_store_outage(far, None);
     }
 
-    fn refuse(&self, entries: &[id::Entry], outage: Option<Outage>) {
+    fn set_store_outage(&self, entries: &[id::Entry], outage: Option<Outage>) {
         for name in entries {
             let client = self.site.platform.client(name.as_str());
             client.faults().set_outage(outage);
         }
     }
 
-    /// Loses the workers of `zone`, as the platform's list tells, and at once the entries `entries`.
+    /// Has the platform list the workers of `zone` as gone and kills `entries` at the same time.
     pub async fn lose(&mut self, zone: &id::Zone, entries: &[id::Entry]) {
         for listed in self.site.platform.fleet().truth() {
             if listed.zone == *zone {
@@ -246,10 +246,10 @@
         }
     }
 
-    /// The instances as the table has them.
+    /// Reads the instance rows from the table.
     ///
     /// # Errors
-    /// Where the table cannot be read.
+    /// If the table can't be read.
     pub async fn instances(&self) -> Result<Vec<Row>> {
         primroseroute_view::poll(&self.ledger, &self.cell).await?;
         let snapshot = self.cell.current();
@@ -257,17 +257,17 @@
         Ok(rows.map(|row| row.value.clone()).collect())
     }
 
-    /// Waits until every entry that runs has `seq` in force, and returns how long that took.
+    /// Waits until `seq` is in effect at every running entry and returns how long that took.
     ///
     /// # Errors
-    /// Where it takes more than two minutes.
+    /// If it takes more than two minutes.
     pub async fn spread(&self, seq: Seq) -> Result<Duration> {
         let started = time::Instant::now();
         while self.in_force() < seq {
-            if started.elapsed() > PATIENCE {
-                return Err(eyre!("{seq} is not in force everywhere"));
+            if started.elapsed() > TIMEOUT {
+                return Err(eyre!("{seq} is not in effect at every entry in time"));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(started.elapsed())
     }
@@ -276,7 +276,7 @@
         self.views().into_values().min().unwrap_or_default()
     }
 
-    async fn amended(
+    async fn commit_edits(
         &self,
         decide: &(dyn Fn(&primroseroute_view::Snapshot, &mut Draft) + Sync),
     ) -> Result<Seq> {
@@ -291,19 +291,21 @@
         };
         let clock = self.clock.as_ref();
         let record = commit_with_retry(&self.ledger, &self.cell, clock, &author, &decide).await?;
-        Ok(record.ok_or_else(|| eyre!("nothing was changed"))?.seq)
+        Ok(record
+            .ok_or_else(|| eyre!("the commit changed nothing"))?
+            .seq)
     }
 }
 
 fn timers(cycles: Cycles) -> ControllerTimers {
-    let usual = ControllerTimers::default();
+    let default_timers = ControllerTimers::default();
     match cycles {
-        Cycles::Running => usual,
+        Cycles::Running => default_timers,
         Cycles::Held => ControllerTimers {
             cycle: Duration::from_secs(1_000_000),
-            // A holder renews only between cycles; nobody may take over meanwhile.
+            // The lease is renewed only between cycles, so it has to outlast the run or be taken over.
             lease: Duration::from_secs(1_000_000),
-            ..usual
+            ..default_timers
         },
     }
 }
@@ -317,9 +319,9 @@
     names.take(size.loads()).map(|name| (name, load)).collect()
 }
 
-/// Writes the whole deployment in one change, and lists the workers.
-async fn fill(bed: &Site, size: Size, now: Instant) -> Result<Seq> {
-    let ledger = bed.ledger();
+/// Writes the whole deployment in one change and adds the workers to the platform's list.
+async fn fill(site: &Site, size: Size, now: Instant) -> Result<Seq> {
+    let ledger = site.ledger();
     let head = ledger.head().await?;
     let mut draft = Draft::new(head, now, "test", "deployment", Uuid::new_v4());
     for template in templates(size) {
@@ -331,7 +333,7 @@
     }
     let seq = ledger.commit(&draft).await?.seq;
     for row in rows {
-        bed.platform.fleet().add(Listed {
+        site.platform.fleet().add(Listed {
             id: row.id,
             address: row.address,
             zone: row.zone,
--- a/crates/capacity/src/count.rs
+++ b/crates/capacity/src/count.rs
@@ -1,29 +1,29 @@
-//! What entries have asked of the platform and sent to each other.
+//! Counts of the entries' calls to the platform and messages to each other.
 
 use primroseroute_peer::memory;
 use primroseroute_testbed::platform::tally::{Kind, Tally};
 use serde::Serialize;
 use std::ops::Sub;
 
-/// Counts since the start, over all entries.
+/// Counts over all entries, since the start or over a period.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Count {
     /// Reads and scans of the table.
     pub reads: u64,
-    /// Rows that they returned.
+    /// Rows returned by reads and scans.
     pub rows_read: u64,
     /// Commits.
     pub writes: u64,
-    /// Rows that they wrote.
+    /// Rows written by commits.
     pub rows_written: u64,
     /// Reads of the platform's list of instances.
     pub lists: u64,
-    /// Exchanges of reports between two entries, each a call and an answer.
+    /// Exchanges of reports between two entries, each a request and a response.
     pub exchanges: u64,
     /// Pushes of records from one entry to another.
     pub pushes: u64,
-    /// Pulls of records or a snapshot.
+    /// Pulls of records or of a snapshot.
     pub pulls: u64,
 }
 
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,21 +1,22 @@
-//! The straight line through measured points.
+//! Linear regression of measured points.
 
 use serde::Serialize;
 
-/// A least-squares line.
+/// A least-squares linear fit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Line {
-    /// Its value at zero.
+    /// The intercept.
     pub base: f64,
-    /// What it gains with each unit.
+    /// The increase per unit.
     pub slope: f64,
-    /// Part of the points' variance that it explains; 1 where there is none.
+    /// Coefficient of determination (R²): the fraction of the points' variance that the line explains; 1 if
+    /// the points have no variance.
     pub fit: f64,
 }
 
 impl Line {
-    /// The line through `points`, each a size and a figure; none for fewer than two sizes.
+    /// Fits a line to `points`, each a size and a measured value; `None` for fewer than two distinct sizes.
     pub fn through(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
@@ -39,7 +40,7 @@
         })
     }
 
-    /// Its value at `size`.
+    /// The fitted value at `size`.
     pub fn at(self, size: f64) -> f64 {
         self.base + self.slope * size
     }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,24 +1,24 @@
-//! Whole entries at any size in one process, for what each role costs.
+//! Runs complete entries for a deployment of any size in one process, to measure the cost of control.
 //!
-//! A [`Stage`] starts the real entries over the platform's stand-in and the link in memory, under
-//! tokio's paused time: a minute of timers passes in a second or so, every timer fires when it is
-//! due, and the counts of one size are the same in every run. The workers are rows in the table and
-//! lines in the platform's list. Their health checks are answered at once and no caller sends
-//! anything, so what is counted is control alone. To the reports that cross the link a [`Stage`]
-//! adds the loads that the entry would have with all slots taken.
+//! A [`Stage`] starts the real entries on the simulated platform and the in-memory peer link, under
+//! tokio's paused time: a minute of timers takes about a second, every timer fires when it is due, and
+//! the counts of one size are the same in every run. The workers exist only as rows in the table and
+//! items of the platform's list. Their health checks succeed at once and no caller sends requests, so
+//! only control traffic is counted. To each report sent over the link a [`Stage`] adds the loads that
+//! the entry would have with all slots in use.
 //!
-//! [`Count`] is what the entries asked of the platform and sent to each other, [`Line`] the straight
-//! line through the points of several sizes.
+//! [`Count`] holds the numbers of calls to the platform and of messages between entries; [`Line`] is
+//! the linear fit through the points of several sizes.
 
+mod cluster;
 mod count;
 mod fit;
-mod loaded;
 mod rows;
+mod simulated_load;
 mod size;
-mod stage;
 
+pub use cluster::{Cycles, Stage};
 pub use count::Count;
 pub use fit::Line;
 pub use rows::{templates, workers};
 pub use size::Size;
-pub use stage::{Cycles, Stage};
--- a/crates/capacity/src/loaded.rs
+++ b/crates/capacity/src/simulated_load.rs
@@ -1,4 +1,4 @@
-//! Peer links that carry the loads of a busy entry, and workers that are always well.
+//! Peer links that report the loads of a busy entry, and a health probe that always succeeds.
 
 use async_trait::async_trait;
 use eyre::Result;
@@ -15,33 +15,33 @@
 };
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
-/// Joins a network in memory and adds `loads` to each report of the entry.
+/// Joins an in-memory network and puts `loads` into each report of the entry.
 #[derive(Debug)]
-pub(crate) struct Join {
+pub(crate) struct LoadedDial {
     pub network: Network,
     pub loads: BTreeMap<id::Instance, Load>,
 }
 
-impl Dial for Join {
+impl Dial for LoadedDial {
     fn dial(self: Box<Self>, identity: Identity, local: Arc<dyn Local>) -> Result<Dialed> {
-        let loaded = Loaded {
+        let injector = LoadInjector {
             local,
             loads: self.loads,
         };
         Ok(Dialed {
-            link: self.network.join(identity, Arc::new(loaded)),
+            link: self.network.join(identity, Arc::new(injector)),
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
         })
     }
 }
 
 #[derive(Debug)]
-struct Loaded {
+struct LoadInjector {
     local: Arc<dyn Local>,
     loads: BTreeMap<id::Instance, Load>,
 }
 
-impl Local for Loaded {
+impl Local for LoadInjector {
     fn seq(&self) -> Seq {
         self.local.seq()
     }
@@ -76,12 +76,12 @@
     }
 }
 
-/// A probe for which every worker is well.
+/// A probe that finds every worker healthy.
 #[derive(Debug)]
-pub(crate) struct Well;
+pub(crate) struct AlwaysHealthy;
 
 #[async_trait]
-impl Probe for Well {
+impl Probe for AlwaysHealthy {
     async fn is_healthy(&self, _: SocketAddr) -> bool {
         true
     }
--- a/crates/capacity/src/size.rs
+++ b/crates/capacity/src/size.rs
@@ -1,39 +1,40 @@
-//! How large a deployment is.
+//! Size of a deployment.
 
 use primroseroute_domain::instance::SLOTS;
 use serde::Serialize;
 
-/// Workers in the users' letter on the size of two years from now.
-const LETTER_WORKERS: usize = 1200;
+/// Workers of the reference deployment: the size that the users expect in two years.
+const REFERENCE_WORKERS: usize = 1200;
 
-/// Pools there.
-const LETTER_POOLS: usize = 270;
+/// Pools of the reference deployment.
+const REFERENCE_POOLS: usize = 270;
 
-/// Accounts there: the letter's teams.
-const LETTER_ACCOUNTS: usize = 140;
+/// Accounts of the reference deployment, one per team.
+const REFERENCE_ACCOUNTS: usize = 140;
 
-/// Sizes of one deployment; pools and accounts grow with the workers as in the users' letter.
+/// Numbers of entries and workers; pools and accounts are in the reference deployment's proportion to the
+/// workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Size {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
 }
 
 impl Size {
-    /// Pools, at least one.
+    /// Number of pools, at least one.
     pub fn pools(self) -> usize {
-        (self.workers * LETTER_POOLS / LETTER_WORKERS).max(1)
+        (self.workers * REFERENCE_POOLS / REFERENCE_WORKERS).max(1)
     }
 
-    /// Accounts, at least one.
+    /// Number of accounts, at least one.
     pub fn accounts(self) -> usize {
-        (self.workers * LETTER_ACCOUNTS / LETTER_WORKERS).max(1)
+        (self.workers * REFERENCE_ACCOUNTS / REFERENCE_WORKERS).max(1)
     }
 
-    /// Workers on which one entry has a request in flight when all slots are taken evenly.
+    /// Number of workers on which one entry has a request in flight if all slots are evenly used.
     pub fn loads(self) -> usize {
         let slots = usize::try_from(SLOTS).unwrap_or(usize::MAX);
         self.workers.min(self.workers * slots / self.entries)
--- a/crates/capacity/tests/all/fit.rs
+++ b/crates/capacity/tests/all/fit.rs
@@ -1,4 +1,4 @@
-//! The line through measured points.
+//! Linear fit and size of the reference deployment.
 
 use primroseroute_capacity::{Line, Size};
 
--- a/crates/capacity/tests/all/growth.rs
+++ b/crates/capacity/tests/all/growth.rs
@@ -1,7 +1,7 @@
-//! Growth of the store's load and of the messages, as `docs/CAPACITY.md` claims it.
+//! Growth of the store's load and of the messages with size, as stated in `docs/CAPACITY.md`.
 //!
-//! Each case runs two sizes and compares their counts. What it allows beyond the claim is one more
-//! round of a timer that happens to fall into the counted time.
+//! Each case runs two sizes and compares their counts. The bounds exceed the stated numbers by one timer
+//! round, which may fall into the counted period or not.
 
 use crate::cases;
 use eyre::Result;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-const REST: Duration = Duration::from_secs(60);
+const IDLE_PERIOD: Duration = Duration::from_secs(60);
 
 cases! {
     workers_cost_the_store_nothing_at_rest => workers_at_rest();
@@ -25,12 +25,12 @@
 }
 
 async fn at_rest(entries: usize, workers: usize) -> Result<Count> {
-    Ok(stage(entries, workers).await?.rest(REST).await)
+    Ok(stage(entries, workers).await?.rest(IDLE_PERIOD).await)
 }
 
 async fn workers_at_rest() -> Result<()> {
     let (few, many) = (at_rest(3, 50).await?, at_rest(3, 400).await?);
-    // Three polls and a read of three registrations may fall in or out.
+    // Three polls and a read of three registrations may or may not fall into the period.
     assert!(many.reads <= few.reads + 6, "{few:?} {many:?}");
     assert!(many.rows_read <= few.rows_read + 15, "{few:?} {many:?}");
     assert!(many.writes <= few.writes + 3, "{few:?} {many:?}");
@@ -44,17 +44,17 @@
 async fn entries_at_rest() -> Result<()> {
     for entries in [3, 14] {
         let count = at_rest(entries, 50).await?;
-        let (seconds, each) = (REST.as_secs(), entries as u64);
-        // A poll a second, the lease each 3 s and the roster each 5 s; the controller's own cycle
-        // reads the head twice, the instance's marks and the registrations.
+        let (seconds, each) = (IDLE_PERIOD.as_secs(), entries as u64);
+        // A poll each second, the lease every 3 s and the roster every 5 s; the controller's cycle reads
+        // the head twice, the instances' marks and the registrations.
         assert!(
             count.reads <= seconds * (2 * each + 4),
             "{entries}: {count:?}"
         );
-        // The roster's rows are the one part that grows with the square: entries / 5 a second each.
+        // Only the rows of the roster grow quadratically: each entry reads entries / 5 of them per second.
         let rows = seconds * (2 * each + each * each / 5 + each + 5) + each * each;
         assert!(count.rows_read <= rows, "{entries}: {count:?}");
-        // A heartbeat each 15 s, and the controller's lease each 3 s.
+        // A heartbeat every 15 s, and the controller's lease every 3 s.
         assert!(
             count.writes <= seconds * each / 15 + seconds / 3 + each,
             "{entries}: {count:?}"
@@ -64,14 +64,17 @@
     Ok(())
 }
 
-/// Eight peers a second at most, each exchange with two sides.
+/// Each entry exchanges with at most eight peers per second; an exchange has two sides.
 async fn exchanges_at_rest() -> Result<()> {
     for entries in [7, 28] {
         let count = at_rest(entries, 50).await?;
         let sides = 2 * count.exchanges / entries as u64;
-        assert!(sides <= 8 * (REST.as_secs() + 1), "{entries}: {count:?}");
-        assert!(sides >= 5 * REST.as_secs(), "{entries}: {count:?}");
-        assert_eq!(count.pushes, 0, "nothing was changed");
+        assert!(
+            sides <= 8 * (IDLE_PERIOD.as_secs() + 1),
+            "{entries}: {count:?}"
+        );
+        assert!(sides >= 5 * IDLE_PERIOD.as_secs(), "{entries}: {count:?}");
+        assert_eq!(count.pushes, 0, "no change was committed");
     }
     Ok(())
 }
@@ -80,7 +83,7 @@
     const CHANGES: u64 = 10;
     for entries in [7, 28] {
         let stage = stage(entries, 50).await?;
-        let rest = stage.rest(REST).await;
+        let rest = stage.rest(IDLE_PERIOD).await;
         let before = stage.count();
         for number in 0..CHANGES {
             let took = stage.change(2 + u32::try_from(number)?).await?;
@@ -89,13 +92,13 @@
         }
         let count = stage.count() - before;
         let each = entries as u64;
-        // Head, record and row; then each entry's registration, which replaces a heartbeat.
+        // Head, record and row, then each entry's registration, which replaces a heartbeat.
         let rows = count.rows_written - rest.rows_written.min(count.rows_written);
         assert!(
             rows <= CHANGES * (3 + each),
             "{entries}: {rows} rows, {count:?}"
         );
-        // Whoever polled it pushes it to the others; two may poll in the same moment.
+        // The entry that polls the change first pushes it to the others; two may poll at the same moment.
         assert!(count.pushes <= CHANGES * 2 * each, "{entries}: {count:?}");
         assert!(
             count.exchanges <= rest.exchanges + rest.exchanges / 10 + CHANGES * each,
@@ -113,20 +116,20 @@
     Ok(())
 }
 
-/// Only the drain of the five changes makes every entry exchange with every other at once.
+/// Of the five changes only the drain makes each entry exchange with every other one at once.
 async fn acknowledged() -> Result<()> {
     for entries in [7, 14] {
         let stage = stage(entries, 50).await?;
-        let rest = stage.rest(REST).await;
+        let rest = stage.rest(IDLE_PERIOD).await;
         let (before, started) = (stage.count(), Instant::now());
         stage.restart(1).await?;
         let count = stage.count() - before;
         let each = entries as u64;
-        // What the timers make in that time, and one round of theirs that may fall into it.
+        // Exchanges caused by timers in that time, plus one timer round that may fall into it.
         let rounds = started.elapsed().as_secs() + 1;
-        let timed = rest.exchanges * rounds / REST.as_secs() + each * (each - 1) / 2;
-        let most = each * (each - 1) + timed;
-        assert!(count.exchanges <= most, "{entries}: {count:?}, {most}");
+        let timed = rest.exchanges * rounds / IDLE_PERIOD.as_secs() + each * (each - 1) / 2;
+        let limit = each * (each - 1) + timed;
+        assert!(count.exchanges <= limit, "{entries}: {count:?}, {limit}");
     }
     Ok(())
 }
--- a/crates/capacity/tests/all/loss.rs
+++ b/crates/capacity/tests/all/loss.rs
@@ -1,4 +1,4 @@
-//! A region and a zone lost, over whole entries and in virtual time.
+//! Loss of a region and of an availability zone, with complete entries in virtual time.
 
 use crate::cases;
 use eyre::{Result, ensure};
@@ -8,8 +8,8 @@
 use tokio::time::sleep;
 
 cases! {
-    region_cut_off_for_an_hour_catches_up_by_records => cut(60);
-    region_cut_off_for_an_hour_catches_up_by_snapshot => cut(600);
+    region_cut_off_for_an_hour_catches_up_by_records => partitioned(60);
+    region_cut_off_for_an_hour_catches_up_by_snapshot => partitioned(600);
     zone_lost_with_its_entries_costs_few_changes => zone_lost();
 }
 
@@ -20,18 +20,18 @@
 
 const HOUR: Duration = Duration::from_secs(3600);
 
-/// The users want a configuration in force everywhere within this time.
-const IN_FORCE: Duration = Duration::from_secs(12);
+/// Required time limit for a configuration to take effect at every entry.
+const MAX_PROPAGATION: Duration = Duration::from_secs(12);
 
 fn entries(numbers: [usize; 3]) -> Result<Vec<id::Entry>> {
     let names = numbers.map(|number| format!("entry-{number}").parse());
     Ok(names.into_iter().collect::<Result<_, _>>()?)
 }
 
-/// One region loses the other and the store for an hour, while `changes` changes are accepted. The
-/// region that is cut off keeps its view, whichever of its entries is asked. Once healed it has the
-/// last change within the time that the users allow for any change, and no entry ever went back.
-async fn cut(changes: u32) -> Result<()> {
+/// One region is partitioned from the other and from the store for an hour while `changes` changes are
+/// accepted. All entries of the partitioned region keep their view. After the partition heals, the last
+/// change takes effect there within the time limit for any change, and no entry's version ever goes back.
+async fn partitioned(changes: u32) -> Result<()> {
     let stage = Stage::open(SIZE, Cycles::Running).await?;
     let far = entries([3, 4, 5])?;
     stage.cut(&far);
@@ -53,23 +53,23 @@
         assert_eq!(*seq, want, "{name}");
     }
 
-    // The peers come back first, and the store a minute later.
+    // The links between the entries are restored first, and the store a minute later.
     let before = stage.count().pulls;
     stage.heal();
     let took = stage.spread(last).await?;
-    assert!(took <= IN_FORCE, "{took:?}");
+    assert!(took <= MAX_PROPAGATION, "{took:?}");
     ensure!(stage.count().pulls > before, "no entry pulled");
     sleep(Duration::from_secs(60)).await;
     stage.reach(&far);
     let next = stage.accept(1).await?;
     let took = stage.spread(next).await?;
-    assert!(took <= IN_FORCE, "{took:?}");
+    assert!(took <= MAX_PROPAGATION, "{took:?}");
     Ok(())
 }
 
-/// A zone goes with its workers and an entry, which may be the controller. The rest takes the
-/// controller over, and takes the workers out of all pools in a few changes. No worker elsewhere is
-/// touched: no pool may lose more to a plan while it lacks members.
+/// An availability zone is lost with its workers and an entry, which may be the controller. The remaining
+/// entries take over the controller role and remove the workers from all pools in a few changes. Workers
+/// in other zones aren't touched: planned work must not take more from a pool that lacks members.
 async fn zone_lost() -> Result<()> {
     let mut stage = Stage::open(SIZE, Cycles::Running).await?;
     let before = stage.views().into_values().max().unwrap_or_default();
--- a/crates/capacity/tests/all/main.rs
+++ b/crates/capacity/tests/all/main.rs
@@ -1,11 +1,11 @@
-//! What control asks for by size, and what it does when parts are lost: counts and virtual time, so
-//! that the verdict is the same each time.
+//! Growth of the control traffic with the size of the deployment, and behaviour after failures. Only
+//! counts and virtual time are checked, so results are deterministic.
 
 mod fit;
 mod growth;
 mod loss;
 
-/// Names each case; a case that returns an error fails.
+/// Declares one test per case; a case that returns an error fails.
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident => $body:expr;)*) => {$(
         $(#[$doc])*
