--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -1,30 +1,30 @@
-//! Measures what each role costs by size: `cargo bench --bench capacity`.
+//! Measures the cost of each role by size of the deployment: `cargo bench --bench capacity`.
 //!
-//! Whole entries run under paused time, single steps in loops; `docs/CAPACITY.md` says what the
-//! figures mean. The tables go to the standard output, the same as JSON to
-//! `target/capacity.json`. Counts repeat exactly but for what jitter shifts; processor times are
-//! those of this thread, on a machine that may be shared. A name of a part as an argument (`parts`
-//! or `whole`) runs only that part, a number only that many workers, `once` makes one run.
+//! Complete entries run under paused time, single operations in loops; `docs/CAPACITY.md` explains the
+//! measurements. Tables are written to standard output and the same results as JSON to
+//! `target/capacity.json`. Counts are reproducible except for the effect of jitter; CPU times are those
+//! of this thread, on a machine that may be shared. The name of a part as an argument (`parts` or
+//! `whole`) runs only that part, a number only that number of workers, and `once` makes a single run.
 
-mod meter;
 mod parts;
-mod sheet;
+mod process_stats;
+mod results;
 mod whole;
 
 use eyre::Result;
 use primroseroute_capacity::Size;
-use sheet::{Figure, Sheet};
+use results::{Measurement, Results};
 use std::{env, fs};
 
-/// Runs whose spread is shown.
+/// Number of runs, whose spread is shown.
 const RUNS: u32 = 3;
 
 const WORKERS: [usize; 4] = [50, 200, 600, 1200];
 
 const ENTRIES: [usize; 4] = [3, 7, 14, 28];
 
-/// A part of the benchmark: its name, and what measures one size.
-type Part = (&'static str, fn(Size) -> Result<Vec<Figure>>);
+/// A part of the benchmark: its name and the function that measures one size.
+type Part = (&'static str, fn(Size) -> Result<Vec<Measurement>>);
 
 const PARTS: [Part; 2] = [("parts", parts::measure), ("whole", whole::measure)];
 
@@ -37,7 +37,7 @@
         asked.partition(|a| a.parse::<usize>().is_ok());
     let is_asked =
         |name: &str, asked: &[String]| asked.is_empty() || asked.iter().any(|a| a == name);
-    let mut sheet = Sheet::open()?;
+    let mut results = Results::new()?;
     for (name, measure) in PARTS {
         for run in 0..runs {
             if !is_asked(name, &names) {
@@ -53,15 +53,15 @@
                         run + 1
                     );
                     let size = Size { entries, workers };
-                    sheet.add(size, &measure(size)?);
+                    results.add(size, &measure(size)?);
                 }
             }
         }
     }
-    sheet.fit();
-    println!("{}", sheet.tables());
+    results.fit();
+    println!("{}", results.tables());
     let json = concat!(env!("CARGO_MANIFEST_DIR"), "/target/capacity.json");
-    fs::write(json, sheet.json()?)?;
+    fs::write(json, results.json()?)?;
     println!("The same as JSON: {json}");
     Ok(())
 }
--- a/benches/capacity/parts.rs
+++ b/benches/capacity/parts.rs
@@ -1,6 +1,6 @@
-//! Single steps without an entry around them: views, gates and plans.
+//! Single operations outside an entry: on views, dispatchers and placement plans.
 
-use crate::{meter, sheet::Figure};
+use crate::{process_stats, results::Measurement};
 use eyre::Result;
 use primroseroute_capacity::{Size, templates, workers};
 use primroseroute_domain::{
@@ -22,8 +22,8 @@
 use tokio::runtime::Builder;
 use uuid::Uuid;
 
-/// Views held at the same time to see what one takes.
-const HELD: usize = 20;
+/// Views held at the same time to measure the memory of one.
+const HELD_VIEWS: usize = 20;
 
 type Row = (Arc<str>, Arc<str>);
 
@@ -59,24 +59,24 @@
     }
 }
 
-/// All figures of one size; they depend on its entries only in the gates.
-pub fn measure(size: Size) -> Result<Vec<Figure>> {
+/// Takes all measurements of one size; the number of entries affects the dispatchers and registrations.
+pub fn measure(size: Size) -> Result<Vec<Measurement>> {
     let rows = rows(size)?;
     let bytes: usize = rows.iter().map(|(key, json)| key.len() + json.len()).sum();
     let build = || {
         let copies = rows
             .iter()
             .map(|(key, json)| (Arc::from(&**key), Arc::from(&**json)));
-        Snapshot::from_rows(Seq(1), copies).expect("the rows are readable")
+        Snapshot::from_rows(Seq(1), copies).expect("rows parse")
     };
-    let before = meter::resident()?;
-    let mut held: Vec<Snapshot> = (0..HELD).map(|_| build()).collect();
-    let memory = meter::resident()?.saturating_sub(before) as f64 / HELD as f64;
-    let load = meter::each(|| {
+    let before = process_stats::resident_bytes()?;
+    let mut held: Vec<Snapshot> = (0..HELD_VIEWS).map(|_| build()).collect();
+    let memory = process_stats::resident_bytes()?.saturating_sub(before) as f64 / HELD_VIEWS as f64;
+    let load = process_stats::micros_per_call(|| {
         black_box(build());
     })?;
     let snapshot = held.swap_remove(0);
-    // Kept to the end of the process: memory that is given back would hide what the next size takes.
+    // Not freed before the process ends: reusing freed memory would hide what the next size allocates.
     std::mem::forget(held);
 
     let template = &templates(size)[0];
@@ -84,35 +84,39 @@
     let worker = &workers(size)[0];
     let step = record(row(key::instance(&worker.id), Seq(2), worker)?);
     let apply = |record: &Record| {
-        meter::each(|| {
-            black_box(snapshot.apply(record).expect("the record is next"));
+        process_stats::micros_per_call(|| {
+            black_box(snapshot.apply(record).expect("the record follows the view"));
         })
     };
     let sent = serde_json::to_vec(&change)?.len();
     Ok(vec![
-        Figure::new("rows of the view, serialized", "MB", bytes as f64 / 1e6),
-        Figure::new("memory of one view", "MB", memory / 1e6),
-        Figure::new("full load of a view from rows", "us", load),
-        Figure::new("view takes a change of an account", "us", apply(&change)?),
-        Figure::new("view takes a change of an instance", "us", apply(&step)?),
-        Figure::new(
+        Measurement::new("rows of the view, serialized", "MB", bytes as f64 / 1e6),
+        Measurement::new("memory of one view", "MB", memory / 1e6),
+        Measurement::new("full load of a view from rows", "us", load),
+        Measurement::new("view takes a change of an account", "us", apply(&change)?),
+        Measurement::new("view takes a change of an instance", "us", apply(&step)?),
+        Measurement::new(
             "record of a change of an account, serialized",
             "B",
             sent as f64,
         ),
-        Figure::new("list of instances, serialized", "B", list(size)?),
-        Figure::new("registrations, serialized", "B", registrations(size)?),
-        Figure::new("gates take a view", "us", gates(size, &snapshot)?),
-        Figure::new(
+        Measurement::new("list of instances, serialized", "B", list_bytes(size)?),
+        Measurement::new("registrations, serialized", "B", registrations_bytes(size)?),
+        Measurement::new(
+            "gates take a view",
+            "us",
+            micros_to_apply_view(size, &snapshot)?,
+        ),
+        Measurement::new(
             "placement plan with nothing to do",
             "us",
-            placement(&snapshot)?,
+            micros_to_plan(&snapshot)?,
         ),
     ])
 }
 
-/// Bytes of one answer with the platform's list.
-fn list(size: Size) -> Result<f64> {
+/// Bytes of a response with the platform's list of instances.
+fn list_bytes(size: Size) -> Result<f64> {
     let listed = workers(size).into_iter().map(|row| Listed {
         id: row.id,
         address: row.address,
@@ -128,8 +132,8 @@
     Ok(serde_json::to_vec(&list)?.len() as f64)
 }
 
-/// Bytes of the values of all entries' registrations.
-fn registrations(size: Size) -> Result<f64> {
+/// Bytes of the row values of all entries' registrations.
+fn registrations_bytes(size: Size) -> Result<f64> {
     let address = SocketAddr::from(([192, 0, 2, 1], 8080));
     let mut bytes = 0;
     for index in 0..size.entries {
@@ -148,17 +152,17 @@
     Ok(bytes as f64)
 }
 
-fn gates(size: Size, snapshot: &Snapshot) -> Result<f64> {
+fn micros_to_apply_view(size: Size, snapshot: &Snapshot) -> Result<f64> {
     let names = (0..size.entries).map(|index| format!("entry-{index}").parse());
     let entries: BTreeSet<_> = names.collect::<Result<_, _>>()?;
     Builder::new_current_thread().build()?.block_on(async {
         let gates = Gates::open("entry-0".parse()?, 1, Limits::default(), 1);
         gates.sync(snapshot, &entries);
-        meter::each(|| gates.sync(snapshot, &entries))
+        process_stats::micros_per_call(|| gates.sync(snapshot, &entries))
     })
 }
 
-fn placement(snapshot: &Snapshot) -> Result<f64> {
+fn micros_to_plan(snapshot: &Snapshot) -> Result<f64> {
     let instances = snapshot.instances().iter();
     let accounts = snapshot.accounts().values();
     let fleet = Fleet {
@@ -168,7 +172,7 @@
         budgets: Fleet::budgets(accounts.map(|row| &row.value)),
         absent: BTreeSet::new(),
     };
-    meter::each(|| {
+    process_stats::micros_per_call(|| {
         black_box(plan(&fleet, Weights::default()));
     })
 }
--- a/benches/capacity/sheet.rs
+++ b/benches/capacity/results.rs
@@ -1,4 +1,4 @@
-//! Figures by size over the runs, and the lines through them.
+//! Results by size over all runs, with linear fits.
 
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use eyre::Result;
@@ -6,21 +6,21 @@
 use serde::Serialize;
 use std::{collections::BTreeMap, fs, thread};
 
-/// One measured figure.
+/// One measured value.
 #[derive(Clone, Copy, Debug)]
-pub struct Figure {
+pub struct Measurement {
     pub name: &'static str,
     pub unit: &'static str,
     pub value: f64,
 }
 
-impl Figure {
+impl Measurement {
     pub fn new(name: &'static str, unit: &'static str, value: f64) -> Self {
         Self { name, unit, value }
     }
 }
 
-/// A figure at one size, over all runs.
+/// The values of one measurement at one size, over all runs.
 #[derive(Debug, Serialize)]
 struct Point {
     size: Size,
@@ -40,36 +40,36 @@
 
     fn text(&self) -> String {
         let sorted = self.sorted();
-        let (least, most) = (sorted[0], sorted[sorted.len() - 1]);
+        let (min, max) = (sorted[0], sorted[sorted.len() - 1]);
         let median = self.median();
-        if (most - least).abs() < f64::EPSILON {
+        if (max - min).abs() < f64::EPSILON {
             format!("{median:.3}")
         } else {
-            format!("{median:.3} ({least:.3} to {most:.3})")
+            format!("{median:.3} ({min:.3} to {max:.3})")
         }
     }
 }
 
-/// One figure at all sizes.
+/// One measurement at all sizes.
 #[derive(Debug, Serialize)]
 struct Row {
     name: &'static str,
     unit: &'static str,
     points: Vec<Point>,
-    /// The line over the workers, at the most entries.
+    /// The fit over the workers, at the largest number of entries.
     by_workers: Option<Line>,
-    /// The line over the entries, at the most workers.
+    /// The fit over the entries, at the largest number of workers.
     by_entries: Option<Line>,
 }
 
 impl Row {
-    fn most(&self, of: fn(Size) -> usize) -> usize {
+    fn max_by(&self, of: fn(Size) -> usize) -> usize {
         let sizes = self.points.iter().map(|point| of(point.size));
         sizes.max().unwrap_or(0)
     }
 
     fn fit(&mut self) {
-        let (entries, workers) = (self.most(|s| s.entries), self.most(|s| s.workers));
+        let (entries, workers) = (self.max_by(|s| s.entries), self.max_by(|s| s.workers));
         let at = |point: &Point, x: usize| (x as f64, point.median());
         let points = self.points.iter();
         let by_workers: Vec<_> = points
@@ -86,17 +86,17 @@
     }
 }
 
-/// All figures of one call.
+/// All results of one invocation of the benchmark.
 #[derive(Debug, Serialize)]
-pub struct Sheet {
+pub struct Results {
     cores: usize,
-    /// The machine's load average over a minute, before the benchmark added to it.
+    /// The machine's one-minute load average before the benchmark started.
     load_before: String,
     rows: Vec<Row>,
 }
 
-impl Sheet {
-    pub fn open() -> Result<Self> {
+impl Results {
+    pub fn new() -> Result<Self> {
         let load = fs::read_to_string("/proc/loadavg").unwrap_or_default();
         Ok(Self {
             cores: thread::available_parallelism()?.get(),
@@ -105,44 +105,48 @@
         })
     }
 
-    /// Adds the figures of one size in one run.
-    pub fn add(&mut self, size: Size, figures: &[Figure]) {
-        for figure in figures {
-            let row = self.row(figure);
+    /// Adds the measurements of one size in one run.
+    pub fn add(&mut self, size: Size, measurements: &[Measurement]) {
+        for measurement in measurements {
+            let row = self.row(measurement);
             let point = row.points.iter_mut().find(|point| point.size == size);
             match point {
-                Some(point) => point.values.push(figure.value),
+                Some(point) => point.values.push(measurement.value),
                 None => row.points.push(Point {
                     size,
-                    values: vec![figure.value],
+                    values: vec![measurement.value],
                 }),
             }
         }
     }
 
-    fn row(&mut self, figure: &Figure) -> &mut Row {
-        let known = self.rows.iter().position(|row| row.name == figure.name);
-        let at = known.unwrap_or_else(|| {
+    fn row(&mut self, measurement: &Measurement) -> &mut Row {
+        let position = self
+            .rows
+            .iter()
+            .position(|row| row.name == measurement.name);
+        let index = position.unwrap_or_else(|| {
             self.rows.push(Row {
-                name: figure.name,
-                unit: figure.unit,
+                name: measurement.name,
+                unit: measurement.unit,
                 points: Vec::new(),
                 by_workers: None,
                 by_entries: None,
             });
             self.rows.len() - 1
         });
-        &mut self.rows[at]
+        &mut self.rows[index]
     }
 
-    /// Puts the lines through the points.
+    /// Computes the linear fits.
     pub fn fit(&mut self) {
         for row in &mut self.rows {
             row.fit();
         }
     }
 
-    /// The figures for people: one table a figure, workers down and entries across.
+    /// The results as text: one table per measurement, with a row per number of workers and a column per
+    /// number of entries.
     pub fn tables(&self) -> String {
         let (cores, load) = (self.cores, &self.load_before);
         let head = format!("{cores} cores, load average {load} before the start\n");
@@ -154,7 +158,7 @@
             .join("\n")
     }
 
-    /// The figures for programs.
+    /// The results as JSON.
     pub fn json(&self) -> Result<String> {
         Ok(serde_json::to_string_pretty(self)?)
     }
--- a/benches/capacity/whole.rs
+++ b/benches/capacity/whole.rs
@@ -1,6 +1,6 @@
-//! Whole entries: what control costs at rest, for a change and for a restart.
+//! Complete entries: the cost of control when idle, for a change and for a restart.
 
-use crate::{meter, sheet::Figure};
+use crate::{process_stats, results::Measurement};
 use eyre::{Result, eyre};
 use hdrhistogram::Histogram;
 use primroseroute_capacity::{Count, Cycles, Size, Stage};
@@ -10,16 +10,16 @@
     time::Instant,
 };
 
-/// Time at rest that is counted: a whole number of polls, roster reads, exchanges and heartbeats.
-const REST: Duration = Duration::from_secs(60);
+/// Length of the idle measurement: a whole number of polls, roster reads, exchanges and heartbeats.
+const IDLE_PERIOD: Duration = Duration::from_secs(60);
 
-/// Changes that are timed.
+/// Number of changes that are timed.
 const CHANGES: u32 = 10;
 
-/// Between two changes: they share no registration write and no poll.
-const APART: Duration = Duration::from_secs(6);
+/// Time between two changes, so that they share no registration write and no poll.
+const CHANGE_INTERVAL: Duration = Duration::from_secs(6);
 
-/// Workers that are restarted.
+/// Number of workers that are restarted.
 const RESTARTS: usize = 3;
 
 fn runtime() -> Result<Runtime> {
@@ -27,98 +27,107 @@
     Ok(builder.enable_all().start_paused(true).build()?)
 }
 
-/// All figures of one size.
-pub fn measure(size: Size) -> Result<Vec<Figure>> {
-    let resident = meter::resident()?;
-    let held = runtime()?.block_on(async {
+/// Takes all measurements of one size.
+pub fn measure(size: Size) -> Result<Vec<Measurement>> {
+    let resident_before = process_stats::resident_bytes()?;
+    let without_cycles = runtime()?.block_on(async {
         let stage = Stage::open(size, Cycles::Held).await?;
-        rest(&stage).await.map(|(_count, processor)| processor)
+        measure_idle(&stage)
+            .await
+            .map(|(_count, cpu_time)| cpu_time)
     })?;
     runtime()?.block_on(async {
         let stage = Stage::open(size, Cycles::Running).await?;
-        let (count, running) = rest(&stage).await?;
-        let mut figures = at_rest(size, count);
-        figures.extend(processor(size, held, running));
-        figures.extend(changes(size, &stage, count).await?);
-        figures.extend(restarts(&stage, count).await?);
-        let grown = meter::resident()?.saturating_sub(resident);
+        let (count, with_cycles) = measure_idle(&stage).await?;
+        let mut measurements = idle_rates(size, count);
+        measurements.extend(cpu_usage(size, without_cycles, with_cycles));
+        measurements.extend(changes(size, &stage, count).await?);
+        measurements.extend(restarts(&stage, count).await?);
+        let grown = process_stats::resident_bytes()?.saturating_sub(resident_before);
         let grown = grown as f64 / 1e6 / size.entries as f64;
-        figures.push(Figure::new(
+        measurements.push(Measurement::new(
             "memory that the process gained, by entry",
             "MB",
             grown,
         ));
-        Ok(figures)
+        Ok(measurements)
     })
 }
 
-async fn rest(stage: &Stage) -> Result<(Count, Duration)> {
-    let before = meter::processor()?;
-    let count = stage.rest(REST).await;
-    Ok((count, meter::processor()?.saturating_sub(before)))
+async fn measure_idle(stage: &Stage) -> Result<(Count, Duration)> {
+    let before = process_stats::thread_cpu_time()?;
+    let count = stage.rest(IDLE_PERIOD).await;
+    Ok((
+        count,
+        process_stats::thread_cpu_time()?.saturating_sub(before),
+    ))
 }
 
-fn at_rest(size: Size, count: Count) -> Vec<Figure> {
-    let second = |count: u64| count as f64 / REST.as_secs_f64();
-    let entry = |count: u64| second(count) / size.entries as f64;
+fn idle_rates(size: Size, count: Count) -> Vec<Measurement> {
+    let per_second = |count: u64| count as f64 / IDLE_PERIOD.as_secs_f64();
+    let per_entry = |count: u64| per_second(count) / size.entries as f64;
     vec![
-        Figure::new("store reads at rest", "1/s", second(count.reads)),
-        Figure::new("store rows read at rest", "1/s", second(count.rows_read)),
-        Figure::new("store writes at rest", "1/s", second(count.writes)),
-        Figure::new(
+        Measurement::new("store reads at rest", "1/s", per_second(count.reads)),
+        Measurement::new(
+            "store rows read at rest",
+            "1/s",
+            per_second(count.rows_read),
+        ),
+        Measurement::new("store writes at rest", "1/s", per_second(count.writes)),
+        Measurement::new(
             "store rows written at rest",
             "1/s",
-            second(count.rows_written),
+            per_second(count.rows_written),
         ),
-        Figure::new(
+        Measurement::new(
             "reads of the instance list at rest",
             "1/s",
-            second(count.lists),
+            per_second(count.lists),
         ),
         // Each exchange has two sides.
-        Figure::new(
+        Measurement::new(
             "exchanges at rest, by entry",
             "1/s",
-            2.0 * entry(count.exchanges),
+            2.0 * per_entry(count.exchanges),
         ),
     ]
 }
 
-fn processor(size: Size, held: Duration, running: Duration) -> Vec<Figure> {
-    let seconds = REST.as_secs_f64();
-    let part = held.as_secs_f64() / seconds / size.entries as f64 * 100.0;
-    let cycle = (running.as_secs_f64() - held.as_secs_f64()) / seconds * 1e3;
+fn cpu_usage(size: Size, without_cycles: Duration, with_cycles: Duration) -> Vec<Measurement> {
+    let seconds = IDLE_PERIOD.as_secs_f64();
+    let percent = without_cycles.as_secs_f64() / seconds / size.entries as f64 * 100.0;
+    let cycle = (with_cycles.as_secs_f64() - without_cycles.as_secs_f64()) / seconds * 1e3;
     vec![
-        Figure::new("processor at rest, by entry", "% of a core", part),
-        Figure::new("processor of one controller cycle", "ms", cycle),
+        Measurement::new("processor at rest, by entry", "% of a core", percent),
+        Measurement::new("processor of one controller cycle", "ms", cycle),
     ]
 }
 
-/// What a change costs beyond what the same time at rest does.
-async fn changes(size: Size, stage: &Stage, rest: Count) -> Result<Vec<Figure>> {
+/// The cost of a change beyond that of the same time when idle.
+async fn changes(size: Size, stage: &Stage, idle: Count) -> Result<Vec<Measurement>> {
     let mut times = Histogram::<u64>::new(3)?;
     let before = stage.count();
     for number in 0..CHANGES {
-        let took = stage.change(number + 2).await?;
-        times.record(u64::try_from(took.as_millis())?)?;
-        tokio::time::sleep(APART.saturating_sub(took)).await;
+        let duration = stage.change(number + 2).await?;
+        times.record(u64::try_from(duration.as_millis())?)?;
+        tokio::time::sleep(CHANGE_INTERVAL.saturating_sub(duration)).await;
     }
     let count = stage.count() - before;
-    let part = (APART * CHANGES).as_secs_f64() / REST.as_secs_f64();
-    let beyond =
-        |of: fn(Count) -> u64| (of(count) as f64 - of(rest) as f64 * part) / f64::from(CHANGES);
+    let periods = (CHANGE_INTERVAL * CHANGES).as_secs_f64() / IDLE_PERIOD.as_secs_f64();
+    let excess =
+        |of: fn(Count) -> u64| (of(count) as f64 - of(idle) as f64 * periods) / f64::from(CHANGES);
     let pushes = count.pushes as f64 / f64::from(CHANGES) / size.entries as f64;
     let percentile = |part| times.value_at_percentile(part) as f64;
     Ok(vec![
-        Figure::new(
+        Measurement::new(
             "store rows written for a change",
             "1",
-            beyond(|c| c.rows_written),
+            excess(|c| c.rows_written),
         ),
-        Figure::new("exchanges for a change", "1", beyond(|c| c.exchanges)),
-        Figure::new("pushes for a change, by entry", "1", pushes),
-        Figure::new("change in force everywhere, p50", "ms", percentile(50.0)),
-        Figure::new(
+        Measurement::new("exchanges for a change", "1", excess(|c| c.exchanges)),
+        Measurement::new("pushes for a change, by entry", "1", pushes),
+        Measurement::new("change in force everywhere, p50", "ms", percentile(50.0)),
+        Measurement::new(
             "change in force everywhere, longest",
             "ms",
             percentile(100.0),
@@ -126,24 +135,24 @@
     ])
 }
 
-/// What restarts take, one after the other.
-async fn restarts(stage: &Stage, rest: Count) -> Result<Vec<Figure>> {
+/// The cost of restarts, one after the other, beyond that of the same time when idle.
+async fn restarts(stage: &Stage, idle: Count) -> Result<Vec<Measurement>> {
     let (before, started) = (stage.count(), Instant::now());
     let mut changes = 0;
     for number in 0..RESTARTS {
         changes += stage.restart(number).await?;
     }
     if changes == 0 {
-        return Err(eyre!("a restart without a change"));
+        return Err(eyre!("restarts made no change"));
     }
     let count = stage.count() - before;
-    let part = started.elapsed().as_secs_f64() / REST.as_secs_f64();
-    let each = |count: f64| count / RESTARTS as f64;
-    let exchanges = count.exchanges as f64 - rest.exchanges as f64 * part;
-    let rows = count.rows_written as f64 - rest.rows_written as f64 * part;
+    let periods = started.elapsed().as_secs_f64() / IDLE_PERIOD.as_secs_f64();
+    let per_restart = |count: f64| count / RESTARTS as f64;
+    let exchanges = count.exchanges as f64 - idle.exchanges as f64 * periods;
+    let rows = count.rows_written as f64 - idle.rows_written as f64 * periods;
     Ok(vec![
-        Figure::new("changes for a restart", "1", each(changes as f64)),
-        Figure::new("exchanges for a restart", "1", each(exchanges)),
-        Figure::new("store rows written for a restart", "1", each(rows)),
+        Measurement::new("changes for a restart", "1", per_restart(changes as f64)),
+        Measurement::new("exchanges for a restart", "1", per_restart(exchanges)),
+        Measurement::new("store rows written for a restart", "1", per_restart(rows)),
     ])
 }
--- a/benches/request_path/change.rs
+++ b/benches/request_path/change.rs
@@ -1,8 +1,8 @@
-//! How soon a change is in force: a drain at its worker, a configuration at seven entries.
+//! Time until a change takes effect: a drain at its worker, a configuration at seven entries.
 
 use crate::{
-    bed::{Bed, Size, apply, measured, order, owner},
-    figure::{Figure, Goal},
+    fixture::{Fixture, Size, apply, order, owner_template, run_plan},
+    results::{Goal, Measurement},
 };
 use eyre::{Result, eyre};
 use primroseroute_load::{Loop, Plan};
@@ -16,77 +16,92 @@
     delay: Duration::from_millis(10),
 };
 
-/// Requests a second during the drains, a seventh of what the pool can do: each worker gets one
-/// every 10 ms, which is how exact its last one is.
+/// Requests per second during the drains, a seventh of the pool's capacity: each worker gets one every
+/// 10 ms, which is the resolution of the time of its last request.
 const RATE: f64 = 1400.0;
 
-/// How long the worker is watched after the drain was accepted.
-const WATCH: Duration = Duration::from_secs(3);
+/// Time for which the worker is observed after the drain is accepted.
+const OBSERVATION_TIME: Duration = Duration::from_secs(3);
 
-/// The same where the store is down, for which the goal is wider.
-const LONG_WATCH: Duration = Duration::from_secs(6);
+/// [`OBSERVATION_TIME`] while the store is unavailable, for which the goal is less strict.
+const OUTAGE_OBSERVATION_TIME: Duration = Duration::from_secs(6);
 
-/// Changes of the configuration.
+/// Number of configuration changes.
 const CHANGES: u32 = 100;
 
-/// How often it is looked whether something has happened.
-const LOOK: Duration = Duration::from_millis(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Drains with the store up and down, then changes of the configuration.
-pub async fn measure(seed: u64) -> Result<Vec<Figure>> {
-    let bed = Bed::open(SIZE, seed).await?;
-    let up = drain(&bed, "stay-1", WATCH, || {}).await?;
-    let names: Vec<_> = bed.site.entries.keys().cloned().collect();
-    let network = &bed.site.network;
+/// Measures drains with the store available and unavailable, then configuration changes.
+pub async fn measure(seed: u64) -> Result<Vec<Measurement>> {
+    let fixture = Fixture::start(SIZE, seed).await?;
+    let up = drain(&fixture, "stay-1", OBSERVATION_TIME, || {}).await?;
+    let names: Vec<_> = fixture.site.entries.keys().cloned().collect();
+    let network = &fixture.site.network;
     network.part(&names[..1], &names[1..]);
-    let cut = drain(&bed, "stay-2", WATCH, || {}).await?;
+    let partitioned = drain(&fixture, "stay-2", OBSERVATION_TIME, || {}).await?;
     network.heal_all();
-    let faults = bed.site.platform.faults();
+    let faults = fixture.site.platform.faults();
     let outage = || faults.set_outage(Some(Outage::Refuse));
-    let down = drain(&bed, "stay-3", LONG_WATCH, outage).await?;
+    let down = drain(&fixture, "stay-3", OUTAGE_OBSERVATION_TIME, outage).await?;
     faults.set_outage(None);
-    let mut times = changes(&bed).await?;
+    let mut times = changes(&fixture).await?;
     times.sort_by(f64::total_cmp);
-    // With a hundred changes, the percentile is the rank.
-    let at = |percentile: usize| times[percentile - 1] * 1e3;
+    // With 100 changes the percentile equals the rank.
+    let percentile = |rank: usize| times[rank - 1] * 1e3;
     Ok(vec![
-        Figure::new("drain accepted to last new request", "s", up).with(Goal::AtMost(2.0)),
-        Figure::new("the same, no peer hears of it", "s", cut).with(Goal::AtMost(2.0)),
-        Figure::new("the same, store down from then on", "s", down).with(Goal::AtMost(5.0)),
-        Figure::new("configuration in force on 7 entries, p50", "ms", at(50)),
-        Figure::new("configuration in force on 7 entries, p99", "ms", at(99))
-            .with(Goal::AtMost(1000.0)),
+        Measurement::new("drain accepted to last new request", "s", up)
+            .with_goal(Goal::AtMost(2.0)),
+        Measurement::new("the same, no peer hears of it", "s", partitioned)
+            .with_goal(Goal::AtMost(2.0)),
+        Measurement::new("the same, store down from then on", "s", down)
+            .with_goal(Goal::AtMost(5.0)),
+        Measurement::new(
+            "configuration in force on 7 entries, p50",
+            "ms",
+            percentile(50),
+        ),
+        Measurement::new(
+            "configuration in force on 7 entries, p99",
+            "ms",
+            percentile(99),
+        )
+        .with_goal(Goal::AtMost(1000.0)),
     ])
 }
 
 /// Seconds from the acceptance of a drain at the first entry to the worker's last new request;
-/// `then` happens with the acceptance.
-async fn drain(bed: &Bed, name: &str, watch: Duration, then: impl Fn()) -> Result<f64> {
+/// `on_accepted` is called upon the acceptance.
+async fn drain(
+    fixture: &Fixture,
+    name: &str,
+    observation_time: Duration,
+    on_accepted: impl Fn(),
+) -> Result<f64> {
     let plan = Plan {
-        measured: watch,
-        ..bed.through(Loop::Open { rate: RATE })
+        measured: observation_time,
+        ..fixture.through_entries(Loop::Open { rate: RATE })
     };
-    let load = tokio::spawn(async move { measured(&plan).await });
+    let load = tokio::spawn(async move { run_plan(&plan).await });
     sleep(Duration::from_secs(1)).await;
-    let worker = Arc::clone(bed.site.worker(name));
+    let worker = Arc::clone(fixture.site.worker(name));
     let before = worker.count().executions;
     if before == 0 {
         return Err(eyre!("{name} got no request before its drain"));
     }
-    let admin = &bed.site.any().admin;
+    let admin = &fixture.site.any().admin;
     admin.drain(&name.parse()?, &order()).await?;
     let accepted = Instant::now();
-    then();
-    let last = last_request(&worker, accepted, watch).await;
+    on_accepted();
+    let last = last_request(&worker, accepted, observation_time).await;
     load.await??;
     Ok(last.as_secs_f64())
 }
 
-async fn last_request(worker: &Backend, accepted: Instant, watch: Duration) -> Duration {
+async fn last_request(worker: &Backend, accepted: Instant, observation_time: Duration) -> Duration {
     let mut seen = worker.count().executions;
     let mut last = Duration::ZERO;
-    while accepted.elapsed() < watch {
-        sleep(LOOK).await;
+    while accepted.elapsed() < observation_time {
+        sleep(POLL_INTERVAL).await;
         let now = worker.count().executions;
         if now > seen {
             seen = now;
@@ -96,22 +111,27 @@
     last
 }
 
-/// Seconds from the sending of each change, by an operator at each entry in turn, until all
-/// entries have it in force.
-async fn changes(bed: &Bed) -> Result<Vec<f64>> {
-    let admins: Vec<_> = bed.site.entries.values().map(|r| r.admin.clone()).collect();
+/// Seconds from the sending of each change, to one entry after another, until it is in effect at all
+/// entries.
+async fn changes(fixture: &Fixture) -> Result<Vec<f64>> {
+    let admins: Vec<_> = fixture
+        .site
+        .entries
+        .values()
+        .map(|r| r.admin.clone())
+        .collect();
     let mut times = Vec::new();
     for (number, admin) in (0..CHANGES).zip(admins.iter().cycle()) {
         let sent = Instant::now();
-        let template = owner(2 + number, SIZE.workers);
+        let template = owner_template(2 + number, SIZE.workers);
         let seq = admin.apply(&apply(template)).await?.version;
-        while !bed
+        while !fixture
             .site
             .entries
             .values()
             .all(|running| running.entry.in_force() >= seq)
         {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         times.push(sent.elapsed().as_secs_f64());
     }
--- a/benches/request_path/bed.rs
+++ b/benches/request_path/fixture.rs
@@ -1,4 +1,4 @@
-//! The site that is measured: entries with the timers of a deployment before one pool.
+//! The measured site: entries with the default timers, in front of one pool.
 
 use bytes::Bytes;
 use eyre::Result;
@@ -18,21 +18,21 @@
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::sleep;
 
-/// The pool, its service, and the account that owns them.
+/// Name of the pool, its service, and the account that owns them.
 pub const OWNER: &str = "stay";
 
-/// Accounts with their fair shares and their parts of the callers' requests. `back` asks for far
-/// more than its share, so that fairness has work to do.
+/// Accounts with their fair shares and their fractions of the callers' requests. `back` requests far more
+/// than its share, so that the fair allocation takes effect.
 pub const ACCOUNTS: [(&str, u32, f64); 3] = [(OWNER, 1, 0.2), ("back", 1, 0.5), ("tour", 2, 0.3)];
 
-/// How long a caller waits.
+/// The callers' request timeout.
 pub const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One way between two entries; the network of the testbed has none of its own.
-const HOP: Duration = Duration::from_millis(1);
+/// One-way latency between two entries; the testbed's network has none by default.
+const PEER_LATENCY: Duration = Duration::from_millis(1);
 
-/// The platform's calls take about what they do within a region: 1 ms each way, and some jitter.
-fn platform() -> PlatformOptions {
+/// Platform calls with about the latency within a region: 1 ms each way plus jitter.
+fn platform_options() -> PlatformOptions {
     PlatformOptions {
         latency: Duration::from_millis(2),
         jitter: Duration::from_millis(1),
@@ -40,20 +40,20 @@
     }
 }
 
-/// Sizes of the site.
+/// Size of the site and execution time of its workers.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub entries: usize,
     pub workers: usize,
-    /// How long a worker takes for a request.
+    /// Execution time of a request on a worker.
     pub delay: Duration,
 }
 
-/// A site whose callers may send.
+/// A running site and the seed of its callers.
 #[derive(Debug)]
-pub struct Bed {
+pub struct Fixture {
     pub site: Site,
-    dims: Size,
+    size: Size,
     seed: u64,
 }
 
@@ -61,7 +61,7 @@
     Order {
         if_version: None,
         reason: "benchmark".into(),
-        // The budget would rightly forbid a second drain.
+        // The availability budget would reject the second drain.
         force: true,
     }
 }
@@ -74,18 +74,18 @@
     }
 }
 
-/// The owner's template, which lets the other accounts call its service.
-pub fn owner(share: u32, workers: usize) -> Template {
-    let promised = u32::try_from(workers - 1).expect("few workers");
+/// The owner's template, which allows the other accounts to call its service.
+pub fn owner_template(share: u32, workers: usize) -> Template {
+    let promised = u32::try_from(workers - 1).expect("number of workers fits into u32");
     let mut template = template(OWNER, share, promised.max(1));
     let others = ACCOUNTS.iter().filter(|(name, ..)| *name != OWNER);
     template.pools[0].services[0].callers = others
-        .map(|(name, ..)| name.parse().expect("an account's name"))
+        .map(|(name, ..)| name.parse().expect("valid account name"))
         .collect();
     template
 }
 
-fn deployed(parts: Parts) -> Parts {
+fn with_default_timers(parts: Parts) -> Parts {
     Parts {
         timers: Timers::default(),
         controller: ControllerTimers::default(),
@@ -93,23 +93,24 @@
     }
 }
 
-impl Bed {
-    /// Starts everything and waits until every entry has heard of every other.
-    pub async fn open(dims: Size, seed: u64) -> Result<Self> {
+impl Fixture {
+    /// Starts the site and waits until every entry has heard from every other one.
+    pub async fn start(size: Size, seed: u64) -> Result<Self> {
         let layout = Layout {
-            entries: dims.entries,
-            pools: vec![(OWNER.to_owned(), dims.workers)],
+            entries: size.entries,
+            pools: vec![(OWNER.to_owned(), size.workers)],
             zones: 3,
             rack: 4,
         };
         let worker = WorkerOptions {
-            delay: dims.delay,
+            delay: size.delay,
             ..WorkerOptions::default()
         };
-        let mut site = Site::open_with(layout, platform(), worker).await?;
-        site.network.set_latency(HOP);
-        for index in 0..dims.entries {
-            site.start_with(&format!("entry-{index}"), deployed).await?;
+        let mut site = Site::open_with(layout, platform_options(), worker).await?;
+        site.network.set_latency(PEER_LATENCY);
+        for index in 0..size.entries {
+            site.start_with(&format!("entry-{index}"), with_default_timers)
+                .await?;
         }
         let admin = site.any().admin.clone();
         for (name, share, _) in ACCOUNTS.iter().filter(|(name, ..)| *name != OWNER) {
@@ -119,15 +120,15 @@
             };
             admin.apply(&apply(guest)).await?;
         }
-        admin.apply(&apply(owner(1, dims.workers))).await?;
+        admin.apply(&apply(owner_template(1, size.workers))).await?;
         let seq = site.place_workers().await?;
         site.in_force(seq).await?;
-        let bed = Self { site, dims, seed };
-        bed.meet().await?;
-        Ok(bed)
+        let fixture = Self { site, size, seed };
+        fixture.wait_for_peers().await?;
+        Ok(fixture)
     }
 
-    async fn meet(&self) -> Result<()> {
+    async fn wait_for_peers(&self) -> Result<()> {
         for running in self.site.entries.values() {
             while running
                 .admin
@@ -137,17 +138,17 @@
                 .iter()
                 .filter(|e| e.heard.is_some())
                 .count()
-                < self.dims.entries
+                < self.size.entries
             {
                 sleep(Duration::from_millis(50)).await;
             }
         }
-        // The gates learn of it within one more look at the roster.
+        // The dispatchers learn of it with the next read of the roster.
         sleep(Duration::from_secs(2)).await;
         Ok(())
     }
 
-    /// A plan of reads, direct to the workers.
+    /// A load plan of reads sent directly to the workers.
     pub fn direct(&self, pace: Loop) -> Plan {
         self.plan(
             pace,
@@ -155,8 +156,8 @@
         )
     }
 
-    /// A plan of reads through the entries.
-    pub fn through(&self, pace: Loop) -> Plan {
+    /// A load plan of reads sent through the entries.
+    pub fn through_entries(&self, pace: Loop) -> Plan {
         self.plan(
             pace,
             self.site.entries.values().map(|running| running.callers),
@@ -181,14 +182,14 @@
         }
     }
 
-    /// What the pool does when all its slots are kept busy, in requests a second, measured.
+    /// Measures the pool's throughput in requests per second with all slots busy.
     pub async fn capacity(&self) -> Result<f64> {
-        let callers = self.dims.workers * 8;
-        // Each worker has its own eight callers: drawn targets would leave slots idle.
+        let callers = self.size.workers * 8;
+        // Eight callers per worker: randomly drawn targets would leave slots idle.
         let mut plans = tokio::task::JoinSet::new();
         for worker in self.site.workers.values() {
             let mut plan = self.direct(Loop::Closed {
-                callers: callers / self.dims.workers,
+                callers: callers / self.size.workers,
             });
             plan.targets = vec![Target {
                 address: worker.address(),
@@ -203,7 +204,7 @@
         Ok(sum)
     }
 
-    /// Counts of all workers together.
+    /// Sum of the counts of all workers.
     pub fn count(&self) -> Count {
         let counts = self.site.workers.values().map(|worker| worker.count());
         counts.fold(Count::default(), |sum, count| Count {
@@ -217,7 +218,7 @@
 
 fn profile((account, _, weight): &(&str, u32, f64)) -> Profile {
     Profile {
-        account: account.parse().expect("an account's name"),
+        account: account.parse().expect("valid account name"),
         token: caller_token(account).into(),
         method: Method::GET,
         path: format!("/{OWNER}/beds").into(),
@@ -228,6 +229,6 @@
 }
 
 /// Runs `plan`.
-pub async fn measured(plan: &Plan) -> Result<Outcome> {
+pub async fn run_plan(plan: &Plan) -> Result<Outcome> {
     Ok(run(plan).await?)
 }
--- a/benches/request_path/inner.rs
+++ b/benches/request_path/inner.rs
@@ -1,8 +1,8 @@
-//! What the request path itself costs, without sockets: one request after another on one thread.
+//! CPU cost of the request path without sockets: sequential requests on one thread.
 
 use crate::{
-    bed::{OWNER, owner},
-    figure::Figure,
+    fixture::{OWNER, owner_template},
+    results::Measurement,
 };
 use async_trait::async_trait;
 use eyre::Result;
@@ -30,24 +30,24 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 use tokio::time::Instant;
 
-/// Requests of one batch.
-const BATCH: u32 = 2000;
+/// Number of requests per batch.
+const BATCH_SIZE: u32 = 2000;
 
-/// Batches; the fastest counts, since what else runs on the machine only makes one slower.
+/// Number of batches; the fastest one counts, since other load on the machine only slows batches down.
 const BATCHES: usize = 50;
 
-/// Workers of the pool.
+/// Number of workers in the pool.
 const WORKERS: u16 = 50;
 
-/// Further accounts of the larger site, each with a token that every request's is compared with.
+/// Number of additional accounts on the larger site; the token of each request is compared with theirs.
 const GUESTS: u32 = 300;
 
-/// A backend server that answers at once.
+/// A backend server that responds immediately.
 #[derive(Debug)]
-struct AtOnce;
+struct ImmediateBackend;
 
 #[async_trait]
-impl Backend for AtOnce {
+impl Backend for ImmediateBackend {
     async fn send(
         &self,
         _: SocketAddr,
@@ -65,7 +65,7 @@
     fn sweep(&self) {}
 }
 
-/// Counts as a whole entry does.
+/// Records the same metrics as a complete entry.
 #[derive(Debug)]
 struct Metered(Meter);
 
@@ -85,7 +85,7 @@
     }
 }
 
-fn stored<T: Serialize>(key: Arc<str>, value: T) -> Result<(Arc<str>, Arc<str>)> {
+fn stored_row<T: Serialize>(key: Arc<str>, value: T) -> Result<(Arc<str>, Arc<str>)> {
     let row = Versioned {
         version: Seq(1),
         value,
@@ -95,16 +95,16 @@
 
 fn snapshot(guests: u32) -> Result<Snapshot> {
     let account = OWNER.parse()?;
-    let mut own = owner(1, WORKERS.into());
-    own.pools[0].services[0].callers.clear();
-    let mut rows = vec![stored(key::account(&account), own)?];
+    let mut own_template = owner_template(1, WORKERS.into());
+    own_template.pools[0].services[0].callers.clear();
+    let mut rows = vec![stored_row(key::account(&account), own_template)?];
     for number in 0..guests {
         let name = format!("guest-{number}");
         let guest = Template {
             pools: Vec::new(),
             ..template(&name, 1, 1)
         };
-        rows.push(stored(key::account(&name.parse()?), guest)?);
+        rows.push(stored_row(key::account(&name.parse()?), guest)?);
     }
     for number in 0..WORKERS {
         let id: id::Instance = format!("stay-{number}").parse()?;
@@ -119,7 +119,7 @@
             maintained: None,
             id,
         };
-        rows.push(stored(key::instance(&row.id), &row)?);
+        rows.push(stored_row(key::instance(&row.id), &row)?);
     }
     Ok(Snapshot::from_rows(Seq(1), rows)?)
 }
@@ -130,13 +130,13 @@
     let entry: id::Entry = "entry-0".parse()?;
     let gates = Gates::open(entry.clone(), 1, Limits::default(), 1);
     gates.sync(&cell.current(), &[entry].into());
-    let table = Platform::open(1, primroseroute_testbed::platform::Options::default());
+    let platform = Platform::open(1, primroseroute_testbed::platform::Options::default());
     Ok(Path::open(Parts {
         cell,
         gates: Arc::new(gates),
-        backend: Arc::new(AtOnce),
+        backend: Arc::new(ImmediateBackend),
         claims: Claims::spawn(
-            Arc::new(table),
+            Arc::new(platform),
             Arc::new(time::SystemClock),
             ClaimOptions::default(),
             [7; 32],
@@ -156,32 +156,32 @@
     Ok(headers)
 }
 
-/// With one account and with many.
-pub async fn measure(_seed: u64) -> Result<Vec<Figure>> {
+/// Measures the request path with one account and with many.
+pub async fn measure(_seed: u64) -> Result<Vec<Measurement>> {
     let name = "path's own work for a read";
-    let (one, many) = (fastest(0).await?, fastest(GUESTS).await?);
+    let (one, many) = (fastest_batch(0).await?, fastest_batch(GUESTS).await?);
     Ok(vec![
-        Figure::new(name, "us", one),
-        Figure::new(format!("{name}, 300 more accounts"), "us", many),
+        Measurement::new(name, "us", one),
+        Measurement::new(format!("{name}, 300 more accounts"), "us", many),
     ])
 }
 
-/// Microseconds for one request in the fastest batch.
-async fn fastest(guests: u32) -> Result<f64> {
+/// Microseconds per request in the fastest batch.
+async fn fastest_batch(guests: u32) -> Result<f64> {
     let path = Arc::new(path(guests)?);
     let headers = headers()?;
     let uri = Uri::from_static("/stay/beds");
     let mut fastest = Duration::MAX;
     for _ in 0..BATCHES {
         let started = Instant::now();
-        for _ in 0..BATCH {
+        for _ in 0..BATCH_SIZE {
             let (headers, uri) = (headers.clone(), uri.clone());
-            let answer = path
+            let response = path
                 .serve(Method::GET, uri, headers, problem::full(""))
                 .await;
-            assert!(answer.status().is_success(), "{:?}", answer.headers());
+            assert!(response.status().is_success(), "{:?}", response.headers());
         }
-        fastest = fastest.min(started.elapsed() / BATCH);
+        fastest = fastest.min(started.elapsed() / BATCH_SIZE);
     }
     Ok(fastest.as_secs_f64() * 1e6)
 }
--- a/benches/request_path/main.rs
+++ b/benches/request_path/main.rs
@@ -1,34 +1,34 @@
 //! Measures the request path: `cargo bench --bench request_path`.
 //!
-//! Whole entries, workers' stand-ins and callers run in this process over sockets on loopback. All
-//! ratios come from one run; the command makes three and prints each with their median. The table
-//! goes to the standard output, the same figures as JSON to `target/request_path.json`.
-//! `docs/measurements.md` says how each figure is made. A name of a part as an argument, such as
-//! `path` or `overload`, runs only that part: `cargo bench --bench request_path -- path`.
+//! Complete entries, simulated workers and callers run in this process over loopback sockets. Each ratio
+//! comes from a single run; the command makes three runs and prints the value of each and the median.
+//! The table is written to standard output and the same results as JSON to `target/request_path.json`.
+//! `docs/measurements.md` describes how each value is measured. The name of a part as an argument, such
+//! as `path` or `overload`, runs only that part: `cargo bench --bench request_path -- path`.
 
-mod bed;
 mod change;
-mod figure;
+mod fixture;
 mod inner;
 mod overload;
 mod path;
+mod results;
 mod store;
 
 use eyre::Result;
-use figure::{Figure, Sheet};
+use results::{Measurement, Results};
 use std::{env, fs, pin::Pin};
 use tokio::runtime::{Builder, Runtime};
 
-/// Runs whose figures are shown beside each other.
+/// Number of runs, whose results are shown side by side.
 const RUNS: u64 = 3;
 
-/// Threads that callers, entries and workers share, both through an entry and direct.
+/// Threads shared by callers, entries and workers, for requests through an entry and direct ones alike.
 const THREADS: usize = 4;
 
-type Measured = Pin<Box<dyn Future<Output = Result<Vec<Figure>>>>>;
+type PartFuture = Pin<Box<dyn Future<Output = Result<Vec<Measurement>>>>>;
 
-/// A part of the benchmark: its name, and what measures it with a seed.
-type Part = (&'static str, fn(u64) -> Measured);
+/// A part of the benchmark: its name and the function that measures it with a seed.
+type Part = (&'static str, fn(u64) -> PartFuture);
 
 const PARTS: [Part; 5] = [
     ("inner", |seed| Box::pin(inner::measure(seed))),
@@ -50,21 +50,21 @@
         .skip(1)
         .filter(|a| !a.starts_with('-'))
         .collect();
-    let mut sheet = Sheet::open()?;
+    let mut results = Results::new()?;
     for run in 0..RUNS {
         for (name, measure) in PARTS {
             if !asked.is_empty() && !asked.iter().any(|part| part == name) {
                 continue;
             }
             eprintln!("run {} of {RUNS}: {name}", run + 1);
-            // A runtime of its own for each part: nothing of an earlier one runs on.
-            let figures = runtime()?.block_on(measure(run + 1))?;
-            sheet.add(figures);
+            // Each part gets its own runtime, so that no task of an earlier part keeps running.
+            let measurements = runtime()?.block_on(measure(run + 1))?;
+            results.add(measurements);
         }
     }
-    println!("{}", sheet.table());
+    println!("{}", results.table());
     let json = concat!(env!("CARGO_MANIFEST_DIR"), "/target/request_path.json");
-    fs::write(json, sheet.json()?)?;
+    fs::write(json, results.json()?)?;
     println!("The same as JSON: {json}");
     Ok(())
 }
--- a/benches/request_path/figure.rs
+++ b/benches/request_path/results.rs
@@ -1,47 +1,47 @@
-//! Figures, their goals, and the sheet that shows them.
+//! Measurements, their goals, and the table and JSON of all results.
 
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use eyre::Result;
 use serde::Serialize;
 use std::{fs, thread};
 
-/// What a figure should reach.
+/// The goal of a measurement.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Goal {
-    /// No more than this.
+    /// Not above this value.
     AtMost(f64),
-    /// No less than this.
+    /// Not below this value.
     AtLeast(f64),
 }
 
 impl Goal {
     fn is_met(self, value: f64) -> bool {
         match self {
-            Self::AtMost(most) => value <= most,
-            Self::AtLeast(least) => value >= least,
+            Self::AtMost(max) => value <= max,
+            Self::AtLeast(min) => value >= min,
         }
     }
 
     fn text(self) -> String {
         match self {
-            Self::AtMost(most) => format!("<= {most}"),
-            Self::AtLeast(least) => format!(">= {least}"),
+            Self::AtMost(max) => format!("<= {max}"),
+            Self::AtLeast(min) => format!(">= {min}"),
         }
     }
 }
 
-/// One measured figure.
+/// One measured value.
 #[derive(Clone, Debug, Serialize)]
-pub struct Figure {
+pub struct Measurement {
     name: String,
     unit: &'static str,
     goal: Option<Goal>,
     value: f64,
 }
 
-impl Figure {
-    /// A figure without a goal.
+impl Measurement {
+    /// A measurement without a goal.
     pub fn new(name: impl Into<String>, unit: &'static str, value: f64) -> Self {
         Self {
             name: name.into(),
@@ -51,8 +51,8 @@
         }
     }
 
-    /// The same with a goal.
-    pub fn with(self, goal: Goal) -> Self {
+    /// Sets the goal.
+    pub fn with_goal(self, goal: Goal) -> Self {
         Self {
             goal: Some(goal),
             ..self
@@ -60,7 +60,7 @@
     }
 }
 
-/// One figure over all runs.
+/// The values of one measurement over all runs.
 #[derive(Debug, Serialize)]
 struct Line {
     name: String,
@@ -106,18 +106,18 @@
     }
 }
 
-/// All figures of one call of the benchmark.
+/// All results of one invocation of the benchmark.
 #[derive(Debug, Serialize)]
-pub struct Sheet {
+pub struct Results {
     cores: usize,
-    /// The machine's load average over a minute, before the benchmark added to it.
+    /// The machine's one-minute load average before the benchmark started.
     load_before: String,
     lines: Vec<Line>,
 }
 
-impl Sheet {
-    /// An empty sheet.
-    pub fn open() -> Result<Self> {
+impl Results {
+    /// Creates an empty set of results.
+    pub fn new() -> Result<Self> {
         let load = fs::read_to_string("/proc/loadavg").unwrap_or_default();
         Ok(Self {
             cores: thread::available_parallelism()?.get(),
@@ -126,23 +126,26 @@
         })
     }
 
-    /// Adds the figures of one part of one run.
-    pub fn add(&mut self, figures: Vec<Figure>) {
-        for figure in figures {
-            let line = self.lines.iter_mut().find(|line| line.name == figure.name);
+    /// Adds the measurements of one part of one run.
+    pub fn add(&mut self, measurements: Vec<Measurement>) {
+        for measurement in measurements {
+            let line = self
+                .lines
+                .iter_mut()
+                .find(|line| line.name == measurement.name);
             match line {
-                Some(line) => line.values.push(figure.value),
+                Some(line) => line.values.push(measurement.value),
                 None => self.lines.push(Line {
-                    name: figure.name,
-                    unit: figure.unit,
-                    goal: figure.goal,
-                    values: vec![figure.value],
+                    name: measurement.name,
+                    unit: measurement.unit,
+                    goal: measurement.goal,
+                    values: vec![measurement.value],
                 }),
             }
         }
     }
 
-    /// The figures for people.
+    /// The results as a text table.
     pub fn table(&self) -> String {
         let mut table = Table::new();
         table
@@ -155,7 +158,7 @@
         format!("{cores} cores, load average {load} before the start\n\n{table}")
     }
 
-    /// The figures for programs.
+    /// The results as JSON.
     pub fn json(&self) -> Result<String> {
         Ok(serde_json::to_string_pretty(self)?)
     }
--- a/benches/request_path/store.rs
+++ b/benches/request_path/store.rs
@@ -1,8 +1,8 @@
-//! What the entries ask of the platform's table, at rest and for requests.
+//! Calls of the entries to the platform's table, when idle and for requests.
 
 use crate::{
-    bed::{Bed, Size, measured},
-    figure::Figure,
+    fixture::{Fixture, Size, run_plan},
+    results::Measurement,
 };
 use eyre::Result;
 use http::Method;
@@ -17,31 +17,31 @@
     delay: Duration::from_millis(10),
 };
 
-/// Time at rest that is counted: four looks at the roster.
-const REST: Duration = Duration::from_secs(20);
+/// Length of the idle measurement: four reads of the roster.
+const IDLE_PERIOD: Duration = Duration::from_secs(20);
 
-/// Reads that are counted: so many that what is asked for at rest meanwhile hardly counts.
+/// Number of measured reads, large enough to make the idle calls in the meantime negligible.
 const READS: u64 = 20_000;
 
-/// Keyed requests that are counted; the table takes 600 rows written a second.
+/// Number of measured keyed requests; the table accepts 600 written rows per second.
 const KEYED: u64 = 2000;
 
-/// Outcomes of claims are written after the answers; by then they all are.
-const SETTLED: Duration = Duration::from_secs(5);
+/// Time after which the outcomes of all claims have been written; they are written after the responses.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// Calls and rows.
+/// Numbers of calls to the table and of rows.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct TableCalls {
     reads: f64,
     rows_read: f64,
     writes: f64,
     rows_written: f64,
 }
 
-impl Asked {
-    /// What all callers of the platform have asked for so far.
-    fn so_far(bed: &Bed) -> Self {
-        let tally = bed.site.platform.tally();
+impl TableCalls {
+    /// The calls of all clients of the platform so far.
+    fn total(fixture: &Fixture) -> Self {
+        let tally = fixture.site.platform.tally();
         let (read, scan, commit) = (
             tally.of(Kind::Read),
             tally.of(Kind::Scan),
@@ -55,7 +55,7 @@
         }
     }
 
-    fn times(self, factor: f64) -> Self {
+    fn scaled(self, factor: f64) -> Self {
         Self {
             reads: self.reads * factor,
             rows_read: self.rows_read * factor,
@@ -64,17 +64,17 @@
         }
     }
 
-    fn figures(self, of: &str, unit: &'static str) -> Vec<Figure> {
+    fn measurements(self, of: &str, unit: &'static str) -> Vec<Measurement> {
         vec![
-            Figure::new(format!("store reads {of}"), unit, self.reads),
-            Figure::new(format!("store rows read {of}"), unit, self.rows_read),
-            Figure::new(format!("store writes {of}"), unit, self.writes),
-            Figure::new(format!("store rows written {of}"), unit, self.rows_written),
+            Measurement::new(format!("store reads {of}"), unit, self.reads),
+            Measurement::new(format!("store rows read {of}"), unit, self.rows_read),
+            Measurement::new(format!("store writes {of}"), unit, self.writes),
+            Measurement::new(format!("store rows written {of}"), unit, self.rows_written),
         ]
     }
 }
 
-impl Sub for Asked {
+impl Sub for TableCalls {
     type Output = Self;
 
     fn sub(self, rhs: Self) -> Self {
@@ -87,40 +87,40 @@
     }
 }
 
-/// At rest for each entry, and for a thousand requests without and with a key.
-pub async fn measure(seed: u64) -> Result<Vec<Figure>> {
-    let bed = Bed::open(SIZE, seed).await?;
-    let before = Asked::so_far(&bed);
-    sleep(REST).await;
-    let rest = (Asked::so_far(&bed) - before).times(1.0 / REST.as_secs_f64());
-    let each = rest.times(1.0 / SIZE.entries as f64);
-    let mut figures = each.figures("at rest, each of 7 entries", "1/s");
+/// Measures the calls per entry when idle, and per 1,000 requests without and with a key.
+pub async fn measure(seed: u64) -> Result<Vec<Measurement>> {
+    let fixture = Fixture::start(SIZE, seed).await?;
+    let before = TableCalls::total(&fixture);
+    sleep(IDLE_PERIOD).await;
+    let idle = (TableCalls::total(&fixture) - before).scaled(1.0 / IDLE_PERIOD.as_secs_f64());
+    let per_entry = idle.scaled(1.0 / SIZE.entries as f64);
+    let mut measurements = per_entry.measurements("at rest, each of 7 entries", "1/s");
     for (keyed, of) in [
         (false, "for 1,000 reads"),
         (true, "for 1,000 keyed requests"),
     ] {
-        let asked = requests(&bed, keyed, rest).await?;
-        figures.extend(asked.figures(of, "1/1,000"));
+        let calls = requests(&fixture, keyed, idle).await?;
+        measurements.extend(calls.measurements(of, "1/1,000"));
     }
-    Ok(figures)
+    Ok(measurements)
 }
 
-/// What a thousand requests ask for beyond what is asked for at rest in the same time.
-async fn requests(bed: &Bed, keyed: bool, rest: Asked) -> Result<Asked> {
+/// The calls per 1,000 requests beyond those made in the same time when idle.
+async fn requests(fixture: &Fixture, keyed: bool, idle: TableCalls) -> Result<TableCalls> {
     let mut plan = Plan {
         requests: if keyed { KEYED } else { READS },
         warm_up: Duration::ZERO,
         measured: Duration::from_secs(30),
-        ..bed.through(Loop::Closed { callers: 28 })
+        ..fixture.through_entries(Loop::Closed { callers: 28 })
     };
     for profile in &mut plan.mix {
         profile.keyed = keyed;
         profile.method = if keyed { Method::POST } else { Method::GET };
     }
-    let (before, started) = (Asked::so_far(bed), Instant::now());
-    let completed = measured(&plan).await?.total().completed;
-    sleep(SETTLED).await;
-    let asked = Asked::so_far(bed) - before;
-    let beyond = asked - rest.times(started.elapsed().as_secs_f64());
-    Ok(beyond.times(1000.0 / completed as f64))
+    let (before, started) = (TableCalls::total(fixture), Instant::now());
+    let completed = run_plan(&plan).await?.total().completed;
+    sleep(SETTLE_TIME).await;
+    let calls = TableCalls::total(fixture) - before;
+    let excess = calls - idle.scaled(started.elapsed().as_secs_f64());
+    Ok(excess.scaled(1000.0 / completed as f64))
 }
