--- a/crates/flow/benches/flow.rs
+++ b/crates/flow/benches/flow.rs
@@ -1,4 +1,4 @@
-//! Costs of the decisions: the choice of a worker, a request's whole way, reports and views.
+//! CPU cost of the pool's decisions: choosing a worker, handling a request, applying reports and views.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use primroseroute_domain::{account::Class, instance::State};
@@ -16,7 +16,7 @@
 const WORKERS: [usize; 4] = [50, 300, 1_200, 5_000];
 
 fn name<T: FromStr<Err: Debug>>(text: &str) -> T {
-    text.parse().expect("names of the bench are valid")
+    text.parse().expect("benchmark names are valid")
 }
 
 fn view(workers: usize, entries: usize) -> View {
@@ -34,8 +34,8 @@
     }
 }
 
-/// Chooses a worker and takes its slot; every slot is given back before the next round.
-fn choice(c: &mut Criterion) {
+/// Chooses a worker and occupies one of its slots, which is released before the next iteration.
+fn choose_worker(c: &mut Criterion) {
     let mut group = c.benchmark_group("choice");
     for workers in WORKERS {
         let mut set = Set::default();
@@ -50,7 +50,9 @@
                     idempotent: true,
                     tried: &[],
                 };
-                let index = set.choose(preferences, &mut random).expect("one is free");
+                let index = set
+                    .choose(preferences, &mut random)
+                    .expect("a slot is free");
                 set.change(index, |worker| worker.in_flight += 1);
                 set.change(index, |worker| worker.in_flight -= 1);
                 black_box(index)
@@ -59,7 +61,7 @@
     }
 }
 
-fn open(workers: usize) -> Pool {
+fn build_pool(workers: usize) -> Pool {
     let mut pool = Pool::new(name("e0"), 1, Limits::default(), 7);
     pool.apply_view(Duration::ZERO, &view(workers, 7));
     pool
@@ -76,16 +78,16 @@
     }
 }
 
-const GOOD: AttemptOutcome = AttemptOutcome::Responded {
+const SUCCESS: AttemptOutcome = AttemptOutcome::Responded {
     latency: Duration::from_millis(5),
     failure: false,
 };
 
-/// A request arrives and ends while a third of the slots are taken.
-fn turnover(c: &mut Criterion) {
+/// A request arrives and finishes while a third of the slots are in use.
+fn arrive_and_finish(c: &mut Criterion) {
     let mut group = c.benchmark_group("arrive-and-finish");
     for workers in WORKERS {
-        let mut pool = open(workers);
+        let mut pool = build_pool(workers);
         let mut request = 0;
         for _ in 0..workers / 3 {
             request += 1;
@@ -96,17 +98,17 @@
                 request += 1;
                 let now = Duration::from_micros(request);
                 black_box(pool.arrive(now, arrival(request, now)));
-                black_box(pool.finish(now, request, GOOD))
+                black_box(pool.finish(now, request, SUCCESS))
             });
         });
     }
 }
 
-/// A request arrives, waits, and is sent when another one ends.
-fn overload(c: &mut Criterion) {
+/// A request arrives and queues, and is sent when another one finishes.
+fn arrive_wait_finish(c: &mut Criterion) {
     let mut group = c.benchmark_group("arrive-wait-finish");
     for workers in WORKERS {
-        let mut pool = open(workers);
+        let mut pool = build_pool(workers);
         let mut request = 0;
         while pool.waiting() < 20 {
             request += 1;
@@ -119,17 +121,17 @@
                 oldest += 1;
                 let now = Duration::from_nanos(request);
                 black_box(pool.arrive(now, arrival(request, now)));
-                black_box(pool.finish(now, oldest, GOOD))
+                black_box(pool.finish(now, oldest, SUCCESS))
             });
         });
     }
 }
 
-/// A report of a peer is taken in and an own one is made.
-fn reports(c: &mut Criterion) {
+/// Applies a peer's report and makes an own one.
+fn exchange_reports(c: &mut Criterion) {
     let mut group = c.benchmark_group("peer-and-report");
     for workers in WORKERS {
-        let mut pool = open(workers);
+        let mut pool = build_pool(workers);
         let mut peer = Pool::new(name("e1"), 1, Limits::default(), 7);
         peer.apply_view(Duration::ZERO, &view(workers, 7));
         group.bench_function(workers.to_string(), |b| {
@@ -142,14 +144,18 @@
     }
 }
 
-/// A view in which one instance has changed.
-fn views(c: &mut Criterion) {
+/// Applies a view in which one instance has changed.
+fn apply_views(c: &mut Criterion) {
     let mut group = c.benchmark_group("sync");
     for workers in WORKERS {
-        let mut pool = open(workers);
+        let mut pool = build_pool(workers);
         let serving = view(workers, 7);
         let mut draining = serving.clone();
-        let first = draining.members.values_mut().next().expect("a member");
+        let first = draining
+            .members
+            .values_mut()
+            .next()
+            .expect("the view has members");
         first.state = State::Draining;
         group.bench_function(workers.to_string(), |b| {
             b.iter(|| {
@@ -160,5 +166,12 @@
     }
 }
 
-criterion_group!(benches, choice, turnover, overload, reports, views);
+criterion_group!(
+    benches,
+    choose_worker,
+    arrive_and_finish,
+    arrive_wait_finish,
+    exchange_reports,
+    apply_views
+);
 criterion_main!(benches);
--- a/crates/flow/benches/overload.rs
+++ b/crates/flow/benches/overload.rs
@@ -1,57 +1,62 @@
-//! Compares the ways to share the workers' slots; prints one table per fault.
+//! Compares strategies for sharing the workers' slots between entries; prints one table per scenario.
 
 mod sim;
 
-use sim::{Case, Way, flood, run, single};
+use sim::{Scenario, Strategy, flood, run, single};
 
 const LOADS: [f64; 4] = [0.5, 0.9, 1.2, 2.0];
-const WAYS: [Way; 4] = [Way::Lend, Way::Own, Way::LeastLoad, Way::Subset];
+const STRATEGIES: [Strategy; 4] = [
+    Strategy::Lend,
+    Strategy::Own,
+    Strategy::LeastLoad,
+    Strategy::Subset,
+];
 
-fn table(title: &str, case: &Case) {
+fn table(title: &str, scenario: &Scenario) {
     println!("\n{title}");
     println!(
         "| way | load | goodput | least fair part | of what can be reached | overruns | wait p99 | drawn by worker 0 | rights | reports/s |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|");
     let only = std::env::args().nth(1).filter(|arg| arg == "lend");
-    let ways = if only.is_some() {
-        &WAYS[..1]
+    let strategies = if only.is_some() {
+        &STRATEGIES[..1]
     } else {
-        &WAYS[..]
+        &STRATEGIES[..]
     };
-    for &way in ways {
+    for &strategy in strategies {
         for load in LOADS {
-            let outcome = run(&Case {
-                way,
+            let outcome = run(&Scenario {
+                strategy,
                 load,
-                ..case.clone()
+                ..scenario.clone()
             });
             println!(
-                "| {way:?} | {load} | {:.1}% | {:.1}% | {:.1}% | {:.2}% | {} ms | {:.2}% | {} | {:.2} |",
+                "| {strategy:?} | {load} | {:.1}% | {:.1}% | {:.1}% | {:.2}% | {} ms | {:.2}% | {} | {:.2} |",
                 outcome.goodput * 100.0,
                 outcome.fairness * 100.0,
                 outcome.reachable * 100.0,
                 outcome.overruns * 100.0,
                 outcome.wait.as_millis(),
-                outcome.drawn * 100.0,
-                outcome.most_rights,
+                outcome.failing_worker_share * 100.0,
+                outcome.max_quota_sum,
                 outcome.reports,
             );
         }
     }
 }
 
-/// How far the library's figures move from seed to seed.
-fn seeds(title: &str, case: &Case) {
+/// Prints the results of the library's strategy for several seeds, to show their spread.
+fn seed_table(title: &str, scenario: &Scenario) {
     println!("\n{title}, lend, five seeds");
     println!("| load | seed | goodput | least fair part | of what can be reached | overruns |");
     println!("|---|---|---|---|---|---|");
     for load in LOADS {
         for seed in 1..=5 {
-            let outcome = run(&Case {
+            let outcome = run(&Scenario {
                 load,
                 seed,
-                ..case.clone()
+                ..scenario.clone()
             });
             println!(
                 "| {load} | {seed} | {:.1}% | {:.1}% | {:.1}% | {:.2}% |",
@@ -65,41 +70,41 @@
 }
 
 fn main() {
-    let plain = Case::default();
-    let hot = Case {
+    let plain = Scenario::default();
+    let hot = Scenario {
         hot: 0.7,
         ..plain.clone()
     };
-    let slow = Case {
+    let slow = Scenario {
         slow: true,
         ..plain.clone()
     };
-    let failing = Case {
+    let failing = Scenario {
         failing: true,
         ..plain.clone()
     };
-    let flood = Case {
+    let flood = Scenario {
         accounts: flood(),
         ..hot.clone()
     };
-    let single = Case {
+    let single = Scenario {
         accounts: single(),
         ..plain.clone()
     };
-    let small = Case {
+    let small = Scenario {
         workers: 8,
         ..plain.clone()
     };
-    let small_hot = Case {
+    let small_hot = Scenario {
         workers: 8,
         ..hot.clone()
     };
-    let many = Case {
+    let many = Scenario {
         entries: 28,
         hot: 1.0 / 28.0,
         ..plain.clone()
     };
-    let many_small = Case {
+    let many_small = Scenario {
         workers: 8,
         ..many.clone()
     };
@@ -119,6 +124,6 @@
     table("8 workers, 70% of the callers at one entry", &small_hot);
     table("28 entries", &many);
     table("28 entries, 8 workers", &many_small);
-    seeds("callers spread evenly", &plain);
-    seeds("70% of the callers at one entry", &hot);
+    seed_table("callers spread evenly", &plain);
+    seed_table("70% of the callers at one entry", &hot);
 }
--- a/crates/flow/benches/sim/mod.rs
+++ b/crates/flow/benches/sim/mod.rs
@@ -1,11 +1,11 @@
-//! A small deterministic simulation: several entries' decisions over one set of fake workers.
+//! A small deterministic simulation of several entries that share one set of simulated workers.
 //!
-//! A fake worker runs 8 requests at once and queues what comes beyond that, which is the overrun
-//! that is counted. An entry's requests take a millisecond each way; reports take five.
+//! A simulated worker runs 8 requests at once and queues further ones, which are counted as overruns. The
+//! network latency between an entry and a worker is 1 ms each way; reports take 5 ms.
 
 mod run;
 mod score;
-mod way;
+mod strategy;
 
 pub use run::run;
 
@@ -13,59 +13,59 @@
 use primroseroute_flow::view::{Member, View};
 use std::{collections::BTreeMap, fmt::Debug, str::FromStr, time::Duration};
 
-/// How entries share the workers' slots.
+/// How entries share the workers' slots. Variant names are printed in the tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// The library's: slots are owned and lent.
+pub enum Strategy {
+    /// The library's strategy: slots are owned and lent.
     Lend,
-    /// Slots are owned and never lent: reports are not delivered.
+    /// Slots are owned and never lent: reports aren't delivered.
     Own,
-    /// The least loaded worker by the peers' last reports.
+    /// The worker with the lowest load according to the peers' last reports.
     LeastLoad,
-    /// Each worker belongs to one entry.
+    /// Each worker is used by a single entry.
     Subset,
 }
 
-/// What one account's callers send.
+/// The load of one account's callers.
 #[derive(Clone, Debug)]
 pub struct Account {
     pub name: &'static str,
     pub share: u32,
-    /// Part of the whole load.
-    pub part: f64,
-    /// The one entry that its callers come to; none where they are spread as the case says.
-    pub home: Option<usize>,
+    /// Fraction of the total load.
+    pub load_fraction: f64,
+    /// The entry that all of its callers use; `None` if they are spread as the scenario defines.
+    pub fixed_entry: Option<usize>,
     pub class: Class,
 }
 
-/// One case to run.
+/// A scenario to simulate.
 #[derive(Clone, Debug)]
-pub struct Case {
-    pub way: Way,
+pub struct Scenario {
+    pub strategy: Strategy,
     pub workers: usize,
     pub entries: usize,
     /// Offered load as a multiple of capacity.
     pub load: f64,
-    /// Part of the callers that come to the first entry.
+    /// Fraction of the callers at the first entry.
     pub hot: f64,
     pub accounts: Vec<Account>,
-    /// The first worker takes ten times as long.
+    /// The first worker is ten times slower.
     pub slow: bool,
-    /// The first worker fails everything at once from the start of the measurement on.
+    /// The first worker immediately fails every request from the start of the measurement on.
     pub failing: bool,
-    /// Mean service time; service times are exponential.
+    /// Mean of the exponentially distributed service time.
     pub service: Duration,
-    pub patience: Duration,
-    pub report_every: Duration,
+    pub request_timeout: Duration,
+    pub report_interval: Duration,
     pub warm_up: Duration,
     pub measured: Duration,
     pub seed: u64,
 }
 
-impl Default for Case {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
-            way: Way::Lend,
+            strategy: Strategy::Lend,
             workers: 50,
             entries: 7,
             load: 1.2,
@@ -74,8 +74,8 @@
             slow: false,
             failing: false,
             service: Duration::from_millis(50),
-            patience: Duration::from_secs(1),
-            report_every: Duration::from_millis(200),
+            request_timeout: Duration::from_secs(1),
+            report_interval: Duration::from_millis(200),
             warm_up: Duration::from_secs(5),
             measured: Duration::from_secs(20),
             seed: 1,
@@ -83,13 +83,13 @@
     }
 }
 
-/// Four accounts of equal load and unequal shares.
+/// Four accounts with equal load and unequal shares.
 pub fn even() -> Vec<Account> {
     let account = |name, share| Account {
         name,
         share,
-        part: 0.25,
-        home: None,
+        load_fraction: 0.25,
+        fixed_entry: None,
         class: Class::Urgent,
     };
     vec![
@@ -100,13 +100,13 @@
     ]
 }
 
-/// One account that sends most of the load, and two small ones of the same share.
+/// One account that sends most of the load, and two with less load and the same share.
 pub fn flood() -> Vec<Account> {
-    let account = |name, part| Account {
+    let account = |name, load_fraction| Account {
         name,
         share: 1,
-        part,
-        home: None,
+        load_fraction,
+        fixed_entry: None,
         class: Class::Urgent,
     };
     vec![account("flood", 0.6), account("b", 0.2), account("c", 0.2)]
@@ -117,40 +117,40 @@
     let mut accounts = flood();
     accounts.truncate(2);
     for account in &mut accounts {
-        account.part = 0.5;
+        account.load_fraction = 0.5;
     }
-    accounts[0].home = Some(0);
+    accounts[0].fixed_entry = Some(0);
     accounts
 }
 
-/// What came of a case, over requests that arrived while it was measured.
+/// Results of a scenario, over the requests that arrived in the measurement period.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Good answers in time over what capacity and load allow.
+    /// Successful responses in time, relative to the maximum that capacity and load allow.
     pub goodput: f64,
-    /// The least of the accounts' good answers over their fair part of the capacity.
+    /// The minimum over the accounts of successful responses relative to the fair allocation of the capacity.
     pub fairness: f64,
-    /// The same over the fair part of what can be reached: a slot stands empty for a millisecond
-    /// each way between two requests, since no entry can know sooner that it is free.
+    /// The same relative to the fair allocation of the reachable capacity: between two requests a slot is
+    /// idle for a millisecond each way, since no entry can know earlier that it is free.
     pub reachable: f64,
-    /// Reports that an entry makes in a second.
+    /// Reports per second and entry.
     pub reports: f64,
-    /// Part of the requests that started when the worker already ran 8.
+    /// Fraction of the requests that reached a worker that already ran 8.
     pub overruns: f64,
-    /// Wait for a slot, at entry and worker, at the 99th percentile.
+    /// 99th percentile of the wait for a slot, at entry and worker.
     pub wait: Duration,
-    /// Part of the requests that the failing worker got from 5 s after it began.
-    pub drawn: f64,
-    /// Most slots of one worker that all entries together thought theirs.
-    pub most_rights: u32,
-    /// Good answers by account.
-    pub good: BTreeMap<&'static str, u64>,
-    /// Refusals by code.
-    pub refused: BTreeMap<u16, u64>,
+    /// Fraction of the requests that reached the first worker, from 5 s after the measurement starts.
+    pub failing_worker_share: f64,
+    /// Maximum over the workers of the sum of all entries' quotas.
+    pub max_quota_sum: u32,
+    /// Successful responses by account.
+    pub successes: BTreeMap<&'static str, u64>,
+    /// Rejected requests by result code.
+    pub rejections: BTreeMap<u16, u64>,
 }
 
 pub fn name<T: FromStr<Err: Debug>>(text: &str) -> T {
-    text.parse().expect("names of the simulation are valid")
+    text.parse().expect("simulation names are valid")
 }
 
 fn worker(at: usize) -> id::Instance {
@@ -161,8 +161,8 @@
     name(&format!("e{at}"))
 }
 
-/// The view that all entries share.
-pub fn view(case: &Case) -> View {
+/// The view of all entries.
+pub fn view(scenario: &Scenario) -> View {
     let member = |at: usize| Member {
         state: State::Serving,
         zone: name(&format!("zone-{}", at / 4 % 3)),
@@ -170,10 +170,10 @@
     };
     let share = |account: &Account| (name(account.name), account.share);
     View {
-        members: (0..case.workers)
+        members: (0..scenario.workers)
             .map(|at| (worker(at), member(at)))
             .collect(),
-        entries: (0..case.entries).map(entry).collect(),
-        shares: case.accounts.iter().map(share).collect(),
+        entries: (0..scenario.entries).map(entry).collect(),
+        shares: scenario.accounts.iter().map(share).collect(),
     }
 }
--- a/crates/flow/benches/sim/run.rs
+++ b/crates/flow/benches/sim/run.rs
@@ -1,8 +1,8 @@
-//! The event loop.
+//! The simulation's event loop.
 
 use super::{
-    Account, Case, Outcome, Way, name, score,
-    way::{Node, Note, open},
+    Account, Outcome, Scenario, Strategy, name, score,
+    strategy::{Node, PeerMessage, build_node},
     worker,
 };
 use primroseroute_domain::{id, instance::SLOTS};
@@ -15,7 +15,7 @@
     time::Duration,
 };
 
-const NETWORK: Duration = Duration::from_millis(1);
+const NETWORK_LATENCY: Duration = Duration::from_millis(1);
 const REPORT_DELAY: Duration = Duration::from_millis(5);
 const FAST_FAILURE: Duration = Duration::from_micros(100);
 
@@ -46,76 +46,79 @@
     queue: VecDeque<u64>,
 }
 
-struct World<'a> {
-    case: &'a Case,
+struct Simulation<'a> {
+    scenario: &'a Scenario,
     now: Duration,
-    order: u64,
+    next_seq: u64,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     random: ChaCha8Rng,
     nodes: Vec<Box<dyn Node>>,
     ticks: Vec<Option<Duration>>,
-    notes: BTreeMap<usize, VecDeque<Note>>,
+    messages: BTreeMap<usize, VecDeque<PeerMessage>>,
     names: BTreeMap<id::Instance, usize>,
     workers: Vec<Worker>,
     requests: BTreeMap<u64, Request>,
-    next: u64,
+    next_request: u64,
     waits: Vec<Duration>,
     started: u64,
     overruns: u64,
     reports: u64,
-    drawn: (u64, u64),
+    failing_worker_requests: (u64, u64),
     offered: BTreeMap<&'static str, u64>,
     outcome: Outcome,
 }
 
-/// Runs a case to its end.
-pub fn run(case: &Case) -> Outcome {
-    let mut world = World::open(case);
-    let end = case.warm_up + case.measured + case.patience;
-    while let Some(Reverse((at, _, event))) = world.events.pop().filter(|next| next.0.0 <= end) {
-        world.now = at;
-        world.step(event);
+/// Simulates a scenario until the last measured request has ended.
+pub fn run(scenario: &Scenario) -> Outcome {
+    let mut simulation = Simulation::new(scenario);
+    let end = scenario.warm_up + scenario.measured + scenario.request_timeout;
+    while let Some(Reverse((at, _, event))) = simulation.events.pop().filter(|next| next.0.0 <= end)
+    {
+        simulation.now = at;
+        simulation.handle(event);
     }
-    world.close()
+    simulation.into_outcome()
 }
 
-impl<'a> World<'a> {
-    fn open(case: &'a Case) -> Self {
-        let mut world = Self {
-            case,
+impl<'a> Simulation<'a> {
+    fn new(scenario: &'a Scenario) -> Self {
+        let mut simulation = Self {
+            scenario,
             now: Duration::ZERO,
-            order: 0,
+            next_seq: 0,
             events: BinaryHeap::new(),
-            random: ChaCha8Rng::seed_from_u64(case.seed),
-            nodes: (0..case.entries).map(|at| open(case, at)).collect(),
-            ticks: vec![None; case.entries],
-            notes: BTreeMap::new(),
-            names: (0..case.workers).map(|at| (worker(at), at)).collect(),
-            workers: (0..case.workers).map(|_| Worker::default()).collect(),
+            random: ChaCha8Rng::seed_from_u64(scenario.seed),
+            nodes: (0..scenario.entries)
+                .map(|at| build_node(scenario, at))
+                .collect(),
+            ticks: vec![None; scenario.entries],
+            messages: BTreeMap::new(),
+            names: (0..scenario.workers).map(|at| (worker(at), at)).collect(),
+            workers: (0..scenario.workers).map(|_| Worker::default()).collect(),
             requests: BTreeMap::new(),
-            next: 0,
+            next_request: 0,
             waits: Vec::new(),
             started: 0,
             overruns: 0,
             reports: 0,
-            drawn: (0, 0),
+            failing_worker_requests: (0, 0),
             offered: BTreeMap::new(),
             outcome: Outcome::default(),
         };
-        world.after(Duration::ZERO, Event::Arrive);
-        for entry in 0..case.entries {
-            let offset = case
-                .report_every
-                .mul_f64(entry as f64 / case.entries as f64);
-            world.after(offset, Event::Report(entry));
+        simulation.after(Duration::ZERO, Event::Arrive);
+        for entry in 0..scenario.entries {
+            let offset = scenario
+                .report_interval
+                .mul_f64(entry as f64 / scenario.entries as f64);
+            simulation.after(offset, Event::Report(entry));
         }
-        world
+        simulation
     }
 
     fn after(&mut self, delay: Duration, event: Event) {
-        self.order += 1;
+        self.next_seq += 1;
         self.events
-            .push(Reverse((self.now + delay, self.order, event)));
+            .push(Reverse((self.now + delay, self.next_seq, event)));
     }
 
     fn exponential(&mut self, mean: f64) -> Duration {
@@ -124,10 +127,10 @@
     }
 
     fn is_measured(&self, at: Duration) -> bool {
-        (self.case.warm_up..self.case.warm_up + self.case.measured).contains(&at)
+        (self.scenario.warm_up..self.scenario.warm_up + self.scenario.measured).contains(&at)
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive => self.arrive(),
             Event::Reach(request) => self.reach(request),
@@ -141,16 +144,16 @@
     }
 
     fn arrive(&mut self) {
-        let gap = self.exponential(1.0 / (score::capacity(self.case) * self.case.load));
+        let gap = self.exponential(1.0 / (score::capacity(self.scenario) * self.scenario.load));
         self.after(gap, Event::Arrive);
-        let account = self.draw_account();
-        let home = self.case.accounts[account].home;
-        let entry = home.unwrap_or_else(|| self.draw_entry());
-        let request = self.next;
-        self.next += 1;
+        let account = self.random_account();
+        let fixed_entry = self.scenario.accounts[account].fixed_entry;
+        let entry = fixed_entry.unwrap_or_else(|| self.random_entry());
+        let request = self.next_request;
+        self.next_request += 1;
         let Account {
             name: text, class, ..
-        } = self.case.accounts[account];
+        } = self.scenario.accounts[account];
         if self.is_measured(self.now) {
             *self.offered.entry(text).or_default() += 1;
         }
@@ -159,7 +162,7 @@
             account: name(text),
             service: name("stay"),
             class,
-            deadline: self.now + self.case.patience,
+            deadline: self.now + self.scenario.request_timeout,
             idempotent: false,
         };
         let known = Request {
@@ -172,20 +175,20 @@
         };
         self.requests.insert(request, known);
         let actions = self.nodes[entry].arrive(self.now, arrival);
-        self.carry_out(entry, actions);
+        self.execute(entry, actions);
     }
 
-    fn draw_entry(&mut self) -> usize {
-        if self.case.entries == 1 || self.random.random::<f64>() < self.case.hot {
+    fn random_entry(&mut self) -> usize {
+        if self.scenario.entries == 1 || self.random.random::<f64>() < self.scenario.hot {
             return 0;
         }
-        self.random.random_range(1..self.case.entries)
+        self.random.random_range(1..self.scenario.entries)
     }
 
-    fn draw_account(&mut self) -> usize {
+    fn random_account(&mut self) -> usize {
         let mut at: f64 = self.random.random();
-        for (index, account) in self.case.accounts.iter().enumerate() {
-            at -= account.part;
+        for (index, account) in self.scenario.accounts.iter().enumerate() {
+            at -= account.load_fraction;
             if at < 0.0 {
                 return index;
             }
@@ -193,7 +196,7 @@
         0
     }
 
-    fn carry_out(&mut self, entry: usize, actions: Vec<Action>) {
+    fn execute(&mut self, entry: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send {
@@ -202,16 +205,22 @@
                     not_after,
                     ..
                 } => {
-                    let known = self.requests.get_mut(&request).expect("it is at the entry");
+                    let known = self
+                        .requests
+                        .get_mut(&request)
+                        .expect("request is at the entry");
                     known.worker = self.names[&instance];
                     known.sent = self.now;
-                    self.after(NETWORK, Event::Reach(request));
+                    self.after(NETWORK_LATENCY, Event::Reach(request));
                     self.after(not_after.saturating_sub(self.now), Event::Deadline(request));
                 }
                 Action::Refuse { request, code, .. } => {
-                    let known = self.requests.remove(&request).expect("it is at the entry");
+                    let known = self
+                        .requests
+                        .remove(&request)
+                        .expect("request is at the entry");
                     if self.is_measured(known.arrived) {
-                        *self.outcome.refused.entry(code.number()).or_default() += 1;
+                        *self.outcome.rejections.entry(code.number()).or_default() += 1;
                     }
                 }
             }
@@ -233,19 +242,19 @@
         if self.ticks[entry].is_some_and(|due| due <= self.now) {
             self.ticks[entry] = None;
             let actions = self.nodes[entry].tick(self.now);
-            self.carry_out(entry, actions);
+            self.execute(entry, actions);
         }
     }
 
     fn reach(&mut self, request: u64) {
         let worker = self.requests[&request].worker;
-        let fails = self.case.failing && worker == 0 && self.now >= self.case.warm_up;
-        if self.now >= self.case.warm_up + Duration::from_secs(5) {
-            self.drawn.0 += u64::from(worker == 0);
-            self.drawn.1 += 1;
+        let fails = self.scenario.failing && worker == 0 && self.now >= self.scenario.warm_up;
+        if self.now >= self.scenario.warm_up + Duration::from_secs(5) {
+            self.failing_worker_requests.0 += u64::from(worker == 0);
+            self.failing_worker_requests.1 += 1;
         }
         if fails {
-            self.after(FAST_FAILURE + NETWORK, Event::Answer(request, true));
+            self.after(FAST_FAILURE + NETWORK_LATENCY, Event::Answer(request, true));
             return;
         }
         self.started += 1;
@@ -259,14 +268,14 @@
 
     fn start(&mut self, worker: usize, request: u64) {
         self.workers[worker].running += 1;
-        let slowness = if self.case.slow && worker == 0 {
-            f64::from(score::SLOWNESS)
+        let slowdown = if self.scenario.slow && worker == 0 {
+            f64::from(score::SLOWDOWN)
         } else {
             1.0
         };
-        let service = self.exponential(self.case.service.as_secs_f64() * slowness);
+        let service = self.exponential(self.scenario.service.as_secs_f64() * slowdown);
         let known = self.requests.get(&request);
-        if let Some(known) = known.filter(|_| self.now > self.case.warm_up) {
+        if let Some(known) = known.filter(|_| self.now > self.scenario.warm_up) {
             self.waits.push(self.now.saturating_sub(known.arrived));
         }
         self.after(service, Event::Done(worker, request));
@@ -277,7 +286,7 @@
         if let Some(next) = self.workers[worker].queue.pop_front() {
             self.start(worker, next);
         }
-        self.after(NETWORK, Event::Answer(request, false));
+        self.after(NETWORK_LATENCY, Event::Answer(request, false));
     }
 
     fn answer(&mut self, number: u64, failure: bool) {
@@ -290,15 +299,15 @@
         };
         let latency = self.now.saturating_sub(request.sent);
         if !failure && self.is_measured(request.arrived) {
-            let account = self.case.accounts[request.account].name;
-            *self.outcome.good.entry(account).or_default() += 1;
+            let account = self.scenario.accounts[request.account].name;
+            *self.outcome.successes.entry(account).or_default() += 1;
         }
-        let ending = AttemptOutcome::Responded { latency, failure };
-        let actions = self.nodes[request.entry].finish(self.now, number, ending);
-        self.carry_out(request.entry, actions);
+        let outcome = AttemptOutcome::Responded { latency, failure };
+        let actions = self.nodes[request.entry].finish(self.now, number, outcome);
+        self.execute(request.entry, actions);
     }
 
-    /// The entry gives up; the worker goes on with what it has.
+    /// The entry abandons the request at its deadline; the worker continues to execute it.
     fn deadline(&mut self, number: u64) {
         let Some(request) = self
             .requests
@@ -313,51 +322,56 @@
         actions.retain(
             |action| !matches!(action, Action::Refuse { request, .. } if *request == number),
         );
-        self.carry_out(entry, actions);
+        self.execute(entry, actions);
     }
 
     fn report(&mut self, entry: usize) {
-        self.after(self.case.report_every, Event::Report(entry));
-        let note = self.nodes[entry].note(self.now);
-        if let Some(note) = note.filter(|_| self.case.way != Way::Own) {
+        self.after(self.scenario.report_interval, Event::Report(entry));
+        let message = self.nodes[entry].make_report(self.now);
+        if let Some(message) = message.filter(|_| self.scenario.strategy != Strategy::Own) {
             self.reports += 1;
-            self.notes.entry(entry).or_default().push_back(note);
+            self.messages.entry(entry).or_default().push_back(message);
             self.after(REPORT_DELAY, Event::Deliver(entry));
         }
-        self.check_rights();
+        self.update_max_quota_sum();
     }
 
     fn deliver(&mut self, from: usize) {
-        let notes = self.notes.get_mut(&from).expect("it was sent");
-        let note = notes.pop_front().expect("it was sent");
-        for entry in (0..self.case.entries).filter(|entry| *entry != from) {
-            let actions = self.nodes[entry].take(self.now, &note);
-            self.carry_out(entry, actions);
+        let messages = self.messages.get_mut(&from).expect("message was sent");
+        let message = messages.pop_front().expect("message was sent");
+        for entry in (0..self.scenario.entries).filter(|entry| *entry != from) {
+            let actions = self.nodes[entry].apply(self.now, &message);
+            self.execute(entry, actions);
         }
-        self.check_rights();
+        self.update_max_quota_sum();
     }
 
-    fn check_rights(&mut self) {
+    fn update_max_quota_sum(&mut self) {
         for instance in self.names.keys() {
             let quota = self.nodes.iter().map(|node| node.quota(instance)).sum();
-            self.outcome.most_rights = self.outcome.most_rights.max(quota);
+            self.outcome.max_quota_sum = self.outcome.max_quota_sum.max(quota);
         }
     }
 
-    fn close(mut self) -> Outcome {
-        let reach =
-            self.case.service.as_secs_f64() / (self.case.service + 2 * NETWORK).as_secs_f64();
-        let good: u64 = self.outcome.good.values().sum();
-        let whole: f64 = score::fair(self.case, &self.offered, 1.0).values().sum();
-        self.outcome.goodput = good as f64 / whole;
-        let fair = score::fair(self.case, &self.offered, 1.0);
-        self.outcome.fairness = score::least(&self.outcome.good, &fair);
-        let fair = score::fair(self.case, &self.offered, reach);
-        self.outcome.reachable = score::least(&self.outcome.good, &fair);
+    fn into_outcome(mut self) -> Outcome {
+        let reachable = self.scenario.service.as_secs_f64()
+            / (self.scenario.service + 2 * NETWORK_LATENCY).as_secs_f64();
+        let successes: u64 = self.outcome.successes.values().sum();
+        let achievable: f64 = score::fair_allocation(self.scenario, &self.offered, 1.0)
+            .values()
+            .sum();
+        self.outcome.goodput = successes as f64 / achievable;
+        let fair = score::fair_allocation(self.scenario, &self.offered, 1.0);
+        self.outcome.fairness = score::min_fulfilment(&self.outcome.successes, &fair);
+        let fair = score::fair_allocation(self.scenario, &self.offered, reachable);
+        self.outcome.reachable = score::min_fulfilment(&self.outcome.successes, &fair);
         self.outcome.overruns = self.overruns as f64 / self.started as f64;
-        self.outcome.drawn = self.drawn.0 as f64 / self.drawn.1.max(1) as f64;
-        let seconds = (self.case.warm_up + self.case.measured + self.case.patience).as_secs_f64();
-        self.outcome.reports = self.reports as f64 / seconds / self.case.entries as f64;
+        self.outcome.failing_worker_share =
+            self.failing_worker_requests.0 as f64 / self.failing_worker_requests.1.max(1) as f64;
+        let seconds =
+            (self.scenario.warm_up + self.scenario.measured + self.scenario.request_timeout)
+                .as_secs_f64();
+        self.outcome.reports = self.reports as f64 / seconds / self.scenario.entries as f64;
         self.waits.sort_unstable();
         let at = self.waits.len().saturating_sub(1) * 99 / 100;
         self.outcome.wait = self.waits.get(at).copied().unwrap_or_default();
--- a/crates/flow/benches/sim/score.rs
+++ b/crates/flow/benches/sim/score.rs
@@ -1,40 +1,44 @@
-//! What a case could have come to.
+//! Capacity and fair allocation of a scenario, as the reference for its results.
 
-use super::{Account, Case, name};
+use super::{Account, Scenario, name};
 use primroseroute_domain::instance::SLOTS;
 use primroseroute_flow::quota::allocation::{Demand, max_min};
 use std::collections::BTreeMap;
 
-/// Times as long as the others that the slow worker takes.
-pub const SLOWNESS: u32 = 10;
+/// Factor by which the slow worker's service time is longer.
+pub const SLOWDOWN: u32 = 10;
 
-/// Requests a second that the workers can answer.
-pub fn capacity(case: &Case) -> f64 {
-    let lost = if case.failing { 1.0 } else { 0.0 };
-    let slowed = if case.slow {
-        1.0 - 1.0 / f64::from(SLOWNESS)
+/// Requests per second that the workers can execute.
+pub fn capacity(scenario: &Scenario) -> f64 {
+    let failed_workers = if scenario.failing { 1.0 } else { 0.0 };
+    let slow_worker_loss = if scenario.slow {
+        1.0 - 1.0 / f64::from(SLOWDOWN)
     } else {
         0.0
     };
-    let workers = case.workers as f64 - lost - slowed;
-    workers * f64::from(SLOTS) / case.service.as_secs_f64()
+    let workers = scenario.workers as f64 - failed_workers - slow_worker_loss;
+    workers * f64::from(SLOTS) / scenario.service.as_secs_f64()
 }
 
-/// Good answers that each account should get of `part` of the capacity.
-pub fn fair(case: &Case, offered: &BTreeMap<&'static str, u64>, part: f64) -> Demand {
-    let capacity = capacity(case) * case.measured.as_secs_f64() * part;
+/// The fair number of successful responses per account if only the fraction `fraction` of the capacity is usable.
+pub fn fair_allocation(
+    scenario: &Scenario,
+    offered: &BTreeMap<&'static str, u64>,
+    fraction: f64,
+) -> Demand {
+    let capacity = capacity(scenario) * scenario.measured.as_secs_f64() * fraction;
     let offered = offered.iter();
     let demand = offered.map(|(text, count)| (name(text), *count as f64));
     let share = |account: &Account| (name(account.name), f64::from(account.share));
-    let weights = case.accounts.iter().map(share).collect();
+    let weights = scenario.accounts.iter().map(share).collect();
     max_min(capacity, &weights, &demand.collect())
 }
 
-/// The least part of what it should get that any account has got.
-pub fn least(good: &BTreeMap<&'static str, u64>, fair: &Demand) -> f64 {
-    let good = |account: &str| good.get(account).copied().unwrap_or(0) as f64;
+/// The minimum over the accounts of successful responses relative to the fair allocation.
+pub fn min_fulfilment(successes: &BTreeMap<&'static str, u64>, fair: &Demand) -> f64 {
+    let successes = |account: &str| successes.get(account).copied().unwrap_or(0) as f64;
     let ratios = fair
         .iter()
-        .map(|(account, fair)| good(account.as_str()) / fair);
+        .map(|(account, fair)| successes(account.as_str()) / fair);
     ratios.fold(f64::INFINITY, f64::min)
 }
--- a/crates/flow/benches/sim/way.rs
+++ b/crates/flow/benches/sim/strategy.rs
@@ -1,6 +1,6 @@
-//! One simulated entry: the library's pool, or one of the ways that it was weighed against.
+//! One simulated entry: the library's pool, or one of the strategies that it is compared with.
 
-use super::{Case, Way, entry, view, worker};
+use super::{Scenario, Strategy, entry, view, worker};
 use primroseroute_domain::{id, instance::SLOTS, outcome::Code};
 use primroseroute_flow::{
     estimate::ServiceTimes,
@@ -18,32 +18,32 @@
     time::Duration,
 };
 
-/// What an entry tells its peers.
+/// A message from an entry to its peers.
 #[derive(Clone, Debug)]
-pub enum Note {
+pub enum PeerMessage {
     Report(Report),
     Load(usize, BTreeMap<id::Instance, u32>),
 }
 
 pub trait Node {
     fn arrive(&mut self, now: Duration, arrival: Arrival) -> Vec<Action>;
-    fn finish(&mut self, now: Duration, request: u64, ending: AttemptOutcome) -> Vec<Action>;
+    fn finish(&mut self, now: Duration, request: u64, outcome: AttemptOutcome) -> Vec<Action>;
     fn tick(&mut self, now: Duration) -> Vec<Action>;
     fn next_tick(&self) -> Option<Duration>;
-    fn note(&mut self, now: Duration) -> Option<Note>;
-    fn take(&mut self, now: Duration, note: &Note) -> Vec<Action>;
+    fn make_report(&mut self, now: Duration) -> Option<PeerMessage>;
+    fn apply(&mut self, now: Duration, message: &PeerMessage) -> Vec<Action>;
     fn quota(&self, instance: &id::Instance) -> u32;
 }
 
-pub fn open(case: &Case, at: usize) -> Box<dyn Node> {
-    let seed = case.seed * 1_000 + at as u64;
-    match case.way {
-        Way::Lend | Way::Own => {
+pub fn build_node(scenario: &Scenario, at: usize) -> Box<dyn Node> {
+    let seed = scenario.seed * 1_000 + at as u64;
+    match scenario.strategy {
+        Strategy::Lend | Strategy::Own => {
             let mut pool = Pool::new(entry(at), 1, Limits::default(), seed);
-            pool.apply_view(Duration::ZERO, &view(case));
+            pool.apply_view(Duration::ZERO, &view(scenario));
             Box::new(pool)
         }
-        Way::LeastLoad | Way::Subset => Box::new(Rival::open(case, at, seed)),
+        Strategy::LeastLoad | Strategy::Subset => Box::new(Baseline::new(scenario, at, seed)),
     }
 }
 
@@ -52,8 +52,8 @@
         Pool::arrive(self, now, arrival)
     }
 
-    fn finish(&mut self, now: Duration, request: u64, ending: AttemptOutcome) -> Vec<Action> {
-        Pool::finish(self, now, request, ending)
+    fn finish(&mut self, now: Duration, request: u64, outcome: AttemptOutcome) -> Vec<Action> {
+        Pool::finish(self, now, request, outcome)
     }
 
     fn tick(&mut self, now: Duration) -> Vec<Action> {
@@ -64,14 +64,14 @@
         Pool::next_tick(self)
     }
 
-    fn note(&mut self, now: Duration) -> Option<Note> {
-        self.report_if_changed(now).map(Note::Report)
+    fn make_report(&mut self, now: Duration) -> Option<PeerMessage> {
+        self.report_if_changed(now).map(PeerMessage::Report)
     }
 
-    fn take(&mut self, now: Duration, note: &Note) -> Vec<Action> {
-        match note {
-            Note::Report(report) => self.apply_reports(now, std::slice::from_ref(report)),
-            Note::Load(..) => Vec::new(),
+    fn apply(&mut self, now: Duration, message: &PeerMessage) -> Vec<Action> {
+        match message {
+            PeerMessage::Report(report) => self.apply_reports(now, std::slice::from_ref(report)),
+            PeerMessage::Load(..) => Vec::new(),
         }
     }
 
@@ -80,9 +80,9 @@
     }
 }
 
-/// Same queue and estimates as the library, without lending and ejection.
-struct Rival {
-    way: Way,
+/// An entry with the library's queue and estimates, but without lending and ejection.
+struct Baseline {
+    strategy: Strategy,
     at: usize,
     entries: usize,
     queue: fair::Queue,
@@ -94,14 +94,15 @@
     peers: BTreeMap<usize, BTreeMap<id::Instance, u32>>,
 }
 
-impl Rival {
-    fn open(case: &Case, at: usize, seed: u64) -> Self {
+impl Baseline {
+    fn new(scenario: &Scenario, at: usize, seed: u64) -> Self {
         let mut workers = Set::default();
-        let view = view(case);
-        for number in 0..case.workers {
+        let view = view(scenario);
+        for number in 0..scenario.workers {
             let name = worker(number);
             let index = workers.upsert(&name, view.members[&name].clone());
-            let is_own = case.way == Way::LeastLoad || number % case.entries == at;
+            let is_own =
+                scenario.strategy == Strategy::LeastLoad || number % scenario.entries == at;
             workers.change(index, |worker| {
                 worker.quota = if is_own { SLOTS } else { 0 }
             });
@@ -114,9 +115,9 @@
                 .collect(),
         );
         Self {
-            way: case.way,
+            strategy: scenario.strategy,
             at,
-            entries: case.entries,
+            entries: scenario.entries,
             queue,
             times: ServiceTimes::default(),
             workers,
@@ -127,16 +128,16 @@
         }
     }
 
-    /// Slots that are likely to come to this entry, for its estimates.
-    fn slots(&self) -> f64 {
+    /// Number of slots that this entry can expect to use, for its estimates.
+    fn expected_slots(&self) -> f64 {
         let all = f64::from(self.workers.totals().slots);
-        match self.way {
-            Way::LeastLoad => all / self.entries as f64,
+        match self.strategy {
+            Strategy::LeastLoad => all / self.entries as f64,
             _ => all,
         }
     }
 
-    fn refuse(request: u64, code: Code) -> Action {
+    fn reject(request: u64, code: Code) -> Action {
         Action::Refuse {
             request,
             code,
@@ -155,8 +156,11 @@
             let index = self
                 .workers
                 .choose(preferences, &mut self.random)
-                .expect("one is free");
-            let request = self.requests.get_mut(&item.request).expect("it waits");
+                .expect("a slot is free");
+            let request = self
+                .requests
+                .get_mut(&item.request)
+                .expect("request is queued");
             request.1 = Some(index);
             let not_after = request.0.deadline;
             self.timers.retain(|(_, number)| *number != item.request);
@@ -164,7 +168,7 @@
                 worker.in_flight += 1;
                 worker.id.clone()
             };
-            let instance = self.workers.change(index, change).expect("it is known");
+            let instance = self.workers.change(index, change).expect("worker exists");
             actions.push(Action::Send {
                 request: item.request,
                 instance,
@@ -176,18 +180,18 @@
     }
 }
 
-impl Node for Rival {
+impl Node for Baseline {
     fn arrive(&mut self, now: Duration, arrival: Arrival) -> Vec<Action> {
         let service = self.times.service(&arrival.service);
-        let rate = self.slots() * self.queue.weight_fraction(&arrival.account);
+        let rate = self.expected_slots() * self.queue.weight_fraction(&arrival.account);
         let wait = self
             .queue
             .expected_wait(&arrival.account, arrival.class, rate);
-        let left = arrival.deadline.saturating_sub(now).as_secs_f64();
-        let waits = !self.queue.is_empty() || !self.workers.has_free_slot();
-        let longest = (left - service.upper_bound()).min(left / 2.0);
-        if waits && wait > longest {
-            return vec![Self::refuse(arrival.request, Code::DeadlineUnreachable)];
+        let remaining = arrival.deadline.saturating_sub(now).as_secs_f64();
+        let must_wait = !self.queue.is_empty() || !self.workers.has_free_slot();
+        let max_wait = (remaining - service.upper_bound()).min(remaining / 2.0);
+        if must_wait && wait > max_wait {
+            return vec![Self::reject(arrival.request, Code::DeadlineUnreachable)];
         }
         self.queue.push(fair::QueuedRequest {
             request: arrival.request,
@@ -196,21 +200,21 @@
             class: arrival.class,
             cost: service.mean(),
         });
-        let until = arrival
+        let expires = arrival
             .deadline
             .saturating_sub(Duration::from_secs_f64(service.upper_bound()));
-        self.timers.insert((until.max(now), arrival.request));
+        self.timers.insert((expires.max(now), arrival.request));
         self.requests.insert(arrival.request, (arrival, None));
         self.dispatch()
     }
 
-    fn finish(&mut self, _now: Duration, request: u64, ending: AttemptOutcome) -> Vec<Action> {
+    fn finish(&mut self, _now: Duration, request: u64, outcome: AttemptOutcome) -> Vec<Action> {
         if let Some((arrival, Some(index))) = self.requests.remove(&request) {
             self.workers.change(index, |worker| worker.in_flight -= 1);
             if let AttemptOutcome::Responded {
                 latency,
                 failure: false,
-            } = ending
+            } = outcome
             {
                 self.times.add(&arrival.service, latency);
             }
@@ -225,7 +229,7 @@
             if let Some((arrival, None)) = self.requests.remove(&number) {
                 let (account, service) = (&arrival.account, &arrival.service);
                 self.queue.remove(account, service, arrival.class, number);
-                actions.push(Self::refuse(number, Code::DeadlineUnreachable));
+                actions.push(Self::reject(number, Code::DeadlineUnreachable));
             }
         }
         actions
@@ -235,14 +239,14 @@
         self.timers.first().map(|(at, _)| *at)
     }
 
-    fn note(&mut self, _now: Duration) -> Option<Note> {
+    fn make_report(&mut self, _now: Duration) -> Option<PeerMessage> {
         let workers = self.workers.iter();
         let loads = workers.map(|worker| (worker.id.clone(), worker.in_flight));
-        Some(Note::Load(self.at, loads.collect()))
+        Some(PeerMessage::Load(self.at, loads.collect()))
     }
 
-    fn take(&mut self, _now: Duration, note: &Note) -> Vec<Action> {
-        let (Note::Load(from, loads), Way::LeastLoad) = (note, self.way) else {
+    fn apply(&mut self, _now: Duration, message: &PeerMessage) -> Vec<Action> {
+        let (PeerMessage::Load(from, loads), Strategy::LeastLoad) = (message, self.strategy) else {
             return Vec::new();
         };
         self.peers.insert(*from, loads.clone());
