--- a/benches/request_path/fixture.rs
+++ b/benches/request_path/fixture.rs
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub struct Fixture {
     pub site: Site,
-    size: Size,
+    dimensions: Size,
     seed: u64,
 }
 
@@ -95,20 +95,20 @@
 
 impl Fixture {
     /// Starts the site and waits until every entry has heard from every other one.
-    pub async fn start(size: Size, seed: u64) -> Result<Self> {
+    pub async fn start(dimensions: Size, seed: u64) -> Result<Self> {
         let layout = Layout {
-            entries: size.entries,
-            pools: vec![(OWNER.to_owned(), size.workers)],
+            entries: dimensions.entries,
+            pools: vec![(OWNER.to_owned(), dimensions.workers)],
             zones: 3,
             rack: 4,
         };
         let worker = WorkerOptions {
-            delay: size.delay,
+            delay: dimensions.delay,
             ..WorkerOptions::default()
         };
         let mut site = Site::open_with(layout, platform_options(), worker).await?;
         site.network.set_latency(PEER_LATENCY);
-        for index in 0..size.entries {
+        for index in 0..dimensions.entries {
             site.start_with(&format!("entry-{index}"), with_default_timers)
                 .await?;
         }
@@ -120,10 +120,16 @@
             };
             admin.apply(&apply(guest)).await?;
         }
-        admin.apply(&apply(owner_template(1, size.workers))).await?;
+        admin
+            .apply(&apply(owner_template(1, dimensions.workers)))
+            .await?;
         let seq = site.place_workers().await?;
         site.in_force(seq).await?;
-        let fixture = Self { site, size, seed };
+        let fixture = Self {
+            site,
+            dimensions,
+            seed,
+        };
         fixture.wait_for_peers().await?;
         Ok(fixture)
     }
@@ -138,7 +144,7 @@
                 .iter()
                 .filter(|e| e.heard.is_some())
                 .count()
-                < self.size.entries
+                < self.dimensions.entries
             {
                 sleep(Duration::from_millis(50)).await;
             }
@@ -184,12 +190,12 @@
 
     /// Measures the pool's throughput in requests per second with all slots busy.
     pub async fn capacity(&self) -> Result<f64> {
-        let callers = self.size.workers * 8;
+        let callers = self.dimensions.workers * 8;
         // Eight callers per worker: randomly drawn targets would leave slots idle.
         let mut plans = tokio::task::JoinSet::new();
         for worker in self.site.workers.values() {
             let mut plan = self.direct(Loop::Closed {
-                callers: callers / self.size.workers,
+                callers: callers / self.dimensions.workers,
             });
             plan.targets = vec![Target {
                 address: worker.address(),
--- a/crates/capacity/src/cluster.rs
+++ b/crates/capacity/src/cluster.rs
@@ -87,13 +87,13 @@
             latency: Duration::from_millis(2),
             ..platform::Options::default()
         };
-        let mut site = Site::open(layout, options).await?;
-        site.network.set_latency(PEER_LATENCY);
+        let mut fixture = Site::open(layout, options).await?;
+        fixture.network.set_latency(PEER_LATENCY);
         let clock: Arc<dyn Clock> = Arc::new(VirtualClock(time::Instant::now()));
-        let seq = fill(&site, size, clock.now()).await?;
+        let seq = fill(&fixture, size, clock.now()).await?;
         let loads = loads(size);
         for index in 0..size.entries {
-            let (network, clock) = (site.network.clone(), Arc::clone(&clock));
+            let (network, clock) = (fixture.network.clone(), Arc::clone(&clock));
             let dial = Box::new(LoadedDial {
                 network,
                 loads: loads.clone(),
@@ -107,14 +107,15 @@
                 jobs: Jobs::default(),
                 ..parts
             };
-            site.start_with(&format!("entry-{index}"), configure)
+            fixture
+                .start_with(&format!("entry-{index}"), configure)
                 .await?;
         }
-        site.in_force(seq).await?;
+        fixture.in_force(seq).await?;
         sleep(SETTLE_TIME).await;
         Ok(Self {
-            ledger: site.ledger(),
-            site,
+            ledger: fixture.ledger(),
+            site: fixture,
             clock,
             cell: SnapshotCell::default(),
         })
@@ -320,8 +321,8 @@
 }
 
 /// Writes the whole deployment in one change and adds the workers to the platform's list.
-async fn fill(site: &Site, size: Size, now: Instant) -> Result<Seq> {
-    let ledger = site.ledger();
+async fn fill(fixture: &Site, size: Size, now: Instant) -> Result<Seq> {
+    let ledger = fixture.ledger();
     let head = ledger.head().await?;
     let mut draft = Draft::new(head, now, "test", "deployment", Uuid::new_v4());
     for template in templates(size) {
@@ -333,7 +334,7 @@
     }
     let seq = ledger.commit(&draft).await?.seq;
     for row in rows {
-        site.platform.fleet().add(Listed {
+        fixture.platform.fleet().add(Listed {
             id: row.id,
             address: row.address,
             zone: row.zone,
