--- a/benches/capacity/results.rs
+++ b/benches/capacity/results.rs
@@ -2,7 +2,7 @@
 
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use eyre::Result;
-use primroseroute_capacity::{Line, Size};
+use primroseroute_capacity::{LinearFit, Size};
 use serde::Serialize;
 use std::{collections::BTreeMap, fs, thread};
 
@@ -57,9 +57,9 @@
     unit: &'static str,
     points: Vec<Point>,
     /// The fit over the workers, at the largest number of entries.
-    by_workers: Option<Line>,
+    by_workers: Option<LinearFit>,
     /// The fit over the entries, at the largest number of workers.
-    by_entries: Option<Line>,
+    by_entries: Option<LinearFit>,
 }
 
 impl Row {
@@ -81,8 +81,8 @@
             .filter(|point| point.size.workers == workers)
             .map(|point| at(point, point.size.entries))
             .collect();
-        self.by_workers = Line::through(&by_workers);
-        self.by_entries = Line::through(&by_entries);
+        self.by_workers = LinearFit::new(&by_workers);
+        self.by_entries = LinearFit::new(&by_entries);
     }
 }
 
@@ -181,9 +181,9 @@
     for (workers, cells) in by_workers {
         table.add_row([workers.to_string()].into_iter().chain(cells));
     }
-    let line = |of: &str, line: Option<Line>| {
+    let line = |of: &str, line: Option<LinearFit>| {
         line.map_or_else(String::new, |line| {
-            let Line { base, slope, fit } = line;
+            let LinearFit { base, slope, fit } = line;
             format!("; by {of}: {base:.4} + {slope:.6} x (R2 {fit:.3})")
         })
     };
--- a/benches/capacity/whole.rs
+++ b/benches/capacity/whole.rs
@@ -3,7 +3,7 @@
 use crate::{process_stats, results::Measurement};
 use eyre::{Result, eyre};
 use hdrhistogram::Histogram;
-use primroseroute_capacity::{Count, Cycles, Size, Stage};
+use primroseroute_capacity::{Cluster, Count, Cycles, Size};
 use std::time::Duration;
 use tokio::{
     runtime::{Builder, Runtime},
@@ -31,18 +31,18 @@
 pub fn measure(size: Size) -> Result<Vec<Measurement>> {
     let resident_before = process_stats::resident_bytes()?;
     let without_cycles = runtime()?.block_on(async {
-        let stage = Stage::open(size, Cycles::Held).await?;
-        measure_idle(&stage)
+        let cluster = Cluster::start(size, Cycles::Suspended).await?;
+        measure_idle(&cluster)
             .await
             .map(|(_count, cpu_time)| cpu_time)
     })?;
     runtime()?.block_on(async {
-        let stage = Stage::open(size, Cycles::Running).await?;
-        let (count, with_cycles) = measure_idle(&stage).await?;
+        let cluster = Cluster::start(size, Cycles::Running).await?;
+        let (count, with_cycles) = measure_idle(&cluster).await?;
         let mut measurements = idle_rates(size, count);
         measurements.extend(cpu_usage(size, without_cycles, with_cycles));
-        measurements.extend(changes(size, &stage, count).await?);
-        measurements.extend(restarts(&stage, count).await?);
+        measurements.extend(changes(size, &cluster, count).await?);
+        measurements.extend(restarts(&cluster, count).await?);
         let grown = process_stats::resident_bytes()?.saturating_sub(resident_before);
         let grown = grown as f64 / 1e6 / size.entries as f64;
         measurements.push(Measurement::new(
@@ -54,9 +54,9 @@
     })
 }
 
-async fn measure_idle(stage: &Stage) -> Result<(Count, Duration)> {
+async fn measure_idle(cluster: &Cluster) -> Result<(Count, Duration)> {
     let before = process_stats::thread_cpu_time()?;
-    let count = stage.rest(IDLE_PERIOD).await;
+    let count = cluster.count_idle(IDLE_PERIOD).await;
     Ok((
         count,
         process_stats::thread_cpu_time()?.saturating_sub(before),
@@ -104,15 +104,15 @@
 }
 
 /// The cost of a change beyond that of the same time when idle.
-async fn changes(size: Size, stage: &Stage, idle: Count) -> Result<Vec<Measurement>> {
+async fn changes(size: Size, cluster: &Cluster, idle: Count) -> Result<Vec<Measurement>> {
     let mut times = Histogram::<u64>::new(3)?;
-    let before = stage.count();
+    let before = cluster.count();
     for number in 0..CHANGES {
-        let duration = stage.change(number + 2).await?;
+        let duration = cluster.commit_and_wait(number + 2).await?;
         times.record(u64::try_from(duration.as_millis())?)?;
         tokio::time::sleep(CHANGE_INTERVAL.saturating_sub(duration)).await;
     }
-    let count = stage.count() - before;
+    let count = cluster.count() - before;
     let periods = (CHANGE_INTERVAL * CHANGES).as_secs_f64() / IDLE_PERIOD.as_secs_f64();
     let excess =
         |of: fn(Count) -> u64| (of(count) as f64 - of(idle) as f64 * periods) / f64::from(CHANGES);
@@ -136,16 +136,16 @@
 }
 
 /// The cost of restarts, one after the other, beyond that of the same time when idle.
-async fn restarts(stage: &Stage, idle: Count) -> Result<Vec<Measurement>> {
-    let (before, started) = (stage.count(), Instant::now());
+async fn restarts(cluster: &Cluster, idle: Count) -> Result<Vec<Measurement>> {
+    let (before, started) = (cluster.count(), Instant::now());
     let mut changes = 0;
     for number in 0..RESTARTS {
-        changes += stage.restart(number).await?;
+        changes += cluster.restart(number).await?;
     }
     if changes == 0 {
         return Err(eyre!("restarts made no change"));
     }
-    let count = stage.count() - before;
+    let count = cluster.count() - before;
     let periods = started.elapsed().as_secs_f64() / IDLE_PERIOD.as_secs_f64();
     let per_restart = |count: f64| count / RESTARTS as f64;
     let exchanges = count.exchanges as f64 - idle.exchanges as f64 * periods;
--- a/crates/capacity/src/cluster.rs
+++ b/crates/capacity/src/cluster.rs
@@ -44,7 +44,7 @@
     /// One cycle per second, as in a deployment.
     Running,
     /// No cycle after the first; the difference to [`Cycles::Running`] is the cost of the cycles.
-    Held,
+    Suspended,
 }
 
 /// A wall clock driven by tokio's paused time.
@@ -59,14 +59,14 @@
 
 /// The running entries of a deployment of one size, which handle control traffic only.
 #[derive(Debug)]
-pub struct Stage {
+pub struct Cluster {
     site: Site,
     clock: Arc<dyn Clock>,
     ledger: Ledger,
     cell: SnapshotCell,
 }
 
-impl Stage {
+impl Cluster {
     /// Starts the entries on a table that holds the whole deployment and waits for a steady state.
     ///
     /// Must run on a single-threaded runtime with paused time.
@@ -76,7 +76,7 @@
     ///
     /// # Panics
     /// Outside a tokio runtime.
-    pub async fn open(size: Size, cycles: Cycles) -> Result<Self> {
+    pub async fn start(size: Size, cycles: Cycles) -> Result<Self> {
         let layout = Layout {
             entries: size.entries,
             pools: Vec::new(),
@@ -127,7 +127,7 @@
     }
 
     /// Waits for `during` and returns the counts of that period.
-    pub async fn rest(&self, during: Duration) -> Count {
+    pub async fn count_idle(&self, during: Duration) -> Count {
         let before = self.count();
         sleep(during).await;
         self.count() - before
@@ -141,9 +141,9 @@
     ///
     /// # Panics
     /// If the deployment has no account.
-    pub async fn change(&self, share: u32) -> Result<Duration> {
-        let seq = self.accept(share).await?;
-        self.spread(seq).await
+    pub async fn commit_and_wait(&self, share: u32) -> Result<Duration> {
+        let seq = self.commit_change(share).await?;
+        self.wait_in_effect(seq).await
     }
 
     /// Commits a change of the first account's template without waiting for the entries.
@@ -153,7 +153,7 @@
     ///
     /// # Panics
     /// If the deployment has no account.
-    pub async fn accept(&self, share: u32) -> Result<Seq> {
+    pub async fn commit_change(&self, share: u32) -> Result<Seq> {
         self.commit_edits(&|snapshot, draft| {
             let (name, row) = snapshot.accounts().iter().next().expect("an account");
             let template = Template {
@@ -200,7 +200,7 @@
     }
 
     /// The version in effect at each running entry.
-    pub fn views(&self) -> BTreeMap<id::Entry, Seq> {
+    pub fn versions(&self) -> BTreeMap<id::Entry, Seq> {
         let entries = self.site.entries.iter();
         entries
             .map(|(name, running)| (name.clone(), running.entry.in_force()))
@@ -208,20 +208,20 @@
     }
 
     /// Partitions the entries `far` from all others and from the store.
-    pub fn cut(&self, far: &[id::Entry]) {
+    pub fn partition(&self, far: &[id::Entry]) {
         let near = self.site.entries.keys().filter(|name| !far.contains(name));
         let near: Vec<id::Entry> = near.cloned().collect();
         self.site.network.part(&near, far);
         self.set_store_outage(far, Some(Outage::Refuse));
     }
 
-    /// Restores the links between entries after [`Stage::cut`]; the store stays unreachable.
-    pub fn heal(&self) {
+    /// Restores the links between entries after [`Cluster::partition`]; the store stays unreachable.
+    pub fn heal_links(&self) {
         self.site.network.heal_all();
     }
 
     /// Makes the store reachable again for the entries `far`.
-    pub fn reach(&self, far: &[id::Entry]) {
+    pub fn restore_store(&self, far: &[id::Entry]) {
         self.set_store_outage(far, None);
     }
 
@@ -233,7 +233,7 @@
     }
 
     /// Has the platform list the workers of `zone` as gone and kills `entries` at the same time.
-    pub async fn lose(&mut self, zone: &id::Zone, entries: &[id::Entry]) {
+    pub async fn lose_zone(&mut self, zone: &id::Zone, entries: &[id::Entry]) {
         for listed in self.site.platform.fleet().truth() {
             if listed.zone == *zone {
                 self.site
@@ -262,7 +262,7 @@
     ///
     /// # Errors
     /// If it takes more than two minutes.
-    pub async fn spread(&self, seq: Seq) -> Result<Duration> {
+    pub async fn wait_in_effect(&self, seq: Seq) -> Result<Duration> {
         let started = time::Instant::now();
         while self.in_force() < seq {
             if started.elapsed() > TIMEOUT {
@@ -274,7 +274,7 @@
     }
 
     fn in_force(&self) -> Seq {
-        self.views().into_values().min().unwrap_or_default()
+        self.versions().into_values().min().unwrap_or_default()
     }
 
     async fn commit_edits(
@@ -302,7 +302,7 @@
     let default_timers = ControllerTimers::default();
     match cycles {
         Cycles::Running => default_timers,
-        Cycles::Held => ControllerTimers {
+        Cycles::Suspended => ControllerTimers {
             cycle: Duration::from_secs(1_000_000),
             // The lease is renewed only between cycles, so it has to outlast the run or be taken over.
             lease: Duration::from_secs(1_000_000),
@@ -317,7 +317,10 @@
         demand: 1,
     };
     let names = workers(size).into_iter().map(|row| row.id);
-    names.take(size.loads()).map(|name| (name, load)).collect()
+    names
+        .take(size.loaded_workers())
+        .map(|name| (name, load))
+        .collect()
 }
 
 /// Writes the whole deployment in one change and adds the workers to the platform's list.
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -5,7 +5,7 @@
 /// A least-squares linear fit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Line {
+pub struct LinearFit {
     /// The intercept.
     pub base: f64,
     /// The increase per unit.
@@ -15,9 +15,9 @@
     pub fit: f64,
 }
 
-impl Line {
+impl LinearFit {
     /// Fits a line to `points`, each a size and a measured value; `None` for fewer than two distinct sizes.
-    pub fn through(points: &[(f64, f64)]) -> Option<Self> {
+    pub fn new(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
         let (x, y) = (mean(|point| point.0), mean(|point| point.1));
@@ -41,7 +41,7 @@
     }
 
     /// The fitted value at `size`.
-    pub fn at(self, size: f64) -> f64 {
+    pub fn value_at(self, size: f64) -> f64 {
         self.base + self.slope * size
     }
 }
--- a/crates/capacity/src/size.rs
+++ b/crates/capacity/src/size.rs
@@ -35,7 +35,7 @@
     }
 
     /// Number of workers on which one entry has a request in flight if all slots are evenly used.
-    pub fn loads(self) -> usize {
+    pub fn loaded_workers(self) -> usize {
         let slots = usize::try_from(SLOTS).unwrap_or(usize::MAX);
         self.workers.min(self.workers * slots / self.entries)
     }
--- a/crates/capacity/tests/all/growth.rs
+++ b/crates/capacity/tests/all/growth.rs
@@ -5,7 +5,7 @@
 
 use crate::cases;
 use eyre::Result;
-use primroseroute_capacity::{Count, Cycles, Size, Stage};
+use primroseroute_capacity::{Cluster, Count, Cycles, Size};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -20,12 +20,15 @@
     restart_is_acknowledged_by_one_round_of_exchanges => acknowledged();
 }
 
-async fn stage(entries: usize, workers: usize) -> Result<Stage> {
-    Stage::open(Size { entries, workers }, Cycles::Running).await
+async fn cluster(entries: usize, workers: usize) -> Result<Cluster> {
+    Cluster::start(Size { entries, workers }, Cycles::Running).await
 }
 
 async fn at_rest(entries: usize, workers: usize) -> Result<Count> {
-    Ok(stage(entries, workers).await?.rest(IDLE_PERIOD).await)
+    Ok(cluster(entries, workers)
+        .await?
+        .count_idle(IDLE_PERIOD)
+        .await)
 }
 
 async fn workers_at_rest() -> Result<()> {
@@ -82,15 +85,15 @@
 async fn change() -> Result<()> {
     const CHANGES: u64 = 10;
     for entries in [7, 28] {
-        let stage = stage(entries, 50).await?;
-        let rest = stage.rest(IDLE_PERIOD).await;
-        let before = stage.count();
+        let cluster = cluster(entries, 50).await?;
+        let rest = cluster.count_idle(IDLE_PERIOD).await;
+        let before = cluster.count();
         for number in 0..CHANGES {
-            let took = stage.change(2 + u32::try_from(number)?).await?;
+            let took = cluster.commit_and_wait(2 + u32::try_from(number)?).await?;
             assert!(took < Duration::from_secs(2), "{entries}: {took:?}");
             tokio::time::sleep(Duration::from_secs(6).saturating_sub(took)).await;
         }
-        let count = stage.count() - before;
+        let count = cluster.count() - before;
         let each = entries as u64;
         // Head, record and row, then each entry's registration, which replaces a heartbeat.
         let rows = count.rows_written - rest.rows_written.min(count.rows_written);
@@ -110,7 +113,7 @@
 
 async fn restart() -> Result<()> {
     for workers in [50, 200] {
-        let changes = stage(3, workers).await?.restart(1).await?;
+        let changes = cluster(3, workers).await?.restart(1).await?;
         assert_eq!(changes, 5, "{workers}");
     }
     Ok(())
@@ -119,11 +122,11 @@
 /// Of the five changes only the drain makes each entry exchange with every other one at once.
 async fn acknowledged() -> Result<()> {
     for entries in [7, 14] {
-        let stage = stage(entries, 50).await?;
-        let rest = stage.rest(IDLE_PERIOD).await;
-        let (before, started) = (stage.count(), Instant::now());
-        stage.restart(1).await?;
-        let count = stage.count() - before;
+        let cluster = cluster(entries, 50).await?;
+        let rest = cluster.count_idle(IDLE_PERIOD).await;
+        let (before, started) = (cluster.count(), Instant::now());
+        cluster.restart(1).await?;
+        let count = cluster.count() - before;
         let each = entries as u64;
         // Exchanges caused by timers in that time, plus one timer round that may fall into it.
         let rounds = started.elapsed().as_secs() + 1;
--- a/crates/capacity/tests/all/loss.rs
+++ b/crates/capacity/tests/all/loss.rs
@@ -2,7 +2,7 @@
 
 use crate::cases;
 use eyre::{Result, ensure};
-use primroseroute_capacity::{Cycles, Size, Stage};
+use primroseroute_capacity::{Cluster, Cycles, Size};
 use primroseroute_domain::{id, instance::State};
 use std::time::Duration;
 use tokio::time::sleep;
@@ -32,16 +32,16 @@
 /// accepted. All entries of the partitioned region keep their view. After the partition heals, the last
 /// change takes effect there within the time limit for any change, and no entry's version ever goes back.
 async fn partitioned(changes: u32) -> Result<()> {
-    let stage = Stage::open(SIZE, Cycles::Running).await?;
+    let cluster = Cluster::start(SIZE, Cycles::Running).await?;
     let far = entries([3, 4, 5])?;
-    stage.cut(&far);
-    let mut views = stage.views();
+    cluster.partition(&far);
+    let mut views = cluster.versions();
     let old = views[&far[0]];
     let mut last = old;
     for number in 0..changes {
-        last = stage.accept(2 + number).await?;
+        last = cluster.commit_change(2 + number).await?;
         sleep(HOUR / changes).await;
-        let now = stage.views();
+        let now = cluster.versions();
         ensure!(
             now.iter().all(|(name, seq)| *seq >= views[name]),
             "{views:?}, then {now:?}"
@@ -54,15 +54,15 @@
     }
 
     // The links between the entries are restored first, and the store a minute later.
-    let before = stage.count().pulls;
-    stage.heal();
-    let took = stage.spread(last).await?;
+    let before = cluster.count().pulls;
+    cluster.heal_links();
+    let took = cluster.wait_in_effect(last).await?;
     assert!(took <= MAX_PROPAGATION, "{took:?}");
-    ensure!(stage.count().pulls > before, "no entry pulled");
+    ensure!(cluster.count().pulls > before, "no entry pulled");
     sleep(Duration::from_secs(60)).await;
-    stage.reach(&far);
-    let next = stage.accept(1).await?;
-    let took = stage.spread(next).await?;
+    cluster.restore_store(&far);
+    let next = cluster.commit_change(1).await?;
+    let took = cluster.wait_in_effect(next).await?;
     assert!(took <= MAX_PROPAGATION, "{took:?}");
     Ok(())
 }
@@ -71,13 +71,13 @@
 /// entries take over the controller role and remove the workers from all pools in a few changes. Workers
 /// in other zones aren't touched: planned work must not take more from a pool that lacks members.
 async fn zone_lost() -> Result<()> {
-    let mut stage = Stage::open(SIZE, Cycles::Running).await?;
-    let before = stage.views().into_values().max().unwrap_or_default();
+    let mut cluster = Cluster::start(SIZE, Cycles::Running).await?;
+    let before = cluster.versions().into_values().max().unwrap_or_default();
     let zone: id::Zone = "zone-0".parse()?;
-    stage.lose(&zone, &["entry-0".parse()?]).await;
+    cluster.lose_zone(&zone, &["entry-0".parse()?]).await;
     sleep(Duration::from_secs(60)).await;
 
-    let rows = stage.instances().await?;
+    let rows = cluster.instances().await?;
     let serving = |row: &&primroseroute_domain::instance::Row| row.state == State::Serving;
     assert_eq!(
         rows.iter()
@@ -88,9 +88,9 @@
     );
     let elsewhere = rows.iter().filter(|row| row.zone != zone);
     assert_eq!(elsewhere.filter(serving).count(), SIZE.workers * 4 / 5);
-    let after = stage.views().into_values().max().unwrap_or_default();
+    let after = cluster.versions().into_values().max().unwrap_or_default();
     assert!(after.0 - before.0 <= 5, "{} changes", after.0 - before.0);
-    let views = stage.views();
+    let views = cluster.versions();
     assert!(views.values().all(|seq| *seq == after), "{views:?}");
     Ok(())
 }
