--- a/crates/capacity/src/stage.rs
+++ b/crates/capacity/src/cluster.rs
@@ -1,9 +1,9 @@
-//! Entries under paused time.
+//! Entries running under paused time.
 
 use crate::{
     Count, Size,
-    loaded::{Join, Well},
     rows::{templates, workers},
+    simulated_load::{AlwaysHealthy, LoadedDial},
 };
 use eyre::{Result, eyre};
 use primroseroute_controller::{Timers as ControllerTimers, jobs::Settings as Jobs};
@@ -27,57 +27,56 @@
 use tokio::time::{self, sleep};
 use uuid::Uuid;
 
-/// One-way latency between entries: 1 ms between availability zones, from the brief.
-const LATENCY: Duration = Duration::from_millis(1);
+/// One-way latency between entries: that between availability zones of the reference deployment.
+const PEER_LATENCY: Duration = Duration::from_millis(1);
 
-/// From the start until everything repeats: the roster has been read, leases are taken.
-const SETTLE: Duration = Duration::from_secs(30);
+/// Time from the start to a steady state, in which the roster has been read and leases are held.
+const SETTLE_TIME: Duration = Duration::from_secs(30);
 
-/// How often a wait looks again.
-const LOOK: Duration = Duration::from_millis(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Longest wait for a change or a restart.
-const PATIENCE: Duration = Duration::from_secs(120);
+/// Time limit for a change to take effect and for a restart.
+const TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Whether the controller works.
+/// Whether the controller runs its cycles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cycles {
-    /// A cycle each second, as in a deployment.
+    /// One cycle per second, as in a deployment.
     Running,
-    /// No cycle after the first, so that the difference shows what the cycles cost.
-    Held,
+    /// No cycle after the first; the difference to [`Cycles::Running`] is the cost of the cycles.
+    Suspended,
 }
 
-/// Wall-clock time that passes with tokio's paused time.
+/// A wall clock driven by tokio's paused time.
 #[derive(Debug)]
-struct Virtual(time::Instant);
+struct VirtualClock(time::Instant);
 
-impl Clock for Virtual {
+impl Clock for VirtualClock {
     fn now(&self) -> Instant {
         Instant(1).after(self.0.elapsed())
     }
 }
 
-/// Running entries of one size; nothing but control happens in them.
+/// The running entries of a deployment of one size, which handle control traffic only.
 #[derive(Debug)]
-pub struct Stage {
+pub struct Cluster {
     site: Site,
     clock: Arc<dyn Clock>,
     ledger: Ledger,
     cell: SnapshotCell,
 }
 
-impl Stage {
-    /// Starts the entries on a table that holds everything, and waits until all is quiet.
+impl Cluster {
+    /// Starts the entries on a table that holds the whole deployment and waits for a steady state.
     ///
-    /// Must run on a runtime with one thread and paused time.
+    /// Must run on a single-threaded runtime with paused time.
     ///
     /// # Errors
-    /// Where an entry cannot listen or the rows are not accepted.
+    /// If an entry can't listen or the rows aren't accepted.
     ///
     /// # Panics
     /// Outside a tokio runtime.
-    pub async fn open(size: Size, cycles: Cycles) -> Result<Self> {
+    pub async fn start(size: Size, cycles: Cycles) -> Result<Self> {
         let layout = Layout {
             entries: size.entries,
             pools: Vec::new(),
@@ -88,33 +87,35 @@
             latency: Duration::from_millis(2),
             ..platform::Options::default()
         };
-        let mut bed = Site::open(layout, options).await?;
-        bed.network.set_latency(LATENCY);
-        let clock: Arc<dyn Clock> = Arc::new(Virtual(time::Instant::now()));
-        let seq = fill(&bed, size, clock.now()).await?;
+        let mut fixture = Site::open(layout, options).await?;
+        fixture.network.set_latency(PEER_LATENCY);
+        let clock: Arc<dyn Clock> = Arc::new(VirtualClock(time::Instant::now()));
+        let seq = fill(&fixture, size, clock.now()).await?;
         let loads = loads(size);
         for index in 0..size.entries {
-            let (network, clock) = (bed.network.clone(), Arc::clone(&clock));
-            let dial = Box::new(Join {
+            let (network, clock) = (fixture.network.clone(), Arc::clone(&clock));
+            let dial = Box::new(LoadedDial {
                 network,
                 loads: loads.clone(),
             });
-            let deployed = |parts| Components {
+            let configure = |parts| Components {
                 dial,
                 clock,
-                probe: Arc::new(Well),
+                probe: Arc::new(AlwaysHealthy),
                 timers: Timers::default(),
                 controller: timers(cycles),
                 jobs: Jobs::default(),
                 ..parts
             };
-            bed.start_with(&format!("entry-{index}"), deployed).await?;
+            fixture
+                .start_with(&format!("entry-{index}"), configure)
+                .await?;
         }
-        bed.wait_until_applied(seq).await?;
-        sleep(SETTLE).await;
+        fixture.wait_until_applied(seq).await?;
+        sleep(SETTLE_TIME).await;
         Ok(Self {
-            ledger: bed.ledger(),
-            site: bed,
+            ledger: fixture.ledger(),
+            site: fixture,
             clock,
             cell: SnapshotCell::default(),
         })
@@ -128,35 +129,35 @@
         )
     }
 
-    /// What is counted while `during` passes.
-    pub async fn rest(&self, during: Duration) -> Count {
+    /// Waits for `during` and returns the counts of that period.
+    pub async fn count_idle(&self, during: Duration) -> Count {
         let before = self.count();
         sleep(during).await;
         self.count() - before
     }
 
-    /// Accepts a change of the first account's template, and returns how long it took from then
-    /// until every entry had it in force.
+    /// Commits a change of the first account's template and returns the time from the commit until the
+    /// change is in effect at every entry.
     ///
     /// # Errors
-    /// Where it is not accepted or not in force after two minutes.
+    /// If the change isn't accepted or isn't in effect after two minutes.
     ///
     /// # Panics
-    /// Where the size has no account.
-    pub async fn change(&self, share: u32) -> Result<Duration> {
-        let seq = self.accept(share).await?;
-        self.spread(seq).await
+    /// If the deployment has no account.
+    pub async fn commit_and_wait(&self, share: u32) -> Result<Duration> {
+        let seq = self.commit_change(share).await?;
+        self.wait_in_effect(seq).await
     }
 
-    /// Accepts a change of the first account's template and waits for no entry.
+    /// Commits a change of the first account's template without waiting for the entries.
     ///
     /// # Errors
-    /// Where it is not accepted.
+    /// If the change isn't accepted.
     ///
     /// # Panics
-    /// Where the size has no account.
-    pub async fn accept(&self, share: u32) -> Result<Seq> {
-        self.amended(&|snapshot, draft| {
+    /// If the deployment has no account.
+    pub async fn commit_change(&self, share: u32) -> Result<Seq> {
+        self.commit_edits(&|snapshot, draft| {
             let (name, row) = snapshot.accounts().iter().next().expect("an account");
             let template = Template {
                 share,
@@ -167,19 +168,19 @@
         .await
     }
 
-    /// Takes the worker `number` through a drain, a reboot and its checks, and returns how many
-    /// changes that took.
+    /// Drains and reboots worker `number`, waits until it has passed its health checks, and returns the
+    /// number of changes that this took.
     ///
     /// # Errors
-    /// Where the drain is not accepted or the worker not back after two minutes.
+    /// If the drain isn't accepted or the worker doesn't serve again after two minutes.
     ///
     /// # Panics
-    /// Where the size has no such worker.
+    /// If the deployment has no such worker.
     pub async fn restart(&self, number: usize) -> Result<u64> {
         let id: id::Instance = format!("worker-{number}").parse()?;
         let wave: id::Wave = "measured".parse()?;
         let before = self.in_force();
-        self.amended(&|snapshot, draft| {
+        self.commit_edits(&|snapshot, draft| {
             let row = &snapshot.instances()[&id];
             let drained = Row {
                 state: State::Draining,
@@ -189,8 +190,8 @@
             draft.put(key::instance(&id), Some(row.version), &drained);
         })
         .await?;
-        let give_up = time::Instant::now() + PATIENCE;
-        while time::Instant::now() < give_up {
+        let deadline = time::Instant::now() + TIMEOUT;
+        while time::Instant::now() < deadline {
             sleep(Duration::from_millis(100)).await;
             primroseroute_view::poll(&self.ledger, &self.cell).await?;
             let row = self.cell.current().instances()[&id].value.clone();
@@ -198,44 +199,44 @@
                 return Ok(self.in_force().0 - before.0);
             }
         }
-        Err(eyre!("{id} is not back from its restart"))
+        Err(eyre!("{id} did not return from its restart in time"))
     }
 
-    /// What each entry that runs has in force.
-    pub fn views(&self) -> BTreeMap<id::Entry, Seq> {
+    /// The version in effect at each running entry.
+    pub fn versions(&self) -> BTreeMap<id::Entry, Seq> {
         let entries = self.site.entries.iter();
         entries
             .map(|(name, running)| (name.clone(), running.entry.applied_seq()))
             .collect()
     }
 
-    /// Cuts the entries `far` off from all others and from the store.
-    pub fn cut(&self, far: &[id::Entry]) {
+    /// Partitions the entries `far` from all others and from the store.
+    pub fn partition(&self, far: &[id::Entry]) {
         let near = self.site.entries.keys().filter(|name| !far.contains(name));
         let near: Vec<id::Entry> = near.cloned().collect();
         self.site.network.partition_groups(&near, far);
-        self.refuse(far, Some(Outage::Refuse));
+        self.set_store_outage(far, Some(Outage::Refuse));
     }
 
-    /// Heals the links between entries that [`Stage::cut`] cut; the store stays out of reach.
-    pub fn heal(&self) {
+    /// Restores the links between entries after [`Cluster::partition`]; the store stays unreachable.
+    pub fn heal_links(&self) {
         self.site.network.heal_all();
     }
 
-    /// Lets the entries `far` reach the store again.
-    pub fn reach(&self, far: &[id::Entry]) {
-        self.refuse(far, None);
+    /// Makes the store reachable again for the entries `far`.
+    pub fn restore_store(&self, far: &[id::Entry]) {
+        self.set_store_outage(far, None);
     }
 
-    fn refuse(&self, entries: &[id::Entry], outage: Option<Outage>) {
+    fn set_store_outage(&self, entries: &[id::Entry], outage: Option<Outage>) {
         for name in entries {
             let client = self.site.platform.client(name.as_str());
             client.faults().set_outage(outage);
         }
     }
 
-    /// Loses the workers of `zone`, as the platform's list tells, and at once the entries `entries`.
-    pub async fn lose(&mut self, zone: &id::Zone, entries: &[id::Entry]) {
+    /// Has the platform list the workers of `zone` as gone and kills `entries` at the same time.
+    pub async fn lose_zone(&mut self, zone: &id::Zone, entries: &[id::Entry]) {
         for listed in self.site.platform.fleet().truth() {
             if listed.zone == *zone {
                 self.site
@@ -249,10 +250,10 @@
         }
     }
 
-    /// The instances as the table has them.
+    /// Reads the instance rows from the table.
     ///
     /// # Errors
-    /// Where the table cannot be read.
+    /// If the table can't be read.
     pub async fn instances(&self) -> Result<Vec<Row>> {
         primroseroute_view::poll(&self.ledger, &self.cell).await?;
         let snapshot = self.cell.current();
@@ -260,26 +261,26 @@
         Ok(rows.map(|row| row.value.clone()).collect())
     }
 
-    /// Waits until every entry that runs has `seq` in force, and returns how long that took.
+    /// Waits until `seq` is in effect at every running entry and returns how long that took.
     ///
     /// # Errors
-    /// Where it takes more than two minutes.
-    pub async fn spread(&self, seq: Seq) -> Result<Duration> {
+    /// If it takes more than two minutes.
+    pub async fn wait_in_effect(&self, seq: Seq) -> Result<Duration> {
         let started = time::Instant::now();
         while self.in_force() < seq {
-            if started.elapsed() > PATIENCE {
-                return Err(eyre!("{seq} is not in force everywhere"));
+            if started.elapsed() > TIMEOUT {
+                return Err(eyre!("{seq} is not in effect at every entry in time"));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(started.elapsed())
     }
 
     fn in_force(&self) -> Seq {
-        self.views().into_values().min().unwrap_or_default()
+        self.versions().into_values().min().unwrap_or_default()
     }
 
-    async fn amended(
+    async fn commit_edits(
         &self,
         decide: &(dyn Fn(&primroseroute_view::Snapshot, &mut Draft) + Sync),
     ) -> Result<Seq> {
@@ -294,19 +295,21 @@
         };
         let clock = self.clock.as_ref();
         let record = commit_with_retry(&self.ledger, &self.cell, clock, &author, &decide).await?;
-        Ok(record.ok_or_else(|| eyre!("nothing was changed"))?.seq)
+        Ok(record
+            .ok_or_else(|| eyre!("the commit changed nothing"))?
+            .seq)
     }
 }
 
 fn timers(cycles: Cycles) -> ControllerTimers {
-    let usual = ControllerTimers::default();
+    let default_timers = ControllerTimers::default();
     match cycles {
-        Cycles::Running => usual,
-        Cycles::Held => ControllerTimers {
+        Cycles::Running => default_timers,
+        Cycles::Suspended => ControllerTimers {
             cycle: Duration::from_secs(1_000_000),
-            // A holder renews only between cycles; nobody may take over meanwhile.
+            // The lease is renewed only between cycles, so it has to outlast the run or be taken over.
             lease: Duration::from_secs(1_000_000),
-            ..usual
+            ..default_timers
         },
     }
 }
@@ -317,12 +320,15 @@
         demand: 1,
     };
     let names = workers(size).into_iter().map(|row| row.id);
-    names.take(size.loads()).map(|name| (name, load)).collect()
+    names
+        .take(size.loaded_workers())
+        .map(|name| (name, load))
+        .collect()
 }
 
-/// Writes the whole deployment in one change, and lists the workers.
-async fn fill(bed: &Site, size: Size, now: Instant) -> Result<Seq> {
-    let ledger = bed.ledger();
+/// Writes the whole deployment in one change and adds the workers to the platform's list.
+async fn fill(fixture: &Site, size: Size, now: Instant) -> Result<Seq> {
+    let ledger = fixture.ledger();
     let head = ledger.head().await?;
     let mut draft = Draft::new(head, now, "test", "deployment", Uuid::new_v4());
     for template in templates(size) {
@@ -334,7 +340,7 @@
     }
     let seq = ledger.commit(&draft).await?.seq;
     for row in rows {
-        bed.platform.fleet().add(Listed {
+        fixture.platform.fleet().add(Listed {
             id: row.id,
             address: row.address,
             zone: row.zone,
--- a/crates/demo/tests/all/requests.rs
+++ b/crates/demo/tests/all/requests.rs
@@ -1,6 +1,8 @@
-//! Verdicts on callers' requests.
+//! Checks of callers' requests.
 
-use primroseroute_demo::judge::{Breach, Ended, Event, Executed, Report, judge};
+use primroseroute_demo::checker::{
+    Breach, Event, KeyExecutions, Report, RequestEnded, check_history,
+};
 use primroseroute_domain::outcome::Verdict;
 use std::sync::Arc;
 
@@ -9,7 +11,7 @@
     key_executed_twice_is_doubled => doubled();
     executions_of_one_key_at_two_workers_add_up => doubled_over_two_counts();
     completed_hold_that_never_ran_is_lost => lost();
-    completed_refusal_of_a_worker_is_not_lost => refused_by_worker();
+    completed_refusal_of_a_worker_is_not_lost => rejected_by_worker();
     hold_that_ran_was_not_not_run => ran();
     unknown_hold_may_have_run_or_not => unknown();
     anothers_answer_is_foreign => foreign();
@@ -17,8 +19,8 @@
     lateness_and_refused_connections_are_counted => counts();
 }
 
-fn ended(verdict: Verdict) -> Ended {
-    Ended {
+fn ended(verdict: Verdict) -> RequestEnded {
+    RequestEnded {
         request: "r1".into(),
         key: Some("k1".into()),
         verdict,
@@ -31,7 +33,7 @@
 }
 
 fn executed(times: u64) -> Event {
-    Event::Executed(Executed {
+    Event::KeyExecuted(KeyExecutions {
         key: "k1".into(),
         times,
     })
@@ -41,18 +43,18 @@
     "k1".into()
 }
 
-fn verdict(ended: Ended, times: u64) -> Report {
-    judge(&[Event::Ended(ended), executed(times)])
+fn report_on(ended: RequestEnded, times: u64) -> Report {
+    check_history(&[Event::RequestEnded(ended), executed(times)])
 }
 
 fn sound() {
-    let report = verdict(ended(Verdict::Completed), 1);
+    let report = report_on(ended(Verdict::Completed), 1);
     assert_eq!(report.breaches, []);
     assert_eq!((report.requests.sent, report.requests.completed), (1, 1));
 }
 
 fn doubled() {
-    let report = verdict(ended(Verdict::Completed), 2);
+    let report = report_on(ended(Verdict::Completed), 2);
     let breach = Breach::Doubled {
         key: key(),
         times: 2,
@@ -61,11 +63,11 @@
     assert_eq!(report.requests.doubled, 1);
 }
 
-/// The order of the events says nothing: counts come from the workers one by one.
+/// Counts arrive one by one from the workers, so the order of events doesn't matter.
 fn doubled_over_two_counts() {
-    let report = judge(&[
+    let report = check_history(&[
         executed(1),
-        Event::Ended(ended(Verdict::Unknown)),
+        Event::RequestEnded(ended(Verdict::Unknown)),
         executed(1),
     ]);
     assert_eq!(report.requests.doubled, 1);
@@ -74,45 +76,45 @@
 
 fn lost() {
     for events in [
-        vec![Event::Ended(ended(Verdict::Completed)), executed(0)],
-        vec![Event::Ended(ended(Verdict::Completed))],
+        vec![Event::RequestEnded(ended(Verdict::Completed)), executed(0)],
+        vec![Event::RequestEnded(ended(Verdict::Completed))],
     ] {
-        let report = judge(&events);
+        let report = check_history(&events);
         assert_eq!(report.breaches, [Breach::Lost { key: key() }]);
         assert_eq!(report.requests.lost, 1);
     }
 }
 
-fn refused_by_worker() {
-    let refused = Ended {
+fn rejected_by_worker() {
+    let rejected = RequestEnded {
         success: false,
         ..ended(Verdict::Completed)
     };
-    let report = verdict(refused, 0);
+    let report = report_on(rejected, 0);
     assert_eq!(report.breaches, []);
     assert_eq!(report.requests.errors, 1);
 }
 
 fn ran() {
-    let report = verdict(ended(Verdict::NotRun), 1);
+    let report = report_on(ended(Verdict::NotRun), 1);
     assert_eq!(report.breaches, [Breach::Ran { key: key() }]);
     assert_eq!((report.requests.ran, report.requests.not_run), (1, 1));
 }
 
 fn unknown() {
     for times in [0, 1] {
-        let report = verdict(ended(Verdict::Unknown), times);
+        let report = report_on(ended(Verdict::Unknown), times);
         assert_eq!(report.breaches, []);
         assert_eq!(report.requests.unknown, 1);
     }
 }
 
 fn foreign() {
-    let mixed_up = Ended {
+    let mixed_up = RequestEnded {
         named: vec!["r1".into(), "r2".into()],
         ..ended(Verdict::Completed)
     };
-    let report = verdict(mixed_up, 1);
+    let report = report_on(mixed_up, 1);
     let breach = Breach::Foreign {
         request: "r1".into(),
         named: "r2".into(),
@@ -122,23 +124,23 @@
 }
 
 fn read() {
-    let read = Ended {
+    let read = RequestEnded {
         key: None,
         ..ended(Verdict::Completed)
     };
-    let report = judge(&[Event::Ended(read)]);
+    let report = check_history(&[Event::RequestEnded(read)]);
     assert_eq!(report.breaches, []);
     assert_eq!((report.requests.sent, report.requests.holds), (1, 0));
 }
 
 fn counts() {
-    let slow = Ended {
+    let slow = RequestEnded {
         late: true,
         attempts: 3,
         refused: 2,
         ..ended(Verdict::Completed)
     };
-    let requests = verdict(slow, 1).requests;
+    let requests = report_on(slow, 1).requests;
     assert_eq!(
         (requests.late, requests.attempts, requests.refused),
         (1, 3, 2)
