--- a/crates/backoff/src/lib.rs
+++ b/crates/backoff/src/lib.rs
@@ -11,7 +11,7 @@
 //! of an entry back off together, and entries that were throttled together do not retry together.
 //!
 //! * A throttled read is retried here. A caller that reads many partitions keeps those that it has already read.
-//! * A throttled feed call returns at once, since its follower must not mistake its own gap for silence of others; the next
+//! * A throttled feed call returns at once, since its follower must not take others for unresponsive during its own gap; the next
 //!   call for the same feed waits.
 //! * Reads that few entries make at the same time use [`Backoff::high_priority`], so that they take precedence over reads that every entry makes.
 //! * A commit is passed through without retries, and so is a read of less than a whole partition: what throttling means, and how long
--- a/crates/backoff/tests/all/main.rs
+++ b/crates/backoff/tests/all/main.rs
@@ -29,7 +29,7 @@
     persistent_throttling_lowers_the_call_rate => persistent_throttling();
     /// Without jitter, entries that are throttled together would retry together.
     entries_retry_at_different_times => jitter();
-    /// A follower that isn't told would mistake its own gap for silence of others.
+    /// A follower that isn't told would take others for unresponsive during its own gap.
     throttled_feed_returns_at_once_and_the_next_call_waits => feed();
     throttled_commit_is_not_retried => commit();
     /// An owner would start nothing while this waited for the proof that it owns its pool.
--- a/crates/cell/benches/tick.rs
+++ b/crates/cell/benches/tick.rs
@@ -66,8 +66,8 @@
     for workers in WORKERS {
         let full = {
             let mut cell = cell(workers);
-            let tick = cell.run_round(1, 1);
-            cell.record_commit(&tick, 1);
+            let output = cell.run_round(1, 1);
+            cell.record_commit(&output, 1);
             cell
         };
         group.bench_with_input(BenchmarkId::new("full", workers), &full, |bencher, full| {
--- a/crates/cell/benches/turn.rs
+++ b/crates/cell/benches/turn.rs
@@ -160,9 +160,9 @@
         self.accept();
         self.cell.advance_feed_watermark(now);
         self.poll_all();
-        let mut tick = self.cell.run_round(now, now);
-        self.cell.record_commit(&tick, now);
-        let orders = std::mem::take(&mut tick.orders);
+        let mut output = self.cell.run_round(now, now);
+        self.cell.record_commit(&output, now);
+        let orders = std::mem::take(&mut output.orders);
         let (orders, _withdrawn) = self.cell.revalidate(orders, now);
         for order in orders {
             let Order::Start {
--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -23,8 +23,8 @@
 /// Part of a ticket's validity that is left for the start to reach its worker.
 const SEND_MARGIN_MS: Millis = 300;
 
-/// Pause after a request without an answer.
-const RETRY_PAUSE_MS: Millis = 200;
+/// Delay after a request without an answer.
+const RETRY_DELAY_MS: Millis = 200;
 
 /// What is known of the workers for one step.
 #[derive(Clone, Debug, Default)]
@@ -156,7 +156,7 @@
     };
     policy.request_open = false;
     let Some((tickets, valid)) = answer else {
-        policy.retry_at = now + RETRY_PAUSE_MS;
+        policy.retry_at = now + RETRY_DELAY_MS;
         return;
     };
     let until = (sent_at + valid).saturating_sub(SEND_MARGIN_MS);
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -138,7 +138,7 @@
                     let leaves = matches!(task.phase, Phase::Leaving(_));
                     let shape = job.step(step);
                     let reserved = shape.map(Step::reserved).unwrap_or_default();
-                    let lasting = shape.is_some_and(|step| step.lasting);
+                    let long_running = shape.is_some_and(|step| step.lasting);
                     let run = Run {
                         start_state: StartState::Uncertain,
                         start_expires_at: self.taken_at,
@@ -151,7 +151,7 @@
                         last_stop_sent_at: leaves.then_some(self.taken_at),
                         origin: Origin::Discovered,
                         incarnation_tag: task.incarnation_tag,
-                        ..Run::new(task.run, reserved, lasting)
+                        ..Run::new(task.run, reserved, long_running)
                     };
                     let worker = self.worker(worker);
                     worker.lease_expires_at = worker.lease_expires_at.max(lease_expires_at);
--- a/crates/cell/src/crash.rs
+++ b/crates/cell/src/crash.rs
@@ -11,8 +11,8 @@
 //! cleared. Otherwise a new owner, which can't tell how long ago a run began, would take it for the
 //! isolated run of a suspect.
 //!
-//! An abandoned task fails its job. A task of a long-running step is only not started again, since
-//! the other tasks of its step go on serving.
+//! An abandoned task fails its job. A task of a long-running step is just not started again: the
+//! job goes on, since the other tasks of the step still serve.
 //!
 //! The crashes of a task are stored in its row, by run number, so they survive a change of owner.
 //! Crashes of gang members count for the gang as a whole. A worker that was only partitioned from
@@ -111,8 +111,8 @@
         let crashes = crashes(cell, task);
         if crashes >= ABANDON_CRASHES {
             let task = task.clone();
-            let lasting = cell.step(&task).is_some_and(|step| step.lasting);
-            if !lasting {
+            let long_running = cell.step(&task).is_some_and(|step| step.lasting);
+            if !long_running {
                 cell.finish(&task.job, State::Failed, wall_ms);
             }
             cell.poison_tasks.push(PoisonTask { task, crashes });
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -24,8 +24,8 @@
 //! * A start takes effect only within a fixed window, measured both from the time up to which its
 //!   owner knows all cancels and from its commit.
 //! * Orders that a round has decided are checked again when their commit is through, and the stop
-//!   of a ready long-running task is checked each time it is sent again: ends, cancels and lost
-//!   workers of the meantime count.
+//!   of a ready long-running task is checked each time it is sent again: runs that have ended, jobs
+//!   that were cancelled and workers that were lost meanwhile count.
 //!
 //! # No task takes the pool down
 //!
--- a/crates/cell/src/placement/mod.rs
+++ b/crates/cell/src/placement/mod.rs
@@ -31,9 +31,9 @@
     }
     let mut candidates = Candidates::of(cell, now);
     let mut orders = Vec::new();
-    let first_short = waiting.partition_point(|waiting| waiting.class == Class::Lasting);
-    let (lasting, short) = waiting.split_at(first_short);
-    for waiting in lasting {
+    let first_batch = waiting.partition_point(|waiting| waiting.class == Class::Lasting);
+    let (long_running, batch) = waiting.split_at(first_batch);
+    for waiting in long_running {
         if !place_step(cell, waiting, &mut candidates, &mut orders) {
             reserve_or_preempt(cell, waiting, &mut candidates, now);
         }
@@ -41,7 +41,7 @@
     let mut isolated_runs = IsolatedRuns::of(cell, &candidates, waiting);
     orders.extend(isolated_runs.run(cell, &mut candidates, now));
     let mut no_fit = NoFit::default();
-    for waiting in short {
+    for waiting in batch {
         if no_fit.covers(cell, waiting) {
             continue;
         }
@@ -248,7 +248,7 @@
         let near_target = step.lasting && is_near_target(cell, worker);
         // Long-running tasks are packed together: a worker without any can move to another pool or
         // be switched off.
-        let no_long_running = step.lasting && lasting_on(worker) == 0;
+        let no_long_running = step.lasting && long_running_on(worker) == 0;
         let free = candidates.free(candidate).cpu;
         (
             wrong_rack,
@@ -297,7 +297,7 @@
     other.job == task.job && other.occurrence == task.occurrence && other.step == task.step
 }
 
-fn lasting_on(worker: &Worker) -> usize {
+fn long_running_on(worker: &Worker) -> usize {
     worker.runs.values().filter(|run| run.lasting).count()
 }
 
--- a/crates/cell/src/placement/urgency.rs
+++ b/crates/cell/src/placement/urgency.rs
@@ -86,8 +86,8 @@
 /// Whether a job is past its objective. Running tasks count as late only from then on: how much of
 /// the estimate is left of a run isn't known well enough to tell sooner.
 pub(crate) fn is_overdue(job: &Job, occurrence: u32, wall_ms: u64) -> bool {
-    let lasting = job.accepted.job.lasting();
-    !lasting && age(job, occurrence, wall_ms) > signed(job.accepted.objective_ms)
+    let long_running = job.accepted.job.lasting();
+    !long_running && age(job, occurrence, wall_ms) > signed(job.accepted.objective_ms)
 }
 
 pub(super) fn waiting_tasks(job: &Job, occurrence: u32, step: u16) -> impl Iterator<Item = u16> {
@@ -113,8 +113,8 @@
     let age = age(job, occurrence, wall_ms);
     let objective = signed(job.accepted.objective_ms);
     let slack = objective - age - signed(remaining_ms(job, occurrence, step));
-    let lasting = job.step(step).is_some_and(|step| step.lasting);
-    if lasting {
+    let long_running = job.step(step).is_some_and(|step| step.lasting);
+    if long_running {
         Class::Lasting
     } else if age > objective * signed(LONG_OVERDUE_OBJECTIVES) {
         Class::LongOverdue
--- a/crates/cell/src/row/mod.rs
+++ b/crates/cell/src/row/mod.rs
@@ -382,12 +382,12 @@
     pub attempt: u64,
     /// Whether it has released the pool.
     pub released: bool,
-    /// The last other entry that owned it before; none if there was none but this entry. After
-    /// another entry's ownership, orders to the instances of a group pause for a while.
+    /// The last other entry that owned it before; none if there was none but this entry. The
+    /// instances of a group rest for a while after another entry's orders.
     #[serde(default)]
     pub after: Option<Name>,
     /// For a group: the instances that others may not order yet, with the milliseconds left from
-    /// the time this row was written; `None` if it isn't known, and all of them pause.
+    /// the time this row was written; `None` if it isn't known, and all of them rest.
     #[serde(default)]
     pub resting: Option<BTreeMap<Name, u64>>,
 }
--- a/crates/cell/src/scaling.rs
+++ b/crates/cell/src/scaling.rs
@@ -157,10 +157,10 @@
     cell.arrivals.round(now);
     let expected = cell.arrivals.expected(now);
     let current = running.in_time.plus(waiting_sum.in_time);
-    let lasting = long_running_demand(cell);
+    let long_running = long_running_demand(cell);
     let coming = running
         .in_time
-        .larger(lasting.plus(expected))
+        .larger(long_running.plus(expected))
         .plus(waiting_sum.in_time);
     let least = spread_width(cell)
         .max(spread_need(cell, now))
@@ -246,8 +246,8 @@
         .workers
         .values()
         .flat_map(|worker| worker.runs.values());
-    let lasting = runs.filter(|run| run.lasting && run.stop == StopState::No);
-    lasting.fold(Demand::default(), |sum, run| sum.plus(run.reserved))
+    let long_running = runs.filter(|run| run.lasting && run.stop == StopState::No);
+    long_running.fold(Demand::default(), |sum, run| sum.plus(run.reserved))
 }
 
 /// Demand of waiting tasks whose jobs are not long overdue.
--- a/crates/cell/src/status.rs
+++ b/crates/cell/src/status.rs
@@ -238,7 +238,7 @@
 fn add_discovered(cell: &mut Cell, id: &Name, running: &Running, now: Millis) {
     let step = cell.step(&running.task);
     let reserved = step.map(Step::reserved);
-    let lasting = step.is_some_and(|step| step.lasting);
+    let long_running = step.is_some_and(|step| step.lasting);
     if let Some(job) = cell.jobs.get_mut(&running.task.job) {
         job.has_started = HasStarted::Yes;
     }
@@ -253,7 +253,7 @@
         start_expires_at: now,
         stop: StopState::Requested,
         origin: Origin::Discovered,
-        ..Run::new(running.run, reserved.unwrap_or_default(), lasting)
+        ..Run::new(running.run, reserved.unwrap_or_default(), long_running)
     };
     worker.runs.insert(running.task.clone(), run);
     cell.stops_due = true;
--- a/crates/cell/tests/all/advice.rs
+++ b/crates/cell/tests/all/advice.rs
@@ -26,9 +26,14 @@
     fixture
 }
 
-fn only_request(tick: &RoundOutput) -> AdviceRequest {
-    assert_eq!(tick.advice_requests.len(), 1, "{:?}", tick.advice_requests);
-    tick.advice_requests[0].clone()
+fn only_request(output: &RoundOutput) -> AdviceRequest {
+    assert_eq!(
+        output.advice_requests.len(),
+        1,
+        "{:?}",
+        output.advice_requests
+    );
+    output.advice_requests[0].clone()
 }
 
 /// Answers a request: all workers except `forbidden` may run the step.
@@ -44,8 +49,8 @@
         .record_advice(request, Some((tickets, TICKET_VALID_MS)), now, now);
 }
 
-fn tickets(tick: &RoundOutput) -> Vec<Option<Name>> {
-    let orders = tick.orders.iter();
+fn tickets(output: &RoundOutput) -> Vec<Option<Name>> {
+    let orders = output.orders.iter();
     let tickets = orders.filter_map(|order| match order {
         Order::Start { ticket, .. } => Some(ticket.clone()),
         _ => None,
@@ -56,14 +61,14 @@
 fn requested_first() {
     let mut fixture = with_advised_queue(&["w-1", "w-2"]);
     fixture.accept(job(vec![step(1, 1_000)]));
-    let tick = fixture.round();
-    assert_eq!(starts(&tick.orders), []);
-    let request = only_request(&tick);
+    let output = fixture.round();
+    assert_eq!(starts(&output.orders), []);
+    let request = only_request(&output);
     assert_eq!(request.workers.len(), 2);
     assert_eq!(fixture.round().advice_requests, [], "requested twice");
     answer(&mut fixture, &request, &["w-1"]);
-    let tick = fixture.round();
-    assert_eq!(tickets(&tick), [Some("w-2@0".into())]);
+    let output = fixture.round();
+    assert_eq!(tickets(&output), [Some("w-2@0".into())]);
 }
 
 /// Two tasks run on a worker one after the other; when the second can start, the ticket expires too
@@ -73,13 +78,13 @@
     let id = fixture.accept(job(vec![step(2, 9_000)]));
     let request = only_request(&fixture.round());
     answer(&mut fixture, &request, &[]);
-    assert_eq!(starts(&fixture.tick()).len(), 1);
+    assert_eq!(starts(&fixture.execute_round()).len(), 1);
     fixture.advance(TICKET_VALID_MS - 200);
     fixture.end_run(&"w-1".into(), &task(&id, 0, 0), End::Done);
     fixture.poll_all();
-    let tick = fixture.round();
-    assert_eq!(starts(&tick.orders), []);
-    let request = only_request(&tick);
+    let output = fixture.round();
+    assert_eq!(starts(&output.orders), []);
+    let request = only_request(&output);
     answer(&mut fixture, &request, &[]);
     assert_eq!(tickets(&fixture.round()), [Some("w-1@2800".into())]);
 }
@@ -95,9 +100,9 @@
     fixture
         .cell
         .record_start_outcome(&worker, &task(&id, 0, 0), 1, outcome, fixture.now);
-    let tick = fixture.round();
-    assert_eq!(starts(&tick.orders), []);
-    only_request(&tick);
+    let output = fixture.round();
+    assert_eq!(starts(&output.orders), []);
+    only_request(&output);
 }
 
 fn forbidden() {
@@ -106,9 +111,9 @@
     let request = only_request(&fixture.round());
     answer(&mut fixture, &request, &["w-1"]);
     fixture.advance(TICKET_VALID_MS);
-    let tick = fixture.round();
+    let output = fixture.round();
     assert_eq!(
-        (starts(&tick.orders), tick.advice_requests),
+        (starts(&output.orders), output.advice_requests),
         (vec![], vec![])
     );
     fixture.cell.register(crate::fixture::worker("w-2"));
--- a/crates/cell/tests/all/crash.rs
+++ b/crates/cell/tests/all/crash.rs
@@ -19,7 +19,7 @@
     suspect_task_gets_a_worker_of_a_busy_pool => busy_pool();
     /// Guards against losing the crash count with the owner.
     new_owner_continues_the_crash_count => count_survives_takeover();
-    /// Guards against failing a task for a crash long after its start, by an owner that didn't start it.
+    /// Guards against abandoning a task for a crash long after its start, by an owner that didn't start it.
     crash_is_not_attributed_to_an_established_discovered_run => discovered();
     /// Guards against attributing a planned shutdown to the tasks of the worker.
     planned_end_is_no_crash => planned();
@@ -37,7 +37,7 @@
     expiry_is_no_crash_of_a_worker_that_came_back => came_back();
     /// Guards against crashes that make suspects of tasks without any crash, and take them down as well.
     tasks_with_a_crash_are_isolated_from_those_without => isolated_from_crash_free();
-    /// Guards against isolating every task that loses a worker, forever, because a long-running task failed permanently once.
+    /// Guards against isolating every task that loses a worker, forever, because a long-running task was abandoned once.
     failed_long_running_task_is_no_suspect => failed_long_running();
     /// Guards against isolated runs one after the other while other workers are idle.
     suspect_tasks_use_all_idle_workers => on_all_idle();
@@ -66,13 +66,13 @@
 
 /// Runs a round and returns the worker on which it starts a task.
 fn start_in_round(fixture: &mut Fixture, task: &TaskId) -> Option<Name> {
-    let starts = starts(&fixture.tick());
+    let starts = starts(&fixture.execute_round());
     let found = starts.into_iter().find(|(of, _on)| of == task);
     found.map(|(_task, on)| on)
 }
 
-fn state(tick: &RoundOutput, id: &JobId) -> State {
-    let row = tick.puts.iter().find(|(of, _row)| of == id);
+fn state(output: &RoundOutput, id: &JobId) -> State {
+    let row = output.puts.iter().find(|(of, _row)| of == id);
     let (_id, row) = row.expect("its row is written");
     let progress: Progress = serde_json::from_slice(row).expect("progress");
     progress.state
@@ -92,7 +92,7 @@
 /// Terminates a worker without a round after it.
 fn terminate(fixture: &mut Fixture, id: &Name) {
     fixture.running.remove(id);
-    // A new owner that hasn't polled the worker doesn't know its boot time.
+    // A new owner that hasn't polled the worker doesn't know the start time of its incarnation.
     let now = fixture.now;
     assert!(
         fixture.cell.worker_terminated(id, 1, now) || fixture.cell.worker_terminated(id, 0, now)
@@ -107,25 +107,25 @@
     terminate(&mut fixture, &on);
     let on = start_in_round(&mut fixture, &task(&id, 0, 0)).expect("the task starts");
     fixture.advance(10);
-    let tick = crash(&mut fixture, &on);
-    assert_eq!(state(&tick, &id), State::Failed);
-    assert_eq!(tick.poison_tasks.len(), 1);
-    assert_eq!(tick.losses[0].cause, Cause::Crash);
-    assert_eq!(starts(&tick.orders), Vec::new());
+    let output = crash(&mut fixture, &on);
+    assert_eq!(state(&output, &id), State::Failed);
+    assert_eq!(output.poison_tasks.len(), 1);
+    assert_eq!(output.losses[0].cause, Cause::Crash);
+    assert_eq!(starts(&output.orders), Vec::new());
 }
 
 fn long_established() {
     let mut fixture = Fixture::new(&["w-1"]);
     let old = fixture.accept(job(vec![step(1, 1_000)]));
-    fixture.tick();
+    fixture.execute_round();
     fixture.advance(1_500);
     let new = fixture.accept(job(vec![step(1, 1_000)]));
-    fixture.tick();
+    fixture.execute_round();
     fixture.advance(10);
-    let tick = crash(&mut fixture, &"w-1".into());
-    assert_eq!(tick.losses[0].runs.len(), 2);
+    let output = crash(&mut fixture, &"w-1".into());
+    assert_eq!(output.losses[0].runs.len(), 2);
     assert_eq!(
-        tick.losses[0].attributed_to,
+        output.losses[0].attributed_to,
         vec![task(&new, 0, 0)],
         "{old}"
     );
@@ -135,7 +135,7 @@
     let mut fixture = Fixture::new(&["w-1", "w-2", "w-3"]);
     let id = with_two_crashes(&mut fixture);
     let other = fixture.accept(job(vec![step(4, 1_000)]));
-    let orders = starts(&fixture.tick());
+    let orders = starts(&fixture.execute_round());
     assert_eq!(
         orders.len(),
         1,
@@ -143,9 +143,9 @@
     );
     assert_eq!(orders[0].0, task(&id, 0, 0));
     fixture.advance(500);
-    assert_eq!(starts(&fixture.tick()), Vec::new());
+    assert_eq!(starts(&fixture.execute_round()), Vec::new());
     fixture.advance(600);
-    assert_eq!(starts(&fixture.tick()).len(), 4);
+    assert_eq!(starts(&fixture.execute_round()).len(), 4);
 }
 
 fn busy_pool() {
@@ -191,8 +191,8 @@
     fixture.advance(100);
     let on = start_in_round(&mut fixture, &task(&id, 0, 0)).expect("the task starts");
     fixture.replace_owner();
-    let tick = crash(&mut fixture, &on);
-    assert_eq!(state(&tick, &id), State::Failed);
+    let output = crash(&mut fixture, &on);
+    assert_eq!(state(&output, &id), State::Failed);
 }
 
 fn discovered() {
@@ -202,9 +202,9 @@
     fixture.advance(3_000);
     fixture.replace_owner();
     fixture.poll_all();
-    let tick = crash(&mut fixture, &on);
-    assert_eq!(tick.losses[0].runs.len(), 1);
-    assert_eq!(tick.losses[0].attributed_to, Vec::new());
+    let output = crash(&mut fixture, &on);
+    assert_eq!(output.losses[0].runs.len(), 1);
+    assert_eq!(output.losses[0].attributed_to, Vec::new());
 }
 
 fn planned() {
@@ -214,9 +214,9 @@
     let mut draining_worker = worker(&on);
     draining_worker.draining = true;
     fixture.cell.register(draining_worker);
-    let tick = crash(&mut fixture, &on);
-    assert_eq!(tick.losses[0].cause, Cause::Planned);
-    assert_eq!(tick.losses[0].attributed_to, Vec::new());
+    let output = crash(&mut fixture, &on);
+    assert_eq!(output.losses[0].cause, Cause::Planned);
+    assert_eq!(output.losses[0].attributed_to, Vec::new());
 }
 
 fn cleared() {
@@ -228,8 +228,8 @@
         fixture.round();
         fixture.replace_owner();
         // The new owner never gets a response of the worker, and can't tell when the run began.
-        let tick = crash(&mut fixture, &on);
-        assert_eq!(tick.poison_tasks, Vec::new());
+        let output = crash(&mut fixture, &on);
+        assert_eq!(output.poison_tasks, Vec::new());
         fixture.poll_all();
     }
     assert!(start_in_round(&mut fixture, &task(&id, 0, 0)).is_some());
@@ -239,11 +239,11 @@
     let mut fixture = Fixture::new(&["w-1", "w-2", "w-3"]);
     let id = with_two_crashes(&mut fixture);
     fixture.now += 300;
-    let tick = fixture.round();
-    let [on] = &*tick.immediate_polls else {
-        panic!("one worker is polled: {:?}", tick.immediate_polls);
+    let output = fixture.round();
+    let [on] = &*output.immediate_polls else {
+        panic!("one worker is polled: {:?}", output.immediate_polls);
     };
-    assert_eq!(starts(&tick.orders), Vec::new());
+    assert_eq!(starts(&output.orders), Vec::new());
     assert_eq!(starts(&fixture.round().orders), Vec::new());
     fixture.now += 50;
     fixture.poll(on);
@@ -285,8 +285,8 @@
         if fixture.cell.possibly_crashed(fixture.now).contains(&on) && is_listed(fixture.now) {
             fixture.cell.worker_listed(&on, 1, fixture.now);
         }
-        let mut tick = fixture.round();
-        if let Some(loss) = tick.losses.pop() {
+        let mut output = fixture.round();
+        if let Some(loss) = output.losses.pop() {
             return (id, on, loss);
         }
         assert!(fixture.now < 20_000, "the run is never lost");
@@ -304,9 +304,9 @@
     let mut fixture = Fixture::new(&["w-1", "w-2"]);
     let (id, on, _loss) = expire_lease(&mut fixture);
     assert!(fixture.cell.unresponsive(fixture.now).contains(&on));
-    let tick = crash(&mut fixture, &on);
-    assert_eq!(tick.losses[0].cause, Cause::Crash);
-    assert_eq!(tick.losses[0].attributed_to, vec![task(&id, 0, 0)]);
+    let output = crash(&mut fixture, &on);
+    assert_eq!(output.losses[0].cause, Cause::Crash);
+    assert_eq!(output.losses[0].attributed_to, vec![task(&id, 0, 0)]);
 }
 
 fn came_back() {
@@ -314,19 +314,19 @@
     let (_id, on, _loss) = expire_lease(&mut fixture);
     fixture.running.insert(Name::clone(&on), BTreeMap::new());
     fixture.poll(&on);
-    let tick = crash(&mut fixture, &on);
-    assert_eq!(tick.losses, Vec::new());
+    let output = crash(&mut fixture, &on);
+    assert_eq!(output.losses, Vec::new());
 }
 
 fn spread() {
     let mut fixture = Fixture::new(&["w-1"]);
     let id = fixture.accept(job(vec![step(8, 1_000)]));
-    assert_eq!(starts(&fixture.tick()).len(), 8);
+    assert_eq!(starts(&fixture.execute_round()).len(), 8);
     fixture.advance(10);
     terminate(&mut fixture, &"w-1".into());
     join(&mut fixture, "w-2");
     join(&mut fixture, "w-3");
-    let starts = starts(&fixture.tick());
+    let starts = starts(&fixture.execute_round());
     assert_eq!(starts.len(), 8, "{id}");
     let on_second = starts.iter().filter(|(_task, on)| &**on == "w-2");
     assert_eq!(on_second.count(), 4);
@@ -347,7 +347,7 @@
     let once = fixture.accept(job(vec![step(2, 1_000)]));
     crash_under(&mut fixture, &once, 1);
     let crash_free = fixture.accept(job(vec![step(20, 1_000)]));
-    let starts = starts(&fixture.tick());
+    let starts = starts(&fixture.execute_round());
     let on = |id: &JobId| -> BTreeSet<Name> {
         let of_job = starts.iter().filter(|(task, _on)| task.job == *id);
         of_job.map(|(_task, on)| Name::clone(on)).collect()
@@ -361,7 +361,7 @@
     let mut fixture = Fixture::new(&["w-1", "w-2", "w-3", "w-4", "w-5", "w-6", "w-7"]);
     let id = fixture.accept(job(vec![step(4, 1_000)]));
     crash_under(&mut fixture, &id, 2);
-    let starts = starts(&fixture.tick());
+    let starts = starts(&fixture.execute_round());
     let on: BTreeSet<&Name> = starts.iter().map(|(_task, on)| on).collect();
     assert_eq!((starts.len(), on.len()), (4, 4), "{starts:?}");
 }
@@ -370,29 +370,29 @@
     let mut fixture = Fixture::new(&["w-1", "w-2"]);
     let (_id, on, loss) = expire_lease_while_listed(&mut fixture, |_now| true);
     assert_eq!(loss.attributed_to, Vec::new());
-    let tick = crash(&mut fixture, &on);
-    assert_eq!(tick.losses, Vec::new());
+    let output = crash(&mut fixture, &on);
+    assert_eq!(output.losses, Vec::new());
 }
 
 fn next_incarnation_listed() {
     let mut fixture = Fixture::new(&["w-1", "w-2"]);
     let (id, on, _loss) =
         expire_lease_while_listed(&mut fixture, |now| !(2_000..4_500).contains(&now));
-    let tick = crash(&mut fixture, &on);
-    assert_eq!(tick.losses[0].attributed_to, vec![task(&id, 0, 0)]);
+    let output = crash(&mut fixture, &on);
+    assert_eq!(output.losses[0].attributed_to, vec![task(&id, 0, 0)]);
 }
 
 fn never_started() {
     let mut fixture = Fixture::new(&["w-1", "w-2", "w-3"]);
     let id = with_two_crashes(&mut fixture);
-    let tick = fixture.round();
+    let output = fixture.round();
     let [
         Order::Start {
             worker, task, run, ..
         },
-    ] = &*tick.orders
+    ] = &*output.orders
     else {
-        panic!("one isolated run begins: {:?}", tick.orders);
+        panic!("one isolated run begins: {:?}", output.orders);
     };
     assert_eq!(task.job, id);
     fixture
@@ -421,7 +421,7 @@
     let once = fixture.accept(job(vec![step(2, 1_000)]));
     crash_under(&mut fixture, &once, 1);
     fixture.accept(job(vec![step(8, 1_000)]));
-    let starts = starts(&fixture.tick());
+    let starts = starts(&fixture.execute_round());
     let on: BTreeSet<&Name> = starts.iter().map(|(_task, on)| on).collect();
     assert_eq!((starts.len(), on.len()), (10, 1), "{starts:?}");
 }
--- a/crates/cell/tests/all/ends.rs
+++ b/crates/cell/tests/all/ends.rs
@@ -28,14 +28,14 @@
     let mut fixture = Fixture::new(&["w-1", "w-2"]);
     let id = fixture.accept(job(vec![step(1, 1_000)]));
     for _attempt in 0..2 {
-        let on = Name::clone(&starts(&fixture.tick())[0].1);
+        let on = Name::clone(&starts(&fixture.execute_round())[0].1);
         fixture.end_run(&on, &task(&id, 0, 0), End::Failed);
         fixture.advance(100);
     }
-    let tick = fixture.round();
-    let progress: Progress = serde_json::from_slice(&tick.puts[0].1).expect("progress");
+    let output = fixture.round();
+    let progress: Progress = serde_json::from_slice(&output.puts[0].1).expect("progress");
     assert_eq!(progress.state, State::Failed);
-    assert_eq!(starts(&tick.orders), Vec::new());
+    assert_eq!(starts(&output.orders), Vec::new());
 }
 
 // An owner commits an end and dies before it acknowledges it. The worker reports the same end to the
@@ -43,11 +43,11 @@
 fn counted_once() {
     let mut fixture = Fixture::new(&["w-1"]);
     let id = fixture.accept(job(vec![step(1, 1_000)]));
-    fixture.tick();
+    fixture.execute_round();
     fixture.end_run(&"w-1".into(), &task(&id, 0, 0), End::Failed);
     fixture.advance(100);
-    let tick = fixture.round();
-    let progress: Progress = serde_json::from_slice(&tick.puts[0].1).expect("progress");
+    let output = fixture.round();
+    let progress: Progress = serde_json::from_slice(&output.puts[0].1).expect("progress");
     let mut new_owner = Cell::new(Limits::new(6_000, 120_000), 0);
     new_owner.register(crate::fixture::worker("w-1"));
     let accepted = primroseroute_cell::row::Accepted {
@@ -73,8 +73,8 @@
         }],
     };
     new_owner.apply_status(&"w-1".into(), &response, 10, 11, WALL_AT_ZERO_MS);
-    let tick = new_owner.run_round(20, WALL_AT_ZERO_MS);
-    for (_id, row) in tick.puts {
+    let output = new_owner.run_round(20, WALL_AT_ZERO_MS);
+    for (_id, row) in output.puts {
         let progress: Progress = serde_json::from_slice(&row).expect("progress");
         assert_ne!(progress.state, State::Failed);
     }
@@ -85,20 +85,20 @@
 fn abandoned() {
     let mut fixture = Fixture::new(&["w-1", "w-2"]);
     let id = fixture.accept(job(vec![step(1, 1_000)]));
-    let first = Name::clone(&starts(&fixture.tick())[0].1);
+    let first = Name::clone(&starts(&fixture.execute_round())[0].1);
     fixture.end_run(&first, &task(&id, 0, 0), End::Done);
     let other: Name = if &*first == "w-1" { "w-2" } else { "w-1" }.into();
     for _second in 0..20 {
         fixture.now += 1_000;
         fixture.poll(&other);
-        fixture.tick();
+        fixture.execute_round();
     }
     assert_eq!(
         fixture.workers_running(&task(&id, 0, 0)),
         vec![Name::clone(&other)]
     );
     fixture.poll(&first);
-    let orders = fixture.tick();
+    let orders = fixture.execute_round();
     let stopped = orders
         .iter()
         .any(|order| matches!(order, Order::Stop { worker, .. } if *worker == other));
@@ -108,7 +108,7 @@
 fn ended_job() {
     let mut fixture = Fixture::new(&["w-1"]);
     let id = fixture.accept(job(vec![step(1, 6_000)]));
-    fixture.tick();
+    fixture.execute_round();
     fixture.cell.cancel(&id, WALL_AT_ZERO_MS);
     fixture.round();
     fixture.replace_owner();
@@ -162,30 +162,30 @@
 fn lease_waited_out() {
     let mut fixture = Fixture::new(&["w-1", "w-2"]);
     let id = fixture.accept(job(vec![step(1, 1_000)]));
-    let first = Name::clone(&starts(&fixture.tick())[0].1);
+    let first = Name::clone(&starts(&fixture.execute_round())[0].1);
     let other: Name = if &*first == "w-1" { "w-2" } else { "w-1" }.into();
     let mut waited = 0;
     while fixture.workers_running(&task(&id, 0, 0)) == vec![Name::clone(&first)] {
         fixture.now += 100;
         waited += 100;
         fixture.poll(&other);
-        fixture.tick();
+        fixture.execute_round();
         assert!(waited < 20_000, "the task never starts elsewhere");
     }
-    // The lease of a predecessor may have been granted at the takeover.
+    // A lease of the previous owner may have been granted at the takeover.
     assert!(waited >= 6_000, "started elsewhere after {waited} ms");
 }
 
 fn renewal_waited_out() {
     let mut fixture = Fixture::new(&["w-1", "w-2"]);
     let id = fixture.accept(job(vec![step(1, 1_000)]));
-    let first = Name::clone(&starts(&fixture.tick())[0].1);
+    let first = Name::clone(&starts(&fixture.execute_round())[0].1);
     let other: Name = if &*first == "w-1" { "w-2" } else { "w-1" }.into();
     fixture.cell.lease_renewal_sent(&first, 15_000);
     for _tenth in 0..149 {
         fixture.now += 100;
         fixture.poll(&other);
-        fixture.tick();
+        fixture.execute_round();
         assert_eq!(
             fixture.workers_running(&task(&id, 0, 0)),
             vec![Name::clone(&first)]
@@ -223,8 +223,8 @@
     running.insert(task, (1, 10));
     for _tenth in 0..40 {
         fixture.advance(100);
-        let tick = fixture.round();
-        assert!(tick.orders.is_empty() && tick.immediate_stops.is_empty());
+        let output = fixture.round();
+        assert!(output.orders.is_empty() && output.immediate_stops.is_empty());
     }
 }
 
@@ -245,12 +245,12 @@
     let mut fixture = Fixture::new(&["w-1"]);
     for _job in 0..3 {
         let id = fixture.accept(job(vec![step(1, 1_000)]));
-        fixture.tick();
+        fixture.execute_round();
         fixture.end_run(&"w-1".into(), &task(&id, 0, 0), End::Failed);
         fixture.advance(10);
     }
     fixture.accept(job(vec![step(1, 1_000)]));
-    assert_eq!(starts(&fixture.tick()), Vec::new());
+    assert_eq!(starts(&fixture.execute_round()), Vec::new());
     fixture.advance(3_100);
-    assert!(!starts(&fixture.tick()).is_empty());
+    assert!(!starts(&fixture.execute_round()).is_empty());
 }
--- a/crates/cell/tests/all/fixture.rs
+++ b/crates/cell/tests/all/fixture.rs
@@ -135,9 +135,9 @@
     }
 
     /// Runs and commits one round, executes all its orders and returns them.
-    pub(crate) fn tick(&mut self) -> Vec<Order> {
-        let tick = self.round();
-        let orders = [tick.immediate_stops, tick.orders].concat();
+    pub(crate) fn execute_round(&mut self) -> Vec<Order> {
+        let output = self.round();
+        let orders = [output.immediate_stops, output.orders].concat();
         for order in &orders {
             self.execute(order);
         }
@@ -147,16 +147,16 @@
     /// Runs and commits one round without sending its orders.
     pub(crate) fn round(&mut self) -> RoundOutput {
         self.cell.advance_feed_watermark(self.now);
-        let tick = self.cell.run_round(self.now, WALL_AT_ZERO_MS + self.now);
-        self.rows.extend(tick.puts.iter().cloned());
-        self.cell.record_commit(&tick, self.now);
-        tick
+        let output = self.cell.run_round(self.now, WALL_AT_ZERO_MS + self.now);
+        self.rows.extend(output.puts.iter().cloned());
+        self.cell.record_commit(&output, self.now);
+        output
     }
 
     /// Returns the orders of a round that are still valid after its commit.
-    pub(crate) fn standing(&mut self, tick: RoundOutput) -> Vec<Order> {
-        let (standing, _withdrawn) = self.cell.revalidate(tick.orders, self.now);
-        standing
+    pub(crate) fn revalidate(&mut self, output: RoundOutput) -> Vec<Order> {
+        let (valid, _withdrawn) = self.cell.revalidate(output.orders, self.now);
+        valid
     }
 
     pub(crate) fn execute(&mut self, order: &Order) {
--- a/crates/cell/tests/all/incarnation.rs
+++ b/crates/cell/tests/all/incarnation.rs
@@ -23,7 +23,7 @@
     unanswered_start_is_stopped_in_the_next_incarnation => unanswered();
     /// Guards against relying on a stop that only the previous incarnation accepted.
     stop_accepted_by_the_previous_incarnation_resolves_nothing => stopped_before();
-    /// Guards against a start that reaches the next incarnation of a worker known to have ended.
+    /// Guards against a start that reaches the next incarnation of a worker known to have terminated.
     unanswered_start_waits_for_the_next_incarnation => waits_for_next();
     /// Guards against a task that waits for an incarnation that never comes.
     unanswered_start_is_given_up_when_another_worker_answers_in_its_place => replaced();
@@ -33,7 +33,7 @@
     crash_before_a_takeover_is_attributed => before_takeover();
     /// Guards against attributing the crash of an earlier incarnation to a start that never reached the worker.
     crash_is_not_attributed_to_a_start_that_never_arrived => never_reached();
-    /// Guards against a crash that goes uncounted because the next incarnation, begun after the takeover, has the same mark
+    /// Guards against a crash that goes uncounted because the next incarnation, begun after the takeover, has the same tag
     /// as the one before.
     crash_before_an_incarnation_that_began_after_the_takeover_is_attributed => began_after();
     /// Guards against ending an incarnation because a late list shows the end of the previous one.
@@ -48,14 +48,14 @@
 
 const WORKER: &str = "w-1";
 
-/// Boot time of the next incarnation; the fixture's workers boot at 1.
+/// Start time of the next incarnation; those of the fixture's workers start at 1.
 const NEXT_BOOT: u64 = 2;
 
 fn worker() -> Name {
     WORKER.into()
 }
 
-/// An empty poll response of the incarnation that booted at `born`.
+/// An empty poll response of the incarnation that started at `born`.
 fn response(born: u64) -> WorkerStatus {
     WorkerStatus {
         born,
@@ -84,8 +84,8 @@
         .apply_status(&worker(), response, now, now, WALL_AT_ZERO_MS + now);
 }
 
-fn acknowledged_up_to(tick: &RoundOutput) -> EndsCursor {
-    let found = tick
+fn acknowledged_up_to(output: &RoundOutput) -> EndsCursor {
+    let found = output
         .ends_committed
         .iter()
         .find(|(id, _seen)| &**id == WORKER);
@@ -107,14 +107,14 @@
 fn with_ends() -> Fixture {
     let mut fixture = Fixture::new(&[WORKER]);
     let id = fixture.accept(job(vec![step(5, 1_000)]));
-    fixture.tick();
+    fixture.execute_round();
     for index in 0..5 {
         fixture.end_run(&worker(), &task(&id, 0, index), End::Done);
     }
     fixture.advance(100);
-    let tick = fixture.round();
+    let output = fixture.round();
     assert_eq!(
-        acknowledged_up_to(&tick),
+        acknowledged_up_to(&output),
         EndsCursor {
             incarnation: 1,
             number: 5
@@ -134,45 +134,45 @@
         ..response(NEXT_BOOT)
     };
     deliver(&mut fixture, &with_end);
-    let tick = fixture.round();
-    assert_eq!(tick.ended.len(), 1, "the job is completed");
-    assert_eq!(starts(&tick.orders), Vec::new());
+    let output = fixture.round();
+    assert_eq!(output.ended.len(), 1, "the job is completed");
+    assert_eq!(starts(&output.orders), Vec::new());
 }
 
 fn acknowledged() {
     let mut fixture = with_ends();
     deliver(&mut fixture, &response(NEXT_BOOT));
-    let tick = fixture.round();
+    let output = fixture.round();
     let none = EndsCursor {
         incarnation: NEXT_BOOT,
         number: 0,
     };
-    assert_eq!(acknowledged_up_to(&tick), none);
+    assert_eq!(acknowledged_up_to(&output), none);
 }
 
 fn restarted() {
     let mut fixture = Fixture::new(&[WORKER]);
     fixture.accept(job(vec![step(3, 1_000)]));
-    assert_eq!(starts(&fixture.tick()).len(), 3);
+    assert_eq!(starts(&fixture.execute_round()).len(), 3);
     fixture.advance(1_500);
     fixture.now += 100;
     deliver(&mut fixture, &response(NEXT_BOOT));
-    let tick = fixture.round();
-    assert_eq!(starts(&tick.orders).len(), 3);
-    assert_eq!(tick.losses[0].cause, Cause::Crash);
-    assert_eq!(tick.losses[0].attributed_to, Vec::new());
+    let output = fixture.round();
+    assert_eq!(starts(&output.orders).len(), 3);
+    assert_eq!(output.losses[0].cause, Cause::Crash);
+    assert_eq!(output.losses[0].attributed_to, Vec::new());
 }
 
 fn stale_response() {
     let mut fixture = with_ends();
     deliver(&mut fixture, &response(NEXT_BOOT));
     let id = fixture.accept(job(vec![step(1, 1_000)]));
-    fixture.tick();
+    fixture.execute_round();
     fixture.now += 100;
     deliver(&mut fixture, &response(1));
-    let tick = fixture.round();
-    assert_eq!(acknowledged_up_to(&tick).incarnation, NEXT_BOOT);
-    assert_eq!(starts(&tick.orders), Vec::new(), "{id} runs");
+    let output = fixture.round();
+    assert_eq!(acknowledged_up_to(&output).incarnation, NEXT_BOOT);
+    assert_eq!(starts(&output.orders), Vec::new(), "{id} runs");
 }
 
 /// Submits a job whose only start gets no answer.
@@ -187,8 +187,8 @@
     id
 }
 
-fn stops(tick: &RoundOutput) -> usize {
-    let stops = tick.orders.iter();
+fn stops(output: &RoundOutput) -> usize {
+    let stops = output.orders.iter();
     let stops = stops.filter(|order| matches!(order, Order::Stop { .. }));
     stops.count()
 }
@@ -198,9 +198,9 @@
     let id = without_answer(&mut fixture);
     fixture.now += 3_000;
     deliver(&mut fixture, &response(NEXT_BOOT));
-    let tick = fixture.round();
-    assert_eq!(starts(&tick.orders), Vec::new());
-    assert_eq!(stops(&tick), 1);
+    let output = fixture.round();
+    assert_eq!(starts(&output.orders), Vec::new());
+    assert_eq!(stops(&output), 1);
     fixture
         .cell
         .record_stop_accepted(&worker(), &task(&id, 0, 0), 1, fixture.now);
@@ -218,9 +218,9 @@
         .record_stop_accepted(&worker(), &task(&id, 0, 0), 1, fixture.now);
     fixture.now += 3_000;
     deliver(&mut fixture, &response(NEXT_BOOT));
-    let tick = fixture.round();
-    assert_eq!(starts(&tick.orders), Vec::new());
-    assert_eq!(stops(&tick), 1);
+    let output = fixture.round();
+    assert_eq!(starts(&output.orders), Vec::new());
+    assert_eq!(stops(&output), 1);
 }
 
 fn waits_for_next() {
@@ -239,7 +239,7 @@
     assert_eq!(starts(&fixture.round().orders).len(), 1);
 }
 
-/// Submits a job whose only start got no answer from a worker that has ended; another worker is free.
+/// Submits a job whose only start got no answer from a worker that has terminated; another worker is free.
 fn lost_without_answer(fixture: &mut Fixture) -> JobId {
     fixture
         .cell
@@ -280,53 +280,53 @@
 fn before_takeover() {
     let mut fixture = Fixture::new(&[WORKER]);
     let id = fixture.accept(job(vec![step(1, 1_000)]));
-    fixture.tick();
+    fixture.execute_round();
     fixture.now += 3_000;
     fixture.replace_owner();
     deliver(&mut fixture, &response(WALL_AT_ZERO_MS + 2_000));
-    let tick = fixture.round();
-    assert_eq!(tick.losses[0].attributed_to, vec![task(&id, 0, 0)]);
+    let output = fixture.round();
+    assert_eq!(output.losses[0].attributed_to, vec![task(&id, 0, 0)]);
 }
 
 fn never_reached() {
     let mut fixture = Fixture::new(&[WORKER]);
     let id = fixture.accept(job(vec![step(1, 1_000)]));
-    fixture.tick();
+    fixture.execute_round();
     fixture.now += 3_000;
     let second = response(WALL_AT_ZERO_MS + 2_000);
     deliver(&mut fixture, &second);
-    let tick = fixture.round();
-    assert_eq!(tick.losses[0].attributed_to, vec![task(&id, 0, 0)]);
-    assert_eq!(starts(&tick.orders).len(), 1);
+    let output = fixture.round();
+    assert_eq!(output.losses[0].attributed_to, vec![task(&id, 0, 0)]);
+    assert_eq!(starts(&output.orders).len(), 1);
     fixture.replace_owner();
     deliver(&mut fixture, &second);
-    let tick = fixture.round();
-    assert_eq!(tick.losses, Vec::new());
-    assert_eq!(starts(&tick.orders).len(), 1);
+    let output = fixture.round();
+    assert_eq!(output.losses, Vec::new());
+    assert_eq!(starts(&output.orders).len(), 1);
 }
 
 fn began_after() {
     let mut fixture = Fixture::new(&[WORKER]);
     let id = fixture.accept(job(vec![step(1, 1_000)]));
-    fixture.tick();
+    fixture.execute_round();
     fixture.now += 3_000;
     let born = WALL_AT_ZERO_MS + 2_000;
     deliver(&mut fixture, &response(born));
-    assert_eq!(starts(&fixture.tick()).len(), 1);
+    assert_eq!(starts(&fixture.execute_round()).len(), 1);
     fixture.replace_owner();
     fixture.now += 20_000;
     let next = born + 20_000;
     assert_eq!(IncarnationTag::of(born), IncarnationTag::of(next));
     deliver(&mut fixture, &response(next));
-    let tick = fixture.round();
-    assert_eq!(tick.losses[0].attributed_to, vec![task(&id, 0, 0)]);
+    let output = fixture.round();
+    assert_eq!(output.losses[0].attributed_to, vec![task(&id, 0, 0)]);
 }
 
 fn late_list() {
     let mut fixture = Fixture::new(&[WORKER]);
     deliver(&mut fixture, &response(NEXT_BOOT));
     fixture.accept(job(vec![step(1, 1_000)]));
-    assert_eq!(starts(&fixture.tick()).len(), 1);
+    assert_eq!(starts(&fixture.execute_round()).len(), 1);
     assert!(!fixture.cell.worker_terminated(&worker(), 1, fixture.now));
     assert_eq!(fixture.round().losses, Vec::new());
 }
@@ -337,42 +337,42 @@
     fixture.now += 100;
     let asked_at = fixture.now;
     fixture.now += 500;
-    let started = fixture.tick();
+    let started = fixture.execute_round();
     let [(_task, on)] = &*starts(&started) else {
         panic!("{started:?}");
     };
     assert!(fixture.cell.worker_terminated(on, 1, asked_at));
-    assert_eq!(starts(&fixture.tick()), Vec::new());
+    assert_eq!(starts(&fixture.execute_round()), Vec::new());
     fixture.now += 300;
     let with_run = running_response(&id, 30);
     let now = fixture.now;
     fixture
         .cell
         .apply_status(on, &with_run, now, now, WALL_AT_ZERO_MS + now);
-    let tick = fixture.round();
-    assert_eq!(starts(&tick.orders), Vec::new());
-    let lost = tick.losses.iter().map(|loss| loss.runs.len());
+    let output = fixture.round();
+    assert_eq!(starts(&output.orders), Vec::new());
+    let lost = output.losses.iter().map(|loss| loss.runs.len());
     assert_eq!(lost.sum::<usize>(), 0);
 }
 
 fn reached_the_next() {
     let mut fixture = Fixture::new(&[WORKER]);
     let id = fixture.accept(job(vec![step(1, 1_000)]));
-    fixture.tick();
+    fixture.execute_round();
     fixture.now += 100;
     let with_run = running_response(&id, 10);
     deliver(&mut fixture, &with_run);
-    let tick = fixture.round();
-    assert_eq!(tick.orders, Vec::new());
-    assert_eq!(tick.losses[0].runs, Vec::new());
+    let output = fixture.round();
+    assert_eq!(output.orders, Vec::new());
+    assert_eq!(output.losses[0].runs, Vec::new());
 }
 
 fn crash_with_kept_id() {
     let mut fixture = Fixture::new(&[WORKER]);
     let id = fixture.accept(job(vec![step(1, 1_000)]));
-    fixture.tick();
+    fixture.execute_round();
     fixture.now += 100;
     deliver(&mut fixture, &response(NEXT_BOOT));
-    let tick = fixture.round();
-    assert_eq!(tick.losses[0].attributed_to, vec![task(&id, 0, 0)]);
+    let output = fixture.round();
+    assert_eq!(output.losses[0].attributed_to, vec![task(&id, 0, 0)]);
 }
--- a/crates/cell/tests/all/long_running.rs
+++ b/crates/cell/tests/all/long_running.rs
@@ -34,10 +34,10 @@
 fn with_ready_tasks(workers: &[&str], cpu: u64) -> (Fixture, JobId, [Name; 2]) {
     let mut fixture = Fixture::new(workers);
     let id = fixture.accept(job(vec![long_running(2, cpu)]));
-    fixture.tick();
+    fixture.execute_round();
     fixture.mark_all_ready();
     fixture.advance(100);
-    fixture.tick();
+    fixture.execute_round();
     let on = [0, 1].map(|index| Name::clone(&fixture.workers_running(&task(&id, 0, index))[0]));
     (fixture, id, on)
 }
@@ -64,7 +64,7 @@
             .set_evacuating(worker, Some(EvacuationReason::Maintenance));
     }
     for round in 0..40 {
-        fixture.tick();
+        fixture.execute_round();
         assert!(
             unavailable(&fixture, &id) <= 1,
             "two are unavailable in round {round}"
@@ -95,7 +95,7 @@
             }
         }
     }
-    fixture.tick();
+    fixture.execute_round();
     assert_eq!(
         fixture.workers_running(&task(&id, 0, 0)),
         vec![Name::clone(&on[0])]
@@ -118,7 +118,7 @@
     fixture
         .cell
         .set_evacuating(&on[0], Some(EvacuationReason::Maintenance));
-    let orders = fixture.tick();
+    let orders = fixture.execute_round();
     let stops = |order: &Order| matches!(order, Order::Stop { task: stopped, .. } if *stopped == task(&id, 0, 0));
     assert!(!orders.iter().any(stops), "{orders:?}");
 }
@@ -128,7 +128,7 @@
     fixture
         .cell
         .set_evacuating(&on[0], Some(EvacuationReason::Maintenance));
-    fixture.tick();
+    fixture.execute_round();
     assert_eq!(
         fixture.workers_running(&task(&id, 0, 0)),
         vec![Name::clone(&on[0])]
@@ -140,9 +140,9 @@
     let mut info = crate::fixture::worker(&on[0]);
     info.draining = true;
     fixture.cell.register(info);
-    fixture.tick();
+    fixture.execute_round();
     fixture.advance(100);
-    fixture.tick();
+    fixture.execute_round();
     let now = fixture.workers_running(&task(&id, 0, 0));
     assert!(now.len() == 1 && now[0] != on[0], "{now:?}");
 }
@@ -167,10 +167,10 @@
     fixture
         .cell
         .set_evacuating(&on[1], Some(EvacuationReason::Maintenance));
-    assert_eq!(fixture.tick(), vec![first]);
+    assert_eq!(fixture.execute_round(), vec![first]);
     for round in 0..40 {
         fixture.advance(100);
-        fixture.tick();
+        fixture.execute_round();
         assert!(
             unavailable(&fixture, &id) <= 1,
             "two are unavailable in round {round}"
@@ -188,8 +188,8 @@
     fixture
         .cell
         .set_evacuating(&on[0], Some(EvacuationReason::Maintenance));
-    let tick = fixture.round();
-    let orders = fixture.standing(tick);
+    let output = fixture.round();
+    let orders = fixture.revalidate(output);
     let stop = Order::Stop {
         worker: Name::clone(&on[0]),
         task: task(&id, 0, 0),
@@ -199,7 +199,7 @@
     (fixture, id, on, stop)
 }
 
-/// Ends all workers except that of the first task.
+/// Terminates all workers except that of the first task.
 fn lose_others(fixture: &mut Fixture, id: &JobId, on: &[Name; 2]) {
     let others: Vec<Name> = fixture.running.keys().map(Name::clone).collect();
     for other in others.iter().filter(|other| **other != on[0]) {
@@ -217,11 +217,11 @@
         .running
         .insert("w-9".into(), std::collections::BTreeMap::new());
     fixture.advance(100);
-    fixture.tick();
+    fixture.execute_round();
     fixture.mark_all_ready();
     fixture.advance(100);
     assert!(
-        fixture.tick().contains(stop),
+        fixture.execute_round().contains(stop),
         "the first task no longer moves"
     );
 }
@@ -233,7 +233,10 @@
     lose_others(&mut fixture, &id, &on);
     for _half_second in 0..6 {
         fixture.advance(600);
-        assert!(!fixture.tick().contains(&stop), "both are unavailable");
+        assert!(
+            !fixture.execute_round().contains(&stop),
+            "both are unavailable"
+        );
     }
     moves_once_other_is_ready(&mut fixture, &stop);
 }
@@ -245,11 +248,14 @@
     lose_others(&mut fixture, &id, &on);
     fixture.replace_owner();
     assert!(
-        !fixture.tick().contains(&stop),
+        !fixture.execute_round().contains(&stop),
         "the state of the other is unknown"
     );
     fixture.advance(600);
-    assert!(!fixture.tick().contains(&stop), "both are unavailable");
+    assert!(
+        !fixture.execute_round().contains(&stop),
+        "both are unavailable"
+    );
     moves_once_other_is_ready(&mut fixture, &stop);
 }
 
@@ -259,9 +265,9 @@
 fn not_blocked_forever() {
     let mut fixture = Fixture::new(&["w-1", "w-2", "w-3"]);
     let id = fixture.accept(job(vec![long_running(2, 1_000)]));
-    let tick = fixture.round();
+    let output = fixture.round();
     let mut runs: Vec<(Name, TaskId)> = Vec::new();
-    for order in fixture.standing(tick) {
+    for order in fixture.revalidate(output) {
         let Order::Start {
             worker, task, run, ..
         } = order
@@ -276,12 +282,12 @@
             .record_start_outcome(&worker, &task, run, Outcome::Unknown, now);
         runs.push((worker, task));
     }
-    let tick = fixture.round();
-    fixture.standing(tick);
+    let output = fixture.round();
+    fixture.revalidate(output);
     fixture.mark_all_ready();
     for _second in 0..40 {
         fixture.advance(1_000);
-        fixture.tick();
+        fixture.execute_round();
         assert!(unavailable(&fixture, &id) <= 1, "both are unavailable");
         fixture.mark_all_ready();
     }
@@ -304,13 +310,13 @@
     let mut fixture = Fixture::new(&["w-1", "w-2", "w-3", "w-4", "w-5", "w-6"]);
     for _job in 0..3 {
         fixture.accept(job(vec![long_running(2, 3_000)]));
-        fixture.tick();
+        fixture.execute_round();
         fixture.mark_all_ready();
         fixture.advance(100);
     }
     assert_eq!(occupied(&fixture), 2);
     fixture.accept(job(vec![long_running(2, 3_000)]));
-    fixture.tick();
+    fixture.execute_round();
     assert_eq!(occupied(&fixture), 4);
 }
 
@@ -322,12 +328,12 @@
         ..long_running(1, 1_000)
     };
     let first = fixture.accept(job(vec![step.clone()]));
-    fixture.tick();
+    fixture.execute_round();
     fixture.tail_latencies.insert(task(&first, 0, 0), 70);
     fixture.mark_all_ready();
     fixture.advance(100);
     let second = fixture.accept(job(vec![step]));
-    fixture.tick();
+    fixture.execute_round();
     let on = |id: &JobId| fixture.workers_running(&task(id, 0, 0));
     assert_ne!(on(&first), on(&second));
 }
--- a/crates/cell/tests/all/need.rs
+++ b/crates/cell/tests/all/need.rs
@@ -35,11 +35,11 @@
 
 fn need(fixture: &mut Fixture) -> ScalingEstimate {
     fixture.now += 25;
-    let tick = fixture.round();
-    for order in &tick.orders {
+    let output = fixture.round();
+    for order in &output.orders {
         fixture.execute(order);
     }
-    tick.scaling
+    output.scaling
 }
 
 fn wanted(fixture: &mut Fixture) -> u64 {
@@ -279,7 +279,7 @@
     assert_eq!(need(&mut fixture).unusable, 1);
 }
 
-/// Each of two workers has a long-running task and no room for another. The one that is due for
+/// Each of two workers has a long-running task and no free capacity for another. The one that is due for
 /// maintenance can't be evacuated before there is a third worker.
 fn evacuated() {
     let mut fixture = Fixture::new(&["w-1", "w-2"]);
@@ -306,7 +306,7 @@
     let mut fixture = Fixture::just_taken_over(&["w-1", "w-2"]);
     let id = fixture.accept(job(vec![step(3, 1_000)]));
     for on in ["w-1", "w-2"] {
-        fixture.tick();
+        fixture.execute_round();
         fixture.advance(10);
         assert_eq!(fixture.workers_running(&task(&id, 0, 0)), [Name::from(on)]);
         fixture.running.remove(on);
--- a/crates/cell/tests/all/pace.rs
+++ b/crates/cell/tests/all/pace.rs
@@ -26,7 +26,7 @@
     };
     let serving = fixture.accept(job(vec![serving]));
     let filler = fixture.accept(job(vec![filler]));
-    fixture.tick();
+    fixture.execute_round();
     let mut percentages = Vec::new();
     for tail_latency in [40, 80, 90, 95, 60, 30, 20] {
         fixture.now += 1_000;
--- a/crates/cell/tests/all/placement.rs
+++ b/crates/cell/tests/all/placement.rs
@@ -24,25 +24,25 @@
         ..step(1, 1_000)
     };
     let id = fixture.accept(job(vec![step(2, 1_000), later]));
-    assert_eq!(starts(&fixture.tick()).len(), 2);
+    assert_eq!(starts(&fixture.execute_round()).len(), 2);
     fixture.end_run(&"w-1".into(), &task(&id, 0, 0), End::Done);
     fixture.advance(100);
-    assert_eq!(starts(&fixture.tick()), Vec::new());
+    assert_eq!(starts(&fixture.execute_round()), Vec::new());
     fixture.end_run(&"w-1".into(), &task(&id, 0, 1), End::Done);
     fixture.advance(100);
-    assert_eq!(starts(&fixture.tick())[0].0, task(&id, 1, 0));
+    assert_eq!(starts(&fixture.execute_round())[0].0, task(&id, 1, 0));
 }
 
 fn shortest_first() {
     let mut fixture = Fixture::new(&["w-1"]);
     let long = fixture.accept(job(vec![step(3, 6_000)]));
     let short = fixture.accept(job(vec![step(1, 6_000)]));
-    let first = starts(&fixture.tick());
+    let first = starts(&fixture.execute_round());
     assert_eq!(first[0].0, task(&short, 0, 0));
     assert_eq!(first.len(), 1);
     fixture.end_run(&"w-1".into(), &task(&short, 0, 0), End::Done);
     fixture.advance(100);
-    assert_eq!(starts(&fixture.tick())[0].0, task(&long, 0, 0));
+    assert_eq!(starts(&fixture.execute_round())[0].0, task(&long, 0, 0));
 }
 
 // Past three times its objective a job has no value left. It yields to a job that can still be on
@@ -52,11 +52,11 @@
     let old = fixture.accept(job(vec![step(1, 6_000)]));
     fixture.advance(60_000);
     let new = fixture.accept(job(vec![step(2, 6_000)]));
-    assert_eq!(starts(&fixture.tick())[0].0, task(&new, 0, 0));
+    assert_eq!(starts(&fixture.execute_round())[0].0, task(&new, 0, 0));
     for index in 0..2 {
         fixture.end_run(&"w-1".into(), &task(&new, 0, index), End::Done);
         fixture.advance(100);
-        fixture.tick();
+        fixture.execute_round();
     }
     assert_eq!(fixture.workers_running(&task(&old, 0, 0)).len(), 1);
 }
@@ -68,7 +68,7 @@
         ..step(3, 100)
     };
     fixture.accept(job(vec![apart]));
-    let started = starts(&fixture.tick());
+    let started = starts(&fixture.execute_round());
     assert_eq!(started.len(), 2);
     assert_ne!(started[0].1, started[1].1);
     let labelled = Step {
@@ -76,7 +76,7 @@
         ..step(1, 100)
     };
     fixture.accept(job(vec![labelled]));
-    assert_eq!(starts(&fixture.tick()), Vec::new());
+    assert_eq!(starts(&fixture.execute_round()), Vec::new());
 }
 
 // A long-running task needs more capacity than any worker has free, while batch tasks keep arriving.
@@ -86,7 +86,7 @@
     for _job in 0..2 {
         fixture.accept(job(vec![step(4, 2_500)]));
     }
-    fixture.tick();
+    fixture.execute_round();
     let long_running = Step {
         lasting: true,
         ..step(1, 9_000)
@@ -95,7 +95,7 @@
     for _round in 0..40 {
         fixture.accept(job(vec![step(1, 2_500)]));
         fixture.advance(100);
-        fixture.tick();
+        fixture.execute_round();
     }
     assert_eq!(fixture.workers_running(&task(&id, 0, 0)).len(), 1);
 }
@@ -107,16 +107,16 @@
         ..step(count, 6_000)
     };
     fixture.accept(job(vec![together(3)]));
-    assert_eq!(starts(&fixture.tick()), Vec::new());
+    assert_eq!(starts(&fixture.execute_round()), Vec::new());
     let id = fixture.accept(job(vec![together(2)]));
-    assert_eq!(starts(&fixture.tick()).len(), 2);
+    assert_eq!(starts(&fixture.execute_round()).len(), 2);
     // One member's successful end completes the whole gang.
     fixture.end_run(&"w-1".into(), &task(&id, 0, 0), End::Done);
     fixture.end_run(&"w-1".into(), &task(&id, 0, 1), End::Done);
     fixture.advance(100);
-    fixture.tick();
+    fixture.execute_round();
     fixture.advance(100);
-    fixture.tick();
+    fixture.execute_round();
     assert!(
         fixture.workers_running(&task(&id, 0, 0)).is_empty()
             && fixture.workers_running(&task(&id, 0, 1)).is_empty()
@@ -133,11 +133,11 @@
     });
     let id = fixture.accept(timed);
     fixture.advance(900);
-    assert_eq!(starts(&fixture.tick()), Vec::new());
+    assert_eq!(starts(&fixture.execute_round()), Vec::new());
     fixture.advance(100);
-    assert_eq!(starts(&fixture.tick())[0].0, task(&id, 0, 0));
+    assert_eq!(starts(&fixture.execute_round())[0].0, task(&id, 0, 0));
     fixture.advance(500);
-    assert_eq!(starts(&fixture.tick())[0].0.occurrence, 1);
+    assert_eq!(starts(&fixture.execute_round())[0].0.occurrence, 1);
 }
 
 fn data_rack() {
@@ -150,5 +150,5 @@
         ..step(1, 1_000)
     };
     fixture.accept(job(vec![with_data]));
-    assert_eq!(&*starts(&fixture.tick())[0].1, "w-2");
+    assert_eq!(&*starts(&fixture.execute_round())[0].1, "w-2");
 }
--- a/crates/cell/tests/all/queued.rs
+++ b/crates/cell/tests/all/queued.rs
@@ -33,10 +33,10 @@
 fn answered() {
     let mut fixture = Fixture::new(&["w-1"]);
     fixture.accept(job(vec![step(1, 1_000)]));
-    let tick = fixture.round();
-    assert_eq!(starts(&tick.orders).len(), 1);
+    let output = fixture.round();
+    assert_eq!(starts(&output.orders).len(), 1);
     assert_eq!(fixture.cell.queued()["queue"], 1);
-    fixture.execute(&tick.orders[0]);
+    fixture.execute(&output.orders[0]);
     assert_eq!(queued(&mut fixture), 0);
 }
 
@@ -78,7 +78,7 @@
 fn ended() {
     let mut fixture = Fixture::new(&["w-1"]);
     let id = fixture.accept(job(vec![step(1, 1_000)]));
-    fixture.tick();
+    fixture.execute_round();
     fixture.end_run(&"w-1".into(), &task(&id, 0, 0), End::Lapsed);
     fixture.advance(100);
     assert_eq!(queued(&mut fixture), 0);
@@ -87,7 +87,7 @@
 fn placed_before() {
     let mut fixture = Fixture::new(&["w-1"]);
     fixture.accept(job(vec![step(1, 1_000)]));
-    fixture.tick();
+    fixture.execute_round();
     fixture.replace_owner();
     assert_eq!(queued(&mut fixture), 0);
 }
@@ -100,7 +100,7 @@
     assert_eq!(queued(&mut fixture), 0);
     fixture.now += 10_000;
     fixture.poll_all();
-    let tick = fixture.round();
-    assert_eq!(starts(&tick.orders).len(), 1);
+    let output = fixture.round();
+    assert_eq!(starts(&output.orders).len(), 1);
     assert_eq!(fixture.cell.queued()["queue"], 1);
 }
--- a/crates/cell/tests/all/reference.rs
+++ b/crates/cell/tests/all/reference.rs
@@ -1,7 +1,7 @@
 //! Placement compared with a naive reference implementation that checks every worker for every task.
 //!
 //! Both must agree on which tasks are left waiting: a task waits only if no worker that accepts new
-//! tasks has room for it. No generated input may put a worker over its capacity.
+//! tasks has free capacity for it. No generated input may put a worker over its capacity.
 
 use crate::fixture::{CAPACITY, Fixture, job, starts, step};
 use primroseroute_domain::work::{Demand, Name};
@@ -32,7 +32,7 @@
         let mut free_by_worker: BTreeMap<Name, Demand> =
             ids.iter().map(|id| (Name::from(*id), CAPACITY)).collect();
         let mut started: BTreeMap<_, u16> = BTreeMap::new();
-        for (task, worker) in starts(&fixture.tick()) {
+        for (task, worker) in starts(&fixture.execute_round()) {
             let (_count, cpu) = demands[&task.job];
             let free = free_by_worker.get_mut(&worker).expect("a known worker");
             let demand = step(1, cpu).demand;
@@ -65,7 +65,7 @@
         }
         let mut free_by_worker: BTreeMap<Name, Demand> =
             ids.iter().map(|id| (Name::from(*id), CAPACITY)).collect();
-        for (task, worker) in starts(&fixture.tick()) {
+        for (task, worker) in starts(&fixture.execute_round()) {
             let demand = demands[&task.job];
             let fitting = free_by_worker.iter().filter(|(_id, free)| demand.fits(**free));
             let tightest = fitting.min_by_key(|(_id, free)| free.cpu);
--- a/crates/cell/tests/all/rows.rs
+++ b/crates/cell/tests/all/rows.rs
@@ -9,7 +9,7 @@
     progress_survives_a_round_trip => progress();
     task_without_crashes_is_encoded_without_crash_fields => without_crashes();
     largest_job_fits_into_a_row => largest();
-    /// Guards against a crash that goes uncounted because the next incarnation of its worker has the mark of the previous one.
+    /// Guards against a crash that goes uncounted because the next incarnation of its worker has the tag of the previous one.
     marks_of_successive_incarnations_differ => incarnations();
     keys_survive_a_round_trip => keys();
     heartbeats_and_ids_spread_over_partitions => spread();
--- a/crates/cell/tests/all/window.rs
+++ b/crates/cell/tests/all/window.rs
@@ -26,15 +26,15 @@
     let mut fixture = Fixture::new(&["w-1"]);
     let id = fixture.accept(job(vec![step(1, 1_000)]));
     fixture.advance(2_500);
-    let tick = fixture
+    let output = fixture
         .cell
         .run_round(fixture.now, WALL_AT_ZERO_MS + fixture.now);
-    assert_eq!(starts(&tick.orders), Vec::new());
+    assert_eq!(starts(&output.orders), Vec::new());
     fixture.cell.advance_feed_watermark(fixture.now);
-    let tick = fixture
+    let output = fixture
         .cell
         .run_round(fixture.now, WALL_AT_ZERO_MS + fixture.now);
-    assert_eq!(starts(&tick.orders)[0].0, task(&id, 0, 0));
+    assert_eq!(starts(&output.orders)[0].0, task(&id, 0, 0));
 }
 
 fn window_bounds() {
@@ -55,11 +55,11 @@
     let mut fixture = Fixture::new(&["w-1"]);
     let ended = fixture.accept(job(vec![step(1, 1_000)]));
     let other = fixture.accept(job(vec![step(1, 1_000)]));
-    let tick = fixture.round();
+    let output = fixture.round();
     fixture.cell.cancel(&ended, WALL_AT_ZERO_MS);
-    let standing = starts(&fixture.standing(tick));
-    assert_eq!(standing.len(), 1);
-    assert_eq!(standing[0].0, task(&other, 0, 0));
+    let valid = starts(&fixture.revalidate(output));
+    assert_eq!(valid.len(), 1);
+    assert_eq!(valid[0].0, task(&other, 0, 0));
     assert_eq!(fixture.cell.runs_of(&ended), 0);
 }
 
@@ -72,11 +72,11 @@
         ..step(2, 1_000)
     };
     let id = fixture.accept(job(vec![together]));
-    let tick = fixture.round();
-    assert_eq!(starts(&tick.orders).len(), 2);
+    let output = fixture.round();
+    assert_eq!(starts(&output.orders).len(), 2);
     fixture.cell.stop_batch_tasks(&"w-1".into());
-    assert_eq!(starts(&fixture.standing(tick)), Vec::new());
-    assert_eq!(starts(&fixture.tick()).len(), 2);
+    assert_eq!(starts(&fixture.revalidate(output)), Vec::new());
+    assert_eq!(starts(&fixture.execute_round()).len(), 2);
     assert_eq!(fixture.workers_running(&task(&id, 0, 0)).len(), 1);
 }
 
@@ -91,7 +91,7 @@
         .record_start_outcome(&worker, &task(&id, 0, 0), 1, Outcome::Withdrawn, now);
     assert_eq!(fixture.cell.runs_on(&worker), 0);
     // The run number advances, since the previous one is in the row.
-    let again = fixture.tick();
+    let again = fixture.execute_round();
     assert!(matches!(*again, [Order::Start { run: 2, .. }]));
 }
 
@@ -104,8 +104,8 @@
         ..step(3, 1_000)
     };
     fixture.accept(job(vec![together]));
-    let tick = fixture.round();
-    let orders = fixture.standing(tick);
+    let output = fixture.round();
+    let orders = fixture.revalidate(output);
     for order in &orders[..2] {
         fixture.execute(order);
     }
@@ -119,7 +119,7 @@
     fixture
         .cell
         .record_start_outcome(worker, task, *run, Outcome::Withdrawn, now);
-    let stops = fixture.tick();
+    let stops = fixture.execute_round();
     let stops = stops
         .iter()
         .filter(|order| matches!(order, Order::Stop { .. }));
@@ -130,12 +130,12 @@
 fn drains() {
     let mut fixture = Fixture::new(&["w-1"]);
     fixture.accept(job(vec![step(1, 1_000)]));
-    let tick = fixture.round();
+    let output = fixture.round();
     fixture.cell.register(Worker {
         draining: true,
         ..worker("w-1")
     });
-    assert_eq!(starts(&fixture.standing(tick)), Vec::new());
+    assert_eq!(starts(&fixture.revalidate(output)), Vec::new());
 }
 
 // A long-running task is to leave a worker that is evacuated, since its step allows one unavailable task. While the commit of the
@@ -149,26 +149,26 @@
         ..step(2, 1_000)
     };
     let id = fixture.accept(job(vec![long_running]));
-    fixture.tick();
+    fixture.execute_round();
     fixture.mark_all_ready();
     fixture.advance(100);
-    fixture.tick();
+    fixture.execute_round();
     let from = Name::clone(&fixture.workers_running(&task(&id, 0, 0))[0]);
     let other = Name::clone(&fixture.workers_running(&task(&id, 0, 1))[0]);
     fixture
         .cell
         .set_evacuating(&from, Some(EvacuationReason::Move));
-    let tick = fixture.round();
-    assert_eq!(tick.orders.len(), 1);
+    let output = fixture.round();
+    assert_eq!(output.orders.len(), 1);
     fixture.end_run(&other, &task(&id, 0, 1), End::Failed);
     fixture.advance(1_000);
-    assert_eq!(fixture.standing(tick), Vec::new());
+    assert_eq!(fixture.revalidate(output), Vec::new());
     assert_eq!(fixture.workers_running(&task(&id, 0, 0)), vec![from]);
     // It is stopped once the other one is ready again.
-    fixture.tick();
+    fixture.execute_round();
     fixture.mark_all_ready();
     fixture.advance(100);
-    let orders = fixture.tick();
+    let orders = fixture.execute_round();
     assert!(
         orders
             .iter()
@@ -186,19 +186,19 @@
         ..step(1, 1_000)
     };
     let id = fixture.accept(job(vec![long_running]));
-    fixture.tick();
+    fixture.execute_round();
     fixture.mark_all_ready();
     fixture.advance(100);
-    fixture.tick();
+    fixture.execute_round();
     let on = Name::clone(&fixture.workers_running(&task(&id, 0, 0))[0]);
     fixture
         .cell
         .set_evacuating(&on, Some(EvacuationReason::Move));
-    let tick = fixture.round();
-    assert_eq!(tick.orders.len(), 1);
+    let output = fixture.round();
+    assert_eq!(output.orders.len(), 1);
     fixture.cell.set_evacuating(&on, None);
-    assert_eq!(fixture.standing(tick), Vec::new());
+    assert_eq!(fixture.revalidate(output), Vec::new());
     fixture.advance(1_000);
-    assert_eq!(fixture.tick(), Vec::new());
+    assert_eq!(fixture.execute_round(), Vec::new());
     assert_eq!(fixture.workers_running(&task(&id, 0, 0)), vec![on]);
 }
--- a/crates/owner/src/elect.rs
+++ b/crates/owner/src/elect.rs
@@ -86,7 +86,7 @@
 }
 
 /// The one of `own`'s pools that it should release because another entry has far more CPU for it:
-/// without this, a weak entry would keep its pools for good after a strong one was away. One pool
+/// without this, a weak entry would keep its pools for good after a strong one was unavailable. One pool
 /// at a time.
 pub fn pool_to_release<'a>(
     own: &Name,
--- a/crates/owner/src/elections.rs
+++ b/crates/owner/src/elections.rs
@@ -37,7 +37,8 @@
 
 /// The same time if another entry already owns something, and so has started before. Entries that
 /// start together do so within 0.3 s. In a roll-out the pools of each entry that stops go to one
-/// that has just come back, and waited up to half a second for it.
+/// that has just come back, and waited up to half a second for it to
+/// settle.
 const JOIN_DELAY: Duration = Duration::from_millis(400);
 
 /// Minimum time for which an entry keeps what it has taken over, and between two pools that it
--- a/crates/owner/src/follow.rs
+++ b/crates/owner/src/follow.rs
@@ -31,7 +31,7 @@
 }
 
 /// Timeout of a full read that replaces a failing change feed, about that of one call: the feed
-/// isn't asked for meanwhile. A full read takes as long as parts of it are refused.
+/// isn't asked for meanwhile. A full read goes on for as long as parts of it are throttled.
 const FULL_READ_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// A table that can be followed.
--- a/crates/owner/src/members.rs
+++ b/crates/owner/src/members.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// Time without a heartbeat after which an entry counts as dead: three heartbeats and the delay of
-/// a slow store. If it was shorter, a stall of a second would move pools; if it was longer, the
+/// a slow store. If it were shorter, a stall of a second would move pools; if it were longer, the
 /// work of a dead owner would wait longer than leases allow.
 pub const FAILURE_TIMEOUT: Millis = 2_200;
 
--- a/crates/owner/src/poll.rs
+++ b/crates/owner/src/poll.rs
@@ -23,8 +23,8 @@
 /// Interval between polls that renew nothing, which don't wait for a run to end.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// First and longest delay after a failed poll. The longest bounds how long work runs past its
-/// lease after a network partition.
+/// First and longest delay after a failed poll. The longest bounds how late work resumes
+/// after a network partition.
 const RETRY_DELAYS: [Duration; 2] = [Duration::from_millis(150), Duration::from_millis(300)];
 
 /// Longest wait for run ends to be committed before the worker is polled again; a longer outage of
--- a/crates/owner/src/pool_loop.rs
+++ b/crates/owner/src/pool_loop.rs
@@ -500,9 +500,9 @@
     /// Publishes what runs where to the task that manages the pool's instances.
     fn publish_status(&self, scale_down_floor: u64) {
         let workers = self.cell.workers();
-        let lasting = workers.clone().map(|id| {
-            let lasting = self.cell.long_running_on(id);
-            (Name::clone(id), lasting)
+        let long_running = workers.clone().map(|id| {
+            let long_running = self.cell.long_running_on(id);
+            (Name::clone(id), long_running)
         });
         let runs = workers
             .clone()
@@ -511,7 +511,7 @@
         let now = self.context.clock.now();
         let status = PoolStatus {
             is_published: true,
-            lasting: lasting.collect(),
+            lasting: long_running.collect(),
             runs: runs.collect(),
             evacuated: evacuated.map(Name::clone).collect(),
             registered: self.registered.clone(),
--- a/crates/owner/src/watch.rs
+++ b/crates/owner/src/watch.rs
@@ -40,8 +40,8 @@
 
 /// The registered workers, which are followed while somebody needs them.
 ///
-/// Their list changes with each instance that moves. If every entry followed it, it cost the store
-/// as many times its bytes, and most entries own nothing.
+/// Their list changes with each instance that moves. If every entry followed it, it would cost
+/// the store as many times its bytes, and most entries own nothing.
 #[derive(Clone, Debug)]
 pub(crate) struct Roster {
     /// Number of subscriptions.
--- a/crates/owner/src/wave.rs
+++ b/crates/owner/src/wave.rs
@@ -121,7 +121,8 @@
 /// more; repeating an order that was carried out has no effect.
 ///
 /// A predecessor's order may be in flight, and its instance go down a moment after a list has shown
-/// it up. If it was no longer counted by then, it was down beside as many others as may be.
+/// it up. When it was no longer counted by then, it was down in addition to as many others as may
+/// be.
 fn to_requeue(inputs: &WaveInputs<'_>) -> Vec<Step> {
     if !inputs.predecessor_done {
         return Vec::new();
--- a/crates/platform/src/worker.rs
+++ b/crates/platform/src/worker.rs
@@ -56,7 +56,7 @@
     pub run: u32,
     /// Newest checkpoint.
     pub checkpoint: Option<Name>,
-    /// Progress in percent; 100 for a long-running task that is working.
+    /// Progress in percent; 100 for a long-running task that is ready.
     pub percent: u32,
     /// Tail latency in milliseconds for a task that serves requests, otherwise CPU usage in thousandths of a
     /// core; approximate.
