--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -169,7 +169,7 @@
     /// While it is unresponsive: when the platform was last asked and listed it, without a gap in
     /// which its incarnation could have ended.
     pub listed_at: Option<Millis>,
-    /// Whether fillers were throttled by the newest status.
+    /// Whether the throttling of fillers was decided after the newest status.
     pub throttle_checked: bool,
     /// Its lease has certainly expired after this time, if it isn't renewed.
     pub lease_expires_at: Millis,
