--- a/crates/fleet/benches/ways.rs
+++ b/crates/fleet/benches/ways.rs
@@ -84,7 +84,7 @@
 
 /// Baseline: fills each pool in turn to its target with the next spare or surplus member,
 /// regardless of its rack.
-fn naive(fleet: &Fleet) -> (Fleet, usize) {
+fn baseline(fleet: &Fleet) -> (Fleet, usize) {
     let mut after = fleet.clone();
     let mut changes = 0;
     let target = |budget: &Budget| budget.promised as usize + 2;
@@ -157,7 +157,7 @@
             unmet(&fleet)
         );
         let clock = Clock::now();
-        let (after, changes) = naive(&fleet);
+        let (after, changes) = baseline(&fleet);
         println!(
             "  naive: {:?}, {changes} changes, {} unmet",
             clock.elapsed(),
--- a/crates/fleet/tests/all/budget.rs
+++ b/crates/fleet/tests/all/budget.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 
 /// The most instances of pool `p` that may leave together, by trying every subset of those present.
-fn reference_room(fleet: &Fleet, budget: &Budget) -> usize {
+fn reference_disruptions(fleet: &Fleet, budget: &Budget) -> usize {
     let present: Vec<_> = fleet
         .rows
         .values()
@@ -85,7 +85,7 @@
     }
 }
 
-fn room_is_the_largest_subset() {
+fn allowed_disruptions_are_the_largest_subset() {
     let input = (
         proptest::collection::vec(member(), 0..10),
         0..8_u32,
@@ -97,7 +97,7 @@
         let budget = budget(promised, max_absent, survive);
         let fleet = build(&members, budget);
         // If the promise is already broken none may leave; the reference then yields the empty set.
-        let expected = reference_room(&fleet, &budget);
+        let expected = reference_disruptions(&fleet, &budget);
         assert_eq!(
             budgets::allowed_disruptions(&fleet, &name("p")).len(),
             expected
@@ -110,7 +110,7 @@
 /// A rack with two members is lost while no planned work is in progress. The promise still holds,
 /// so the loss is no breach, but no further disruption is allowed: planned work must wait as soon
 /// as the loss is known, before the rows show it.
-fn unplanned_loss_takes_the_room() {
+fn unplanned_loss_forbids_disruptions() {
     let rows = (0..8)
         .map(|i| serving(&format!("i{i}"), "p", &format!("r{}", i / 2), "z"))
         .collect();
@@ -134,7 +134,7 @@
 }
 
 cases! {
-    room_agrees_with_every_subset: room_is_the_largest_subset();
+    allowed_disruptions_agree_with_every_subset: allowed_disruptions_are_the_largest_subset();
     failed_instances_leave_room: failed_instances_do_not_use_up_the_count();
-    lost_rack_stops_planned_work: unplanned_loss_takes_the_room();
+    lost_rack_stops_planned_work: unplanned_loss_forbids_disruptions();
 }
--- a/crates/fleet/tests/all/lifecycle.rs
+++ b/crates/fleet/tests/all/lifecycle.rs
@@ -208,10 +208,10 @@
         .iter()
         .map(|row| (row.id.clone(), row.clone()))
         .collect();
-    let mut cut_off = fixture.check(0, 9);
-    assert_eq!(cut_off.step(), []);
-    cut_off.checks.retain(|id, _| id.as_str() == "i3");
-    assert_eq!(cut_off.step().len(), 1);
+    let mut partitioned = fixture.check(0, 9);
+    assert_eq!(partitioned.step(), []);
+    partitioned.checks.retain(|id, _| id.as_str() == "i3");
+    assert_eq!(partitioned.step().len(), 1);
 }
 
 /// An instance is gone while one entry still has an old view that sends to its address. The row
@@ -337,7 +337,7 @@
 
 cases! {
     empty_drain_moves: check_move(|_| {}, true);
-    silent_entry_stops_the_move: check_move(|entry| entry.seen = Seq(6), false);
+    unresponsive_entry_stops_the_move: check_move(|entry| entry.seen = Seq(6), false);
     request_in_flight_stops_the_move: check_move(busy, false);
     gone_entry_does_not_stop_the_move: check_move(
         |entry| { entry.seen = Seq(6); entry.gone = true; }, true);
--- a/crates/fleet/tests/all/placement.rs
+++ b/crates/fleet/tests/all/placement.rs
@@ -335,7 +335,8 @@
 }
 
 /// A wave reboots an instance, and the platform lists it as rebooting. It is not lost. When it was
-/// treated as lost, the pool got a spare or a member of another pool for each instance of a wave.
+/// treated as lost, the pool got a spare or a member of another pool for each instance of a wave,
+/// a move each time.
 fn rebooting_instance_is_not_replaced() {
     let rows = (0..4).map(|i| serving(&format!("i{i}"), "p", &format!("r{i}"), "z"));
     let rows = rows.chain([spare("s", "r9", "z")]).collect();
--- a/crates/flow/src/pool/share.rs
+++ b/crates/flow/src/pool/share.rs
@@ -16,7 +16,7 @@
 /// Maximum time between reports, so that a lost report is made up for.
 pub const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Relative change of demand that causes a report, if it also exceeds [`MIN_CHANGE`].
+/// Relative change of demand that causes a report, if it also exceeds [`MIN_CHANGE_SLOTS`].
 const MIN_RELATIVE_CHANGE: f64 = 0.15;
 
 /// Changes of demand up to this number of slots cause no report.
--- a/crates/jobs/src/lease.rs
+++ b/crates/jobs/src/lease.rs
@@ -11,7 +11,7 @@
     NotRequested,
     /// The stop was sent.
     Sent,
-    /// The stop did not reach the platform and has to be sent again.
+    /// The stop failed or its response was lost; it has to be sent again.
     Resend,
 }
 
@@ -85,7 +85,7 @@
         self.extended_at = self.extended_at.max(now);
     }
 
-    /// Whether it was absent from the reports for too long, which were last read at `reports_read_at`.
+    /// Whether the reports, last read at `reports_read_at`, have not shown it for too long.
     fn is_unresponsive(&self, reports_read_at: Duration, limits: &Limits) -> bool {
         reports_read_at >= self.reported_at + limits.silent
     }
--- a/crates/jobs/src/scheduler/runs.rs
+++ b/crates/jobs/src/scheduler/runs.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Sends a stop again that did not reach the platform.
+    /// Sends a stop again that failed or whose response was lost.
     ///
     /// The expiry of the lease would end the run too, but later than a drain may wait.
     fn resend_stop(&mut self, job: &id::Job) {
--- a/crates/jobs/tests/all/reference.rs
+++ b/crates/jobs/tests/all/reference.rs
@@ -146,8 +146,8 @@
             let open = workers
                 .values()
                 .filter(|w| w.availability == Availability::Open);
-            let rooms = open.filter_map(|w| left(w).map(|left| (left, w)));
-            let best = rooms.min_by(|a, b| a.0.total_cmp(&b.0));
+            let candidates = open.filter_map(|w| left(w).map(|left| (left, w)));
+            let best = candidates.min_by(|a, b| a.0.total_cmp(&b.0));
             best.map(|(_, w)| {
                 (
                     Resources {
--- a/crates/standin/src/site/check/breach.rs
+++ b/crates/standin/src/site/check/breach.rs
@@ -16,7 +16,7 @@
     Unasked(TaskId, u64),
     /// A start after as many failures as the queue allows.
     Budget(TaskId, u64),
-    /// A third start of a task after it crashed as many workers as a task may before it is given up.
+    /// A third start of a task after it crashed as many workers as a task may before it is abandoned.
     Crashes(TaskId, u64),
     /// A start that exceeds a worker's capacity.
     Full(TaskId, u64),
--- a/crates/standin/src/site/check/cancelled.rs
+++ b/crates/standin/src/site/check/cancelled.rs
@@ -8,7 +8,7 @@
 /// Runs that continue although their job was cancelled, and no fault was active for the time that it may take to learn of the
 /// cancel and to stop them.
 ///
-/// A start after the cancel is checked when it happens. A run that had begun before it is shown by no event, only by the
+/// A start after the cancel is checked when it happens. A run that had begun earlier shows in no event, only in the
 /// absence of its end.
 pub(super) fn overlong_runs(sent: &Sent, journal: &Journal) -> Vec<Breach> {
     let mut open: BTreeMap<(&Name, &TaskId, u32), u64> = BTreeMap::new();
@@ -32,7 +32,7 @@
                 ..
             } => {
                 if let Some(started) = open.remove(&(worker, task, *run)) {
-                    breaches.extend(judge(sent, task, started, *at));
+                    breaches.extend(check(sent, task, started, *at));
                 }
             }
             _ => {}
@@ -40,13 +40,13 @@
     }
     let unended = open.into_iter();
     breaches.extend(
-        unended.filter_map(|((_worker, task, _run), started)| judge(sent, task, started, u64::MAX)),
+        unended.filter_map(|((_worker, task, _run), started)| check(sent, task, started, u64::MAX)),
     );
     breaches
 }
 
 /// The breach by a run from `started` to `ended`, if it is one.
-fn judge(sent: &Sent, task: &TaskId, started: u64, ended: u64) -> Option<Breach> {
+fn check(sent: &Sent, task: &TaskId, started: u64, ended: u64) -> Option<Breach> {
     let cancelled = *sent.cancelled.get(&task.job)?;
     let within = CANCEL_TIMEOUT_MS + sent.stop;
     let mut due = sent.calm.iter().filter_map(|calm| {
--- a/crates/standin/src/site/check/mod.rs
+++ b/crates/standin/src/site/check/mod.rs
@@ -42,7 +42,7 @@
 /// Minimum time between the orders of two entries to one instance.
 const MIN_HANDOVER_MS: u64 = 3_000;
 
-/// Number of workers that a task may crash before it has to be given up.
+/// Number of workers that a task may crash before it has to be abandoned.
 const MAX_CRASHED_WORKERS: u32 = 3;
 
 /// Number of starts after those crashes at which a task is in breach.
@@ -65,7 +65,7 @@
 }
 
 #[derive(Default)]
-struct Judge<'a> {
+struct Checker<'a> {
     running: BTreeMap<&'a TaskId, BTreeSet<(&'a Name, u32)>>,
     readiness: StepReadiness<'a>,
     workers: WorkerLoads<'a>,
@@ -89,7 +89,7 @@
 
 /// All breaches in a journal, in the order in which they were found.
 pub fn check(sent: &Sent, journal: &Journal) -> Vec<Breach> {
-    let mut judge = Judge::default();
+    let mut checker = Checker::default();
     for event in &journal.events {
         match event {
             Event::Started {
@@ -98,15 +98,15 @@
                 task,
                 run,
                 payload,
-            } => judge.started(sent, *at, worker, task, *run, payload),
+            } => checker.started(sent, *at, worker, task, *run, payload),
             Event::Stopping {
                 at,
                 worker,
                 task,
                 late,
                 ..
-            } => judge.stopping(sent, (*at, *late), worker, task),
-            Event::Draining { worker, .. } => judge.readiness.draining(worker),
+            } => checker.stopping(sent, (*at, *late), worker, task),
+            Event::Draining { worker, .. } => checker.readiness.draining(worker),
             Event::Ended {
                 at,
                 worker,
@@ -114,20 +114,20 @@
                 run,
                 how,
             } => {
-                judge.cut_off(sent, *at, task, *how);
-                judge.ended(sent, *at, (worker, task), *run, *how);
+                checker.killed_by_order(sent, *at, task, *how);
+                checker.ended(sent, *at, (worker, task), *run, *how);
             }
-            Event::Born { worker, .. } => judge.born(worker),
+            Event::Born { worker, .. } => checker.born(worker),
             Event::Resized {
                 at,
                 worker,
                 capacity,
-            } => judge.workers.resized(*at, worker, *capacity),
-            Event::Crashed { task, .. } => judge.crashing.entry(task).or_default().crashes += 1,
+            } => checker.workers.resized(*at, worker, *capacity),
+            Event::Crashed { task, .. } => checker.crashing.entry(task).or_default().crashes += 1,
             Event::Lapsed { at, worker } => {
-                judge.lease_expired_at.insert(worker, *at);
+                checker.lease_expired_at.insert(worker, *at);
             }
-            Event::Noted { worker, number, .. } => judge.acknowledge(worker, *number),
+            Event::Noted { worker, number, .. } => checker.acknowledge(worker, *number),
             Event::Maintained {
                 at,
                 instance,
@@ -140,7 +140,7 @@
                 entry,
                 token,
                 ..
-            } => judge.ordered(
+            } => checker.ordered(
                 instance,
                 Order {
                     at: *at,
@@ -150,13 +150,13 @@
             ),
         }
     }
-    judge
+    checker
         .breaches
         .extend(cancelled::overlong_runs(sent, journal));
-    judge.breaches
+    checker.breaches
 }
 
-impl<'a> Judge<'a> {
+impl<'a> Checker<'a> {
     fn started(
         &mut self,
         sent: &Sent,
@@ -198,8 +198,8 @@
             self.breaches.push(Breach::Early(task.clone(), at));
         }
         let failures = self.failures.get(task).copied().unwrap_or(0);
-        let lasting = job.steps[usize::from(task.step)].lasting;
-        if !lasting && failures >= sent.max_attempts {
+        let long_running = job.steps[usize::from(task.step)].lasting;
+        if !long_running && failures >= sent.max_attempts {
             self.breaches.push(Breach::Budget(task.clone(), at));
         }
         if let Some(crashing) = self.crashing.get_mut(task)
@@ -275,7 +275,7 @@
 
     /// No run may be active on an instance when an order reaches it, except those of cancelled jobs, for which the order has
     /// the effect of a stop.
-    fn cut_off(&mut self, sent: &Sent, at: u64, task: &TaskId, how: Option<End>) {
+    fn killed_by_order(&mut self, sent: &Sent, at: u64, task: &TaskId, how: Option<End>) {
         let cancelled = sent.cancel_sent.contains(&task.job);
         if how.is_none() && self.last_order_at == Some(at) && !cancelled {
             self.breaches.push(Breach::CutOff(task.clone(), at));
--- a/crates/standin/src/site/check/readiness.rs
+++ b/crates/standin/src/site/check/readiness.rs
@@ -45,7 +45,7 @@
         self.draining.insert(worker);
     }
 
-    /// Records the end of a run. A run whose lease expired during a calm period counts as stopped by an order.
+    /// Records the end of a run. A run whose lease expired during a quiet period counts as stopped by an order.
     pub(super) fn ended(&mut self, sent: &Sent, at: u64, task: &'a TaskId, how: Option<End>) {
         self.ended_at.insert(task, at);
         let mut calm = sent.calm.iter();
--- a/crates/standin/tests/all/main.rs
+++ b/crates/standin/tests/all/main.rs
@@ -1,10 +1,10 @@
 //! Tests of the simulated platform, backend server and history checker, above all of their faults.
 
 mod backend;
+mod checker;
 mod client;
 mod faults;
 mod fleet;
-mod judge;
 mod table;
 mod tasks;
 
--- a/tests/site/diagnosis.rs
+++ b/tests/site/diagnosis.rs
@@ -296,11 +296,11 @@
     let over = with(&lines, "worker incarnations ended");
     ensure!((1..=2).contains(&over.len()), "{over:?}");
     for field in ["count", "busy"] {
-        let told = over
+        let reported = over
             .iter()
             .map(|line| line.field(field)?.parse::<usize>().ok());
-        let told: Option<usize> = told.sum();
-        ensure!(told == Some(WORKERS), "{over:?}");
+        let reported: Option<usize> = reported.sum();
+        ensure!(reported == Some(WORKERS), "{over:?}");
     }
     for worker in &terminated {
         let line = termination_line(&lines, Some(worker))?;
@@ -322,15 +322,15 @@
     let many = with(&lines, "runs ended without completing their work");
     let single = with(&lines, "run ended without completing its work");
     ensure!(!many.is_empty(), "{single:?}");
-    let mut told = single.len();
+    let mut reported = single.len();
     for line in &many {
         ensure!(line.field("pool") == Some(POOL) && line.field("how").is_some());
         let count: usize = line.field("count").unwrap_or_default().parse()?;
         let tasks = line.field("tasks").unwrap_or_default();
         ensure!(tasks.split(',').count() == count, "{line:?}");
         ensure!(tasks.split(',').all(|task| task.starts_with(id.as_str())));
-        told += count;
+        reported += count;
     }
-    ensure!(told >= 8, "{told} ends, {many:?} {single:?}");
+    ensure!(reported >= 8, "{reported} ends, {many:?} {single:?}");
     Ok(())
 }
--- a/tests/site/inspect.rs
+++ b/tests/site/inspect.rs
@@ -13,7 +13,7 @@
 
 cases! {
     pools_show_owners_wanted_workers_and_queues => pools();
-    job_story_while_its_owner_is_down => details();
+    job_details_while_its_owner_is_down => details();
     job_that_nobody_accepted_has_no_story => unknown();
     waves_show_their_progress => waves();
 }
--- a/tests/site/main.rs
+++ b/tests/site/main.rs
@@ -1,5 +1,5 @@
-//! End-to-end tests of job submission and execution: complete entries on a simulated in-memory platform, judged by
-//! the responses that callers get and by what workers observe.
+//! End-to-end tests of job submission and execution: complete entries on a simulated in-memory platform, checked against
+//! the responses that callers get and what workers observe.
 //!
 //! Tokio's clock is paused and every source of randomness is seeded, so runs are reproducible.
 
--- a/tests/site/random/mixed.rs
+++ b/tests/site/random/mixed.rs
@@ -101,7 +101,7 @@
     3_340_140, 3_340_289, 3_340_365,
     // A late start of a former owner reached an incarnation that nobody had contacted yet.
     3_000_363,
-    // A task that ran again after a stop, and was then lost with its worker, was judged as stopped.
+    // A task that ran again after a stop, and was then lost with its worker, was counted as stopped.
     3_020_060,
 ];
 
@@ -115,7 +115,7 @@
 const WORKERS: usize = 9;
 
 /// CPU shares of the entries, in thousandths of a core.
-const ENTRY_STRENGTHS: [&[u32]; 2] = [&[250, 250, 250], &[500, 120, 120, 250]];
+const ENTRY_CPU_SHARES: [&[u32]; 2] = [&[250, 250, 250], &[500, 120, 120, 250]];
 
 /// Action scheduled some seconds after a fault.
 enum Delayed {
@@ -155,7 +155,7 @@
 }
 
 pub(super) async fn history(seed: u64) -> Result<()> {
-    let strengths = ENTRY_STRENGTHS[usize::try_from(seed % 2)?];
+    let cpu_shares = ENTRY_CPU_SHARES[usize::try_from(seed % 2)?];
     let has_slow_stops = (FIRST_WITH_SLOW_STOPS..FIRST_WITH_CRASHES).contains(&seed);
     let stop = STOP_TIMES[usize::from(!has_slow_stops)];
     let same_id = if seed >= FIRST_WITH_SAME_IDS {
@@ -169,7 +169,7 @@
         same_id,
         ..Options::default()
     };
-    let fixture = Fixture::open_mixed(options, strengths, WORKERS).await?;
+    let fixture = Fixture::open_mixed(options, cpu_shares, WORKERS).await?;
     let mut mixed = MixedHistory {
         history: History::new(fixture, seed),
         second: 0,
--- a/tests/site/random/mod.rs
+++ b/tests/site/random/mod.rs
@@ -1,5 +1,5 @@
-//! Randomized histories: many short ones, each with jobs, cancels and faults drawn from its seed, judged by the
-//! responses that callers got and by what workers observed.
+//! Randomized histories: many short ones, each with jobs, cancels and faults drawn from its seed, checked against the
+//! responses that callers got and what workers observed.
 //!
 //! This module has histories with faults of one entry at a time; [`mixed`] has those in which planned maintenance,
 //! delays and faults overlap.
@@ -27,7 +27,7 @@
     // Status polls of workers whose clock was unknown were repeated without a pause while the store was
     // unavailable.
     1_003,
-    // The history drew a worker to partition when tasks had crashed all of them, and indexed an empty list.
+    // The history drew a worker to partition when tasks had crashed all of them, and panicked on an empty range.
     5_731_112,
 ];
 
--- a/tests/site/takeover.rs
+++ b/tests/site/takeover.rs
@@ -85,7 +85,7 @@
 
 // Guards against overlapping runs of two owners: the owner's calls to the store get no response while it still
 // reaches the workers, and another entry takes the pool over. The old owner may not renew a lease based on a
-// confirmation from before the partition, and its late starts are refused.
+// confirmation from before the partition, and its late starts are rejected.
 async fn partitioned() -> Result<()> {
     let mut fixture = Fixture::open(23, 3, 3).await?;
     let owner = fixture.owner(POOL).await?;
@@ -457,7 +457,7 @@
 // meanwhile the others own its pools, and then release them to it, one after the other. Running tasks are not
 // disturbed.
 async fn strong_entry_returns() -> Result<()> {
-    let mut fixture = Fixture::open_with_strengths(57, &[250, 1_000, 250], 4).await?;
+    let mut fixture = Fixture::open_with_cpu_shares(57, &[250, 1_000, 250], 4).await?;
     for pool in [POOL, OTHER] {
         ensure!(fixture.owner(pool).await? == "e-1", "{pool}");
     }
