--- a/crates/capacity/src/cluster.rs
+++ b/crates/capacity/src/cluster.rs
@@ -307,7 +307,7 @@
         Cycles::Running => default_timers,
         Cycles::Suspended => ControllerTimers {
             cycle: Duration::from_secs(1_000_000),
-            // The lease is renewed only between cycles, so it has to outlast the run or be taken over.
+            // The lease is renewed only between cycles; it outlasts the run, so that no other entry takes over.
             lease: Duration::from_secs(1_000_000),
             ..default_timers
         },
--- a/crates/claims/examples/outage_ways.rs
+++ b/crates/claims/examples/outage_ways.rs
@@ -226,9 +226,9 @@
     }
 
     fn answer_is_lost(&mut self) -> bool {
-        let paused = self.rng.random_range(0..SUSPENDED_ONE_IN) == 0
+        let suspended = self.rng.random_range(0..SUSPENDED_ONE_IN) == 0
             && self.rng.random_range(0..MAX_SUSPENSION_MS) > RESPONSE_TIMEOUT_MS;
-        paused || self.rng.random_range(0..LOST_ONE_IN) == 0
+        suspended || self.rng.random_range(0..LOST_ONE_IN) == 0
     }
 }
 
--- a/crates/controller/src/jobs/calls.rs
+++ b/crates/controller/src/jobs/calls.rs
@@ -14,7 +14,7 @@
 
 /// How long after the decision a call may still be sent.
 ///
-/// Otherwise a controller that is paused after the decision, or whose calls are queued for long,
+/// Otherwise a controller that is suspended after the decision, or whose calls are queued for long,
 /// could start or renew a run whose lease has expired for its successor, and the job would run
 /// twice. The successor assumes that runs were renewed until a whole lease of 30 s after its
 /// takeover; this and [`CALL_TIMEOUT`] together stay below that.
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -9,7 +9,7 @@
 //! * `epoch/controller` is written at each takeover and at no other time. Every change that a
 //!   controller commits is conditional on the revision of this row as of its own takeover.
 //!
-//! So a controller that was paused, and resumes after another has taken over, commits nothing: its
+//! So a controller that was suspended, and resumes after another has taken over, commits nothing: its
 //! epoch row has changed. Clocks of different machines are never compared, and two entries that
 //! both believe that they hold the lease do no harm.
 //!
--- a/crates/controller/tests/all/jobs/races.rs
+++ b/crates/controller/tests/all/jobs/races.rs
@@ -36,7 +36,7 @@
     sleep(20 * SECOND).await;
 }
 
-/// The holder is paused until another has taken over, and resumes while renewals of its runs are
+/// The holder is suspended until another has taken over, and resumes while renewals of its runs are
 /// due. Its plan has no rows, so no commit reveals that its epoch is outdated.
 async fn resumed() {
     let mut sim = open().await;
--- a/crates/controller/tests/all/jobs/simulation.rs
+++ b/crates/controller/tests/all/jobs/simulation.rs
@@ -218,7 +218,7 @@
         self.platform.client(&format!("{entry}-{part}"))
     }
 
-    /// Makes every call of the controller `entry` hang for `hang`, as if its process were paused.
+    /// Makes every call of the controller `entry` hang for `hang`, as if its process were suspended.
     pub fn pause(&self, entry: &str, hang: Duration) {
         for part in PARTS {
             let client = self.client(entry, part);
--- a/crates/controller/tests/all/main.rs
+++ b/crates/controller/tests/all/main.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// The report of an entry whose gates have applied `seq`, with the drain that it acknowledges.
+/// The report of an entry whose dispatchers have applied `seq`, with the drain that it acknowledges.
 fn report(seq: u64, drain: Option<(u64, u32)>) -> Report {
     let identity = Identity {
         entry: name("e"),
--- a/crates/controller/tests/all/waves/entry.rs
+++ b/crates/controller/tests/all/waves/entry.rs
@@ -90,7 +90,7 @@
         self.inner.lock().report.clone()
     }
 
-    /// Its view of each tick.
+    /// Where it sent requests and what it had in flight, at each tick.
     pub fn log(&self) -> Vec<(Instant, View)> {
         self.inner.lock().log.clone()
     }
--- a/crates/domain/src/work.rs
+++ b/crates/domain/src/work.rs
@@ -203,7 +203,7 @@
     pub after: Vec<u16>,
     /// Whether its tasks write checkpoints.
     pub checkpoints: bool,
-    /// Whether its tasks can only run all at the same time (gang scheduling).
+    /// Whether its tasks can only run together, all at the same time (gang scheduling).
     pub gang: bool,
     /// Whether its tasks are slower when spread over several racks.
     pub same_rack: bool,
--- a/crates/entry/src/local.rs
+++ b/crates/entry/src/local.rs
@@ -170,7 +170,7 @@
         let latest_reports = self.latest_reports();
         let own = self.report();
         let rows = self.ledger.scan::<Registration>(key::ENTRIES).await?;
-        let voice = |(_key, row): (_, Registration)| {
+        let registered_entry = |(_key, row): (_, Registration)| {
             let heard = latest_reports
                 .iter()
                 .find(|s| s.report.from.incarnation == row.incarnation);
@@ -185,6 +185,6 @@
                 report,
             }
         };
-        Ok(rows.into_iter().map(voice).collect())
+        Ok(rows.into_iter().map(registered_entry).collect())
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -15,8 +15,8 @@
 //!
 //! A [`Draft`] is based on the rows as of one `Seq` and commits only if the head is still that
 //! `Seq`. Two concurrent operators cannot both commit on the same head; the second gets
-//! [`Error::Conflict`], reads the rows again and decides again. A writer that resumes after a pause
-//! finds a newer head and commits nothing.
+//! [`Error::Conflict`], reads the rows again and decides again. A writer that resumes after being
+//! suspended finds a newer head and commits nothing.
 //!
 //! # Lost responses
 //!
--- a/crates/ledger/tests/all/commit.rs
+++ b/crates/ledger/tests/all/commit.rs
@@ -115,7 +115,7 @@
     assert_eq!(Refusal::from(error).code, Code::StoreUnknown);
 }
 
-/// A paused controller resumes after another has taken over. Its guard row has changed, so its
+/// A suspended controller resumes after another has taken over. Its guard row has changed, so its
 /// change is rejected as a whole although it is based on the newest head.
 async fn changed_guard() {
     let (_platform, ledger) = open();
--- a/crates/peer/src/membership.rs
+++ b/crates/peer/src/membership.rs
@@ -97,7 +97,7 @@
     }
 }
 
-/// Derives the standing of an entry from the evidence.
+/// Derives the liveness of an entry from the evidence.
 pub fn liveness(evidence: Evidence, limits: &Limits) -> Liveness {
     if evidence.removed || evidence.phase == Some(Phase::Gone) {
         return Liveness::Gone;
--- a/crates/peer/tests/all/membership.rs
+++ b/crates/peer/tests/all/membership.rs
@@ -1,4 +1,4 @@
-//! Standing of entries, state of the view and writes of the registration row.
+//! Liveness of entries, state of the view and writes of the registration row.
 
 use crate::{cases, fake::entry, runner};
 use primroseroute_domain::change::Seq;
--- a/crates/report/src/replay.rs
+++ b/crates/report/src/replay.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// A record is missing.
-    #[error("the audit trail has a gap: expected change {expected}, found change {found}")]
+    #[error("the trail has change {found} where change {expected} should be")]
     Gap {
         /// The expected sequence number.
         expected: Seq,
@@ -25,7 +25,7 @@
         found: Seq,
     },
     /// A row of a record cannot be parsed.
-    #[error("cannot parse row `{key}` of change {seq}: {detail}")]
+    #[error("change {seq} holds a row `{key}` that cannot be read: {detail}")]
     Corrupt {
         /// The record's sequence number.
         seq: Seq,
--- a/crates/serve/tests/all/entry_options.rs
+++ b/crates/serve/tests/all/entry_options.rs
@@ -100,7 +100,7 @@
         documented.insert(path.to_owned());
         None
     });
-    // A secret has further keys than the one documented.
+    // A secret accepts more keys than the one that the documented settings show.
     assert!(documented.remove("secrets.peer-key.env"));
     let listed: BTreeSet<String> = NON_DEFAULTS
         .iter()
--- a/tests/all/fleet.rs
+++ b/tests/all/fleet.rs
@@ -76,7 +76,7 @@
     move |row| row.is_some_and(|row| row.state == state)
 }
 
-/// A new template guarantees more instances than the pool has. The platform provides an instance;
+/// A new template promises more instances than the pool has. The platform provides an instance;
 /// it is health-checked, placed into the pool with the deficit, and serves.
 async fn arrival() -> Result<()> {
     let mut site = site_with_workers(2).await?;
--- a/tests/all/report.rs
+++ b/tests/all/report.rs
@@ -143,7 +143,7 @@
         (stay.rollout_seconds - wave_duration).abs() < 1e-9,
         "{stay:?}, {wave_duration}"
     );
-    // Both pools exceed their guarantee by one instance from the same change on.
+    // Both pools hold one instance more than they promise from the same change on.
     assert!(stay.cost.buffer_slot_hours > 0.0, "{stay:?}");
     assert!((stay.cost.buffer_slot_hours - rest.cost.buffer_slot_hours).abs() < 1e-9);
     let drawn = fs::read_to_string(&plot)?;
--- a/tests/all/wave.rs
+++ b/tests/all/wave.rs
@@ -106,7 +106,7 @@
 }
 
 /// Callers send throughout. Every instance reboots once, no request is interrupted, and no pool
-/// serves with fewer instances than guaranteed.
+/// serves with fewer instances than promised.
 async fn rolls_out() -> Result<()> {
     let site = site().await?;
     let end = Arc::new(AtomicBool::new(false));
@@ -294,7 +294,7 @@
 /// once the instance serves the new pool no request of the old one reaches it.
 async fn moves() -> Result<()> {
     let site = site().await?;
-    // The pool that loses an instance must still meet its guarantee, or placement would move one
+    // The pool that loses an instance must still meet its promise, or placement would move one
     // back.
     let mut template = site.templates().remove(0);
     template.pools[0].budget.promised = 2;
