--- a/tests/all/end_to_end.rs
+++ b/tests/all/end_to_end.rs
@@ -65,9 +65,8 @@
     Ok(())
 }
 
-/// A pool's name seeds the random choices of its dispatcher. When the sum for
-/// that seed overflowed, the task that applies views panicked, and the entry kept its old
-/// configuration forever.
+/// A pool's name seeds the random choices of its dispatcher. When the sum for that seed overflowed,
+/// the task that applies views panicked, and the entry kept its old configuration forever.
 async fn long_name() -> Result<()> {
     let name = "z".repeat(id::MAX_LEN - "-0".len()); // Worker names append a number.
     let layout = Layout {
