--- a/crates/serve/src/metered.rs
+++ b/crates/serve/src/metered.rs
@@ -64,16 +64,16 @@
         self.0.jobs_queued(queue, jobs);
     }
 
-    fn commit_finished(&self, duration: Duration) {
-        self.0.commit_finished(duration);
+    fn commit_finished(&self, took: Duration) {
+        self.0.commit_finished(took);
     }
 
     fn jobs_feed_age(&self, pool: &Name, ago: Duration) {
         self.0.jobs_feed_age(pool, ago);
     }
 
-    fn round_finished(&self, pool: &Name, duration: Duration) {
-        self.0.round_finished(pool, duration);
+    fn round_finished(&self, pool: &Name, took: Duration) {
+        self.0.round_finished(pool, took);
     }
 
     fn order_waited(&self, order: &'static str, waited: Duration) {
